--- a/espalier/daemon.py
+++ b/espalier/daemon.py
@@ -20,6 +20,7 @@
 from espalier.following import Act, Note, Ready, Serve, Serving, same
 from espalier.mesh import ROLE, Mesh
 from espalier.news import Feed
+from espalier.quotas import QuotaLoop
 from espalier.reader import SystemReader, passes, verdict
 from espalier.routes import Table
 from espalier.shares import News
@@ -45,12 +46,9 @@
     Company,
     Event,
     FleetUpdate,
-    Level,
     ListKind,
     OthersLoad,
-    OthersUse,
     Plan,
-    PlanAssigned,
     RequestClass,
     Settings,
     Suspected,
@@ -63,6 +61,8 @@
 from troutdock.http.transport import HttpTransport
 from troutdock.overload.lag import Lag
 from troutdock.platform.clock import SystemClock
+from troutdock.quota.node import QuotaNode
+from troutdock.quota.routes import Peers
 
 log = logbook.Logger("espalier")
 
@@ -76,6 +76,7 @@
 DRAIN_MOST_S = 2.6  # after SIGTERM clients still come: two questions for readiness have to be missed
 DOOR_S = 0.9  # from the start until clients are told that there is no configuration yet, or are served
 LEFT_S = 0.4  # of the grace: kept for the end itself
+HANDOVER_S = 0.02  # for the buckets of quotas to leave before the links end
 STATES = {0: BackendState.READY, 1: BackendState.DRAINING, 2: BackendState.GONE}
 NOTHING = Settings(
     gateways=1,
@@ -97,6 +98,7 @@
     def __init__(self, fabric: Fabric) -> None:
         self.fabric = fabric
         self.mesh: Mesh | None = None
+        self.quotas: QuotaLoop | None = None
         self.instance_of: Mapping[int, bytes] = {}
 
     @property
@@ -106,17 +108,13 @@
     def handle(self, now: float, event: Event) -> Actions:
         fabric, mesh = self.fabric, self.mesh
         actions = fabric.handle(now, event)
-        if mesh is not None:
-            if fabric.loads_changed:
-                for backend in fabric.loads_changed:
-                    if (instance := self.instance_of.get(backend)) is not None:
-                        mesh.load(instance.decode(), fabric.load(backend))
-                fabric.loads_changed.clear()
-            if fabric.tenants_changed:
-                for number in fabric.tenants_changed:
-                    if (tenant := fabric.tenants.get(number)) is not None:
-                        mesh.use(tenant.plan.name, tenant.used)
-                fabric.tenants_changed.clear()
+        if mesh is not None and fabric.loads_changed:
+            for backend in fabric.loads_changed:
+                if (instance := self.instance_of.get(backend)) is not None:
+                    mesh.load(instance.decode(), fabric.load(backend))
+            fabric.loads_changed.clear()
+        if self.quotas is not None:
+            self.quotas.flush_soon()
         return actions
 
 
@@ -126,21 +124,22 @@
     def __init__(self, boot: Boot, path: str, life: int) -> None:
         self._boot, self._path = boot, path
         self._loop = asyncio.get_running_loop()
-        self._hello = Hello(ROLE, boot.name, boot.ip, boot.zone, life)
+        self._hello = Hello(ROLE, boot.name, boot.ip, boot.zone, life, leases=True)
         random = Random(f"{boot.name} {life}")
         values = boot.values
         zones = sorted({*values["zones"], boot.zone})
         self._zones = {zone: number for number, zone in enumerate(zones)}
+        self.clock = SystemClock()
+        node = QuotaNode(boot.name, boot.zone, life, self.clock.now() / 1000, boot.bootstrap)
         self.fabric = Fabric(
             NOTHING,
             random.getrandbits(32),
             self._zones[boot.zone],
             values["bounds.retryRatio"],
             values["bounds.retryAllowance"],
-            boot.bootstrap,
+            node,
         )
         self._decides = Recorder(self.fabric)
-        self.clock = SystemClock()
         self.engine = Engine(NOTHING, 0, self.clock, self._loop, self._decides)
         self.engine.relays_failures = True
         self.lag = Lag(self.clock.now, SAMPLE_S)
@@ -177,9 +176,26 @@
         self.serving = Serving(self._loop.time(), values["bounds.contactS"])
         self.feed = Feed(boot, self._hello, self._heard, self._followed, self.serving.lost, self._has)
         self.mesh = Mesh(
-            boot, self._hello, self._others, self._told_level, self._levels, self._company, self.book
+            boot,
+            self._hello,
+            self._others,
+            self._company,
+            self.book,
+            self._quota_peers_changed,
+            self._quota_message,
+        )
+        self.quotas = QuotaLoop(
+            node,
+            self.clock,
+            self._hello,
+            self.mesh.peer,
+            self.mesh.send_to,
+            self.engine.inform,
+            lambda: self.lag.now_ms,
+            self.mesh.set_busy,
+            boot.bootstrap,
         )
-        self._decides.mesh = self.mesh
+        self._decides.mesh, self._decides.quotas = self.mesh, self.quotas
         self._readiness = CallServer(self._ready, 1024)
         self._sampled_at = self._loop.time()
         self._ending = self._opened = False
@@ -193,6 +209,7 @@
         self._loop.call_later(DOOR_S, self._open)
         self._loop.call_later(self.serving.contact_s, self._tick_serving)
         await self.mesh.start(inner)
+        await self.quotas.start(inner)
         self.feed.start()
         self._sweep()
         self._sample()
@@ -283,8 +300,6 @@
             self._pool_of(service)
         self.engine.reconfigure(table.settings)
         self.reader.table = table
-        for plan, tenant in enumerate(found.tenants or ()):  # also those that have asked nothing here yet
-            self._tell(PlanAssigned(self._tenants[tenant.name], plan + 1))
         self.server.max_head = found.limits.header_bytes
         self.server.head_s = found.limits.header_ms / 1000
         self.server.idle_s = found.limits.idle_ms / 1000
@@ -338,21 +353,12 @@
             found = {self._numbers[id]: count for id, count in out.items() if id in self._numbers}
             if found:
                 self._tell(OthersLoad(origin, found))
-        used = {
-            self._tenants[name]: float(count) for name, count in news.used.items() if name in self._tenants
-        }
-        if used:
-            self._tell(OthersUse(used))
-
-    def _told_level(self, level: dict[str, float]) -> None:
-        self._tell(
-            Level(
-                {self._tenants.setdefault(name, len(self._tenants) + 1): left for name, left in level.items()}
-            )
-        )
 
-    def _levels(self) -> dict[str, float]:
-        return {tenant.plan.name: tenant.level for tenant in self.fabric.tenants.values() if tenant.plan.rate}
+    def _quota_peers_changed(self, peers: Peers) -> None:
+        self.quotas.update_peers(peers)
+
+    def _quota_message(self, peer: str, message: Message) -> None:
+        self.quotas.receive(peer, message)
 
     def _company(self, ingresses: int, heard: int) -> None:
         self._tell(Company(ingresses, heard))
@@ -419,6 +425,8 @@
         except TimeoutError:
             log.warning("Grace is over: {} requests open.", self.engine.open)
         self.engine.close()
+        self.quotas.close()
+        await asyncio.sleep(HANDOVER_S)
         self.feed.close()
         self.mesh.close()
         self._readiness.close()
--- a/espalier/mesh.py
+++ b/espalier/mesh.py
@@ -10,13 +10,26 @@
 import asyncio
 from collections.abc import Callable
 from functools import partial
+from math import inf
 
 import logbook
 
 from almanac.boot import Boot
 from espalier.shares import Exchange, News, Services
 from furrow.link import Address, Dialer, Link, Listener
-from furrow.messages import Hello, Members, Message, Shares, encode
+from furrow.messages import (
+    Hello,
+    Members,
+    Message,
+    QuotaGrant,
+    QuotaHandover,
+    QuotaRequest,
+    QuotaSettlement,
+    QuotaStatus,
+    Shares,
+    encode,
+)
+from troutdock.quota.routes import Peers
 
 log = logbook.Logger("mesh")
 
@@ -24,7 +37,7 @@
 PORT = 0  # of the system's own ports
 ZONE_S, AWAY_S = 0.008, 0.04  # how long changes are gathered for neighbours in the zone, and for other zones
 LOOK_S = 0.25  # between two looks at who is to be linked
-HERE_BEFORE_S = 1.5  # after the start: by then neighbours have told what was before
+BUSY_MEMORY_S = 5.0  # so long a busy ingress is taken for busy after its link has ended
 
 
 class Mesh:
@@ -35,14 +48,30 @@
         boot: Boot,
         hello: Hello,
         heard: Callable[[News], None],
-        told_level: Callable[[dict[str, float]], None],
-        levels: Callable[[], dict[str, float]],
         company: Callable[[int, int], None],
         services: Services,
+        peers_changed: Callable[[Peers], None] = lambda _: None,
+        quota_message: Callable[[str, Message], None] = lambda _name, _message: None,
     ) -> None:
-        """heard: what others' messages bring. told_level, levels: of tenants, from and for newcomers."""
+        """Begin without links.
+
+        Args:
+            boot: The process's settings.
+            hello: Who this ingress is.
+            heard: Gets what others tell of their load.
+            company: Gets how many ingresses there are, and how many are heard.
+            services: Of the backends that are known.
+            peers_changed: Gets the ingresses that take part in the leases of quotas.
+            quota_message: Gets what they say about quotas, with the sender's name.
+        """
         self._boot, self._hello = boot, hello
-        self._on_news, self._told_level, self._levels, self._company = heard, told_level, levels, company
+        self._on_news, self._company = heard, company
+        self._peers_changed, self._quota_message = peers_changed, quota_message
+        self._is_listed = False
+        self._is_busy = False
+        self._by_name: dict[str, Link] = {}
+        self._is_dial_due = False
+        self._busy_until: dict[str, float] = {}  # by name; infinite while it is linked
         self._loop = asyncio.get_running_loop()
         self.exchange = Exchange(boot.name, boot.ip, boot.zone, hello.life, services)
         self._dialers: dict[str, Dialer] = {}  # by name
@@ -50,7 +79,6 @@
         self._listener = Listener(lambda: Link(hello, self._heard, self._up, self._down))
         self._zone_due = False
         self._closed = False
-        self._began = self._loop.time()
         self._told = (0, 0)
 
     async def start(self, address: Address) -> None:
@@ -62,8 +90,10 @@
     def listed(self, members: Members) -> None:
         """The registry's list of ingresses."""
         self.exchange.listed(self._loop.time(), members.entries, members.gone, members.full)
+        self._is_listed = True
         self._dial()
         self._tell_company()
+        self._tell_peers()
 
     # ---- own numbers
 
@@ -72,11 +102,6 @@
         self.exchange.load(instance, count)
         self._soon()
 
-    def use(self, tenant: str, count: int) -> None:
-        """A tenant's requests were let in."""
-        self.exchange.use(tenant, count)
-        self._soon()
-
     def _soon(self) -> None:
         if not self._zone_due:
             self._zone_due = True
@@ -118,12 +143,22 @@
             if link.peer is not None and link.peer.zone == self._boot.zone
         ]
 
+    def _dial_soon(self) -> None:
+        """Look at whom to dial once the present events are through."""
+        if not self._is_dial_due:
+            self._is_dial_due = True
+            self._loop.call_soon(self._dial)
+
+    def _failing(self) -> list[str]:
+        """Those that were dialled in vain the last time."""
+        return [name for name, dialer in self._dialers.items() if dialer.tried and not dialer.up]
+
     def _dial(self) -> None:
+        self._is_dial_due = False
         if self._closed:
             return
         linked = [(link.peer.name, link.peer.zone) for link in self._links if link.peer is not None]
-        failing = [name for name, dialer in self._dialers.items() if dialer.tried and not dialer.up]
-        wanted = {m.name: m for m in self.exchange.wanted(self._loop.time(), linked, failing)}
+        wanted = {m.name: m for m in self.exchange.wanted(self._loop.time(), linked, self._failing())}
         for name, dialer in list(self._dialers.items()):
             if not self.exchange.keeps(name, dialer.address[0], wanted, dialer.up):
                 dialer.close()
@@ -132,7 +167,7 @@
             if name not in self._dialers:
                 up = partial(self._up, expected=name)
                 self._dialers[name] = Dialer(
-                    (member.ip, member.port), self._hello, self._heard, up, self._down
+                    (member.ip, member.port), self._hello, self._heard, up, self._down, self._dial_soon
                 )
 
     def _up(self, link: Link, expected: str = "") -> None:
@@ -151,26 +186,38 @@
                     return
                 other.cut()
         self._links[link] = None
+        self._busy_until.pop(peer.name, None)
+        if self._is_busy and peer.leases:
+            link.send(QuotaStatus(True))
         away = peer.zone != self._boot.zone
-        link.send(self.exchange.full(self._loop.time(), self._levels(), peer.name, away))
-        self._loop.call_soon(self._dial)  # this one may speak for its zone now
+        link.send(self.exchange.full(self._loop.time(), peer.name, away))
+        self._tell_peers()
+        self._dial_soon()  # this one may speak for its zone now
 
     def _down(self, link: Link) -> None:
         if link in self._links:
             del self._links[link]
+            if link.peer is not None and link.peer.name in self._busy_until:
+                self._busy_until[link.peer.name] = self._loop.time() + BUSY_MEMORY_S
+            self._tell_peers()
+            self._dial_soon()
             peer = link.peer
             if peer is None or peer.zone != self._boot.zone or peer.name in self._neighbours():
                 return  # two links, where both have dialled: the other one is up
             self._on_news(self.exchange.forget(self._loop.time(), peer.name))
 
     def _heard(self, link: Link, message: Message) -> None:
-        if not isinstance(message, Shares) or link.peer is None or link not in self._links:
+        if link.peer is None or link not in self._links:
+            return
+        if isinstance(message, QuotaRequest | QuotaGrant | QuotaSettlement | QuotaHandover):
+            self._quota_message(link.peer.name, message)
+        elif isinstance(message, QuotaStatus):
+            self._hear_status(link.peer.name, message)
+        if not isinstance(message, Shares):
             return
         now = self._loop.time()
         news = self.exchange.hear(now, message, link.peer.name, link.peer.zone, link.peer.life)
-        if message.level:
-            self._told_level(message.level)
-        if news.out or news.used:
+        if news.out:
             self._on_news(news)
 
     def _look(self) -> None:
@@ -179,13 +226,12 @@
         now = self._loop.time()
         for name in self._neighbours():
             self.exchange.alive(now, name)
-        if not self.exchange.settled and now - self._began > HERE_BEFORE_S:
-            self.exchange.settled = True
         news = self.exchange.forget(now)
         if news.out:
             self._on_news(news)
         self._dial()
         self._tell_company()
+        self._tell_peers()
         if not self._closed:
             self._loop.call_later(LOOK_S, self._look)
 
@@ -195,6 +241,55 @@
             self._told = company
             self._company(*company)
 
+    def set_busy(self, is_busy: bool) -> None:
+        """Tell the others whether this ingress handles messages too late to answer for them."""
+        self._is_busy = is_busy
+        for link in list(self._links):
+            if link.peer is not None and link.peer.leases:
+                link.send(QuotaStatus(is_busy))
+        self._tell_peers()
+
+    def _hear_status(self, name: str, status: QuotaStatus) -> None:
+        if status.busy:
+            self._busy_until[name] = inf
+        else:
+            self._busy_until.pop(name, None)
+        self._tell_peers()
+        self._dial_soon()
+
+    def _busy_names(self) -> frozenset[str]:
+        now = self._loop.time()
+        for name in [name for name, until in self._busy_until.items() if until <= now]:
+            del self._busy_until[name]
+        return frozenset([*self._busy_until, self._boot.name] if self._is_busy else self._busy_until)
+
+    def _tell_peers(self) -> None:
+        """Who takes part in the leases of quotas: linked, and of a version that knows them."""
+        linked = [link.peer for link in self._links if link.peer is not None and link.peer.leases]
+        self._by_name = {link.peer.name: link for link in self._links if link.peer is not None}
+        zone, members = self._boot.zone, self.exchange.members.values()
+        self.exchange.busy = self._busy_names()
+        self._peers_changed(
+            Peers(
+                near=frozenset(peer.name for peer in linked if peer.zone == zone),
+                away={peer.name: peer.zone for peer in linked if peer.zone != zone},
+                listed_near=frozenset(m.name for m in members if m.zone == zone) - set(self._failing()),
+                listed_zones=frozenset(m.zone for m in members if m.zone != zone),
+                fleet_size=self.exchange.company(self._loop.time())[0] if self._is_listed else 0,
+                busy=self.exchange.busy,
+            )
+        )
+
+    def peer(self, name: str) -> Hello | None:
+        """Who a linked ingress is; none if it is not linked."""
+        link = self._by_name.get(name)
+        return link.peer if link is not None else None
+
+    def send_to(self, name: str, message: Message) -> None:
+        """Say something to a linked ingress; lost if it is none any more."""
+        if (link := self._by_name.get(name)) is not None:
+            link.send(message)
+
     def renew(self) -> None:
         """Cut all links: what stands in them was said before this process stood still."""
         for link in list(self._links):
--- a/espalier/shares.py
+++ b/espalier/shares.py
@@ -1,18 +1,18 @@
-"""What ingresses tell one another: open attempts and admitted requests, as numbers that hold now.
+"""What ingresses tell one another: open attempts, as numbers that hold now, and how many are heard.
 
 No I/O, no clock. An ingress tells its zone each of its own changes at once: bytes within a zone cost
-nothing. Other zones are told sums. For each service one ingress of a zone is its *home*, the first live one
-in an order that all agree on, and another one is home for the tenants' use; a home tells the homes of the
-other zones what its zone has open at each backend, and passes on to its own zone what it hears of theirs. So
-the work of telling is shared by as many ingresses as there are services, and what one says grows with its
-zone's requests, not with the number of ingresses (one speaker a zone that passed on every ingress's numbers
-sent 410 KB/s on links of 250 at 20 ingresses a zone, and was cut off by its own queue).
-
-Numbers are absolute, so that nothing is counted twice whichever way it comes; a link begins with all of them.
-A zone's use of tenants is a count that every ingress of the zone keeps alike, under an epoch that a newcomer
-takes from its neighbours: whoever becomes home goes on where the one before stopped. Under an epoch that is
-not the one heard of last a count is taken as it stands, and only what is added to it counts. Times are
-seconds of the owner's steady clock.
+nothing. Other zones are told sums. For each service one ingress of a zone is its *home*, the first live
+one in an order that all agree on, and another one is home for telling how many ingresses its zone hears;
+a home tells the homes of the other zones what its zone has open at each backend, and passes on to its own
+zone what it hears of theirs. So the work of telling is shared by as many ingresses as there are services,
+and what one says grows with its zone's requests, not with the number of ingresses (one speaker a zone
+that passed on every ingress's numbers sent 410 KB/s on links of 250 at 20 ingresses a zone, and was cut
+off by its own queue).
+
+Numbers are absolute, so that nothing is counted twice whichever way it comes; a link begins with all of
+them. Tenants' quotas are not told here: they are leased (troutdock.quota). Whom an ingress dials for
+that, by the order of its shards' owners, is decided here with the rest. Times are seconds of the owner's
+steady clock.
 """
 
 from __future__ import annotations
@@ -24,15 +24,15 @@
 
 from furrow.messages import Member, Share, Shares
 from pollen.order import first, in_order
+from troutdock.quota.routes import SHARDS, in_aggregator_order, zones_before
 
 STALE_S = 1.2  # an ingress or zone that was not heard of for so long tells nothing any more
 LOST_S = 10.0  # one that has left the list without being heard to end still counts for so long
 ALIVE_S = 0.4  # at least so often another zone is told how many are heard here
-USE_S = 0.075  # between two tellings of use to other zones: a hot tenant is let in there too meanwhile
-LOW_S = 1.0  # a zone's count that stays below what was heard is taken as it is: another one goes on with it
+LINKS_TO_OWNERS = 2  # into the zone of a shard's owner: the second serves when the first has just ended
 MEET_S = 0.5  # for the neighbours in the zone that are listed to be linked
 UNLINKED_S = 1.0  # a zone whose home has not dialled for so long is dialled
-USE = "use"  # the duty of telling tenants' use
+ALIVE = "use"  # the duty of telling how many are heard; by its name processes of before have it alike
 TAGS = 10_000  # of lives and epochs
 MOST_NAMES = 20_000  # in a table, until it is begun anew
 ZONE = "@"  # before a zone's name, where it stands in an ingress's place
@@ -57,14 +57,12 @@
     __slots__ = ("lives", "names", "waiting")
 
     def __init__(self) -> None:
-        self.waiting: dict[str, tuple[dict[str, None], dict[str, None]]] = {}  # by origin: instances, tenants
+        self.waiting: dict[str, dict[str, None]] = {}  # instances by origin
         self.names = 0  # of the table
         self.lives: dict[str, int] = {}
 
-    def changed(self, origin: str, instances: Iterable[str], tenants: Iterable[str]) -> None:
-        waiting = self.waiting.setdefault(origin, ({}, {}))
-        waiting[0].update(dict.fromkeys(instances))
-        waiting[1].update(dict.fromkeys(tenants))
+    def changed(self, origin: str, instances: Iterable[str]) -> None:
+        self.waiting.setdefault(origin, {}).update(dict.fromkeys(instances))
 
 
 @dataclass(slots=True)
@@ -75,31 +73,22 @@
     heard_at: float
     own: bool = False
     out: dict[str, int] = field(default_factory=dict)
-    used: dict[str, int] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class Away:
-    """Another zone, as it was told of last. here: ingresses that are heard there; whole: all use is known.
+    """Another zone, as it was told of last. here: ingresses that are heard there."""
 
-    tag: of the epoch of its count. low: tenants whose count came lower than before, and since when.
-    """
-
-    tag: int = -1
     heard_at: float = -inf
     here: int = 0
-    whole: bool = False
     out: dict[str, int] = field(default_factory=dict)
-    used: dict[str, int] = field(default_factory=dict)
-    low: dict[str, float] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class News:
-    """What a message has brought: open attempts by origin and instance, and uses by tenant."""
+    """What a message has brought: open attempts by origin and instance."""
 
     out: dict[str, dict[str, int]] = field(default_factory=dict)
-    used: dict[str, int] = field(default_factory=dict)
 
 
 class Exchange:
@@ -116,10 +105,7 @@
         self.origins: dict[str, Origin] = {}  # of the zone
         self.away: dict[str, Away] = {}  # by zone
         self.out: dict[str, int] = {}
-        self.used: dict[str, int] = {}
-        self.epoch = life  # of the zone's count
         self.zone_out: dict[str, int] = {}  # open in the whole zone
-        self.zone_used: dict[str, int] = {}  # the zone's count
         self._near, self._passed_on = _Side(), _Side()  # own changes, and those of other zones
         self._waiting: dict[str, dict[str, None]] = {}  # by duty: what other zones don't know yet
         self._homes: set[str] = set()  # duties that were this one's at the last telling
@@ -131,8 +117,8 @@
         self._tables: dict[str, tuple[int, list[str]]] = {}  # of neighbours: by name, with their lives
         self._unlinked: dict[str, float] = {}  # other zones, and since when none of theirs is linked
         self._alone_since = inf  # a listed neighbour in the zone is not linked
-        self._told_alive = self._told_use = 0.0
-        self.settled = False  # others' numbers of before are known, so that only what is new counts as new
+        self._told_alive = 0.0
+        self.busy: frozenset[str] = frozenset()  # names of those that handle messages late
 
     # ---- who is there
 
@@ -172,7 +158,7 @@
 
     def duties(self) -> list[str]:
         """What each zone has a home for."""
-        return [*(f"service/{service}" for service in self.services.services()), USE]
+        return [*(f"service/{service}" for service in self.services.services()), ALIVE]
 
     def home(self, duty: str, live: Iterable[str]) -> bool:
         """Whether this one does a duty for its zone, of those that it is linked to there."""
@@ -213,8 +199,33 @@
                 waited = now - self._unlinked.get(zone, now) >= UNLINKED_S
                 if self.ip < there[name].ip or waited or (name, zone) in linked:
                     found[name] = there[name]
+        found.update(self._wanted_for_quotas(near, zones, linked, failing))
         return list(found.values())
 
+    def _wanted_for_quotas(
+        self,
+        near: Collection[str],
+        zones: Mapping[str, Mapping[str, Member]],
+        linked: Collection[tuple[str, str]],
+        failing: Collection[str],
+    ) -> dict[str, Member]:
+        """For each shard that this one asks for in its zone's name, who owns it, and who does next.
+
+        The zone that asks dials: it alone needs the link. Zones behind one that is linked are left alone.
+        """
+        found: dict[str, Member] = {}
+        for shard in range(SHARDS):
+            if in_aggregator_order(self.zone, shard, [self.me, *near], self.busy)[0] != self.me:
+                continue
+            for zone in zones_before(shard, self.zone, zones):
+                order = in_aggregator_order(zone, shard, zones[zone], self.busy)
+                reached = [name for name in order if name not in failing] or order
+                for name in reached[:LINKS_TO_OWNERS]:
+                    found[name] = zones[zone][name]
+                if any(of == zone for _, of in linked):
+                    break
+        return found
+
     def keeps(self, name: str, address: str, wanted: Collection[str], up: bool) -> bool:
         """Whether a link that was dialled stays: also one that is up to who has merely left the list."""
         member = self.members.get(name)
@@ -234,13 +245,7 @@
             self.out[instance] = count
         else:
             self.out.pop(instance, None)
-        self._near.changed(self.me, [instance], [])
-
-    def use(self, tenant: str, count: int) -> None:
-        """So many requests of a tenant were let in here since the start."""
-        self._let_in(tenant, count - self.used.get(tenant, 0))
-        self.used[tenant] = count
-        self._near.changed(self.me, [], [tenant])
+        self._near.changed(self.me, [instance])
 
     def _opened(self, instance: str, more: int) -> None:
         count = self.zone_out.get(instance, 0) + more
@@ -251,10 +256,6 @@
         duty = f"service/{self.services.service_of(instance)}"
         self._waiting.setdefault(duty, {})[instance] = None
 
-    def _let_in(self, tenant: str, more: int) -> None:
-        self.zone_used[tenant] = self.zone_used.get(tenant, 0) + more
-        self._waiting.setdefault(USE, {})[tenant] = None
-
     # ---- messages
 
     def _number(self, name: str) -> int:
@@ -263,39 +264,29 @@
     def _pairs(self, found: Mapping[str, int]) -> list[int]:
         return [n for name, count in found.items() for n in (self._number(name), count)]
 
-    def _share(
-        self, origin: str, life: int, out: Mapping[str, int], used: Mapping[str, int], told: bool = False
-    ) -> Share:
-        return Share(
-            self._number(origin), life % TAGS, self._pairs(out), self._pairs(used), 0 if told else life
-        )
+    def _share(self, origin: str, life: int, out: Mapping[str, int], told: bool = False) -> Share:
+        return Share(self._number(origin), life % TAGS, self._pairs(out), life=0 if told else life)
 
-    def _zone_share(
-        self, zone: str, tag: int, out: Mapping[str, int], used: Mapping[str, int], here: int, epoch: int = 0
-    ) -> Share:
-        return Share(self._number(ZONE + zone), tag, self._pairs(out), self._pairs(used), epoch, here)
+    def _zone_share(self, zone: str, out: Mapping[str, int], here: int) -> Share:
+        return Share(self._number(ZONE + zone), 0, self._pairs(out), here=here)
 
-    def _own_zone(
-        self, now: float, out: Mapping[str, int], used: Mapping[str, int], here: bool = True, epoch: int = 0
-    ) -> Share:
-        count = len(self._heard_here(now) - {self.me}) + 1 if here else 0
-        return self._zone_share(self.zone, self.epoch % TAGS, out, used, count, epoch)
+    def _own_zone(self, now: float, out: Mapping[str, int], here: bool = True) -> Share:
+        return self._zone_share(self.zone, out, len(self._heard_here(now) - {self.me}) + 1 if here else 0)
 
-    def full(self, now: float, level: Mapping[str, float], peer: str, away: bool) -> Shares:
+    def full(self, now: float, peer: str, away: bool) -> Shares:
         """All that a new neighbour is told first. away: it is of another zone."""
         if away:
-            entries = [self._own_zone(now, self.zone_out, self.zone_used)]
+            entries = [self._own_zone(now, self.zone_out)]
         else:
-            entries = [self._share(self.me, self.life, self.out, self.used)]
+            entries = [self._share(self.me, self.life, self.out)]
             for name in sorted(self._heard_here(now)):
                 o = self.origins[name]
-                entries.append(self._share(name, o.life, o.out, o.used))
-            entries.append(self._own_zone(now, {}, self.zone_used, epoch=self.epoch))
+                entries.append(self._share(name, o.life, o.out))
             for zone, a in self.away.items():
                 if now - a.heard_at <= STALE_S:
-                    entries.append(self._zone_share(zone, a.tag, a.out, a.used, a.here))
+                    entries.append(self._zone_share(zone, a.out, a.here))
         self._names_told[peer] = len(self._names)
-        return Shares(entries, 0, list(self._names), True, {t: round(v, 1) for t, v in level.items()})
+        return Shares(entries, 0, list(self._names), True)
 
     def _new_table(self) -> None:
         if len(self._names) > MOST_NAMES:
@@ -308,19 +299,14 @@
             return None
         self._new_table()
         entries = []
-        for origin, (instances, tenants) in side.waiting.items():
+        for origin, instances in side.waiting.items():
             if origin == self.me:
-                life, out, used = self.life, self.out, self.used
+                changed = {i: self.out.get(i, 0) for i in instances}
+                entries.append(self._share(origin, self.life, changed, side.lives.get(origin) == self.life))
+                side.lives[origin] = self.life
             elif (a := self.away.get(origin[len(ZONE) :])) is not None:
-                told = {i: a.out.get(i, 0) for i in instances}, {t: a.used[t] for t in tenants if t in a.used}
-                entries.append(self._zone_share(origin[len(ZONE) :], a.tag, *told, a.here))
-                continue
-            else:
-                continue
-            changed = {i: out.get(i, 0) for i in instances}
-            grown = {t: used[t] for t in tenants if t in used}
-            entries.append(self._share(origin, life, changed, grown, side.lives.get(origin) == life))
-            side.lives[origin] = life
+                changed = {i: a.out.get(i, 0) for i in instances}
+                entries.append(self._zone_share(origin[len(ZONE) :], changed, a.here))
         side.waiting.clear()
         if not entries:
             return None
@@ -349,17 +335,14 @@
             self._own_duties = {duty for duty in known[1] if self.home(duty, near)}
         homes = self._own_duties
         for duty in homes - self._homes:  # whoever told it before may not have told the last of it
-            all_of = self.zone_used if duty == USE else self.services.instances_of(duty.partition("/")[2])
-            self._waiting.setdefault(duty, {}).update(dict.fromkeys(all_of))
+            if duty != ALIVE:
+                all_of = self.services.instances_of(duty.partition("/")[2])
+                self._waiting.setdefault(duty, {}).update(dict.fromkeys(all_of))
         self._homes = homes
         alive = now - self._told_alive >= ALIVE_S
         groups: dict[tuple[str, ...], set[str]] = {}
         for duty in sorted(homes):
-            if duty == USE:
-                if now - self._told_use < USE_S:
-                    continue
-                self._told_use = now
-            if duty in self._waiting or (duty == USE and alive):
+            if duty in self._waiting or (duty == ALIVE and alive):
                 zones: dict[str, list[str]] = {}
                 for name, zone in away:
                     zones.setdefault(zone, []).append(name)
@@ -368,19 +351,14 @@
         self._new_table()
         found = []
         for to, duties in groups.items():
-            here = alive and USE in duties
+            here = alive and ALIVE in duties
             if here:
                 self._told_alive = now
             out: dict[str, int] = {}
-            used: dict[str, int] = {}
             for duty in duties:
-                waiting = self._waiting.pop(duty, {})
-                if duty == USE:
-                    used = {t: self.zone_used[t] for t in waiting if t in self.zone_used}
-                else:
-                    out.update((i, self.zone_out.get(i, 0)) for i in waiting)
+                out.update((i, self.zone_out.get(i, 0)) for i in self._waiting.pop(duty, {}))
             if to:
-                entries = [self._own_zone(now, out, used, here)]
+                entries = [self._own_zone(now, out, here)]
                 base = min(self._names_told.get(name, 0) for name in to)
                 names = list(self._names)[base:]
                 for peer in to:
@@ -423,30 +401,21 @@
             origin = (table[share.origin] if 0 <= share.origin < len(table) else "") or self.me
             if origin == sender and life and share.life not in (0, life):
                 continue  # another life's word of itself
-            out, used = pairs(share.out), pairs(share.used)
-            if origin == ZONE + self.zone:
-                if zone == self.zone and share.life:
-                    self._take_over(share.life, used)
-            elif origin.startswith(ZONE):
+            out = pairs(share.out)
+            if origin.startswith(ZONE):
                 of = origin[len(ZONE) :]
-                self._hear_zone(now, of, share, out, used, shares.full, zone == of, news)
+                if of != self.zone:
+                    self._hear_zone(now, of, share, out, shares.full, zone == of, news)
             elif origin != self.me and zone == self.zone:
-                self._hear_neighbour(now, origin, share, out, used, shares.full, origin == sender, news)
+                self._hear_neighbour(now, origin, share, out, shares.full, origin == sender, news)
         return news
 
-    def _take_over(self, epoch: int, used: Mapping[str, int]) -> None:
-        """A neighbour's count of the zone: the older one is everybody's, and the higher number."""
-        self.epoch = min(self.epoch, epoch)
-        for tenant, count in used.items():
-            self.zone_used[tenant] = max(count, self.zone_used.get(tenant, 0))
-
     def _hear_neighbour(
         self,
         now: float,
         origin: str,
         share: Share,
         out: dict[str, int],
-        used: dict[str, int],
         full: bool,
         own: bool,
         news: News,
@@ -479,14 +448,6 @@
                 known.out.pop(instance, None)
         if changed:
             news.out.setdefault(origin, {}).update(changed)
-        for tenant, count in used.items():
-            more = count - known.used.get(tenant, 0)
-            if more > 0:
-                if self.settled or not full:
-                    news.used[tenant] = news.used.get(tenant, 0) + more
-                if not (fresh and full):  # what it let in before is in the zone's count already
-                    self._let_in(tenant, more)
-                known.used[tenant] = count
 
     def _hear_zone(
         self,
@@ -494,7 +455,6 @@
         zone: str,
         share: Share,
         out: dict[str, int],
-        used: dict[str, int],
         full: bool,
         first_hand: bool,
         news: News,
@@ -513,26 +473,8 @@
                 known.out.pop(instance, None)
         if changed:
             news.out.setdefault(origin, {}).update(changed)
-        if share.tag != known.tag:  # another count: what stands in it was counted before, or can't be known
-            known.tag, known.whole = share.tag, False
-            known.used.clear()
-            known.low.clear()
-        told = []
-        for tenant, count in used.items():
-            before = known.used.get(tenant, 0 if known.whole else count)
-            if count < before:
-                if full and not first_hand:
-                    continue  # a neighbour that knows less
-                if now - known.low.setdefault(tenant, now) <= LOW_S:
-                    continue
-            elif count > before:
-                news.used[tenant] = news.used.get(tenant, 0) + count - before
-            known.low.pop(tenant, None)
-            known.used[tenant] = count
-            told.append(tenant)
-        known.whole = known.whole or full
-        if first_hand and (changed or told or not (out or used)):
-            self._passed_on.changed(origin, changed, told)
+        if first_hand and (changed or not out):
+            self._passed_on.changed(origin, changed)
 
     def forget(self, now: float, origin: str | None = None) -> News:
         """Open attempts of those not heard of any more, or of one whose link has ended, are none."""
--- a/furrow/link.py
+++ b/furrow/link.py
@@ -227,10 +227,17 @@
     """Keeps a link to an address until it is closed."""
 
     def __init__(
-        self, address: Address, me: Hello, heard: Heard, up: Told, down: Told = lambda _: None
+        self,
+        address: Address,
+        me: Hello,
+        heard: Heard,
+        up: Told,
+        down: Told = lambda _: None,
+        failed: Callable[[], None] = lambda: None,
     ) -> None:
-        """The callbacks are those of each link."""
+        """heard, up, down: those of each link. failed: a try has not come to a link."""
         self.address = address
+        self._failed = failed
         self._me, self._heard, self._up, self._down = me, heard, up, down
         self.link: Link | None = None
         self.tried = False  # once, with whatever came of it
@@ -261,6 +268,7 @@
             except (OSError, TimeoutError):
                 self.link, self.tried = None, True
                 link.cut()  # it may have come up in the very moment
+                self._failed()
                 await asyncio.sleep(self._pause_s)
                 self._pause_s = min(PAUSE_MOST_S, self._pause_s * 2)
                 continue
@@ -274,6 +282,7 @@
 
     def _ended(self, link: Link) -> None:
         if link is self.link:  # not one before, whose end was told late: the next would be left alive
+            self.tried = True
             self._gone.set()
         self._down(link)
 
--- a/furrow/messages.py
+++ b/furrow/messages.py
@@ -27,14 +27,18 @@
     """The payload is none of the messages that both sides know."""
 
 
-class Hello(Struct, tag="hello", tag_field="t"):
-    """The first on a connection. role: a program's name; ip: its machine; life: of this process, a number."""
+class Hello(Struct, tag="hello", tag_field="t", omit_defaults=True):
+    """The first on a connection. role: a program's name; ip: its machine; life: of this process, a number.
+
+    leases: it takes part in the leases of quotas; a process of before them would end the link at one.
+    """
 
     role: str
     name: str
     ip: str
     zone: str
     life: int
+    leases: bool = False
 
 
 class Ping(Struct, tag="ping", tag_field="t"):
@@ -311,12 +315,12 @@
 class Share(Struct, array_like=True):
     """What one ingress has told of itself since the last time, with names as numbers of the sender's table.
 
-    origin: its machine. out: instances and their open attempts, as numbers that hold now. used: tenants and
-    their admitted requests, counted since the start of that life. tag: the last digits of the life of its
-    process; life: all of them, where the sender tells of that life for the first time.
+    origin: its machine. out: instances and their open attempts, as numbers that hold now. tag: the last
+    digits of the life of its process; life: all of them, where the sender tells of that life for the first
+    time. used: of processes before quotas were leased; empty.
 
-    Where origin is @ and a zone, these are sums of that zone: tag and life are of the epoch of its count, and
-    here is how many ingresses are heard there, 0 where that is not told.
+    Where origin is @ and a zone, these are sums of that zone: here is how many ingresses are heard there, 0
+    where that is not told; tag and life are 0.
     """
 
     origin: int
@@ -330,7 +334,7 @@
 class Shares(Struct, tag="shares", tag_field="t", omit_defaults=True):
     """Shares of one or several ingresses. names: the sender's table from base on; a base of 0 begins it anew.
 
-    full: all of each; level: what the sender thinks is left of quotas, by tenant.
+    full: all of each; level: of processes before quotas were leased; empty.
     """
 
     entries: list[Share]
@@ -340,6 +344,101 @@
     level: dict[str, float] = {}
 
 
+# ---- quotas: proxies among themselves (troutdock.quota)
+
+
+class TokenDemand(Struct, array_like=True):
+    """Tokens that the sender needs now.
+
+    number: of the sender, rising for each tenant, for the answer: a demand that comes again under its number
+    is answered again and grants nothing new. returning: how many are for clients at their appointed time.
+    """
+
+    tenant: str
+    number: int
+    wanted: int
+    returning: int = 0
+
+
+class ReturnedTokens(Struct, array_like=True):
+    """Leased tokens that were not spent. term: of the owner that leased them."""
+
+    tenant: str
+    tokens: int
+    term: str
+
+
+class ChargedRequests(Struct, array_like=True):
+    """Requests of a tenant that were sent to a backend without a token."""
+
+    tenant: str
+    requests: int
+
+
+class ShardVote(Struct, array_like=True):
+    """A zone takes the receiver for the owner of a shard; weight: its live proxies."""
+
+    shard: int
+    zone: str
+    weight: int
+
+
+class QuotaRequest(Struct, tag="quota_request", tag_field="t", omit_defaults=True):
+    """To the next proxy on the way to the owner; harmless when it comes twice. hops: how often passed on."""
+
+    demands: list[TokenDemand] = []
+    votes: list[ShardVote] = []
+    hops: int = 0
+
+
+class QuotaSettlement(Struct, tag="quota_settlement", tag_field="t", omit_defaults=True):
+    """On the same way, on a link, as it counts each time that it comes.
+
+    withdrawn: shards of which the sender's zone takes the receiver for the owner no more.
+    """
+
+    returned: list[ReturnedTokens] = []
+    charged: list[ChargedRequests] = []
+    withdrawn: list[int] = []
+    hops: int = 0
+
+
+class TokenGrant(Struct, array_like=True):
+    """The answer to the demand of that number.
+
+    retry_after_s: so long asking again is of no use; term: the owner's, for handing tokens back.
+    """
+
+    tenant: str
+    number: int
+    granted: int
+    retry_after_s: float = 0.0
+    term: str = ""
+
+
+class QuotaGrant(Struct, tag="quota_grant", tag_field="t"):
+    """Leased tokens, back on the way that the demands have come."""
+
+    grants: list[TokenGrant]
+
+
+class QuotaHandover(Struct, tag="quota_handover", tag_field="t"):
+    """An owner's buckets, from one that grants nothing of that shard any more to the next.
+
+    backed_s: for how long its term was backed, by the part of the fleet; levels: tokens by tenant.
+    """
+
+    shard: int
+    backed_s: float
+    levels: dict[str, float]
+
+
+class QuotaStatus(Struct, tag="quota_status", tag_field="t"):
+    """Whether the sender handles messages so late that others should aggregate and own in its place."""
+
+    busy: bool
+
+
 Message = (
     Hello
     | Ping
@@ -365,6 +464,11 @@
     | Probe
     | ProbeAck
     | Shares
+    | QuotaRequest
+    | QuotaGrant
+    | QuotaSettlement
+    | QuotaHandover
+    | QuotaStatus
 )
 
 _encoder = msgspec.json.Encoder()
@@ -382,3 +486,38 @@
         return _decoder.decode(payload)
     except msgspec.MsgspecError as error:
         raise MessageError(str(error)) from error
+
+
+# ---- datagrams: proxies among themselves (espalier.quotas)
+
+LIFE_TAGS = 10_000  # a datagram names its sender's life by the last digits
+
+
+class QuotaDatagram(Struct, array_like=True):
+    """A QuotaRequest, a QuotaGrant, or both, outside the links: a lost packet on one holds up all behind it.
+
+    sender: its name; life_tag: of its life, both as its Hello on its link told them.
+    """
+
+    sender: str
+    life_tag: int
+    demands: list[TokenDemand] = []
+    votes: list[ShardVote] = []
+    hops: int = 0
+    grants: list[TokenGrant] = []
+
+
+_datagram_decoder = msgspec.json.Decoder(QuotaDatagram)
+
+
+def encode_datagram(datagram: QuotaDatagram) -> bytes:
+    """The payload of a netstring."""
+    return _encoder.encode(datagram)
+
+
+def decode_datagram(payload: bytes) -> QuotaDatagram:
+    """The datagram of a payload; MessageError if it is none."""
+    try:
+        return _datagram_decoder.decode(payload)
+    except msgspec.MsgspecError as error:
+        raise MessageError(str(error)) from error
--- a/tamarindfold/fabric.py
+++ b/tamarindfold/fabric.py
@@ -2,9 +2,11 @@
 
 What choice.Gateway is for one site, with a list of servers and a counter given, this is where ingresses
 know each other only by what they tell: the engine hands either its events and carries out the actions.
-Tenants' quotas are tenant.py's, backends placement.py's; here are attempts, the budget of second sendings,
+Tenants' quotas are leased from their owners (troutdock.quota), return times are tenant.py's, backends
+placement.py's; here are attempts, the budget of second sendings,
 and refusals.
 
+    waits             for a token of its tenant's quota, a part of its aim at most; nothing of it has run
     repeatable        another attempt after any failure, and a copy once the answer is overdue
     not repeatable    another attempt only while it is certain that none has run
     given up          refused with a return time where nothing has run or may be repeated; failed otherwise
@@ -30,13 +32,11 @@
     Event,
     Fail,
     FleetUpdate,
-    Level,
+    LeasesDue,
     ListKind,
     OthersLoad,
-    OthersUse,
     Outcome,
     Plan,
-    PlanAssigned,
     Refuse,
     RequestArrived,
     RequestClass,
@@ -51,11 +51,13 @@
 )
 from tamarindfold.placement import DOUBT, LEARN_SPEED, QUICKEST, SLOWEST, Backend, Choice, Pool, Work, choose
 from tamarindfold.tenant import Tenant
+from troutdock.quota.bucket import QuotaLimit
+from troutdock.quota.leases import QuotaLeases, Verdict
+from troutdock.quota.node import QuotaNode
 
 # of the budget's ratio that is spent: repeats of repeats and calls by others' ways are not seen here
 PART = 0.75
 ALLOWANCE_PART = 0.5  # of its allowance, split by ingresses
-UNNOTICED_S = 1.2  # for so long an ingress that is not heard any more is taken for heard
 UNCONNECTED = 3  # backends that can't be connected to, after which a try is given up
 PRESSED = 0.15  # of the aim, a rank: how much less of it a lower priority may be expected to take
 HOPE = 0.85  # of the time left: what a client that returned may be expected to take; a second refusal is dear
@@ -63,6 +65,9 @@
 USUAL = 0.9995  # how slowly the longest time that clients wait is forgotten, a request of the route
 WHOLE = 0.97  # of it: a client with less of it has tried before
 LABELS = 64  # timers of one request: more than it can have attempts
+QUOTA_LABEL = LABELS - 1  # the timer of a request that waits for a token
+QUOTA_WAIT_PART = 0.2  # of the aim: within a quarter of it a refusal costs little
+UNSERVED_RETRY_MS = 250.0  # a return time where no owner answered: about as long as a new one takes
 
 
 class Call:
@@ -70,6 +75,7 @@
 
     __slots__ = (
         "aim",
+        "awaits_quota",
         "cls",
         "event",
         "give_up",
@@ -101,6 +107,7 @@
         self.sendings = 0  # those that may have arrived
         self.unconnected = 0
         self.may_have_run = self.returning = False
+        self.awaits_quota = False
 
 
 class Fabric:
@@ -113,11 +120,22 @@
         zone: int = 0,
         ratio: float = 0.2,
         allowance: float = 0.0,
-        first_start: bool = False,
+        quotas: QuotaNode | None = None,
     ) -> None:
-        """zone: where it stands. ratio, allowance: of second sendings. first_start: no quota is used yet."""
+        """Decide for one ingress.
+
+        Args:
+            settings: Classes of requests and tenants' quotas.
+            seed: Of what is drawn by lot.
+            zone: Where it stands.
+            ratio: Second sendings by the requests for a service.
+            allowance: Second sendings beyond that, over all ingresses.
+            quotas: Its part in the fleet's quotas; by default it is the only ingress.
+        """
         self.settings, self.random, self.zone = settings, Random(seed), zone
-        self._ratio, self._allowance, self._full = ratio * PART, allowance * ALLOWANCE_PART, first_start
+        self._ratio, self._allowance = ratio * PART, allowance * ALLOWANCE_PART
+        self.quotas = quotas or QuotaNode.standalone()
+        self.leases = QuotaLeases(self.quotas)
         self.company = Company(1, 1)
         self.tenants: dict[int, Tenant] = {}
         self.backends: dict[int, Backend] = {}
@@ -125,9 +143,7 @@
         self.works: dict[str, Work] = {}
         self.calls: dict[int, Call] = {}
         self.loads_changed: dict[int, None] = {}  # backends whose own open attempts others don't know yet
-        self.tenants_changed: dict[int, None] = {}
         self.actions: Actions = []
-        self._left: dict[int, float] = {}  # levels that were told before their tenants were met
         self._handlers: dict[type, Callable[[float, Any], None]] = {
             RequestArrived: self._arrived,
             RequestWaited: self._waited,
@@ -139,11 +155,11 @@
             SettingsChanged: self._changed,
             Company: self._company,
             OthersLoad: self._others_load,
-            OthersUse: self._others_use,
-            Level: self._level,
+            LeasesDue: self._leases_due,
             Suspected: self._suspected,
-            PlanAssigned: self._assigned,
         }
+        if any(plan.rate for plan in settings.plans):
+            self._follow_limits(0.0)
 
     def handle(self, now: float, event: Event) -> Actions:
         """Take in one event; the actions are to be carried out in order."""
@@ -154,22 +170,22 @@
 
     # ---- the quota
 
-    def _assigned(self, now: float, event: PlanAssigned) -> None:
-        """A tenant and its terms: what others let in counts before it has asked anything here."""
-        self._tenant(now, event.customer, self.settings.plans[event.plan])
+    def _follow_limits(self, now: float) -> None:
+        plans = [plan for plan in self.settings.plans if plan.rate]
+        limits = {plan.name: QuotaLimit(plan.rate, plan.burst) for plan in plans}
+        self.quotas.set_limits(now / 1000, limits)
 
     def _tenant(self, now: float, number: int, plan: Plan) -> Tenant:
-        even = 1 / max(1, self.company.ingresses)
         known = self.tenants.get(number)
         if known is None:
-            known = self.tenants[number] = Tenant(plan, now, even, self._full)
-            if not self._full and number in self._left:
-                known.level = min(plan.burst, self._left.pop(number))
-        elif known.plan != plan:
-            known.change(plan)
-        known.refill(now, even, min(1.0, self.company.heard * even))
+            known = self.tenants[number] = Tenant(plan, now)
+        known.plan = plan
         return known
 
+    @property
+    def _even_share(self) -> float:
+        return 1 / max(1, self.company.ingresses)
+
     def _arrived(self, now: float, event: RequestArrived) -> None:
         tenant = self._tenant(now, event.customer, self.settings.plans[event.plan])
         cls = self.settings.classes[event.cls]
@@ -181,21 +197,67 @@
         pool = self._pool(event.pool)
         self.calls[event.request] = call
         pool.further = min(self._most_further, pool.further + self._ratio)
-        call.returning = tenant.returns(now)
-        if not tenant.lets(call.returning):
-            return self._refuse(now, call)
+        call.returning = tenant.take_appointment(now)
+        tenant.record_arrival(now)
+        verdict = self._request_token(now, call) if tenant.is_limited else Verdict.GRANTED
+        if verdict is Verdict.GRANTED:
+            self._admit(now, call)
+        elif verdict is Verdict.REFUSED:
+            self._refuse(now, call)
+        else:
+            self._await_quota(now, call)
+
+    def _request_token(self, now: float, call: Call) -> Verdict:
+        plan, number = call.tenant.plan, call.event.request
+        limit = QuotaLimit(plan.rate, plan.burst)
+        return self.leases.request(
+            now / 1000, plan.name, limit, self._even_share, number, call.returning
+        )
+
+    def _await_quota(self, now: float, call: Call) -> None:
+        call.awaits_quota = True
+        self._take_results(now)
+        if call.awaits_quota:
+            wait_ms = min(QUOTA_WAIT_PART * call.cls.aim_ms, call.event.time_left_ms / 2)
+            request = call.event.request
+            self.actions.append(SetTimer(wait_ms, request * LABELS + QUOTA_LABEL, request))
+
+    def _leases_due(self, now: float, event: LeasesDue) -> None:
+        self.leases.tick(now / 1000)
+        self._take_results(now)
+
+    def _take_results(self, now: float) -> None:
+        """Go on with the requests whose quota has answered."""
+        for result in self.leases.results(now / 1000):
+            call = self.calls.get(result.request)
+            if call is None:
+                continue
+            call.awaits_quota = False
+            if result.granted:
+                self._admit(now, call)
+            else:
+                self._refuse(now, call)
+
+    def _admit(self, now: float, call: Call) -> None:
+        """The quota lets it in: send it, where a backend can be expected to answer in time."""
         choice = self._choose(now, call)
-        if choice is None or self._hopeless(now, call, choice):
-            return self._refuse(now, call)
-        tenant.take()
-        self.tenants_changed[event.customer] = None
-        self._send(now, call, choice)
+        if choice is not None and not self._hopeless(now, call, choice):
+            return self._send(now, call, choice)
+        if call.tenant.is_limited:
+            self.leases.put_back(now / 1000, call.tenant.plan.name)
+        return self._refuse(now, call)
+
+    def _quota_unserved(self, now: float, call: Call) -> None:
+        """Nobody has answered for the quota: better told at once to come back when there is an owner."""
+        self.leases.withdraw(call.tenant.plan.name, call.event.request)
+        self.actions.append(Refuse(call.event.request, UNSERVED_RETRY_MS))
+        self.calls.pop(call.event.request, None)
 
     def _waited(self, now: float, event: RequestWaited) -> None:
         """Guards this process: what waited past its part of the aim is refused before work is spent on it."""
         if event.waited_ms > WAIT_PART * self.settings.classes[event.cls].aim_ms:
             tenant = self._tenant(now, event.customer, self.settings.plans[event.plan])
-            self.actions.append(Refuse(0, tenant.return_time(now)))
+            self.actions.append(Refuse(0, self._return_time(now, tenant)))
 
     def _hopeless(self, now: float, call: Call, choice: Choice) -> bool:
         """Nobody can be expected to answer in time: better told at once to come back."""
@@ -211,37 +273,20 @@
         return 1.0 + self._allowance / max(1, self.company.ingresses)
 
     def _refuse(self, now: float, call: Call) -> None:
-        self.actions.append(Refuse(call.event.request, call.tenant.return_time(now)))
+        self.actions.append(Refuse(call.event.request, self._return_time(now, call.tenant)))
         self.calls.pop(call.event.request, None)
 
+    def _return_time(self, now: float, tenant: Tenant) -> float:
+        share = 1.0
+        if tenant.is_limited:
+            share = self.leases.share(now / 1000, tenant.plan.name, self._even_share)
+        return tenant.return_time(now, share)
+
     def _fail(self, call: Call) -> None:
         self.actions.append(Fail(call.event.request))
         self.calls.pop(call.event.request, None)
 
-    def _level(self, now: float, event: Level) -> None:
-        """Guards a fresh start: what the quota has left is not known here, so what is told counts."""
-        for number, left in event.left.items():
-            known = self.tenants.get(number)
-            if known is None:
-                self._left[number] = min(left, self._left.get(number, left))
-            elif not self._full and not known.used:
-                known.level = max(known.level, min(left, known.plan.burst))
-
-    def _others_use(self, now: float, event: OthersUse) -> None:
-        for number, count in event.used.items():
-            if (tenant := self.tenants.get(number)) is not None:
-                tenant.others(count)
-            elif number in self._left:
-                self._left[number] -= count
-
     def _company(self, now: float, event: Company) -> None:
-        for number, tenant in self.tenants.items():  # the time until now is filled as it was
-            self._tenant(now, number, tenant.plan)
-        lost = self.company.heard - event.heard
-        if lost > 0 and event.ingresses > 1:
-            # until it was noticed, the level was filled as if they were heard
-            for tenant in self.tenants.values():
-                tenant.others(tenant.plan.rate * lost / event.ingresses * UNNOTICED_S)
         self.company = event
 
     # ---- backends
@@ -293,6 +338,7 @@
         plans = {plan.name for plan in event.settings.plans}
         for number in [n for n, t in self.tenants.items() if t.plan.name not in plans]:
             del self.tenants[number]
+        self._follow_limits(now)
 
     # ---- attempts
 
@@ -331,6 +377,10 @@
         """A copy goes elsewhere while the first may still answer, where a slot stands free."""
         request, number = divmod(event.label, LABELS)
         call = self.calls.get(request)
+        if number == QUOTA_LABEL:
+            if call is not None and call.awaits_quota:
+                self._quota_unserved(now, call)
+            return
         if call is None or number not in call.out or number != len(call.tried) - 1:
             return
         call.tried[number].fails(now, DOUBT / 4)
@@ -351,13 +401,15 @@
         choice = self._choose(now, call, copy) if may else None
         if choice is not None and now + choice.expected / 2 < call.give_up:
             pool.further -= cost
+            if call.tenant.is_limited and (call.out or call.may_have_run):
+                self.quotas.charge(call.tenant.plan.name)  # it may run a second time, on one token
             return self._send(now, call, choice)
         if call.out:
             return None  # what is out may still answer
         if not harmless:
             return self._fail(call)
-        if not call.sendings and call.tried:
-            call.tenant.give_back()
+        if not call.sendings and call.tried and call.tenant.is_limited:
+            self.leases.put_back(now / 1000, call.tenant.plan.name)
         return self._refuse(now, call)
 
     def _ended(self, now: float, event: AttemptEnded) -> None:
@@ -403,7 +455,7 @@
             took = event.elapsed_ms - event.lag_ms
             if call is None or took <= 0:
                 return
-            call.tenant.answered(event.elapsed_ms)
+            call.tenant.record_answer(event.elapsed_ms)
             if (
                 backend.load < backend.slots and sent[1] <= call.work.mean * SLOWEST * 2
             ):  # nothing stood before it
@@ -421,7 +473,9 @@
             backend.heard_at = now
 
     def _withdrawn(self, now: float, event: RequestWithdrawn) -> None:
-        self.calls.pop(event.request, None)
+        call = self.calls.pop(event.request, None)
+        if call is not None and call.awaits_quota:
+            self.leases.withdraw(call.tenant.plan.name, event.request)
 
     # ---- what others are told
 
--- a/tamarindfold/interface.py
+++ b/tamarindfold/interface.py
@@ -405,17 +405,8 @@
 
 
 @dataclass(slots=True)
-class OthersUse:
-    """Requests that other ingresses have let in since they last told, by customer."""
-
-    used: dict[int, float]
-
-
-@dataclass(slots=True)
-class Level:
-    """What other ingresses think is left of customers' quotas; for one that has just started."""
-
-    left: dict[int, float]
+class LeasesDue:
+    """Grants of the fleet's quotas may have come, or time has gone by."""
 
 
 @dataclass(slots=True)
@@ -426,7 +417,7 @@
     silent: bool
 
 
-Event = (FleetUpdate | Company | OthersLoad | OthersUse | Level | Suspected | ListWatched | SettingsChanged
+Event = (FleetUpdate | Company | OthersLoad | LeasesDue | Suspected | ListWatched | SettingsChanged
          | PlanAssigned | RequestArrived | RequestWaited | AnswerBegan | AttemptEnded
          | RequestWithdrawn | TimerFired | ProbeEnded | PeerMessage
          | CountAnswered | Settled)
--- a/troutdock/engine/engine.py
+++ b/troutdock/engine/engine.py
@@ -240,6 +240,10 @@
         """Discovery was heard by the last call to it, or was not."""
         self._handle(ListWatched(heard))
 
+    def inform(self, event: Event) -> None:
+        """Something that the decision module is to know, and may act on."""
+        self._handle(event)
+
     def count_answered(self, event: CountAnswered) -> None:
         """The counter's answer to one call."""
         self._handle(event)
--- /dev/null
+++ b/troutdock/quota/routes.py
@@ -0,0 +1,162 @@
+"""Which proxy the requests for a quota go to: the agreed tree of owners and aggregators (no I/O, no clock).
+
+Tenants are divided into shards. For each shard every zone has an *aggregator*, the first of its live
+proxies in an order that all agree on, and one zone's aggregator is the *owner*, again the first zone in
+an agreed order. A proxy asks the aggregator of its zone, and that one the owner's zone. A peer that is
+asked though it is neither passes the request on by its own view, so views that differ for a moment still
+lead to an owner.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Collection, Iterable, Mapping, Set
+from dataclasses import dataclass, field
+from enum import Enum
+from math import inf
+from zlib import crc32
+
+from pollen.order import first, in_order
+
+SHARDS = 16  # the same in every process of a fleet: who owns what follows from it
+SETTLE_S = 0.4  # for the listed neighbours of a process that has just started to be linked
+ZONE_GRACE_S = 0.5  # how long requests wait for a zone whose last link has ended, before the next zone owns
+
+
+class Role(Enum):
+    """What a proxy is for one shard."""
+
+    UNSETTLED = "unsettled"  # it can't tell yet: requests wait
+    MEMBER = "member"  # asks the aggregator of its zone
+    AGGREGATOR = "aggregator"  # asks the owner on its zone's behalf
+    OWNER = "owner"  # keeps the buckets
+
+
+@dataclass(frozen=True, slots=True)
+class Route:
+    """A proxy's role for a shard, and the peer that it asks; empty for an owner or an unsettled one."""
+
+    role: Role
+    upstream: str = ""
+
+
+UNSETTLED = Route(Role.UNSETTLED)
+
+
+@dataclass(frozen=True, slots=True)
+class Peers:
+    """The other proxies as this one sees them.
+
+    Attributes:
+        near: Names of those in its own zone that are linked.
+        away: Zones by the names of linked ones in other zones.
+        listed_near: Names of those in its own zone that the registry lists, but for those not reached.
+        listed_zones: Other zones that the registry lists proxies of.
+        fleet_size: How many proxies there are, this one included; 0 until the registry has told.
+        busy: Names, this one's perhaps among them, of those that handle messages late or have just started.
+    """
+
+    near: Set[str] = frozenset()
+    away: Mapping[str, str] = field(default_factory=dict)
+    listed_near: Set[str] = frozenset()
+    listed_zones: Set[str] = frozenset()
+    fleet_size: int = 0
+    busy: Set[str] = frozenset()
+
+
+ALONE = Peers(fleet_size=1)
+
+
+def shard_of(tenant: str) -> int:
+    """The shard that a tenant's quota belongs to."""
+    return crc32(tenant.encode()) % SHARDS
+
+
+def shard_duty(shard: int) -> str:
+    """The name under which a shard's zones are put in order."""
+    return f"quota/{shard}"
+
+
+def zone_duty(zone: str, shard: int) -> str:
+    """The name under which the proxies of a zone are put in order for a shard."""
+    return f"{zone}/{shard_duty(shard)}"
+
+
+def in_aggregator_order(zone: str, shard: int, names: Collection[str], busy: Set[str]) -> list[str]:
+    """A zone's proxies, the aggregator of a shard first.
+
+    Busy ones come last, unless they are more than three quarters: then the others would be next to be so.
+    """
+    order = in_order(zone_duty(zone, shard), names)
+    idle = [name for name in order if name not in busy]
+    if 4 * len(idle) < len(order):
+        return order
+    return idle + [name for name in order if name in busy]
+
+
+def zones_before(shard: int, zone: str, zones: Iterable[str]) -> list[str]:
+    """The other zones that come before one in a shard's order, the first of them being the owner's."""
+    order = in_order(shard_duty(shard), {zone, *zones})
+    return order[: order.index(zone)]
+
+
+class ShardRoutes:
+    """One proxy's routes of all shards."""
+
+    def __init__(self, name: str, zone: str) -> None:
+        """Begin unsettled."""
+        self.name, self.zone = name, zone
+        self.routes = [UNSETTLED] * SHARDS
+        self._peers = Peers()
+        self._listed_at = inf
+        self._zone_lost_at: dict[str, float] = {}  # other zones that were linked, and whose last link ended
+        self._stable_until = -inf  # until then routes change with the peers only
+
+    def update(self, now: float, peers: Peers) -> list[int]:
+        """Follow a change of peers, or of time; the shards whose route has changed."""
+        if peers == self._peers and now < self._stable_until:
+            return []
+        if peers.fleet_size and self._listed_at == inf:
+            self._listed_at = now
+        linked_zones = set(peers.away.values())
+        for zone in set(self._peers.away.values()) - linked_zones:
+            self._zone_lost_at[zone] = now
+        for zone in linked_zones:
+            self._zone_lost_at.pop(zone, None)
+        self._peers = peers
+        deadlines = [at + ZONE_GRACE_S for at in self._zone_lost_at.values()] + [self._listed_at + SETTLE_S]
+        self._stable_until = min((at for at in deadlines if at > now), default=inf)
+        changed = []
+        for shard in range(SHARDS):
+            route = self._route(now, shard)
+            if route != self.routes[shard]:
+                self.routes[shard] = route
+                changed.append(shard)
+        return changed
+
+    def _route(self, now: float, shard: int) -> Route:
+        peers = self._peers
+        aggregator = in_aggregator_order(self.zone, shard, [self.name, *peers.near], peers.busy)[0]
+        if aggregator != self.name:
+            return Route(Role.MEMBER, aggregator)
+        settling = now < self._listed_at + SETTLE_S
+        if self._listed_at == inf or (settling and not peers.listed_near <= peers.near):
+            return UNSETTLED
+        linked = set(peers.away.values())
+        awaited = {zone for zone, at in self._zone_lost_at.items() if now < at + ZONE_GRACE_S}
+        if settling:
+            awaited |= peers.listed_zones - linked
+        before = zones_before(shard, self.zone, linked | awaited)
+        if not before:
+            return Route(Role.OWNER)
+        if before[0] not in linked:
+            return UNSETTLED
+        names = [name for name, zone in peers.away.items() if zone == before[0]]
+        return Route(Role.AGGREGATOR, in_aggregator_order(before[0], shard, names, peers.busy)[0])
+
+    def successor(self, shard: int) -> str:
+        """Who would be the owner after this proxy; empty where there is nobody."""
+        if near := in_aggregator_order(self.zone, shard, self._peers.near, self._peers.busy):
+            return near[0]
+        zone = first(shard_duty(shard), set(self._peers.away.values()))
+        names = [name for name, of in self._peers.away.items() if of == zone]
+        return first(zone_duty(zone or "", shard), names) or ""
