--- a/espalier/quotas.py
+++ b/espalier/quotas.py
@@ -37,7 +37,6 @@
 
 TICK_S = 0.1  # between two looks at the time
 BUSY_MS, IDLE_MS = 40.0, 15.0  # lag from which on this proxy is busy, and down to which it stays so
-YOUNG_S = 2.0  # a process that joins a running fleet is busy for so long: its links are coming up
 LAG_WEIGHT = 0.3  # of the newest look at the lag, in its average
 MOST_DATAGRAM_BYTES = 1400  # what is longer goes on the link
 LOG_INTERVAL_S = 10.0  # between two lines about messages that made no sense
@@ -78,8 +77,9 @@
             send: To a linked proxy, by name, on its link.
             inform: The decision module, of grants.
             lag_ms: How late the event loop handles what has come.
-            set_busy: Gets each change of whether this proxy is too late, or too young, to own and aggregate.
-            bootstrap: The whole fleet starts, so that nobody is older.
+            set_busy: Gets each change of whether others should own and aggregate in this proxy's place, as it
+                is late or not linked yet.
+            bootstrap: The whole fleet starts, so that nobody else is linked yet either.
         """
         self.node = node
         self._clock, self._hello, self._peer = clock, hello, peer
@@ -89,7 +89,7 @@
         self._resend_timer: asyncio.TimerHandle | None = None
         self._lag_ms, self._set_busy = lag_ms, set_busy
         self._average_lag_ms, self._is_busy = 0.0, False
-        self._young_until = -inf if bootstrap else self.now() + YOUNG_S
+        self._may_be_unsettled = not bootstrap
         self._loop = asyncio.get_running_loop()
         self._timer: asyncio.TimerHandle | None = None
         self._is_flush_due = False
@@ -200,7 +200,8 @@
     def _follow_lag(self) -> None:
         self._average_lag_ms += (self._lag_ms() - self._average_lag_ms) * LAG_WEIGHT
         is_late = self._average_lag_ms > (IDLE_MS if self._is_busy else BUSY_MS)
-        is_busy = is_late or self.now() < self._young_until
+        self._may_be_unsettled = self._may_be_unsettled and not self.node.is_settled(self.now())
+        is_busy = is_late or self._may_be_unsettled
         if is_busy != self._is_busy:
             self._is_busy = is_busy
             log.info("quota status busy={} lag_ms={:.0f}", is_busy, self._average_lag_ms)
--- a/tests/peers/quota_network.py
+++ b/tests/peers/quota_network.py
@@ -14,7 +14,6 @@
 from random import Random
 
 from espalier.mesh import BUSY_MEMORY_S
-from espalier.quotas import YOUNG_S
 from espalier.shares import Exchange, Services
 from furrow.messages import Member, Message, QuotaGrant, QuotaRequest, QuotaStatus
 from troutdock.quota.node import QuotaNode
@@ -161,7 +160,6 @@
         self._told_busy = False
         self.fleet_size = 1
         self._busy_until: dict[str, float] = {}  # other processes; infinite while they are linked
-        self._young_until = self.now + YOUNG_S
         self._frozen_at: float | None = None
         self._backlog: list[Action] = []
         self._requests: list[Action] = []
@@ -214,7 +212,7 @@
 
     def _follow_status(self) -> None:
         """Tell the others whether this one is too late, or too young, to own and aggregate."""
-        self.is_young = self.is_young and self.now < self._young_until
+        self.is_young = self.is_young and not self.node.is_settled(self.now)
         is_busy = self.is_young or self.is_late
         if is_busy != self._told_busy:
             self._told_busy = is_busy
--- a/tests/system/test_quota_leases.py
+++ b/tests/system/test_quota_leases.py
@@ -18,7 +18,7 @@
 )
 from troutdock.quota.owner import RETRY_LEAST_S, RETRY_MOST_S, VOTE_LIFETIME_S, ShardOwner
 from troutdock.quota.routes import (
-    SETTLE_S, SHARDS, ZONE_GRACE_S, Peers, Role, ShardRoutes, in_aggregator_order, shard_duty, shard_of, zones_before,
+    SETTLE_S, SHARDS, ZONE_GRACE_S, Peers, Role, Route, ShardRoutes, in_aggregator_order, shard_duty, shard_of, zones_before,
 )
 
 LIMIT = QuotaLimit(10.0, 20.0)
@@ -139,8 +139,31 @@
     listed = peers(near=frozenset(["a-2"]), away={})
     routes.update(1.0, listed)
     assert Role.OWNER not in {r.role for r in routes.routes}  # a-3 may be before it
+    assert not routes.is_settled(1.0)
     routes.update(1.0 + SETTLE_S, listed)
-    assert Role.OWNER in {r.role for r in routes.routes} and Role.UNSETTLED not in {r.role for r in routes.routes}
+    assert routes.is_settled(1.0 + SETTLE_S) and Role.OWNER in {r.role for r in routes.routes}
+    for shard, route in enumerate(routes.routes):  # the other zone is dialled from now on, where it is before this one
+        assert route.role is not Role.UNSETTLED or zones_before(shard, "a", ["b"])
+    routes.update(1.0 + SETTLE_S + ZONE_GRACE_S, listed)
+    assert Role.UNSETTLED not in {r.role for r in routes.routes}
+
+
+def test_who_becomes_aggregator_waits_for_its_links_before_it_owns() -> None:
+    zone, other = ("b", "a") if zones_before(SHARD, "b", ["a"]) else ("a", "b")
+    routes = ShardRoutes(f"{zone}-1", zone)
+    member = Peers(frozenset([f"{zone}-2"]), {}, frozenset([f"{zone}-2"]), frozenset([other]), 3, frozenset([f"{zone}-1"]))
+    routes.update(0.0, member)
+    routes.update(50.0, member)
+    assert routes.routes[SHARD].role is Role.MEMBER
+    alone = Peers(frozenset(), {}, frozenset(), frozenset([other]), 3)
+    routes.update(60.0, alone)
+    assert routes.routes[SHARD].role is Role.UNSETTLED
+    routes.update(60.1, Peers(frozenset(), {f"{other}-1": other}, frozenset(), frozenset([other]), 3))
+    assert routes.routes[SHARD] == Route(Role.AGGREGATOR, f"{other}-1")
+    routes = ShardRoutes(f"{zone}-1", zone)
+    routes.update(0.0, alone)
+    routes.update(ZONE_GRACE_S, alone)  # nobody there: this zone owns
+    assert routes.routes[SHARD].role is Role.OWNER
 
 
 def test_all_agree_on_one_owner_for_each_shard() -> None:
--- a/troutdock/quota/node.py
+++ b/troutdock/quota/node.py
@@ -205,6 +205,10 @@
         """There are answers to this proxy's own demands."""
         return bool(self._local_grants)
 
+    def is_settled(self, now: float) -> bool:
+        """Its neighbours are linked, or have had the time for it: it can own and aggregate."""
+        return self._routes.is_settled(now)
+
     def owned_shards(self) -> list[int]:
         """The shards that this proxy owns."""
         return sorted(self._owners)
--- a/troutdock/quota/routes.py
+++ b/troutdock/quota/routes.py
@@ -19,7 +19,7 @@
 
 SHARDS = 16  # the same in every process of a fleet: who owns what follows from it
 SETTLE_S = 0.4  # for the listed neighbours of a process that has just started to be linked
-ZONE_GRACE_S = 0.5  # how long requests wait for a zone whose last link has ended, before the next zone owns
+ZONE_GRACE_S = 0.5  # how long requests wait for a zone that is not linked, before the next zone owns
 
 
 class Role(Enum):
@@ -109,6 +109,7 @@
         self._peers = Peers()
         self._listed_at = inf
         self._zone_lost_at: dict[str, float] = {}  # other zones that were linked, and whose last link ended
+        self._aggregates_since: dict[int, float] = {}  # by shard: links to other zones come up from then on
         self._stable_until = -inf  # until then routes change with the peers only
 
     def update(self, now: float, peers: Peers) -> list[int]:
@@ -123,27 +124,35 @@
         for zone in linked_zones:
             self._zone_lost_at.pop(zone, None)
         self._peers = peers
-        deadlines = [at + ZONE_GRACE_S for at in self._zone_lost_at.values()] + [self._listed_at + SETTLE_S]
-        self._stable_until = min((at for at in deadlines if at > now), default=inf)
         changed = []
         for shard in range(SHARDS):
             route = self._route(now, shard)
             if route != self.routes[shard]:
                 self.routes[shard] = route
                 changed.append(shard)
+        graces = {*self._zone_lost_at.values(), *self._aggregates_since.values()}
+        deadlines = [at + ZONE_GRACE_S for at in graces] + [self._listed_at + SETTLE_S]
+        self._stable_until = min((at for at in deadlines if at > now), default=inf)
         return changed
 
+    def is_settled(self, now: float) -> bool:
+        """Its neighbours are linked, or have had the time for it."""
+        if self._listed_at == inf:
+            return False
+        return now >= self._listed_at + SETTLE_S or self._peers.listed_near <= self._peers.near
+
     def _route(self, now: float, shard: int) -> Route:
         peers = self._peers
         aggregator = in_aggregator_order(self.zone, shard, [self.name, *peers.near], peers.busy)[0]
         if aggregator != self.name:
+            self._aggregates_since.pop(shard, None)
             return Route(Role.MEMBER, aggregator)
-        settling = now < self._listed_at + SETTLE_S
-        if self._listed_at == inf or (settling and not peers.listed_near <= peers.near):
+        if not self.is_settled(now):
             return UNSETTLED
+        since = self._aggregates_since.setdefault(shard, now)
         linked = set(peers.away.values())
         awaited = {zone for zone, at in self._zone_lost_at.items() if now < at + ZONE_GRACE_S}
-        if settling:
+        if now < since + ZONE_GRACE_S:
             awaited |= peers.listed_zones - linked
         before = zones_before(shard, self.zone, linked | awaited)
         if not before:
