--- a/tests/system/test_fabric.py
+++ b/tests/system/test_fabric.py
@@ -34,7 +34,7 @@
 
 def set_tokens(f: Fabric, now_ms: float, tokens: float) -> None:
     """What the owner's bucket holds; f is the owner."""
-    owner = f.quotas._owners[shard_of("tenant")]
+    owner = f.quotas._owned._owners[shard_of("tenant")]
     owner.advance(now_ms / 1000)
     bucket = owner._buckets["tenant"]
     bucket.refill(owner._time, 1.0)
@@ -268,7 +268,7 @@
     f = fabric(rate=10.0, burst=10.0)
     f.pools[0].further = 9.0
     (send,) = of(Send, f.handle(1.0, arrival(1)))
-    owner = f.quotas._owners[shard_of("tenant")]
+    owner = f.quotas._owned._owners[shard_of("tenant")]
     assert of(Send, f.handle(2.0, ended(send, Outcome.RESET)))
     f.quotas.tick(0.002)
     assert owner._buckets["tenant"].level == pytest.approx(8.0, abs=0.1)
--- a/tests/system/test_quota_leases.py
+++ b/tests/system/test_quota_leases.py
@@ -12,11 +12,10 @@
 )
 from troutdock.quota.bucket import FillingTime, QuotaLimit, TokenBucket
 from troutdock.quota.leases import LEASE_S, QuotaLeases, Verdict
-from troutdock.quota.node import (
-    ABANDONED_S, FOUNDING_S, GRANT_LIFETIME_S, HANDOVER_S, MOST_HOPS, PENDING_S, RESEND_LEAST_S, STALL_S, LocalGrant,
-    QuotaNode,
-)
+from troutdock.quota.demands import ABANDONED_S, GRANT_LIFETIME_S, RESEND_LEAST_S
+from troutdock.quota.node import MOST_HOPS, PENDING_S, STALL_S, LocalGrant, QuotaNode
 from troutdock.quota.owner import RETRY_LEAST_S, RETRY_MOST_S, VOTE_LIFETIME_S, ShardOwner
+from troutdock.quota.ownership import FOUNDING_S, HANDOVER_S
 from troutdock.quota.routes import (
     SETTLE_S, SHARDS, ZONE_GRACE_S, Peers, Role, Route, ShardRoutes, in_aggregator_order, shard_duty, shard_of, zones_before,
 )
@@ -82,7 +81,7 @@
                 for peer, message in node.take_messages():
                     self.messages += 1
                     by_name[peer].receive(now, node.name, decode(encode(message)))
-            if not any(node._outboxes for node in (self.owner, self.other)):
+            if not any(node._outbox for node in (self.owner, self.other)):
                 break
 
     def run(self, start: float, end: float) -> None:
@@ -100,7 +99,7 @@
 
 
 def owner_of(node: QuotaNode) -> ShardOwner:
-    return node._owners[SHARD]
+    return node._owned._owners[SHARD]
 
 
 # ---- buckets
@@ -226,7 +225,7 @@
 def test_a_grant_that_comes_late_is_handed_back_and_asked_for_anew() -> None:
     node = node_with(Role.MEMBER)
     node.demand(0.1, TENANT, 3)
-    sent = node._sent[TENANT]
+    sent = node._sent.by_tenant[TENANT]
     list(node.take_messages())
     node.receive(0.11 + GRANT_LIFETIME_S, sent.upstream, QuotaGrant([TokenGrant(TENANT, sent.number, 3, 0.0, "term")]))
     (_, settlement), (_, request) = list(node.take_messages())
@@ -345,9 +344,9 @@
 def test_the_answer_to_a_demand_that_was_given_up_is_handed_back_once() -> None:
     node = node_with(Role.MEMBER)
     node.demand(0.1, TENANT, 3)
-    number, upstream = node._sent[TENANT].number, node._sent[TENANT].upstream
+    number, upstream = node._sent.by_tenant[TENANT].number, node._sent.by_tenant[TENANT].upstream
     node.tick(0.11 + GRANT_LIFETIME_S)
-    again = node._sent[TENANT].number
+    again = node._sent.by_tenant[TENANT].number
     assert again > number
     list(node.take_messages())
     late = QuotaGrant([TokenGrant(TENANT, number, 3, 0.0, "term")])
@@ -358,7 +357,7 @@
     node.receive(0.4, upstream, QuotaGrant([TokenGrant(TENANT, again, 3, 0.0, "term")]))
     assert node.take_grants()[0].granted == 3
     node.tick(0.5 + GRANT_LIFETIME_S + ABANDONED_S)
-    assert not node._abandoned
+    assert not node._sent._abandoned
 
 
 def test_what_was_asked_on_a_link_that_ended_is_asked_of_the_next() -> None:
@@ -523,7 +522,7 @@
 def test_messages_that_make_no_sense_are_dropped_and_counted(message: Message) -> None:
     node = node_with(Role.MEMBER)
     node.demand(0.1, TENANT, 3)
-    upstream = node._sent[TENANT].upstream
+    upstream = node._sent.by_tenant[TENANT].upstream
     list(node.take_messages())
     node.receive(0.2, upstream, message)
     assert node.rejected == 1 and not node.has_output
--- a/troutdock/quota/node.py
+++ b/troutdock/quota/node.py
@@ -28,7 +28,7 @@
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from math import inf
 
 from furrow.messages import (
@@ -44,25 +44,25 @@
     TokenGrant,
 )
 from troutdock.quota.bucket import QuotaLimit
+from troutdock.quota.demands import (
+    GRANT_LIFETIME_S,
+    MOST_WANTED,
+    LastAnswers,
+    PendingDemand,
+    PendingDemands,
+    SentDemands,
+    share_out,
+)
+from troutdock.quota.outbox import Outbox
 from troutdock.quota.owner import RETRY_MOST_S, ShardOwner
+from troutdock.quota.ownership import OwnedShards
 from troutdock.quota.routes import ALONE, SHARDS, Peers, Role, ShardRoutes, shard_of
 
 VOTE_INTERVAL_S = 0.2  # between two votes of a zone: three lie within a vote's lifetime
 STALL_S = 0.5  # a process that has not run for so long may have been replaced as owner
-FOUNDING_S = 5.0  # an owner of the first moments of a whole fleet begins with full buckets
-HANDOVER_S = 2.0  # so long what was handed over waits for its receiver to become owner
-SKIP_HANDOVER_S = 1.0  # an owner of less than this that was handed nothing has nothing worth handing over
-RESEND_LEAST_S, RESEND_MOST_S = 0.03, 0.2  # between two sendings of a demand, at first; it doubles
-RESEND_TIMES = 2.5  # of the usual time of an answer
-ANSWER_WEIGHT = 0.1  # of the newest answer's time, in the usual one
 PENDING_S = 1.0  # a demand that has not been answered for so long is told to come again
-GRANT_LIFETIME_S = 0.25  # a demand is given up then; a grant that comes later is handed back unspent
-ANSWERS_KEPT_S = 5.0  # longer than a demand is sent again and its copies are on their way
-ABANDONED_S = 2.0  # so long the answer to a demand that was given up may still come
 RETRY_UNSERVED_S = 0.1  # what is told where there is no owner, or it does not know the tenant
-TERM_LIVES = 1 << 20  # a term names its owner's life by the last bits
 MOST_HOPS = 4  # a demand that has been passed on so often goes in a circle
-MOST_WANTED = 1_000_000  # tokens in one demand: more is no demand that a proxy can have
 LOCAL = ""  # this proxy itself, among those that ask
 
 
@@ -83,74 +83,6 @@
     term: str
 
 
-@dataclass(slots=True)
-class _Pending:
-    """A demand that is not answered yet."""
-
-    requester: str
-    number: int
-    wanted: int
-    returning: int
-    received_at: float
-    hops: int
-
-
-@dataclass(slots=True)
-class _Sent:
-    """The demand for a tenant that is under way to the upstream peer."""
-
-    upstream: str
-    number: int
-    wanted: int
-    returning: int
-    hops: int
-    at: float
-    again_at: float
-    interval_s: float
-
-
-@dataclass(slots=True)
-class _Outbox:
-    """What goes to one peer with the next messages."""
-
-    request: QuotaRequest = field(default_factory=QuotaRequest)
-    grants: list[TokenGrant] = field(default_factory=list)
-    settlement: QuotaSettlement = field(default_factory=QuotaSettlement)
-    handovers: list[QuotaHandover] = field(default_factory=list)
-
-
-class _Answers:
-    """The last answer to each peer and tenant, for at least ANSWERS_KEPT_S, so that it can be sent again."""
-
-    def __init__(self) -> None:
-        self._newer: dict[tuple[str, str], TokenGrant] = {}
-        self._older: dict[tuple[str, str], TokenGrant] = {}
-        self._aged_at = -inf
-
-    def record(self, peer: str, grant: TokenGrant) -> None:
-        self._newer[peer, grant.tenant] = grant
-
-    def last(self, peer: str, tenant: str) -> TokenGrant | None:
-        return self._newer.get((peer, tenant)) or self._older.get((peer, tenant))
-
-    def forget(self, peer: str) -> None:
-        """The peer's link has ended: its next life counts its demands from the beginning."""
-        for answers in (self._newer, self._older):
-            for key in [key for key in answers if key[0] == peer]:
-                del answers[key]
-
-    def age(self, now: float) -> None:
-        if now - self._aged_at >= ANSWERS_KEPT_S:
-            self._aged_at = now
-            self._newer, self._older = {}, self._newer
-
-
-@dataclass(frozen=True, slots=True)
-class _Handover:
-    received_at: float
-    message: QuotaHandover
-
-
 class QuotaNode:
     """The state machine of one proxy; hand it every event, then take its messages and grants."""
 
@@ -165,24 +97,17 @@
             bootstrap: The whole fleet starts for the first time, so that no quota is used yet.
         """
         self.name, self.zone = name, zone
-        self._life, self._began_at, self._bootstrap = life, now, bootstrap
-        self._limits: dict[str, QuotaLimit] = {}
-        self._has_limits = False
         self._routes = ShardRoutes(name, zone)
         self._peers = Peers()
-        self._owners: dict[int, ShardOwner] = {}
-        self._had_other_owner: set[int] = set()  # shards that another proxy was taken for the owner of
-        self._handed: dict[int, _Handover] = {}
-        self._pending: dict[str, dict[str, _Pending]] = {}  # by tenant, by requester
-        self._sent: dict[str, _Sent] = {}  # by tenant
-        self._abandoned: dict[int, _Sent] = {}  # by number: demands that were given up
-        self._answered = _Answers()
-        self._answer_s: dict[str, float] = {}  # by peer: the usual time of an answer
+        self._owned = OwnedShards(life, now, bootstrap)
+        self._pending = PendingDemands()
+        self._answered = LastAnswers()
+        self._sent = SentDemands()
         self._refused_until: dict[str, float] = {}  # by tenant
         self._charges: dict[str, int] = {}
-        self._outboxes: dict[str, _Outbox] = {}
+        self._outbox = Outbox()
         self._local_grants: list[LocalGrant] = []
-        self._last_number = self._last_term = 0
+        self._last_number = 0
         self._ticked_at, self._voted_at = inf, -inf
         self.rejected = 0  # messages' parts that made no sense, and returns to terms that are over
 
@@ -198,7 +123,7 @@
     @property
     def has_output(self) -> bool:
         """There are messages or grants to take."""
-        return bool(self._outboxes or self._local_grants)
+        return bool(self._outbox or self._local_grants)
 
     @property
     def has_grants(self) -> bool:
@@ -211,20 +136,12 @@
 
     def owned_shards(self) -> list[int]:
         """The shards that this proxy owns."""
-        return sorted(self._owners)
+        return sorted(self._owned)
 
     def set_limits(self, now: float, limits: Mapping[str, QuotaLimit]) -> None:
         """The limits of all limited tenants, as the configuration in force has them."""
         self._observe(now)
-        added = {name: limit for name, limit in limits.items() if name not in self._limits}
-        removed = set(self._limits) - set(limits)
-        first, self._has_limits = not self._has_limits, True
-        self._limits = dict(limits)
-        for shard, owner in self._owners.items():
-            if not first:
-                owner.add_tenants(now, {n: limit for n, limit in added.items() if shard_of(n) == shard})
-            owner.drop_tenants(removed)
-        for tenant in removed:
+        for tenant in self._owned.set_limits(now, limits):
             self._refused_until.pop(tenant, None)
 
     def update_peers(self, now: float, peers: Peers) -> None:
@@ -233,20 +150,17 @@
         for name in (set(self._peers.near) | set(self._peers.away)) - set(peers.near) - set(peers.away):
             self._forget_peer(name)
         self._peers = peers
+        self._owned.set_fleet(len(peers.near) + 1, peers.fleet_size)
         self._follow_routes(now)
-        self._back_owners(now)
+        self._owned.back(now)
 
     def _forget_peer(self, name: str) -> None:
         """A peer's link has ended, and with it what was asked and voted on it."""
-        self._outboxes.pop(name, None)
+        self._outbox.forget(name)
         self._answered.forget(name)
-        self._answer_s.pop(name, None)
-        for waiting in self._pending.values():
-            waiting.pop(name, None)
-        for tenant in [tenant for tenant, sent in self._sent.items() if sent.upstream == name]:
-            del self._sent[tenant]
-        for owner in self._owners.values():
-            owner.forget_voter(name)
+        self._pending.forget(name)
+        self._sent.forget(name)
+        self._owned.forget_voter(name)
 
     # ---- time
 
@@ -254,8 +168,7 @@
         """End this proxy's terms where it has stood still for so long that it may have been replaced."""
         if now - self._ticked_at > STALL_S:
             self._ticked_at = now
-            for shard in list(self._owners):
-                self._owners[shard] = self._new_owner(now, full=False)
+            self._owned.end_terms(now)
 
     def tick(self, now: float) -> None:
         """Time has gone by; to be called several times within VOTE_INTERVAL_S."""
@@ -266,27 +179,30 @@
             self._voted_at = now
             for shard in range(SHARDS):
                 self._vote(shard)
-        self._back_owners(now)
+        self._owned.back(now)
         self._flush_charges(now)
         self._answered.age(now)
-        self._abandon_overdue(now)
-        for tenant in list(self._pending):
+        self._sent.abandon_overdue(now)
+        for tenant in self._pending.tenants():
             self._serve(now, tenant)
             self._answer_overdue(now, tenant)
 
-    def _abandon_overdue(self, now: float) -> None:
-        """Ask anew under another number; what comes late for the former one is handed back."""
-        for number in [n for n, sent in self._abandoned.items() if now - sent.at > ABANDONED_S]:
-            del self._abandoned[number]
-        for tenant, sent in list(self._sent.items()):
-            if now - sent.at > GRANT_LIFETIME_S:
-                self._abandoned[sent.number] = self._sent.pop(tenant)
-
     def _answer_overdue(self, now: float, tenant: str) -> None:
-        for pending in list(self._pending.get(tenant, {}).values()):
+        for pending in self._pending.of(tenant):
             if now - pending.received_at > PENDING_S:
                 self._answer(tenant, pending, 0, RETRY_UNSERVED_S, "")
 
+    @property
+    def resend_at(self) -> float:
+        """When the next demand is to be sent again; infinite where none is under way."""
+        return self._sent.resend_at
+
+    def resend(self, now: float) -> None:
+        """Send demands again whose answers are overdue."""
+        self._observe(now)
+        for tenant, sent in self._sent.due(now):
+            self._outbox.add_demand(sent.upstream, sent.message(tenant), sent.hops)
+
     # ---- roles
 
     def _follow_routes(self, now: float) -> None:
@@ -294,69 +210,41 @@
         for shard in self._routes.update(now, self._peers):
             route, old = self._routes.routes[shard], before[shard]
             if route.upstream:
-                self._had_other_owner.add(shard)
+                self._owned.note_other_owner(shard)
             if route.role is Role.OWNER:
-                self._acquire(now, shard)
-            elif shard in self._owners:
+                self._owned.acquire(now, shard)
+            elif shard in self._owned:
                 self._yield(now, shard, route.upstream)
             if old.role is Role.AGGREGATOR and self._is_linked(old.upstream):
-                self._outbox(old.upstream).settlement.withdrawn.append(shard)
+                self._outbox.add_withdrawal(old.upstream, shard)
             self._vote(shard)
             self._ask_again(now, shard, route.upstream)
 
     def _is_linked(self, peer: str) -> bool:
         return peer in self._peers.near or peer in self._peers.away
 
-    def _new_owner(self, now: float, full: bool) -> ShardOwner:
-        self._last_term += 1
-        return ShardOwner(f"{self._life % TERM_LIVES:x}.{self._last_term:x}", now, full)
-
-    def _acquire(self, now: float, shard: int) -> None:
-        is_founding = self._bootstrap and now - self._began_at <= FOUNDING_S
-        full = is_founding and shard not in self._had_other_owner
-        owner = self._owners[shard] = self._new_owner(now, full)
-        self._back(now, owner)
-        handed = self._handed.pop(shard, None)
-        if handed is not None and now - handed.received_at <= HANDOVER_S:
-            self._adopt(now, owner, handed.message)
-
     def _yield(self, now: float, shard: int, successor: str) -> None:
-        owner = self._owners.pop(shard)
-        if successor and (owner.has_adopted or now - owner.began_at >= SKIP_HANDOVER_S):
-            self._outbox(successor).handovers.append(QuotaHandover(shard, *owner.levels(now)))
+        handover = self._owned.give_up(now, shard)
+        if handover is not None and successor:
+            self._outbox.add_handover(successor, handover)
 
     def hand_over(self, now: float) -> None:
         """Give up all ownership to those that are next, for good; to be called just before the links end."""
-        for shard in list(self._owners):
+        for shard in self._owned:
             self._yield(now, shard, self._routes.successor(shard))
 
-    def _adopt(self, now: float, owner: ShardOwner, message: QuotaHandover) -> None:
-        if not self._has_limits:  # the levels could not be kept apart from what is new
-            return
-        levels = {tenant: level for tenant, level in message.levels.items() if level == level}  # no NaN
-        owner.adopt(now, max(0.0, message.backed_s), levels, self._limits)
-
-    def _back(self, now: float, owner: ShardOwner) -> None:
-        owner.back(now, len(self._peers.near) + 1, self._peers.fleet_size)
-
-    def _back_owners(self, now: float) -> None:
-        for owner in self._owners.values():
-            self._back(now, owner)
-
     def _vote(self, shard: int) -> None:
         """Back the owner that this zone has chosen."""
         route = self._routes.routes[shard]
         if route.role is Role.AGGREGATOR:
-            vote = ShardVote(shard, self.zone, len(self._peers.near) + 1)
-            self._outbox(route.upstream).request.votes.append(vote)
+            self._outbox.add_vote(route.upstream, ShardVote(shard, self.zone, len(self._peers.near) + 1))
 
     def _ask_again(self, now: float, shard: int, upstream: str) -> None:
         """What was asked of another peer than the upstream one is asked anew."""
-        for tenant, sent in list(self._sent.items()):
-            if sent.upstream != upstream and shard_of(tenant) == shard:
-                self._abandoned[sent.number] = self._sent.pop(tenant)
-        for tenant in [tenant for tenant in self._pending if shard_of(tenant) == shard]:
-            self._serve(now, tenant)
+        self._sent.abandon(lambda tenant, sent: sent.upstream != upstream and shard_of(tenant) == shard)
+        for tenant in self._pending.tenants():
+            if shard_of(tenant) == shard:
+                self._serve(now, tenant)
 
     # ---- demands
 
@@ -388,30 +276,27 @@
         answered = self._answered.last(requester, demand.tenant)
         if answered is not None and demand.number <= answered.number:
             if demand.number == answered.number:  # the answer was lost, or is late
-                self._outbox(requester).grants.append(answered)
-            return
-        waiting = self._pending.setdefault(demand.tenant, {})
-        if requester in waiting and waiting[requester].number >= demand.number:
+                self._outbox.add_grant(requester, answered)
             return
-        waiting[requester] = _Pending(requester, demand.number, demand.wanted, demand.returning, now, hops)
-        self._serve(now, demand.tenant)
+        pending = PendingDemand(requester, demand.number, demand.wanted, demand.returning, now, hops)
+        if self._pending.add(demand.tenant, pending):
+            self._serve(now, demand.tenant)
 
     def _serve(self, now: float, tenant: str) -> None:
         """Answer the tenant's demands, or pass them on, or leave them waiting."""
-        waiting = self._pending.get(tenant)
-        if not waiting:
-            self._pending.pop(tenant, None)
-            return
+        demands = self._pending.of(tenant)
         shard = shard_of(tenant)
-        owner = self._owners.get(shard)
+        owner = self._owned.get(shard)
         upstream = self._routes.routes[shard].upstream
         if owner is not None:
-            self._serve_as_owner(now, owner, tenant, list(waiting.values()))
-        elif upstream and tenant not in self._sent:
-            self._pass_on(now, upstream, tenant, list(waiting.values()))
-
-    def _serve_as_owner(self, now: float, owner: ShardOwner, tenant: str, demands: list[_Pending]) -> None:
-        limit = self._limits.get(tenant)
+            self._serve_as_owner(now, owner, tenant, demands)
+        elif upstream and demands and tenant not in self._sent.by_tenant:
+            self._pass_on(now, upstream, tenant, demands)
+
+    def _serve_as_owner(
+        self, now: float, owner: ShardOwner, tenant: str, demands: list[PendingDemand]
+    ) -> None:
+        limit = self._owned.limits.get(tenant)
         for pending in demands:
             if limit is None:
                 self._answer(tenant, pending, 0, RETRY_UNSERVED_S, "")
@@ -419,70 +304,44 @@
             answer = owner.grant(now, pending.requester, tenant, limit, pending.wanted, pending.returning)
             self._answer(tenant, pending, answer.granted, answer.retry_after_s, owner.term)
 
-    def _pass_on(self, now: float, upstream: str, tenant: str, demands: list[_Pending]) -> None:
+    def _pass_on(self, now: float, upstream: str, tenant: str, demands: list[PendingDemand]) -> None:
         refused_for_s = self._refused_until.get(tenant, now) - now
         for pending in demands:
             if refused_for_s > 0:
                 self._answer(tenant, pending, 0, refused_for_s, "")
             elif pending.hops >= MOST_HOPS:
                 self._answer(tenant, pending, 0, RETRY_UNSERVED_S, "")
-        waiting = self._pending.get(tenant)
+        waiting = self._pending.of(tenant)
         if not waiting:
             return
         self._last_number += 1
-        wanted = min(MOST_WANTED, sum(pending.wanted for pending in waiting.values()))
-        returning = min(wanted, sum(pending.returning for pending in waiting.values()))
-        hops = 1 + max(pending.hops for pending in waiting.values())
-        usual_s = RESEND_TIMES * self._answer_s.get(upstream, 0.0)
-        interval_s = min(RESEND_MOST_S, max(RESEND_LEAST_S, usual_s))
-        self._sent[tenant] = _Sent(
-            upstream, self._last_number, wanted, returning, hops, now, now + interval_s, interval_s
-        )
-        self._send_demand(tenant, self._sent[tenant])
-
-    def _send_demand(self, tenant: str, sent: _Sent) -> None:
-        request = self._outbox(sent.upstream).request
-        request.demands.append(TokenDemand(tenant, sent.number, sent.wanted, sent.returning))
-        request.hops = max(request.hops, sent.hops)
-
-    @property
-    def resend_at(self) -> float:
-        """When the next demand is to be sent again; infinite where none is under way."""
-        return min((sent.again_at for sent in self._sent.values()), default=inf)
-
-    def resend(self, now: float) -> None:
-        """Send demands again whose answers are overdue."""
-        self._observe(now)
-        for tenant, sent in self._sent.items():
-            if now >= sent.again_at:
-                sent.interval_s *= 2
-                sent.again_at = now + sent.interval_s
-                self._send_demand(tenant, sent)
-
-    def _answer(self, tenant: str, pending: _Pending, granted: int, retry_after_s: float, term: str) -> None:
-        waiting = self._pending.get(tenant)
-        if waiting is not None and waiting.get(pending.requester) is pending:
-            del waiting[pending.requester]
-            if not waiting:
-                del self._pending[tenant]
+        wanted = min(MOST_WANTED, sum(pending.wanted for pending in waiting))
+        returning = min(wanted, sum(pending.returning for pending in waiting))
+        hops = 1 + max(pending.hops for pending in waiting)
+        sent = self._sent.send(now, upstream, tenant, self._last_number, wanted, returning, hops)
+        self._outbox.add_demand(upstream, sent.message(tenant), hops)
+
+    def _answer(
+        self, tenant: str, pending: PendingDemand, granted: int, retry_after_s: float, term: str
+    ) -> None:
+        self._pending.remove(tenant, pending)
         if pending.requester == LOCAL:
             self._local_grants.append(LocalGrant(tenant, granted, retry_after_s, term))
-        else:
-            grant = TokenGrant(tenant, pending.number, granted, round(retry_after_s, 4), term)
-            self._answered.record(pending.requester, grant)
-            self._outbox(pending.requester).grants.append(grant)
+            return
+        grant = TokenGrant(tenant, pending.number, granted, round(retry_after_s, 4), term)
+        self._answered.record(pending.requester, grant)
+        self._outbox.add_grant(pending.requester, grant)
 
     def _flush_charges(self, now: float) -> None:
-        for tenant in list(self._charges):
+        for tenant, requests in list(self._charges.items()):
             shard = shard_of(tenant)
-            owner, limit = self._owners.get(shard), self._limits.get(tenant)
+            owner, limit = self._owned.get(shard), self._owned.limits.get(tenant)
             upstream = self._routes.routes[shard].upstream
             if owner is not None:
                 if limit is not None:
-                    owner.charge(now, tenant, limit, self._charges[tenant])
+                    owner.charge(now, tenant, limit, requests)
             elif upstream:
-                charged = ChargedRequests(tenant, min(MOST_WANTED, self._charges[tenant]))
-                self._outbox(upstream).settlement.charged.append(charged)
+                self._outbox.add_charge(upstream, ChargedRequests(tenant, min(MOST_WANTED, requests)))
             else:
                 continue
             del self._charges[tenant]
@@ -503,8 +362,8 @@
                     self._receive_grant(now, peer, grant)
             case QuotaSettlement():
                 self._receive_settlement(peer, message)
-            case QuotaHandover(shard):
-                self._receive_handover(now, shard, message)
+            case QuotaHandover(shard) if 0 <= shard < SHARDS:
+                self._owned.receive_handover(now, message)
             case _:
                 self.rejected += 1
 
@@ -512,20 +371,15 @@
         if not 0 <= vote.shard < SHARDS or vote.zone == self.zone or not 0 < vote.weight <= MOST_WANTED:
             self.rejected += 1
             return
-        owner = self._owners.get(vote.shard)
         upstream = self._routes.routes[vote.shard].upstream
-        if owner is not None:
-            owner.vote(now, vote.zone, vote.weight, peer)
-            self._back(now, owner)
+        if vote.shard in self._owned:
+            self._owned.vote(now, vote.shard, vote.zone, vote.weight, peer)
         elif upstream and upstream != peer and hops < MOST_HOPS:
-            request = self._outbox(upstream).request
-            request.votes.append(vote)
-            request.hops = max(request.hops, hops + 1)
+            self._outbox.add_vote(upstream, vote, hops + 1)
 
     def _receive_settlement(self, peer: str, message: QuotaSettlement) -> None:
         for shard in message.withdrawn:
-            if (owner := self._owners.get(shard)) is not None:
-                owner.forget_voter(peer)
+            self._owned.withdraw(shard, peer)
         for charged in message.charged:
             if 0 < charged.requests <= MOST_WANTED:
                 self.charge(charged.tenant, charged.requests)
@@ -536,95 +390,53 @@
 
     def _receive_returned(self, returned: ReturnedTokens, hops: int) -> None:
         shard = shard_of(returned.tenant)
-        owner, limit = self._owners.get(shard), self._limits.get(returned.tenant)
+        owner, limit = self._owned.get(shard), self._owned.limits.get(returned.tenant)
         upstream = self._routes.routes[shard].upstream
         valid = 0 < returned.tokens <= MOST_WANTED and hops < MOST_HOPS
         if valid and owner is not None and owner.term == returned.term and limit is not None:
             owner.put_back(returned.tenant, limit, returned.tokens)
         elif valid and owner is None and upstream:
-            settlement = self._outbox(upstream).settlement
-            settlement.returned.append(returned)
-            settlement.hops = max(settlement.hops, hops + 1)
+            self._outbox.add_returned(upstream, returned, hops + 1)
         else:
             self.rejected += 1
 
     def _receive_grant(self, now: float, peer: str, grant: TokenGrant) -> None:
-        sent = self._sent.get(grant.tenant)
-        abandoned = self._abandoned.get(grant.number)
-        if abandoned is not None and abandoned.upstream == peer and 0 <= grant.granted <= abandoned.wanted:
-            del self._abandoned[grant.number]  # a copy of it counts no more
+        if self._sent.take_abandoned(peer, grant):
             self._hand_back(grant)
             return
-        if sent is None or sent.upstream != peer or sent.number != grant.number:
+        sent = self._sent.take_answered(now, peer, grant)
+        if sent is None:
             self.rejected += 1
             return
-        if not 0 <= grant.granted <= sent.wanted or not grant.retry_after_s >= 0:
-            self.rejected += 1
-            return
-        del self._sent[grant.tenant]
-        usual_s = self._answer_s.setdefault(peer, now - sent.at)
-        self._answer_s[peer] = usual_s + (now - sent.at - usual_s) * ANSWER_WEIGHT
-        if now - sent.at > GRANT_LIFETIME_S and grant.granted:
+        if now - sent.sent_at > GRANT_LIFETIME_S and grant.granted:
             self._hand_back(grant)
-            self._serve(now, grant.tenant)
-            return
-        retry_after_s = min(RETRY_MOST_S, grant.retry_after_s)
-        if retry_after_s:
-            self._refused_until[grant.tenant] = now + retry_after_s
-        left = self._distribute(grant, retry_after_s)
-        if left:
-            self._receive_returned(ReturnedTokens(grant.tenant, left, grant.term), 0)
+        else:
+            self._distribute(now, grant)
         self._serve(now, grant.tenant)
 
     def _hand_back(self, grant: TokenGrant) -> None:
         if grant.granted:
             self._receive_returned(ReturnedTokens(grant.tenant, grant.granted, grant.term), 0)
 
-    def _distribute(self, grant: TokenGrant, retry_after_s: float) -> int:
-        """Share out what has come: clients at their time first, then in turn; the tokens that are left."""
-        waiting = list(self._pending.get(grant.tenant, {}).values())
-        left = grant.granted
-        shares = []
-        for pending in waiting:
-            shares.append(min(left, pending.returning))
-            left -= shares[-1]
-        for n, pending in enumerate(waiting):
-            more = min(left, pending.wanted - shares[n])
-            shares[n] += more
-            left -= more
+    def _distribute(self, now: float, grant: TokenGrant) -> None:
+        """Share out what has come, and hand back what nobody waits for any more."""
+        retry_after_s = min(RETRY_MOST_S, grant.retry_after_s)
+        if retry_after_s:
+            self._refused_until[grant.tenant] = now + retry_after_s
+        waiting = self._pending.of(grant.tenant)
+        shares = share_out(grant.granted, waiting)
         for pending, share in zip(waiting, shares, strict=True):
             if share or retry_after_s:
                 whole = share >= pending.wanted
                 self._answer(grant.tenant, pending, share, 0.0 if whole else retry_after_s, grant.term)
-        return left
-
-    def _receive_handover(self, now: float, shard: int, message: QuotaHandover) -> None:
-        if not 0 <= shard < SHARDS:
-            self.rejected += 1
-        elif (owner := self._owners.get(shard)) is not None:
-            if now - owner.began_at <= HANDOVER_S:
-                self._adopt(now, owner, message)
-        else:
-            self._handed[shard] = _Handover(now, message)
+        if left := grant.granted - sum(shares):
+            self._receive_returned(ReturnedTokens(grant.tenant, left, grant.term), 0)
 
     # ---- output
 
-    def _outbox(self, peer: str) -> _Outbox:
-        return self._outboxes.setdefault(peer, _Outbox())
-
     def take_messages(self) -> Iterable[tuple[str, Message]]:
         """What is to be sent, by peer; each is given once."""
-        outboxes, self._outboxes = self._outboxes, {}
-        for peer, outbox in outboxes.items():
-            for handover in outbox.handovers:
-                yield peer, handover
-            if outbox.grants:
-                yield peer, QuotaGrant(outbox.grants)
-            settlement = outbox.settlement
-            if settlement.returned or settlement.charged or settlement.withdrawn:
-                yield peer, settlement
-            if outbox.request.demands or outbox.request.votes:
-                yield peer, outbox.request
+        return self._outbox.take()
 
     def take_grants(self) -> list[LocalGrant]:
         """Answers to this proxy's own demands; each is given once."""
