--- a/tests/system/test_lives_of_ingresses.py
+++ b/tests/system/test_lives_of_ingresses.py
@@ -10,7 +10,8 @@
 from almanac.boot import boot_of
 from espalier.mesh import ROLE, Mesh
 from espalier.shares import Exchange, News
-from furrow.messages import Hello, Member, Members, Message, Share, Shares
+from furrow.messages import Hello, Member, Members, Message, QuotaStatus, Share, Shares, decode
+from troutdock.quota.routes import Peers
 
 
 class Wire:
@@ -242,3 +243,42 @@
     e.hear(0.2, second, "a-2", "a", 1)
     e.hear(0.3, other.change("2", 5), "a-2", "a", 1)
     assert e.origins["a-2"].out["2"] == 5
+
+
+# ---- quotas among processes of different versions
+
+
+def test_processes_of_before_the_leases_are_heard_and_take_no_part_in_them() -> None:
+    def story(mesh: Mesh, heard: list[News]) -> None:
+        told: list[Peers] = []
+        mesh._peers_changed = told.append
+        before = Wire(mesh, "a-2", 5).up()
+        after = Wire(mesh, "a-3", 6)
+        after.peer = Hello(ROLE, "a-3", "10.0.0.9", "a", 6, leases=True)
+        after.up()
+        assert told[-1].near == {"a-3"}
+        mesh.set_busy(True)
+        assert QuotaStatus(True) in after.sent and not any(isinstance(m, QuotaStatus) for m in before.sent)
+        old = b'{"t":"shares","entries":[[0,5,[1,3],[2,70],5,0]],"base":0,"names":["a-2","1","t"],"full":true,"level":{"t":3.5}}'
+        before.says(decode(old))
+        assert out_of(mesh) == {"1": 3}
+
+    play(story)
+
+
+def test_a_busy_ingress_is_known_to_be_so_for_a_while_after_its_link_has_ended() -> None:
+    def story(mesh: Mesh, heard: list[News]) -> None:
+        told: list[Peers] = []
+        mesh._peers_changed = told.append
+        wire = Wire(mesh, "a-2", 5)
+        wire.peer = Hello(ROLE, "a-2", "10.0.0.9", "a", 5, leases=True)
+        wire.up().says(QuotaStatus(True))
+        assert told[-1].busy == {"a-2"}
+        wire.cut()
+        assert told[-1].busy == {"a-2"} and told[-1].near == frozenset()
+        again = Wire(mesh, "a-2", 6)
+        again.peer = Hello(ROLE, "a-2", "10.0.0.9", "a", 6, leases=True)
+        again.up()
+        assert told[-1].busy == frozenset() and told[-1].near == {"a-2"}
+
+    play(story)
--- a/tests/system/test_quotas_in_company.py
+++ b/tests/system/test_quotas_in_company.py
@@ -16,7 +16,7 @@
 
 
 class NoServices(Two):
-    """No backends yet: the tenants' use is the only duty."""
+    """No backends yet: telling how many are heard is the only duty."""
 
     def services(self) -> list[str]:
         return []
