--- a/benchmarks/closed_loop.py
+++ b/benchmarks/closed_loop.py
@@ -30,8 +30,10 @@
                     began = cpu_s(pid)
                     tally = load(port, args.requests, connections)
                     refused = 1 - tally.get(200, 0) / sum(tally.values())
-                    print(f"{connections:4} clients, {name:6} {refused:6.2%} not served, "
-                          f"{(cpu_s(pid) - began) / args.requests * 1e6:6.1f} us  {tally}")
+                    print(
+                        f"{connections:4} clients, {name:6} {refused:6.2%} not served, "
+                        f"{(cpu_s(pid) - began) / args.requests * 1e6:6.1f} us  {tally}"
+                    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/control_plane.py
+++ b/benchmarks/control_plane.py
@@ -43,8 +43,12 @@
                     self.at(0.01, lambda n=n, m=m: self.meet(n, m))
         for i in range(ingresses):
             member = Member(f"edge-{i}", f"10.1.{i // 250}.{i % 250}", 7000, f"z{i % ZONES}", i)
-            self.at(0.1 + 0.9 * i / ingresses, lambda i=i, m=member: self.do(
-                i % ZONES, self.registries[i % ZONES].ingress_up(self.now, f"i{i}", m)))
+            self.at(
+                0.1 + 0.9 * i / ingresses,
+                lambda i=i, m=member: self.do(
+                    i % ZONES, self.registries[i % ZONES].ingress_up(self.now, f"i{i}", m)
+                ),
+            )
         for b in range(2 * ingresses):
             self.beat(b, 0, 0.05 + BEAT_S * b / (2 * ingresses))
         for n in range(ZONES):
@@ -83,8 +87,12 @@
             if isinstance(action.to, int):
                 self.bytes["registries"] += size
                 to, message = action.to, action.message
-                self.at(self.now + 0.0014, lambda to=to, message=message: self.do(
-                    to, self.registries[to].hear(self.now, n, message)))
+                self.at(
+                    self.now + 0.0014,
+                    lambda to=to, message=message: self.do(
+                        to, self.registries[to].hear(self.now, n, message)
+                    ),
+                )
             else:
                 self.bytes["followers"] += size * (len(registry.ingresses) if action.to is None else 1)
                 if isinstance(action.message, Config):
--- a/benchmarks/crowd.py
+++ b/benchmarks/crowd.py
@@ -102,7 +102,8 @@
         if connection is None:
             try:
                 _, connection = await asyncio.wait_for(
-                    self.loop.create_connection(lambda: _Connection(pool), "127.0.0.1", port), SILENCE_S)
+                    self.loop.create_connection(lambda: _Connection(pool), "127.0.0.1", port), SILENCE_S
+                )
             except (OSError, TimeoutError):
                 self._again(second, began, number, 0.0)
                 return
@@ -113,10 +114,11 @@
             self._again(second, began, number, 0.0)
             return
         mark = b"Client-Retry: 1\r\n" if number > 1 else b""
-        message = (b"GET /ledger-read/7 HTTP/1.1\r\nHost: x\r\nRequest-Id: %08x%08x\r\nPlan: open\r\n"
-                   b"Account: %016x\r\nRequest-Timeout: %.3f\r\n"
-                   b"Quota-Info: units=1,spread=1,first=0\r\n%b\r\n"
-                   % (self.seed, self.number, customer, left, mark))
+        message = (
+            b"GET /ledger-read/7 HTTP/1.1\r\nHost: x\r\nRequest-Id: %08x%08x\r\nPlan: open\r\n"
+            b"Account: %016x\r\nRequest-Timeout: %.3f\r\n"
+            b"Quota-Info: units=1,spread=1,first=0\r\n%b\r\n" % (self.seed, self.number, customer, left, mark)
+        )
         asked = connection
 
         def told(status: int, wait_s: float) -> None:
--- a/benchmarks/grpc_cost.py
+++ b/benchmarks/grpc_cost.py
@@ -52,12 +52,14 @@
 async def serve_proxy(port: int, to: int) -> None:
     """A plain proxy: one channel, each call passed on with its metadata and the time left."""
     import grpc
+
     channel = grpc.aio.insecure_channel(f"127.0.0.1:{to}")
 
     async def pass_on(request: bytes, context: Any) -> bytes:
         call = channel.unary_unary(PATH)
-        answer: bytes = await call(request, timeout=context.time_remaining(),
-                                   metadata=tuple(context.invocation_metadata()))
+        answer: bytes = await call(
+            request, timeout=context.time_remaining(), metadata=tuple(context.invocation_metadata())
+        )
         return answer
 
     class All(grpc.GenericRpcHandler):
@@ -74,6 +76,7 @@
 async def calls(port: int, number: int, at_once: int) -> int:
     """So many unary calls: how many were served."""
     import grpc
+
     served = 0
     async with grpc.aio.insecure_channel(f"127.0.0.1:{port}") as channel:
         call = channel.unary_unary(PATH)
@@ -87,6 +90,7 @@
                     served += 1
                 except grpc.aio.AioRpcError:
                     pass
+
         await asyncio.gather(*(one(n) for n in range(at_once)))
     return served
 
@@ -94,8 +98,10 @@
 @contextmanager
 def ingress(to: int) -> Iterator[tuple[int, int]]:
     """The daemon with gRPC and one node: its process and port."""
-    rows = [{"path": PATH, "class": "ledger-read"},
-            {"path": "/ledger.Ledger/Hang", "class": "ledger-read", "kind": "server-streaming"}]
+    rows = [
+        {"path": PATH, "class": "ledger-read"},
+        {"path": "/ledger.Ledger/Hang", "class": "ledger-read", "kind": "server-streaming"},
+    ]
     with tempfile.TemporaryDirectory() as folder:
         operator = Path(folder) / "operator.yaml"
         operator.write_text(json.dumps({"grpc": {"methods": rows}}))
@@ -109,8 +115,11 @@
     for turn in range(rounds + 1):
         for name, (pid, port, kind) in ways.items():
             before = cpu_s(pid)
-            served = load(port, number, at_once).get(200, 0) if kind == "http" else asyncio.run(
-                calls(port, number, at_once))
+            served = (
+                load(port, number, at_once).get(200, 0)
+                if kind == "http"
+                else asyncio.run(calls(port, number, at_once))
+            )
             if turn:  # the first round warms up
                 took[name].append((cpu_s(pid) - before) / max(1, served) * 1e6)
     first = statistics.median(next(iter(took.values())))
@@ -142,6 +151,7 @@
             call.cancel()
         for channel in channels:
             await channel.close()
+
     asyncio.run(hold())
 
 
@@ -161,17 +171,33 @@
     args = parser.parse_args()
     to, through = free_port(), free_port()
     words = ["-m", "benchmarks.grpc_cost"]
-    with (process([*words, "node", str(to)], to), node() as (_, http_node), daemon([http_node]) as http,
-          process([*words, "proxy", str(through), str(to)], through) as proxy, ingress(to) as ours):
-        print(f"  resident: proxy {memory_mb(proxy):.1f} MB, troutdock gRPC {memory_mb(ours[0]):.1f} MB, "
-              f"HTTP {memory_mb(http[0]):.1f} MB")
+    with (
+        process([*words, "node", str(to)], to),
+        node() as (_, http_node),
+        daemon([http_node]) as http,
+        process([*words, "proxy", str(through), str(to)], through) as proxy,
+        ingress(to) as ours,
+    ):
+        print(
+            f"  resident: proxy {memory_mb(proxy):.1f} MB, troutdock gRPC {memory_mb(ours[0]):.1f} MB, "
+            f"HTTP {memory_mb(http[0]):.1f} MB"
+        )
         memory(ours[0], ours[1], args.idle, args.streams)
         for at_once in (1, 8, 32):
-            compare(args.calls, args.rounds, at_once, {
-                "grpcio proxy": (proxy, through, "grpc"), "troutdock gRPC": (*ours, "grpc"),
-                "troutdock HTTP": (*http, "http")})
-        print(f"  resident: proxy {memory_mb(proxy):.1f} MB, troutdock gRPC {memory_mb(ours[0]):.1f} MB, "
-              f"HTTP {memory_mb(http[0]):.1f} MB")
+            compare(
+                args.calls,
+                args.rounds,
+                at_once,
+                {
+                    "grpcio proxy": (proxy, through, "grpc"),
+                    "troutdock gRPC": (*ours, "grpc"),
+                    "troutdock HTTP": (*http, "http"),
+                },
+            )
+        print(
+            f"  resident: proxy {memory_mb(proxy):.1f} MB, troutdock gRPC {memory_mb(ours[0]):.1f} MB, "
+            f"HTTP {memory_mb(http[0]):.1f} MB"
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/library_cpu.py
+++ b/benchmarks/library_cpu.py
@@ -34,8 +34,10 @@
     base = costs[subjects[0][0]]
     for name, _, _ in subjects:
         ratios = [own / of for own, of in zip(costs[name], base, strict=True)]
-        print(f"  {name:34} {median(costs[name]):7.1f} us ({min(costs[name]):.1f} to {max(costs[name]):.1f})"
-              f"  ratio {median(ratios):.3f}  {statuses[name]}")
+        print(
+            f"  {name:34} {median(costs[name]):7.1f} us ({min(costs[name]):.1f} to {max(costs[name]):.1f})"
+            f"  ratio {median(ratios):.3f}  {statuses[name]}"
+        )
 
 
 def main() -> None:
@@ -53,20 +55,36 @@
             old, old_port = stack.enter_context(daemon(ports, args.before))
             new, new_port = stack.enter_context(daemon(ports))
             print(f"  memory after its start: {memory_mb(old):.1f} and {memory_mb(new):.1f} MB")
-            compare([("before", old_port, [old]), ("after", new_port, [new])], args.requests, args.rounds,
-                    args.connections)
+            compare(
+                [("before", old_port, [old]), ("after", new_port, [new])],
+                args.requests,
+                args.rounds,
+                args.connections,
+            )
             print(f"  memory after the load: {memory_mb(old):.1f} and {memory_mb(new):.1f} MB")
         print("a hop through the daemon to an application, and the application in guard mode")
         bare, bare_port = stack.enter_context(application("bare"))
         hop, hop_port = stack.enter_context(daemon([bare_port]))
         guard, guard_port = stack.enter_context(application("guarded"))
-        compare([("daemon and bare application", hop_port, [hop, bare]), ("guard mode", guard_port, [guard]),
-                 ("bare application", bare_port, [bare])], args.requests, args.rounds, args.connections)
+        compare(
+            [
+                ("daemon and bare application", hop_port, [hop, bare]),
+                ("guard mode", guard_port, [guard]),
+                ("bare application", bare_port, [bare]),
+            ],
+            args.requests,
+            args.rounds,
+            args.connections,
+        )
         print("the daemon and forward mode")
         plain, plain_port = stack.enter_context(daemon(ports))
         forward, forward_port = stack.enter_context(application("forwarding", ports))
-        compare([("daemon", plain_port, [plain]), ("forward mode", forward_port, [forward])], args.requests,
-                args.rounds, args.connections)
+        compare(
+            [("daemon", plain_port, [plain]), ("forward mode", forward_port, [forward])],
+            args.requests,
+            args.rounds,
+            args.connections,
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -49,23 +49,29 @@
     """Clients that ask so often a second, all together."""
     words = ",".join(map(str, ports))
     base = [sys.executable, "-m", "benchmarks.crowd", words, str(rate / CROWDS), str(seconds)]
-    return [subprocess.Popen([*base, str(n + 1), str(HONOUR)], cwd=ROOT, stdout=subprocess.PIPE, text=True)
-            for n in range(CROWDS)]
+    return [
+        subprocess.Popen([*base, str(n + 1), str(HONOUR)], cwd=ROOT, stdout=subprocess.PIPE, text=True)
+        for n in range(CROWDS)
+    ]
 
 
 def gather(children: list[subprocess.Popen[str]]) -> tuple[list[int], list[int], int]:
     """Asked and served by second, and tries, of all crowds."""
     told = [json.loads(child.communicate()[0]) for child in children]
-    return ([sum(s) for s in zip(*(t["asked"] for t in told), strict=True)],
-            [sum(s) for s in zip(*(t["served"] for t in told), strict=True)], sum(t["tries"] for t in told))
+    return (
+        [sum(s) for s in zip(*(t["asked"] for t in told), strict=True)],
+        [sum(s) for s in zip(*(t["served"] for t in told), strict=True)],
+        sum(t["tries"] for t in told),
+    )
 
 
 def fleet(stack: ExitStack, queue: int) -> list[int]:
     """Nodes whose work takes time."""
     ports = [free_port() for _ in range(NODES)]
     for port in ports:
-        stack.enter_context(process(["-m", "benchmarks.slow_node", str(port), str(AT_ONCE), str(WORK_MS),
-                                     str(queue)], port))
+        stack.enter_context(
+            process(["-m", "benchmarks.slow_node", str(port), str(AT_ONCE), str(WORK_MS), str(queue)], port)
+        )
     return ports
 
 
@@ -79,10 +85,13 @@
                 began = [cpu_s(pid) for pid in pids]
                 asked, served, tries = gather(crowd(ports, many * CAPACITY, seconds))
                 cpu = sum(cpu_s(pid) for pid in pids) - sum(began)
-                late = served[seconds // 4:]
-                print(f"{name:9} {many:4g} x  {sum(late) / len(late):7.1f} a second of {CAPACITY:.0f}  "
-                      f"{tries / max(1, sum(asked)):.2f} tries  "
-                      f"{cpu / len(pids) / seconds:.2f} of a core each", flush=True)
+                late = served[seconds // 4 :]
+                print(
+                    f"{name:9} {many:4g} x  {sum(late) / len(late):7.1f} a second of {CAPACITY:.0f}  "
+                    f"{tries / max(1, sum(asked)):.2f} tries  "
+                    f"{cpu / len(pids) / seconds:.2f} of a core each",
+                    flush=True,
+                )
 
 
 def recovery(many: float, queue: int) -> None:
@@ -103,10 +112,13 @@
                 up = time.monotonic() - began
                 asked, served, tries = gather(children)
             before = sum(served[2:6]) / 4
-            back = next((s for s in range(int(up), 29) if min(served[s:s + 2]) >= 0.95 * before), None)
-            print(f"{name:9} {many:g} x: {before:.0f} a second before, down at {down:.1f} s, up at {up:.1f}, "
-                  f"95% again {'never' if back is None else f'{max(0.0, back - up):.1f} s after that'}; "
-                  f"{tries / sum(asked):.2f} tries; by second {served}", flush=True)
+            back = next((s for s in range(int(up), 29) if min(served[s : s + 2]) >= 0.95 * before), None)
+            print(
+                f"{name:9} {many:g} x: {before:.0f} a second before, down at {down:.1f} s, up at {up:.1f}, "
+                f"95% again {'never' if back is None else f'{max(0.0, back - up):.1f} s after that'}; "
+                f"{tries / sum(asked):.2f} tries; by second {served}",
+                flush=True,
+            )
 
 
 def refusal() -> None:
@@ -136,8 +148,9 @@
     parser.add_argument("--only", default="", help="damped or undamped")
     args = parser.parse_args()
     if args.what == "goodput":
-        goodput([float(t) for t in (args.times or "0.5,1,2,4,8").split(",")], args.seconds,
-                args.queue, args.only)
+        goodput(
+            [float(t) for t in (args.times or "0.5,1,2,4,8").split(",")], args.seconds, args.queue, args.only
+        )
     elif args.what == "recovery":
         recovery(float(args.times or 2), args.queue)
     else:
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -21,21 +21,65 @@
 
 def settings(sockets: int = 4096) -> dict[str, Any]:
     """A deployment's settings without limits: what is measured is the path, not the refusals."""
-    classes = [("ledger-read", 1500.0, 4000.0, 2.0, "pure"), ("payment-book", 1000.0, 4000.0, 5.0, "token"),
-               ("vat-filing", 750.0, 1500.0, 5.0, "side_effect")]
+    classes = [
+        ("ledger-read", 1500.0, 4000.0, 2.0, "pure"),
+        ("payment-book", 1000.0, 4000.0, 5.0, "token"),
+        ("vat-filing", 750.0, 1500.0, 5.0, "side_effect"),
+    ]
     return {
-        "balancers": 1, "index": 0, "locality": 0, "quantum": 2.0, "zones": ["a"], "machine_types": ["m"],
-        "categories": [{"name": n, "aim": a, "hard_limit": h, "points": p, "idempotency": i, "group": "all",
-                        "dedup_window": 3000.0, "late_worth": 0.0, "streaming": False}
-                       for n, a, h, p, i in classes],
-        "plans": [{"name": "open", "per_second": 0.0, "peak_units": 0.0, "price": 1.0, "over_worth": 0.0,
-                   "excess_cost": 0.0}],
-        "permissions": {"most_tries": 3, "dial_timeout": 250.0, "conn_idle": 30000.0, "retry_after": True,
-                        "cancel": True, "max_retry_after": 500.0, "parallel_tries": True, "probes": False},
-        "safety": {"start_capacity": 0.2, "cold": 15000.0, "fall_multiple": 2.0, "overload_for": 3000.0,
-                   "stop_sending_within": 500.0, "grace_to_answer": 8.0},
+        "balancers": 1,
+        "index": 0,
+        "locality": 0,
+        "quantum": 2.0,
+        "zones": ["a"],
+        "machine_types": ["m"],
+        "categories": [
+            {
+                "name": n,
+                "aim": a,
+                "hard_limit": h,
+                "points": p,
+                "idempotency": i,
+                "group": "all",
+                "dedup_window": 3000.0,
+                "late_worth": 0.0,
+                "streaming": False,
+            }
+            for n, a, h, p, i in classes
+        ],
+        "plans": [
+            {
+                "name": "open",
+                "per_second": 0.0,
+                "peak_units": 0.0,
+                "price": 1.0,
+                "over_worth": 0.0,
+                "excess_cost": 0.0,
+            }
+        ],
+        "permissions": {
+            "most_tries": 3,
+            "dial_timeout": 250.0,
+            "conn_idle": 30000.0,
+            "retry_after": True,
+            "cancel": True,
+            "max_retry_after": 500.0,
+            "parallel_tries": True,
+            "probes": False,
+        },
+        "safety": {
+            "start_capacity": 0.2,
+            "cold": 15000.0,
+            "fall_multiple": 2.0,
+            "overload_for": 3000.0,
+            "stop_sending_within": 500.0,
+            "grace_to_answer": 8.0,
+        },
         "extra": {"has_counter": False, "count_wait": 50.0, "units_top": 8, "cost_after": True},
-        "clients": {"marks_retry": False}, "telemetry": {"via": "off", "fields": []}, "tiers": ["t"]}
+        "clients": {"marks_retry": False},
+        "telemetry": {"via": "off", "fields": []},
+        "tiers": ["t"],
+    }
 
 
 def free_port() -> int:
@@ -46,19 +90,40 @@
 
 def config(listen: int, nodes: Sequence[int]) -> dict[str, Any]:
     """What a daemon is told."""
-    targets = [{"uid": f"s-{p}", "endpoint": f"127.0.0.1:{p}", "az": "a", "model": "m", "pod_group": 0,
-                "state": "active", "capacity_hint": 1.0, "boot_ms": 0} for p in nodes]
-    return {"name": "n0", "listen": f"127.0.0.1:{listen}", "discovery": "127.0.0.1:9", "seed": "07",
-            "limits": {"sockets": 4096, "memory_mb": 192}, "settings": settings(),
-            "known": {"rev": 1, "all": True, "targets": targets}}
+    targets = [
+        {
+            "uid": f"s-{p}",
+            "endpoint": f"127.0.0.1:{p}",
+            "az": "a",
+            "model": "m",
+            "pod_group": 0,
+            "state": "active",
+            "capacity_hint": 1.0,
+            "boot_ms": 0,
+        }
+        for p in nodes
+    ]
+    return {
+        "name": "n0",
+        "listen": f"127.0.0.1:{listen}",
+        "discovery": "127.0.0.1:9",
+        "seed": "07",
+        "limits": {"sockets": 4096, "memory_mb": 192},
+        "settings": settings(),
+        "known": {"rev": 1, "all": True, "targets": targets},
+    }
 
 
 @contextmanager
 def process(words: Sequence[str], port: int, cwd: Path = ROOT, **environment: str) -> Iterator[int]:
     """A Python process that listens on a port: its number; ended with the block."""
-    child = subprocess.Popen([sys.executable, *words], cwd=cwd,
-                             env={**os.environ, "PYTHONPATH": str(cwd), **environment},
-                             stderr=subprocess.DEVNULL, stdout=subprocess.DEVNULL)
+    child = subprocess.Popen(
+        [sys.executable, *words],
+        cwd=cwd,
+        env={**os.environ, "PYTHONPATH": str(cwd), **environment},
+        stderr=subprocess.DEVNULL,
+        stdout=subprocess.DEVNULL,
+    )
     try:
         until = time.monotonic() + 20
         while True:
@@ -97,8 +162,21 @@
     with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
         json.dump(config(port, nodes), file)
         file.flush()
-        words = ["-m", "uvicorn", "--factory", "--port", str(port), "--no-access-log", "--log-level", "error",
-                 "--loop", "uvloop", "--http", "httptools", f"benchmarks.apps:{name}"]
+        words = [
+            "-m",
+            "uvicorn",
+            "--factory",
+            "--port",
+            str(port),
+            "--no-access-log",
+            "--log-level",
+            "error",
+            "--loop",
+            "uvloop",
+            "--http",
+            "httptools",
+            f"benchmarks.apps:{name}",
+        ]
         with process(words, port, RELAY_CONFIG=file.name) as pid:
             yield pid, port
 
@@ -142,7 +220,8 @@
         self._transport.write(
             b"GET /%b/7 HTTP/1.1\r\nHost: x\r\nRequest-Id: %016x\r\nPlan: open\r\nAccount: %016x\r\n"
             b"Request-Timeout: 2.000\r\nQuota-Info: units=1,spread=1,first=0\r\n\r\n"
-            % (self._path.encode(), id, self._number * 1000 + self._left % 50))
+            % (self._path.encode(), id, self._number * 1000 + self._left % 50)
+        )
 
     def data_received(self, data: bytes) -> None:
         self._pending += data
@@ -176,7 +255,8 @@
         clients = []
         for number in range(connections):
             _, client = await loop.create_connection(
-                lambda n=number: _Client(n, requests // connections, tally, path), "127.0.0.1", port)  # type: ignore[misc]
+                lambda n=number: _Client(n, requests // connections, tally, path), "127.0.0.1", port
+            )  # type: ignore[misc]
             clients.append(client)
         await asyncio.gather(*(c.done for c in clients))
 
--- a/benchmarks/reserved_calls.py
+++ b/benchmarks/reserved_calls.py
@@ -82,9 +82,11 @@
     for width in (1, 2, 5, 20):
         for skew, loss in ((1.0, 0.0), (0.5, 0.0), (0.5, 0.3)):
             told, wrong, rightly, left, gone = play(width, skew, loss, args.requests, Random(args.seed))
-            print(f"{width:3} gateways, each {skew:.0%} of the one before, {loss:.0%} lost: "
-                  f"{told:.4f} datagrams a request, {wrong:.2%} another way with units elsewhere, "
-                  f"{rightly:.2%} with none; {left:.2%} of the units left, {gone:.2%} lost")
+            print(
+                f"{width:3} gateways, each {skew:.0%} of the one before, {loss:.0%} lost: "
+                f"{told:.4f} datagrams a request, {wrong:.2%} another way with units elsewhere, "
+                f"{rightly:.2%} with none; {left:.2%} of the units left, {gone:.2%} lost"
+            )
 
 
 if __name__ == "__main__":
--- a/benchmarks/routed_cost.py
+++ b/benchmarks/routed_cost.py
@@ -1,6 +1,6 @@
 """CPU a request with routes against the platform's reader, and the loop's longest pause while they reload.
 
-    python -m benchmarks.routed_cost [--requests 8000] [--rounds 5] [--routes 10000]
+python -m benchmarks.routed_cost [--requests 8000] [--rounds 5] [--routes 10000]
 """
 
 from __future__ import annotations
@@ -32,8 +32,11 @@
 
 def deployment(port: int, servers: list[int], routes: int) -> str:
     """A file with so many routes, of which the last one is the load's."""
-    rows = [f"  - {{name: r{n}, match: {{hosts: [h{n % 97}.de], prefix: /x/{n}}}, class: ledger-read, "
-            "to: ledger}" for n in range(routes)]
+    rows = [
+        f"  - {{name: r{n}, match: {{hosts: [h{n % 97}.de], prefix: /x/{n}}}, class: ledger-read, "
+        "to: ledger}"
+        for n in range(routes)
+    ]
     rows.append("  - {name: all, match: {prefix: /}, class: ledger-read, to: ledger}")
     at = ", ".join(f'"127.0.0.1:{p}"' for p in servers)
     return FILE.format(port=port, servers=at, routes="\n".join(rows))
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -1,6 +1,6 @@
 """What a match costs by the number of routes, and a change of one of them.
 
-    python -m benchmarks.routes [--most 100000]
+python -m benchmarks.routes [--most 100000]
 """
 
 from __future__ import annotations
@@ -55,8 +55,10 @@
         for n in range(200):
             table.with_route(Route(f"r{n}", n, (exact("/changed"),), to=TO))
         change = (time.perf_counter() - began) / 200 * 1e6
-        print(f"  {number:7} routes: {took:5.1f} us a match, {took / first:.2f} of 10 routes ({hits} found), "
-              f"made in {build * 1000:.0f} ms, one changed in {change:.0f} us")
+        print(
+            f"  {number:7} routes: {took:5.1f} us a match, {took / first:.2f} of 10 routes ({hits} found), "
+            f"made in {build * 1000:.0f} ms, one changed in {change:.0f} us"
+        )
     keys = [f"{n:016x}" for n in range(100_000)]
     was = [choose((Part("a", 90), Part("b", 10)), k) for k in keys]
     now = [choose((Part("a", 80), Part("b", 20)), k) for k in keys]
--- a/benchmarks/slow_readers.py
+++ b/benchmarks/slow_readers.py
@@ -40,10 +40,14 @@
     await loop.sock_connect(sock, ("127.0.0.1", port))
     while loop.time() < until:
         number += 1_000_000
-        await loop.sock_sendall(sock, (
-            f"GET /ledger-read/7 HTTP/1.1\r\nHost: x\r\nRequest-Id: {number:016x}\r\nPlan: open\r\n"
-            f"Account: {number % 1_000_000:016x}\r\nRequest-Timeout: 4.000\r\n"
-            f"Quota-Info: units=1,spread=1,first=0\r\n\r\n").encode())
+        await loop.sock_sendall(
+            sock,
+            (
+                f"GET /ledger-read/7 HTTP/1.1\r\nHost: x\r\nRequest-Id: {number:016x}\r\nPlan: open\r\n"
+                f"Account: {number % 1_000_000:016x}\r\nRequest-Timeout: 4.000\r\n"
+                f"Quota-Info: units=1,spread=1,first=0\r\n\r\n"
+            ).encode(),
+        )
         if (await loop.sock_recv(sock, 1024)).startswith(b"HTTP/1.1 200"):
             began.append(number)
             break
@@ -68,8 +72,10 @@
     parser.add_argument("--seconds", type=float, default=6)
     options = parser.parse_args()
     resource.setrlimit(resource.RLIMIT_NOFILE, (4096, 4096))
-    nodes = [await asyncio.start_server(lambda r, w: node(r, w, options.megabytes), "127.0.0.1", 0)
-             for _ in range(9)]
+    nodes = [
+        await asyncio.start_server(lambda r, w: node(r, w, options.megabytes), "127.0.0.1", 0)
+        for _ in range(9)
+    ]
     with daemon([n.sockets[0].getsockname()[1] for n in nodes]) as (pid, port):
         before = most = resident_kib(pid)
         began: list[int] = []
@@ -80,8 +86,10 @@
             await asyncio.sleep(0.1)
             most = max(most, resident_kib(pid))
         await asyncio.wait(clients, timeout=2)
-        print(f"{len(began)} of {options.clients} answers began; resident {before / 1024:.0f} MiB before, "
-              f"{most / 1024:.0f} at its highest")
+        print(
+            f"{len(began)} of {options.clients} answers began; resident {before / 1024:.0f} MiB before, "
+            f"{most / 1024:.0f} at its highest"
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -43,9 +43,11 @@
 def message(number: int, path: str, body: int = 0) -> bytes:
     method = "POST" if body else "GET"
     length = f"Content-Length: {body}\r\n" if body else ""
-    return (f"{method} /{path}/7 HTTP/1.1\r\nHost: x\r\nRequest-Id: {number:016x}\r\nPlan: open\r\n"
-            f"Account: {number % 500:016x}\r\nRequest-Timeout: 2.000\r\n"
-            f"Quota-Info: units=1,spread=1,first=0\r\n{length}\r\n{'x' * body}").encode()
+    return (
+        f"{method} /{path}/7 HTTP/1.1\r\nHost: x\r\nRequest-Id: {number:016x}\r\nPlan: open\r\n"
+        f"Account: {number % 500:016x}\r\nRequest-Timeout: 2.000\r\n"
+        f"Quota-Info: units=1,spread=1,first=0\r\n{length}\r\n{'x' * body}"
+    ).encode()
 
 
 def length_of(head: bytes) -> int:
@@ -138,9 +140,18 @@
         fd = self.socket.fileno()
         with (self.folder / f"{self.made}.log").open("w") as log:
             child = subprocess.Popen(
-                [sys.executable, "-m", "troutdock"], cwd=self.cwd, pass_fds=(fd,), stderr=log,
-                env={**os.environ, "PYTHONPATH": str(self.cwd), "RELAY_CONFIG": str(file),
-                     "RELAY_SOCKET_FD": str(fd), "TMPDIR": str(self.folder)})
+                [sys.executable, "-m", "troutdock"],
+                cwd=self.cwd,
+                pass_fds=(fd,),
+                stderr=log,
+                env={
+                    **os.environ,
+                    "PYTHONPATH": str(self.cwd),
+                    "RELAY_CONFIG": str(file),
+                    "RELAY_SOCKET_FD": str(fd),
+                    "TMPDIR": str(self.folder),
+                },
+            )
         for _ in range(500):
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
                 reader, writer = await asyncio.open_connection(*door)
@@ -163,8 +174,10 @@
         until = loop.time() + 3 + 5 * options.upgrades
         kinds = ["long"] * options.long + ["half"] * options.half
         kinds += ["plain"] * (options.connections - len(kinds))
-        clients = [asyncio.create_task(client(row.socket.getsockname(), n + 1, until, count, kind))
-                   for n, kind in enumerate(kinds)]
+        clients = [
+            asyncio.create_task(client(row.socket.getsockname(), n + 1, until, count, kind))
+            for n, kind in enumerate(kinds)
+        ]
         await asyncio.sleep(2.5)
         for _ in range(options.upgrades):
             newer = await row.start()
@@ -191,9 +204,11 @@
         older.terminate()
         older.wait(10)
         row.socket.close()
-    print(f"{count.answered} answered, {count.refused} refused, {count.lost} lost, of them long ones cut "
-          f"{count.long_cut} (whole {count.long_done}); {count.closed} told to close; one process "
-          f"{before:.0f} MB, both {most:.0f} MB at most; longest wait {count.slowest_ms:.0f} ms")
+    print(
+        f"{count.answered} answered, {count.refused} refused, {count.lost} lost, of them long ones cut "
+        f"{count.long_cut} (whole {count.long_done}); {count.closed} told to close; one process "
+        f"{before:.0f} MB, both {most:.0f} MB at most; longest wait {count.slowest_ms:.0f} ms"
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/usage_cost.py
+++ b/benchmarks/usage_cost.py
@@ -39,9 +39,7 @@
     return str(file)
 
 
-def costs(
-    stack: ExitStack, ports: Sequence[int], folder: Path, requests: int, rounds: int
-) -> dict[str, int]:
+def costs(stack: ExitStack, ports: Sequence[int], folder: Path, requests: int, rounds: int) -> dict[str, int]:
     """CPU by promise, and the ports of the daemons."""
     subjects = []
     for name in ("off", "memory", "bounded", "sync"):
@@ -62,8 +60,10 @@
             load(port, requests, connections)
         with urllib.request.urlopen(f"http://127.0.0.1:{door}/control/usage", timeout=5) as answer:
             found = json.load(answer)
-    print(f"  {found['records']} records, {found['most_units_at_risk']:.0f} units at risk at the most; "
-          f"stated: those of {RESERVE} answers, {RESERVE * UNITS} here")
+    print(
+        f"  {found['records']} records, {found['most_units_at_risk']:.0f} units at risk at the most; "
+        f"stated: those of {RESERVE} answers, {RESERVE * UNITS} here"
+    )
 
 
 def rates(ports: dict[str, int], requests: int) -> None:
@@ -83,8 +83,16 @@
     """Records as Parquet and as JSON lines."""
     random, plans = Random(1), ("basis", "standard", "plus")
     classes = ("ledger-read", "payment-book", "vat-filing")
-    uses = (Use(random.randrange(20_000), random.choice(plans), random.choice(classes),
-                random.randrange(1, 81) / 10, 1.76e12 + n * 3 + random.random()) for n in range(rows))
+    uses = (
+        Use(
+            random.randrange(20_000),
+            random.choice(plans),
+            random.choice(classes),
+            random.randrange(1, 81) / 10,
+            1.76e12 + n * 3 + random.random(),
+        )
+        for n in range(rows)
+    )
     records = [Record(1, n, use, State.GIVEN) for n, use in enumerate(uses, 1)]
     began = time.monotonic()
     columns.write(folder / "x.parquet", records)
@@ -94,8 +102,10 @@
             named = {"incarnation": r.incarnation, "sequence": r.sequence, "state": int(r.state)}
             file.write(json.dumps(named | r.use._asdict()) + "\n")
     parquet, lines = (folder / "x.parquet").stat().st_size / 1e6, (folder / "x.jsonl").stat().st_size / 1e6
-    print(f"  {rows} records: Parquet {parquet:.1f} MB in {took:.1f} s, JSON lines {lines:.1f} MB, "
-          f"{lines / parquet:.1f} to 1")
+    print(
+        f"  {rows} records: Parquet {parquet:.1f} MB in {took:.1f} s, JSON lines {lines:.1f} MB, "
+        f"{lines / parquet:.1f} to 1"
+    )
 
 
 def main() -> None:
--- a/benchmarks/usage_kills.py
+++ b/benchmarks/usage_kills.py
@@ -32,9 +32,13 @@
     for promise in ("sync", "bounded"):
         with tempfile.TemporaryDirectory() as folder:
             result = asyncio.run(play(Path(folder), promise, args.kills, Random(args.seed)))
-        print(f"{promise:8} {args.kills} kills: {result.given} answers, {result.missing} not exported, "
-              f"{result.uncertain} uncertain, {result.unknown} numbers unknown, "
-              f"{result.unseen} exported and not seen by a client", *result.wrong[:3], *result.faults[:3])
+        print(
+            f"{promise:8} {args.kills} kills: {result.given} answers, {result.missing} not exported, "
+            f"{result.uncertain} uncertain, {result.unknown} numbers unknown, "
+            f"{result.unseen} exported and not seen by a client",
+            *result.wrong[:3],
+            *result.faults[:3],
+        )
         bad |= bool(result.wrong or result.faults or (promise == "sync" and result.missing))
     raise SystemExit(bad)
 
--- a/examples/forward_app.py
+++ b/examples/forward_app.py
@@ -1,6 +1,6 @@
 """A FastAPI application that sends the ledger's requests on to its nodes, and answers all others itself.
 
-    RELAY_CONFIG=config.json uvicorn --factory examples.forward_app:from_environment
+RELAY_CONFIG=config.json uvicorn --factory examples.forward_app:from_environment
 """
 
 from __future__ import annotations
--- a/examples/guard_app.py
+++ b/examples/guard_app.py
@@ -1,7 +1,7 @@
 """A FastAPI application that is itself the node: troutdock admits or refuses what reaches it.
 
-    uvicorn examples.guard_app:app
-    curl -i localhost:8000/ledger-read/7 -H 'X-Customer: acme' -H 'X-Plan: basis'
+uvicorn examples.guard_app:app
+curl -i localhost:8000/ledger-read/7 -H 'X-Customer: acme' -H 'X-Plan: basis'
 """
 
 from __future__ import annotations
--- a/lab/discovery.py
+++ b/lab/discovery.py
@@ -144,8 +144,9 @@
 class Fleet:
     """Gateways that start, are killed and come back, before one discovery."""
 
-    def __init__(self, gateways: int, service: Service, seed: int,
-                 make: Callable[[int, Random], Client] | None = None) -> None:
+    def __init__(
+        self, gateways: int, service: Service, seed: int, make: Callable[[int, Random], Client] | None = None
+    ) -> None:
         self.time = Timeline()
         self.discovery = Discovery(self.time, service)
         self._random = Random(seed)
--- a/rootstock/copies.py
+++ b/rootstock/copies.py
@@ -59,9 +59,14 @@
 
     def _has(self, backup: str) -> bool:
         status, kept = self._state.peers[backup].status, self._state.kept
-        return status is not None and bool(kept.digest) and (status.version, status.digest) == (
-            kept.version,
-            kept.digest,
+        return (
+            status is not None
+            and bool(kept.digest)
+            and (status.version, status.digest)
+            == (
+                kept.version,
+                kept.digest,
+            )
         )
 
     def _snapshot(self, backup: str, without_body: bool) -> None:
@@ -137,7 +142,5 @@
 def _answer(state: State, sender: str, given: Replicate, ok: bool, lacks: bool = False) -> None:
     state.send(
         sender,
-        ReplicateAck(
-            given.epoch, given.version, ok, state.kept.promised, given.number, given.life, lacks
-        ),
+        ReplicateAck(given.epoch, given.version, ok, state.kept.promised, given.number, given.life, lacks),
     )
--- a/tamarindfold/__init__.py
+++ b/tamarindfold/__init__.py
@@ -15,8 +15,10 @@
     """Loaded when asked for: the whole gateway's proxy starts without the decisions of a single site."""
     if name == "Gateway":
         from tamarindfold.choice import Gateway
+
         return Gateway
     if name == "Settings":
         from tamarindfold.interface import Settings
+
         return Settings
     raise AttributeError(name)
--- a/tamarindfold/asks.py
+++ b/tamarindfold/asks.py
@@ -44,8 +44,18 @@
     def bytes(self, number: int) -> bytes:
         """As a datagram."""
         told, need = max(-32768, min(32767, self.told)), min(65535, self.need)
-        return _QUESTION.pack(ASK, number, self.mark & 0xFFFF, self.mark >> 16, self.fill, told, need,
-                              min(100, self.kept), round(max(0.0, min(1.0, self.most)) * STEPS), self.other)
+        return _QUESTION.pack(
+            ASK,
+            number,
+            self.mark & 0xFFFF,
+            self.mark >> 16,
+            self.fill,
+            told,
+            need,
+            min(100, self.kept),
+            round(max(0.0, min(1.0, self.most)) * STEPS),
+            self.other,
+        )
 
 
 def read_question(body: bytes) -> tuple[int, Question]:
--- a/tamarindfold/benchlink.py
+++ b/tamarindfold/benchlink.py
@@ -24,7 +24,7 @@
         if len(body) - at < wire.RECORD.size:
             raise wire.WireError(f"record {number} at byte {at}: truncated header")
         code, length = wire.RECORD.unpack_from(body, at)
-        fields = body[at + wire.RECORD.size:at + wire.RECORD.size + length]
+        fields = body[at + wire.RECORD.size : at + wire.RECORD.size + length]
         if len(fields) < max(length, wire.INSTANCE.size):
             raise wire.WireError(f"record {number} at byte {at}: truncated fields")
         (instance,) = wire.INSTANCE.unpack_from(fields)
--- a/tamarindfold/choice.py
+++ b/tamarindfold/choice.py
@@ -17,10 +17,36 @@
 from tamarindfold.health import BLAME, RETRY_MOST, Backend, Pool, Sent
 from tamarindfold.homes import Homes
 from tamarindfold.interface import (
-    Actions, AnswerBegan, AttemptEnded, BackendState, Cancel, Count, CountAnswered, Effect,
-    Event, Fail, FleetUpdate, Group, ListKind, ListWatched, Log, Outcome, PeerMessage, PlanAssigned,
-    Refuse, RequestArrived, RequestClass, RequestWaited, RequestWithdrawn, Send, SetTimer, Settings,
-    SettingsChanged, Settled, Tell, TimerFired,
+    Actions,
+    AnswerBegan,
+    AttemptEnded,
+    BackendState,
+    Cancel,
+    Count,
+    CountAnswered,
+    Effect,
+    Event,
+    Fail,
+    FleetUpdate,
+    Group,
+    ListKind,
+    ListWatched,
+    Log,
+    Outcome,
+    PeerMessage,
+    PlanAssigned,
+    Refuse,
+    RequestArrived,
+    RequestClass,
+    RequestWaited,
+    RequestWithdrawn,
+    Send,
+    SetTimer,
+    Settings,
+    SettingsChanged,
+    Settled,
+    Tell,
+    TimerFired,
 )
 from tamarindfold.naming import NAME_TTL_MS, counter_name
 from tamarindfold.news import News
@@ -68,8 +94,16 @@
 class Call:
     """A request not yet answered: what has been tried and what may have run."""
 
-    def __init__(self, event: RequestArrived, cls: RequestClass, customer: Customer, now: float,
-                 pool: Pool, most: int, usual_ms: float) -> None:
+    def __init__(
+        self,
+        event: RequestArrived,
+        cls: RequestClass,
+        customer: Customer,
+        now: float,
+        pool: Pool,
+        most: int,
+        usual_ms: float,
+    ) -> None:
         self.event, self.cls, self.customer, self.pool, self.most = event, cls, customer, pool, most
         self.usual_ms = usual_ms  # the time-out that first tries of its class have here
         self.work = pool.unit_ms[event.cls] * max(event.units, 0.01)
@@ -155,7 +189,8 @@
         intake = settings.peer_in_per_s * settings.peers
         self.homes = Homes(intake)  # the stores kept here; asks: of those kept elsewhere
         self.asks: Questions[tuple[Customer, Call | None, float]] = Questions(
-            settings.gateways, settings.index, intake, Random(seed + 3))
+            settings.gateways, settings.index, intake, Random(seed + 3)
+        )
         self.word = Word(settings.gateways, intake * (not self.asks.on), Random(seed + 1))
         self.news = News(settings.gateways, settings.index, settings.peers, Random(seed + 2))
         self.crowded_at = -inf  # the last sign of a crowded counter
@@ -163,19 +198,35 @@
         self.follow(settings)
         self.actions: Actions = []
         self.handlers: dict[type, Callable[[float, Any], None]] = {
-            RequestArrived: self.arrived, RequestWaited: self.waited, AttemptEnded: self.ended,
-            AnswerBegan: self.began, CountAnswered: self.count_answered, FleetUpdate: self.fleet,
-            RequestWithdrawn: self.withdrawn, TimerFired: self.overdue, Settled: partial(settled, self),
-            SettingsChanged: partial(configured, self), PlanAssigned: self.assigned,
-            PeerMessage: self.heard, ListWatched: self.watched}
+            RequestArrived: self.arrived,
+            RequestWaited: self.waited,
+            AttemptEnded: self.ended,
+            AnswerBegan: self.began,
+            CountAnswered: self.count_answered,
+            FleetUpdate: self.fleet,
+            RequestWithdrawn: self.withdrawn,
+            TimerFired: self.overdue,
+            Settled: partial(settled, self),
+            SettingsChanged: partial(configured, self),
+            PlanAssigned: self.assigned,
+            PeerMessage: self.heard,
+            ListWatched: self.watched,
+        }
 
     def follow(self, settings: Settings) -> None:
         """Keep what follows from the settings."""
         self.settings, self.counting = settings, settings.counter and not settings.meter_ms
         golden = max(1, round(GOLDEN * settings.gateways))
         self.stride = next(n for n in range(golden, 2 * golden + 2) if gcd(n, settings.gateways) == 1)
-        self.forget_ms = max([FORGET_MS] + [1000 * full / rate for p in settings.plans for full, rate in
-                                            ((p.burst, p.rate), (p.ceiling_burst, p.ceiling_rate)) if rate])
+        self.forget_ms = max(
+            [FORGET_MS]
+            + [
+                1000 * full / rate
+                for p in settings.plans
+                for full, rate in ((p.burst, p.rate), (p.ceiling_burst, p.ceiling_rate))
+                if rate
+            ]
+        )
         self.most_worth = max(c.worth for c in settings.classes) * max(p.price for p in settings.plans) or 1.0
 
     def assigned(self, now: float, event: PlanAssigned) -> None:
@@ -331,8 +382,9 @@
         if kind.effect is Effect.KEYED and kind.group is not Group.ALL:
             return  # whether it may be refused depends on what became of its earlier tries
         early = marks and event.retry and not (customer.appointments and customer.appointments[0] <= now)
-        beyond = (plan.rate and customer.tokens < event.units) or \
-            (plan.ceiling_rate and customer.cap_tokens < event.units)
+        beyond = (plan.rate and customer.tokens < event.units) or (
+            plan.ceiling_rate and customer.cap_tokens < event.units
+        )
         part = WAIT_LEAST + (1 - WAIT_LEAST) * kind.worth * plan.price / self.most_worth
         if event.waited_ms > WAIT_PART * kind.aim_ms * part * (BEYOND if early or beyond else 1.0):
             if event.retry and marks and customer.appointments:
@@ -544,8 +596,8 @@
         for key in ((Group.ALL, 0), (Group.ZONE, entry.zone), (Group.CELL, entry.cell)):
             ring = rings.setdefault(key, [])
             at = bisect_left(ring, entry.backend)
-            there = ring[at:at + 1] == [entry.backend]
-            ring[at:at + there] = [entry.backend] * ready
+            there = ring[at : at + 1] == [entry.backend]
+            ring[at : at + there] = [entry.backend] * ready
             if not ring and key[0] is not Group.ALL:
                 del rings[key]
 
@@ -560,7 +612,8 @@
             pool.patience = [
                 min([cls.aim_ms] + [c.aim_ms for c, w in in_force if w >= worth])
                 * (CHEAP_PATIENCE + (PATIENCE - CHEAP_PATIENCE) * min(1.0, worth / most))
-                for cls, worth in zip(classes, worths, strict=True)]
+                for cls, worth in zip(classes, worths, strict=True)
+            ]
         return pool.patience[call.event.cls]
 
     def pile(self, now: float, backend: Backend) -> float:
@@ -606,9 +659,13 @@
             return sound or room
         ring = call.pool.rings[call.ran_group or (Group.ALL, 0)]
         width = self.width(len(ring))
-        further = (b for b in self.along(ring, range(width, min(len(ring), width + LOOK)))
-                   if b.warmth(now, self.settings) >= 1 and b.circuit.lets(now)
-                   and low(b.entry.backend) not in suspects)
+        further = (
+            b
+            for b in self.along(ring, range(width, min(len(ring), width + LOOK)))
+            if b.warmth(now, self.settings) >= 1
+            and b.circuit.lets(now)
+            and low(b.entry.backend) not in suspects
+        )
         return [*sound, *islice(further, NEAR - len(sound))] or room
 
     def forecast(self, now: float, backend: Backend, call: Call, fleet: float) -> float:
@@ -655,7 +712,7 @@
         over = max(1.0, wait / patience, late)
         if over > 1 and not best.out and now - pool.slowness.at > NEWS_MS and call.work < call.aim - now:
             return best  # nobody would learn that the jam is over if all were refused
-        return best if self.random.random() <= over ** -RESOLVE else None
+        return best if self.random.random() <= over**-RESOLVE else None
 
     def group(self, backend: Backend, cls: RequestClass) -> tuple[Group, int]:
         """The backends that drop each other's repeats of this class."""
@@ -680,10 +737,22 @@
         self.actions.append(Send(call.event.request, backend.entry.backend))
         if self.retired:
             group = self.group(backend, call.cls) if call.event.key else None
-            self.actions.append(Settled(
-                call.event.request, number, None, backend.entry.backend, backend.entry.up_since_ms,
-                self.settings.classes[call.event.cls].name, now, call.work, pile, now + due,
-                key=call.event.key, group=group))
+            self.actions.append(
+                Settled(
+                    call.event.request,
+                    number,
+                    None,
+                    backend.entry.backend,
+                    backend.entry.up_since_ms,
+                    self.settings.classes[call.event.cls].name,
+                    now,
+                    call.work,
+                    pile,
+                    now + due,
+                    key=call.event.key,
+                    group=group,
+                )
+            )
         self.watch(now, call, due)
 
     def watch(self, now: float, call: Call, due: float) -> None:
@@ -749,8 +818,15 @@
         backend = self.backends.get(event.backend)
         if event.work_done and backend and (sent := backend.out.pop((event.request, event.attempt), None)):
             backend.load = max(0.0, backend.load - sent[1]) if backend.out else 0.0
-            done = AttemptEnded(event.request, event.attempt, event.backend, Outcome.OK, event.elapsed_ms,
-                                False, lag_ms=event.lag_ms)
+            done = AttemptEnded(
+                event.request,
+                event.attempt,
+                event.backend,
+                Outcome.OK,
+                event.elapsed_ms,
+                False,
+                lag_ms=event.lag_ms,
+            )
             self.learn(now, backend, done, sent)
             if self.retired:
                 self.actions.append(settlement(self, done, None, backend, sent))
--- a/tamarindfold/copies.py
+++ b/tamarindfold/copies.py
@@ -33,7 +33,8 @@
     for at in range(0, len(rows), ROWS):
         yield COPY + b"".join(
             _ROW.pack(mark & 0xFFFF, mark >> 16, round(level * STEPS), min(255, round(age / AGE_MS)))
-            for mark, level, age in rows[at:at + ROWS])
+            for mark, level, age in rows[at : at + ROWS]
+        )
 
 
 class Copies:
--- a/tamarindfold/digest.py
+++ b/tamarindfold/digest.py
@@ -29,7 +29,8 @@
     """A digest of marks, uses in hundredths, and levels from 0 to 1 (None: not known), FITTING at most."""
     return HEAD.pack(VERSION, number) + b"".join(
         ENTRY.pack(mark & 0xFFFF, mark >> 16, hundredths, UNSURE if level is None else round(level * STEPS))
-        for mark, hundredths, level in rows)
+        for mark, hundredths, level in rows
+    )
 
 
 def read(body: bytes) -> tuple[int, list[tuple[int, int, float | None]]]:
@@ -39,8 +40,10 @@
     version, number = HEAD.unpack_from(body)
     if version != VERSION:
         raise ValueError(f"version {version} of a digest is not known")
-    rows = [(high << 16 | low, hundredths, None if level == UNSURE else level / STEPS)
-            for low, high, hundredths, level in ENTRY.iter_unpack(body[HEAD.size:])]
+    rows = [
+        (high << 16 | low, hundredths, None if level == UNSURE else level / STEPS)
+        for low, high, hundredths, level in ENTRY.iter_unpack(body[HEAD.size :])
+    ]
     if any(level is not None and level > 1 for *_, level in rows):
         raise ValueError("a level beyond the rim")
     return number, rows
--- a/tamarindfold/fabric.py
+++ b/tamarindfold/fabric.py
@@ -210,9 +210,7 @@
     def _request_token(self, now: float, call: Call) -> Verdict:
         plan, number = call.tenant.plan, call.event.request
         limit = QuotaLimit(plan.rate, plan.burst)
-        return self.leases.request(
-            now / 1000, plan.name, limit, self._even_share, number, call.returning
-        )
+        return self.leases.request(now / 1000, plan.name, limit, self._even_share, number, call.returning)
 
     def _await_quota(self, now: float, call: Call) -> None:
         call.awaits_quota = True
--- a/tamarindfold/interface.py
+++ b/tamarindfold/interface.py
@@ -149,10 +149,28 @@
     live_classes: int = 0  # the first so many are in force, those behind only for what is open; 0: all are
 
     def __post_init__(self) -> None:
-        _check(self, {"gateways": 1, "index": 0, "max_attempts": 1, "start_capacity": 1e-6, "cold_ms": 0,
-                      "fall_multiple": 1e-6, "overload_ms": 1e-3, "drain_grace_ms": 0, "answer_grace_ms": 0,
-                      "zone": 0, "tick_ms": 0, "most_units": 1e-6, "max_retry_after_ms": 0, "meter_ms": 0,
-                      "peer_in_per_s": 0, "counter_timeout_ms": 0, "counter_price": 0})
+        _check(
+            self,
+            {
+                "gateways": 1,
+                "index": 0,
+                "max_attempts": 1,
+                "start_capacity": 1e-6,
+                "cold_ms": 0,
+                "fall_multiple": 1e-6,
+                "overload_ms": 1e-3,
+                "drain_grace_ms": 0,
+                "answer_grace_ms": 0,
+                "zone": 0,
+                "tick_ms": 0,
+                "most_units": 1e-6,
+                "max_retry_after_ms": 0,
+                "meter_ms": 0,
+                "peer_in_per_s": 0,
+                "counter_timeout_ms": 0,
+                "counter_price": 0,
+            },
+        )
         if self.index >= self.gateways:
             raise ValueError(f"Settings.index: {self.index} is not below gateways ({self.gateways})")
         for name in ("classes", "plans"):
@@ -168,6 +186,7 @@
 
     A class is the same one if name, effect and group are; with other figures its new ones hold.
     """
+
     def identity(cls: RequestClass) -> tuple[str, Effect, Group]:
         return cls.name, cls.effect, cls.group
 
@@ -417,10 +436,26 @@
     silent: bool
 
 
-Event = (FleetUpdate | Company | OthersLoad | LeasesDue | Suspected | ListWatched | SettingsChanged
-         | PlanAssigned | RequestArrived | RequestWaited | AnswerBegan | AttemptEnded
-         | RequestWithdrawn | TimerFired | ProbeEnded | PeerMessage
-         | CountAnswered | Settled)
+Event = (
+    FleetUpdate
+    | Company
+    | OthersLoad
+    | LeasesDue
+    | Suspected
+    | ListWatched
+    | SettingsChanged
+    | PlanAssigned
+    | RequestArrived
+    | RequestWaited
+    | AnswerBegan
+    | AttemptEnded
+    | RequestWithdrawn
+    | TimerFired
+    | ProbeEnded
+    | PeerMessage
+    | CountAnswered
+    | Settled
+)
 
 
 # ---- actions
--- a/tamarindfold/news.py
+++ b/tamarindfold/news.py
@@ -95,6 +95,9 @@
 
     def suspects(self, now: float, backends: int) -> frozenset[int]:
         """The low bits of those that are better left alone, out of so many on the list."""
-        suspected = frozenset(backend for backend, said in self._said.items()
-                              if sum(now - at <= SUSPECT_MS for at in said.values()) >= self._senders)
+        suspected = frozenset(
+            backend
+            for backend, said in self._said.items()
+            if sum(now - at <= SUSPECT_MS for at in said.values()) >= self._senders
+        )
         return suspected if len(suspected) <= PANIC * backends else frozenset()
--- a/tamarindfold/newswire.py
+++ b/tamarindfold/newswire.py
@@ -32,4 +32,4 @@
     if not HEAD.size <= len(body) <= MOST or (len(body) - HEAD.size) % ROW.size:
         raise ValueError(f"{len(body)} bytes are no news")
     kind, version = HEAD.unpack_from(body)
-    return kind, version, [backend for (backend,) in ROW.iter_unpack(body[HEAD.size:])]
+    return kind, version, [backend for (backend,) in ROW.iter_unpack(body[HEAD.size :])]
--- a/tamarindfold/questions.py
+++ b/tamarindfold/questions.py
@@ -102,7 +102,7 @@
             self._late += 1
             misses, until = self._silent.get(asked.home, (0, -inf))
             if asked.tries >= TRIES and now >= until:  # else it is known already
-                self._silent[asked.home] = misses + 1, now + min(PAUSE_MOST_MS, PAUSE_MS * 2 ** misses)
+                self._silent[asked.home] = misses + 1, now + min(PAUSE_MOST_MS, PAUSE_MS * 2**misses)
             yield number, asked
 
     def again(self, now: float, number: int, asked: Asked[Holder]) -> bytes | None:
--- a/tamarindfold/quota.py
+++ b/tamarindfold/quota.py
@@ -17,11 +17,36 @@
     """One customer's slice of its quota here, and the virtual queue of those it was refused for."""
 
     __slots__ = (  # many customers come but once, and each is remembered for a while
-        "answers", "cap_tokens", "debt", "dry", "even", "filled_at", "first", "followed_at", "number", "plan",
-        "share", "shut_until", "store", "tokens", "told_at", "unit_squares", "unit_sum", "width")
-
-    def __init__(self, plan: Plan, width: int, now: float, number: int = 0, debt: float = 0.0,
-                 unspent_since: float = inf, asks: bool = False) -> None:
+        "answers",
+        "cap_tokens",
+        "debt",
+        "dry",
+        "even",
+        "filled_at",
+        "first",
+        "followed_at",
+        "number",
+        "plan",
+        "share",
+        "shut_until",
+        "store",
+        "tokens",
+        "told_at",
+        "unit_squares",
+        "unit_sum",
+        "width",
+    )
+
+    def __init__(
+        self,
+        plan: Plan,
+        width: int,
+        now: float,
+        number: int = 0,
+        debt: float = 0.0,
+        unspent_since: float = inf,
+        asks: bool = False,
+    ) -> None:
         self.plan, self.even, self.number = plan, 1 / width, number
         # a restarted gateway cannot know what it spent of the ceiling before, only that nothing went since;
         # nor of its slice, but there the shared store tells: at once where it can be asked
--- a/tamarindfold/snapshot.py
+++ b/tamarindfold/snapshot.py
@@ -33,35 +33,81 @@
 
 VERSION = 2
 OLDEST = 2  # that can be read: rows without heads came before
-_NUMBERS = ("even", "share", "tokens", "cap_tokens", "filled_at", "end_of_queue_time", "answers", "unit_sum",
-            "unit_squares", "debt", "store", "told_at", "followed_at")  # of a customer
+_NUMBERS = (
+    "even",
+    "share",
+    "tokens",
+    "cap_tokens",
+    "filled_at",
+    "end_of_queue_time",
+    "answers",
+    "unit_sum",
+    "unit_squares",
+    "debt",
+    "store",
+    "told_at",
+    "followed_at",
+)  # of a customer
 _CUSTOMER = ("number", "plan", "dry", "appointments", *_NUMBERS)
 _POOL = ("number", "slowness", "retries", "unit_ms", "mean_work")
 _BACKEND = ("number", "up_since", "heard_at", "cold_turn", "cold_left", "slowness")
 _ATTEMPT = ("backend", "up_since", "request", "attempt", "sent_at", "work", "pile", "class", "due_at")
 _BOOKED = ("key", "at", "group", "requests")
 _GATEWAY = ("started", "asking", "crowded_at")
-_SECTIONS = {"customers": _CUSTOMER, "pools": _POOL, "backends": _BACKEND, "attempts": _ATTEMPT,
-             "booked": _BOOKED}
+_SECTIONS = {
+    "customers": _CUSTOMER,
+    "pools": _POOL,
+    "backends": _BACKEND,
+    "attempts": _ATTEMPT,
+    "booked": _BOOKED,
+}
 
 
 def take(gateway: Gateway) -> dict[str, Any]:
     """The state; the gateway lets nothing new in from here on."""
     gateway.retired = True
     rows: dict[str, list[list[Any]]] = {
-        "customers": [[c.number, c.plan.name, c.dry, list(c.appointments or ()),
-                       *(getattr(c, name) for name in _NUMBERS)] for c in gateway.customers.values()],
-        "pools": [[number, _slowness(p.slowness), p.retries, p.unit_ms, p.mean_work]
-                  for number, p in gateway.pools.items()],
-        "backends": [[number, b.entry.up_since_ms, b.heard_at, b.cold_turn, b.cold_left,
-                      [_slowness(s) for s in b.slowness]] for number, b in gateway.backends.items()],
-        "attempts": [[number, b.entry.up_since_ms, *key, *sent] for number, b in gateway.backends.items()
-                     for key, sent in b.out.items()],
-        "booked": [[key, at, None if group is None else [group[0].value, group[1]], requests]
-                   for key, (at, group, requests) in gateway.booked.first.items()]}
-    state = {"version": VERSION, "classes": [c.name for c in gateway.settings.classes],
-             **{name: getattr(gateway, name) for name in _GATEWAY},
-             **{name: {"fields": list(fields), "rows": rows[name]} for name, fields in _SECTIONS.items()}}
+        "customers": [
+            [
+                c.number,
+                c.plan.name,
+                c.dry,
+                list(c.appointments or ()),
+                *(getattr(c, name) for name in _NUMBERS),
+            ]
+            for c in gateway.customers.values()
+        ],
+        "pools": [
+            [number, _slowness(p.slowness), p.retries, p.unit_ms, p.mean_work]
+            for number, p in gateway.pools.items()
+        ],
+        "backends": [
+            [
+                number,
+                b.entry.up_since_ms,
+                b.heard_at,
+                b.cold_turn,
+                b.cold_left,
+                [_slowness(s) for s in b.slowness],
+            ]
+            for number, b in gateway.backends.items()
+        ],
+        "attempts": [
+            [number, b.entry.up_since_ms, *key, *sent]
+            for number, b in gateway.backends.items()
+            for key, sent in b.out.items()
+        ],
+        "booked": [
+            [key, at, None if group is None else [group[0].value, group[1]], requests]
+            for key, (at, group, requests) in gateway.booked.first.items()
+        ],
+    }
+    state = {
+        "version": VERSION,
+        "classes": [c.name for c in gateway.settings.classes],
+        **{name: getattr(gateway, name) for name in _GATEWAY},
+        **{name: {"fields": list(fields), "rows": rows[name]} for name, fields in _SECTIONS.items()},
+    }
     for customer in gateway.customers.values():
         customer.debt = 0.0  # the other reports it
     return state
@@ -127,16 +173,25 @@
             raise ValueError(f"a state of version {state['version']!r}, and {OLDEST} is the oldest known")
         names = [str(name) for name in state["classes"]]
         unknown.names += sorted(
-            str(name) for name in state if name not in ("version", "classes", *_GATEWAY, *_SECTIONS))
+            str(name) for name in state if name not in ("version", "classes", *_GATEWAY, *_SECTIONS)
+        )
         came_from = [names.index(c.name) if c.name in names else None for c in gateway.settings.classes]
-        customers = {c.number: c for row in unknown.rows(state, "customers")
-                     if (c := _customer(gateway, row)) is not None}
+        customers = {
+            c.number: c
+            for row in unknown.rows(state, "customers")
+            if (c := _customer(gateway, row)) is not None
+        }
         pools = [_pool(row, names) for row in unknown.rows(state, "pools")]
         backends = [_backend(row, names) for row in unknown.rows(state, "backends")]
         attempts = [_attempt(row, names) for row in unknown.rows(state, "attempts")]
-        booked = {int(row["key"]): (_number(row["at"]), _read_group(row["group"]),
-                                    int(row.get("requests", 2)))  # 2: it is not known that it never ran
-                  for row in unknown.rows(state, "booked")}
+        booked = {
+            int(row["key"]): (
+                _number(row["at"]),
+                _read_group(row["group"]),
+                int(row.get("requests", 2)),
+            )  # 2: it is not known that it never ran
+            for row in unknown.rows(state, "booked")
+        }
         figures = {name: _number(state[name]) for name in _GATEWAY if name in state}
     except (KeyError, TypeError, AttributeError, IndexError, OverflowError) as error:
         raise ValueError(f"no state of a gateway: {error!r}") from error
@@ -151,16 +206,20 @@
         for name in row.keys() & {"slowness", "retries", "mean_work"}:
             setattr(pool, name, row[name])
         if "unit_ms" in row:
-            pool.unit_ms = [mine if at is None else row["unit_ms"][at]
-                            for mine, at in zip(pool.unit_ms, came_from, strict=True)]
+            pool.unit_ms = [
+                mine if at is None else row["unit_ms"][at]
+                for mine, at in zip(pool.unit_ms, came_from, strict=True)
+            ]
     for row in backends:
         known = gateway.backends.get(row["number"])
         if known is not None and known.entry.up_since_ms == row["up_since"]:
             for name in row.keys() & {"heard_at", "cold_turn", "cold_left"}:
                 setattr(known, name, row[name])
             if "slowness" in row:
-                known.slowness = [mine if at is None else copy(row["slowness"][at])
-                                  for mine, at in zip(known.slowness, came_from, strict=True)]
+                known.slowness = [
+                    mine if at is None else copy(row["slowness"][at])
+                    for mine, at in zip(known.slowness, came_from, strict=True)
+                ]
     for number, up, theirs, (at, work, pile, cls, due) in attempts:
         known, mine = gateway.backends.get(number), adopt(gateway, *theirs)
         if known is not None and known.entry.up_since_ms == up:
@@ -194,8 +253,13 @@
     cls = int(row["class"])
     if not 0 <= cls < len(names):
         raise ValueError(f"an attempt of class {cls}, of {len(names)}")
-    sent = (_number(row["sent_at"]), _number(row["work"], 0), _number(row["pile"], 1e-6), cls,
-            _number(row["due_at"]))
+    sent = (
+        _number(row["sent_at"]),
+        _number(row["work"], 0),
+        _number(row["pile"], 1e-6),
+        cls,
+        _number(row["due_at"]),
+    )
     return int(row["backend"]), _number(row["up_since"]), (int(row["request"]), int(row["attempt"])), sent
 
 
--- a/tamarindfold/succession.py
+++ b/tamarindfold/succession.py
@@ -18,11 +18,18 @@
     from tamarindfold.choice import Call, Gateway
 
 
-def settlement(gateway: Gateway, event: AttemptEnded, call: Call | None, backend: Backend | None,
-               sent: Sent | None) -> Settled:
+def settlement(
+    gateway: Gateway, event: AttemptEnded, call: Call | None, backend: Backend | None, sent: Sent | None
+) -> Settled:
     """What the gateway that has this one's state is to know of an attempt's end."""
-    told = Settled(event.request, event.attempt, event.outcome, event.backend,
-                   elapsed_ms=event.elapsed_ms, lag_ms=event.lag_ms)
+    told = Settled(
+        event.request,
+        event.attempt,
+        event.outcome,
+        event.backend,
+        elapsed_ms=event.elapsed_ms,
+        lag_ms=event.lag_ms,
+    )
     if backend and sent:
         told.up_since_ms = backend.entry.up_since_ms
         told.sent_at, told.work, told.pile, number, told.due_at = sent
@@ -86,10 +93,12 @@
     for call in gateway.calls.values():
         call.event.cls = moved[call.event.cls]
     for backend in gateway.backends.values():
-        backend.slowness = [Slowness() if n is None else copy(backend.slowness[n])
-                            for n in renumbered(before, after)]
-        backend.out = {key: (at, work, pile, moved[cls], due)
-                       for key, (at, work, pile, cls, due) in backend.out.items()}
+        backend.slowness = [
+            Slowness() if n is None else copy(backend.slowness[n]) for n in renumbered(before, after)
+        ]
+        backend.out = {
+            key: (at, work, pile, moved[cls], due) for key, (at, work, pile, cls, due) in backend.out.items()
+        }
     plans = {plan.name: plan for plan in event.settings.plans}
     for customer in gateway.customers.values():
         customer.change(now, plans.get(customer.plan.name, customer.plan))
--- a/tamarindfold/wire.py
+++ b/tamarindfold/wire.py
@@ -8,9 +8,36 @@
 from typing import Any
 
 from tamarindfold.interface import (
-    Action, AnswerBegan, AttemptEnded, BackendEntry, BackendState, Cancel, Count, CountAnswered, Effect,
-    Event, Fail, FleetUpdate, Group, ListKind, Log, Outcome, PeerMessage, Plan, Probe, ProbeEnded, Refuse,
-    RequestArrived, RequestClass, RequestWithdrawn, Send, SetTimer, Settings, Settled, Tell, TimerFired,
+    Action,
+    AnswerBegan,
+    AttemptEnded,
+    BackendEntry,
+    BackendState,
+    Cancel,
+    Count,
+    CountAnswered,
+    Effect,
+    Event,
+    Fail,
+    FleetUpdate,
+    Group,
+    ListKind,
+    Log,
+    Outcome,
+    PeerMessage,
+    Plan,
+    Probe,
+    ProbeEnded,
+    Refuse,
+    RequestArrived,
+    RequestClass,
+    RequestWithdrawn,
+    Send,
+    SetTimer,
+    Settings,
+    Settled,
+    Tell,
+    TimerFired,
 )
 
 
@@ -65,7 +92,7 @@
     if len(body) < shape.size:
         raise WireError(f"{what}: {len(body)} bytes of fields, at least {shape.size} expected")
     head = shape.unpack_from(body)
-    rest = body[shape.size:]
+    rest = body[shape.size :]
     if len(rest) != head[-1] * item_size:
         raise WireError(f"{what}: {len(rest)} bytes follow, {head[-1]} items of {item_size} bytes announced")
     return head, rest
@@ -96,16 +123,33 @@
     entries = []
     for address, port, zone, kind, cell, state, size, up in _ENTRY.iter_unpack(rest):
         ready = _choice(BackendState, state, "VIEW availability")
-        entries.append(BackendEntry(_backend(address, port), ready, zone, kind, cell,
-                                    _number(size, "VIEW size"), _number(up, "VIEW up_since")))
+        entries.append(
+            BackendEntry(
+                _backend(address, port),
+                ready,
+                zone,
+                kind,
+                cell,
+                _number(size, "VIEW size"),
+                _number(up, "VIEW up_since"),
+            )
+        )
     return FleetUpdate(_choice(ListKind, form, "VIEW form"), entries, serial)
 
 
 def _read_accept(body: bytes) -> Event:
     _, call, units, first, width, cls, left, customer, plan, bits = _fixed(_ACCEPT, body, "ACCEPT")
-    return RequestArrived(call, customer, plan, cls, _number(units, "ACCEPT price_units"),
-                          int(_number(first, "ACCEPT set_from")), int(_number(width, "ACCEPT width", 1)),
-                          _number(left, "ACCEPT time_left"), bool(bits & RETRY_BIT))
+    return RequestArrived(
+        call,
+        customer,
+        plan,
+        cls,
+        _number(units, "ACCEPT price_units"),
+        int(_number(first, "ACCEPT set_from")),
+        int(_number(width, "ACCEPT width", 1)),
+        _number(left, "ACCEPT time_left"),
+        bool(bits & RETRY_BIT),
+    )
 
 
 def _read_begun(body: bytes) -> Event:
@@ -116,9 +160,17 @@
 def _read_ended(body: bytes) -> Event:
     head, rest = _counted(_ENDED, body, 4, "COMPLETED")
     _, call, n, address, port, verdict, spent, over, used, units, _ = head
-    return AttemptEnded(call, n, _backend(address, port), _choice(Outcome, verdict, "COMPLETED verdict"),
-                        _number(spent, "COMPLETED spent"), bool(over), used - 1.0 if used else None,
-                        float(units), _floats(rest, "COMPLETED telemetry"))
+    return AttemptEnded(
+        call,
+        n,
+        _backend(address, port),
+        _choice(Outcome, verdict, "COMPLETED verdict"),
+        _number(spent, "COMPLETED spent"),
+        bool(over),
+        used - 1.0 if used else None,
+        float(units),
+        _floats(rest, "COMPLETED telemetry"),
+    )
 
 
 def _read_withdrawn(body: bytes) -> Event:
@@ -131,8 +183,12 @@
 
 def _read_probed(body: bytes) -> Event:
     (_, address, port, verdict, spent, _), rest = _counted(_PROBED, body, 4, "STATUS_BACK")
-    return ProbeEnded(_backend(address, port), _choice(Outcome, verdict, "STATUS_BACK verdict"),
-                      _number(spent, "STATUS_BACK spent"), _floats(rest, "STATUS_BACK telemetry"))
+    return ProbeEnded(
+        _backend(address, port),
+        _choice(Outcome, verdict, "STATUS_BACK verdict"),
+        _number(spent, "STATUS_BACK spent"),
+        _floats(rest, "STATUS_BACK telemetry"),
+    )
 
 
 def _read_peer(body: bytes) -> Event:
@@ -149,8 +205,15 @@
 
 
 _READERS: dict[int, Callable[[bytes], Event]] = {
-    1050: _read_view, 1060: _read_accept, 1070: _read_begun, 1030: _read_ended, 1020: _read_withdrawn,
-    1090: _read_fired, 1010: _read_probed, 1040: _read_peer, 1100: _read_counted,
+    1050: _read_view,
+    1060: _read_accept,
+    1070: _read_begun,
+    1030: _read_ended,
+    1020: _read_withdrawn,
+    1090: _read_fired,
+    1010: _read_probed,
+    1040: _read_peer,
+    1100: _read_counted,
 }
 
 
@@ -161,8 +224,10 @@
         raise WireError(f"unknown event code {code}")
     event = reader(body)
     if isinstance(event, RequestArrived):
-        for what, number, known in (("band", event.cls, len(settings.classes)),
-                                    ("tariff", event.plan, len(settings.plans))):
+        for what, number, known in (
+            ("band", event.cls, len(settings.classes)),
+            ("tariff", event.plan, len(settings.plans)),
+        ):
             if number >= known:
                 raise WireError(f"ACCEPT {what}: {number} is not below {known}")
     return event
@@ -262,27 +327,61 @@
         effect = r.text(c + "idempotency")
         if effect not in _EFFECTS:
             raise WireError(f"settings: {c}idempotency: {effect!r} is unknown")
-        classes.append(RequestClass(
-            r.number(c + "aim"), r.number(c + "hard_limit"), r.number(c + "points"), _EFFECTS[effect],
-            _choice(Group, r.text(c + "group", "all"), f"settings: {c}group"),
-            r.number(c + "dedup_window", 0), r.number(c + "late_worth", 0), r.text(c + "name", "")))
-    plans = [Plan(r.number(p + "per_second"), r.number(p + "peak_units"), r.whole(p + "at_once", 0),
-                  r.number(p + "price", 1), r.number(p + "over_worth", 0), r.number(p + "excess_cost", 0),
-                  r.number(p + "cap_rate", 0), r.number(p + "ceiling_burst", 0), r.number(p + "tolerance", 0),
-                  r.text(p + "name", "")) for p in r.items("plans")]
+        classes.append(
+            RequestClass(
+                r.number(c + "aim"),
+                r.number(c + "hard_limit"),
+                r.number(c + "points"),
+                _EFFECTS[effect],
+                _choice(Group, r.text(c + "group", "all"), f"settings: {c}group"),
+                r.number(c + "dedup_window", 0),
+                r.number(c + "late_worth", 0),
+                r.text(c + "name", ""),
+            )
+        )
+    plans = [
+        Plan(
+            r.number(p + "per_second"),
+            r.number(p + "peak_units"),
+            r.whole(p + "at_once", 0),
+            r.number(p + "price", 1),
+            r.number(p + "over_worth", 0),
+            r.number(p + "excess_cost", 0),
+            r.number(p + "cap_rate", 0),
+            r.number(p + "ceiling_burst", 0),
+            r.number(p + "tolerance", 0),
+            r.text(p + "name", ""),
+        )
+        for p in r.items("plans")
+    ]
     reported = r.text("telemetry.via", "off") != "off" and r.text("telemetry.fields", "")
     return Settings(
-        gateways=r.whole("balancers"), index=r.whole("index"), classes=tuple(classes), plans=tuple(plans),
-        max_attempts=r.whole("permissions.most_tries"), start_capacity=r.number("safety.start_capacity"),
-        cold_ms=r.number("safety.cold"), fall_multiple=r.number("safety.fall_multiple"),
-        overload_ms=r.number("safety.overload_for"), drain_grace_ms=r.number("safety.stop_sending_within"),
-        answer_grace_ms=r.number("safety.grace_to_answer", 0), zone=r.whole("locality", 0),
-        tick_ms=r.number("quantum", 1), most_units=r.number("extra.units_top", 1),
-        marks_retry=r.truth("clients.marks_retry"), retry_after=r.truth("permissions.retry_after"),
+        gateways=r.whole("balancers"),
+        index=r.whole("index"),
+        classes=tuple(classes),
+        plans=tuple(plans),
+        max_attempts=r.whole("permissions.most_tries"),
+        start_capacity=r.number("safety.start_capacity"),
+        cold_ms=r.number("safety.cold"),
+        fall_multiple=r.number("safety.fall_multiple"),
+        overload_ms=r.number("safety.overload_for"),
+        drain_grace_ms=r.number("safety.stop_sending_within"),
+        answer_grace_ms=r.number("safety.grace_to_answer", 0),
+        zone=r.whole("locality", 0),
+        tick_ms=r.number("quantum", 1),
+        most_units=r.number("extra.units_top", 1),
+        marks_retry=r.truth("clients.marks_retry"),
+        retry_after=r.truth("permissions.retry_after"),
         max_retry_after_ms=r.number("permissions.max_retry_after", 0),
-        second_copies=r.truth("permissions.parallel_tries"), cancel=r.truth("permissions.cancel"),
-        probes=r.truth("permissions.probes"), peers=r.truth("permissions.may_tell"),
-        peer_in_per_s=r.number("extra.peer_intake", 0), counter=r.truth("extra.has_counter"),
-        counter_timeout_ms=r.number("extra.count_wait", 0), counter_price=r.number("extra.counter_price", 0),
-        meter_ms=r.number("extra.meter", 0), settled_after=r.truth("extra.cost_after"),
-        report_fields=tuple(reported.split(",")) if reported else ())
+        second_copies=r.truth("permissions.parallel_tries"),
+        cancel=r.truth("permissions.cancel"),
+        probes=r.truth("permissions.probes"),
+        peers=r.truth("permissions.may_tell"),
+        peer_in_per_s=r.number("extra.peer_intake", 0),
+        counter=r.truth("extra.has_counter"),
+        counter_timeout_ms=r.number("extra.count_wait", 0),
+        counter_price=r.number("extra.counter_price", 0),
+        meter_ms=r.number("extra.meter", 0),
+        settled_after=r.truth("extra.cost_after"),
+        report_fields=tuple(reported.split(",")) if reported else (),
+    )
--- a/tamarindfold/word.py
+++ b/tamarindfold/word.py
@@ -39,8 +39,11 @@
     def __init__(self, gateways: int, intake_per_s: float, random: Random) -> None:
         """intake_per_s: the digests that a gateway takes in; 0: nothing may be told."""
         self.random = random
-        self.every_ms = inf if gateways < 2 or intake_per_s <= 0 else max(
-            LEAST_MS, 1000 * (gateways - 1) / intake_per_s / INTAKE)
+        self.every_ms = (
+            inf
+            if gateways < 2 or intake_per_s <= 0
+            else max(LEAST_MS, 1000 * (gateways - 1) / intake_per_s / INTAKE)
+        )
         self.number = random.randrange(1 << 16)
         self.stores: dict[int, Store] = {}  # by mark, the longest unheard first
         self.heard_at, self.listening_since = -inf, inf
--- a/tests/asgi/test_docs.py
+++ b/tests/asgi/test_docs.py
@@ -31,6 +31,7 @@
             assert b"retry-after: " in told[-1][1].lower()
             file = b"POST /vat-filing/3 HTTP/1.1\r\nHost: x\r\nX-Customer: b\r\nX-Plan: plus\r\nContent-Length: 2\r\n\r\nhi"
             assert (await client.ask(file))[::2] == (200, b'{"quarter":3}')
+
     run(test())
 
 
@@ -38,6 +39,7 @@
     async def test() -> None:
         async with nodes(answer(b"entry 7")) as peers:
             assert await load(CALL)["read_entry"](deployment(*peers)) == b"entry 7"
+
     run(test())
     asyncio.run(test())
 
--- a/tests/asgi/test_forward.py
+++ b/tests/asgi/test_forward.py
@@ -38,9 +38,12 @@
             assert (told.status, told.body, told.header(b"content-type")) == (200, b"done", b"x/y")
             assert told.whole and told.header(b"x-inner") is None
             sent = peers[0].requests[0]
-            assert sent.startswith(b"POST /vat-filing/a%20b?year=3 HTTP/1.1\r\n") and sent.endswith(b"\r\n\r\nreceipt")
+            assert sent.startswith(b"POST /vat-filing/a%20b?year=3 HTTP/1.1\r\n") and sent.endswith(
+                b"\r\n\r\nreceipt"
+            )
             assert_settled(engine_of(forward))
             await forward.close()
+
     run(test())
 
 
@@ -52,7 +55,9 @@
             seen.append(scope["path"])
 
         async with nodes(answer()) as peers:
-            forward = ForwardMiddleware(app, deployment=deployment(*peers), paths=["/ledger-read", "/vat-filing/7/"])
+            forward = ForwardMiddleware(
+                app, deployment=deployment(*peers), paths=["/ledger-read", "/vat-filing/7/"]
+            )
             await ask(forward, path="/ledger-readers")
             await ask(forward, path="/vat-filing/77")
             await ask(forward, path="/vat-filing")
@@ -61,6 +66,7 @@
             assert (await ask(forward, path="/ledger-read", number=2)).status == 200
             assert len(seen) == 3
             await forward.close()
+
     run(test())
 
 
@@ -77,14 +83,23 @@
             assert exchange.status == 200
             assert {r.split(b" ")[1] for r in peers[0].requests} == {b"/ledger-read/7"}
             await forward.close()
+
     run(test())
 
 
-@pytest.mark.parametrize(("changes", "status"), [
-    ({"path": "/nothing"}, 404), ({"plan": "gold"}, 400), ({"timeout": None}, 400), ({"timeout": "nan"}, 400),
-    ({"method": "DELETE"}, 400), ({"units": 9}, 400), ({"headers": ((b"plan", b"plus"),)}, 400),
-    ({"headers": ((b"idempotency-key", b"x"),)}, 400),
-])
+@pytest.mark.parametrize(
+    ("changes", "status"),
+    [
+        ({"path": "/nothing"}, 404),
+        ({"plan": "gold"}, 400),
+        ({"timeout": None}, 400),
+        ({"timeout": "nan"}, 400),
+        ({"method": "DELETE"}, 400),
+        ({"units": 9}, 400),
+        ({"headers": ((b"plan", b"plus"),)}, 400),
+        ({"headers": ((b"idempotency-key", b"x"),)}, 400),
+    ],
+)
 def test_what_makes_no_sense_is_answered_as_the_daemon_does(changes: dict[str, Any], status: int) -> None:
     async def test() -> None:
         async with nodes(answer()) as peers:
@@ -92,6 +107,7 @@
             told = await ask(forward, **changes)
             assert told.status == status and told.whole and not peers[0].requests
             await forward.close()
+
     run(test())
 
 
@@ -100,7 +116,9 @@
         async with nodes(answer()) as peers:
             forward = ForwardMiddleware(deployment=deployment(*peers), body_timeout_s=0.05, max_body=10)
             path = "/vat-filing/7"
-            assert (await ask(forward, b"x" * 11, path=path, body=b"x" * 11)).status == 413  # told by its length
+            assert (
+                await ask(forward, b"x" * 11, path=path, body=b"x" * 11)
+            ).status == 413  # told by its length
             assert (await ask(forward, b"x" * 6, b"x" * 5, path=path)).status == 413
             late = Exchange(b"half", b"")
             late.messages.pop()  # more is to come, and does not
@@ -112,6 +130,7 @@
             assert engine_of(forward).tally.taken == 0 and not peers[0].requests
             assert (await ask(forward, b"x" * 5, b"x" * 5, path=path)).status == 200
             await forward.close()
+
     run(test())
 
 
@@ -129,6 +148,7 @@
             assert engine_of(forward).tally.withdrawn == 1
             assert_settled(engine_of(forward))
             await forward.close()
+
     run(test())
 
 
@@ -136,6 +156,7 @@
 @pytest.mark.parametrize("script", [answer(), sends(b""), NOT_STARTED, silence])
 def test_a_host_that_cancels_at_any_wait_leaves_nothing_behind(cls: str, script: Any) -> None:
     """Waits in the body, for the attempts, and while the answer is passed on."""
+
     async def test() -> None:
         async with nodes(script, script, script) as peers:
             forward = ForwardMiddleware(deployment=deployment(*peers), facts=brief)
@@ -144,7 +165,8 @@
             while not ended:
                 exchange = Exchange(b"", awaits=2)
                 cancelled, waits = await cancelled_at(
-                    lambda: forward(scope(f"/{cls}/7", number=at), exchange.receive, exchange.send), at)
+                    lambda: forward(scope(f"/{cls}/7", number=at), exchange.receive, exchange.send), at
+                )
                 ended = waits < at
                 cancels += cancelled
                 sent = [sum(b"request-id: %016x" % at in r for r in p.requests) for p in peers]
@@ -157,6 +179,7 @@
             await asyncio.sleep(0.03)
             assert sum(len(p.requests) for p in peers) == total
             await forward.close()
+
     run(test())
 
 
@@ -164,8 +187,14 @@
     """The host's own function, with a wait in it: small requests, and little time."""
     await asyncio.sleep(0)
     headers = dict(scope["headers"])
-    return Facts(cls=scope["path"].split("/")[1], customer="c", plan="plus", units=0.1, timeout_s=0.2,
-                 request_id=headers[b"request-id"].decode())
+    return Facts(
+        cls=scope["path"].split("/")[1],
+        customer="c",
+        plan="plus",
+        units=0.1,
+        timeout_s=0.2,
+        request_id=headers[b"request-id"].decode(),
+    )
 
 
 def test_the_hosts_function_finds_the_facts_and_none_passes_by() -> None:
@@ -195,13 +224,16 @@
                 await ask(wrong, path="/payment-book/x")
             await forward.close()
             await wrong.close()
+
     run(test())
 
 
 def test_a_host_that_is_shut_down_with_requests_out() -> None:
     async def test() -> None:
         async with nodes(silence) as peers:
-            forward = ForwardMiddleware(deployment=deployment(*peers), facts=brief_unsafe, shutdown_grace_s=0.05)
+            forward = ForwardMiddleware(
+                deployment=deployment(*peers), facts=brief_unsafe, shutdown_grace_s=0.05
+            )
             await forward.start()
             out = [asyncio.create_task(ask(forward, path="/vat-filing/7", number=n)) for n in range(3)]
             await until(lambda: len(peers[0].requests) == 3)
@@ -213,6 +245,7 @@
             assert [(await task).status for task in out] == [500] * 3
             assert_settled(engine)
             assert engine.tally.failed == 3
+
     run(test())
 
 
@@ -220,11 +253,20 @@
     return Facts("vat-filing", "c", "plus", units=0.1, timeout_s=1.5)
 
 
-@pytest.mark.parametrize(("changes", "said"), [
-    ({"deployment": None}, "deployment"), ({"paths": []}, "paths"), ({"paths": "/x"}, "paths"), ({"paths": ["x"]}, "paths"),
-    ({"facts": 7}, "facts"), ({"body_timeout_s": 0}, "body_timeout_s"), ({"max_body": 10**9}, "max_body"),
-    ({"shutdown_grace_s": -1}, "shutdown_grace_s"), ({"app": 7}, "app"),
-])
+@pytest.mark.parametrize(
+    ("changes", "said"),
+    [
+        ({"deployment": None}, "deployment"),
+        ({"paths": []}, "paths"),
+        ({"paths": "/x"}, "paths"),
+        ({"paths": ["x"]}, "paths"),
+        ({"facts": 7}, "facts"),
+        ({"body_timeout_s": 0}, "body_timeout_s"),
+        ({"max_body": 10**9}, "max_body"),
+        ({"shutdown_grace_s": -1}, "shutdown_grace_s"),
+        ({"app": 7}, "app"),
+    ],
+)
 def test_a_bad_setting_is_an_error_when_it_is_built(changes: dict[str, Any], said: str) -> None:
     with pytest.raises(ConfigError, match=said):
         ForwardMiddleware(**{"app": no_app, "deployment": deployment(), **changes})
@@ -240,6 +282,5 @@
             assert ingress is not None
             with pytest.raises(IngressClosed):
                 _ = ingress.core
-    run(test())
-
 
+    run(test())
--- a/tests/asgi/test_guard.py
+++ b/tests/asgi/test_guard.py
@@ -82,6 +82,7 @@
         assert (tally.taken, tally.served) == (1, 1)
         assert_settled(engine_of(guard))
         await guard.close()
+
     run(test())
 
 
@@ -94,10 +95,13 @@
         assert len(handler.runs) == len(told) - len(refused) and 2 <= len(handler.runs) <= 4
         assert all(float(t.header(b"retry-after") or 0) > 0 and t.whole for t in refused)
         await guard.close()
+
     run(test())
 
 
-@pytest.mark.parametrize(("by", "left"), [("header", 8 - 3), ("handler", 8 - 5), ("nothing", 8 - 2), ("less than nothing", 8 - 2)])
+@pytest.mark.parametrize(
+    ("by", "left"), [("header", 8 - 3), ("handler", 8 - 5), ("nothing", 8 - 2), ("less than nothing", 8 - 2)]
+)
 def test_units_are_settled_by_what_the_handler_says(by: str, left: float) -> None:
     async def test() -> None:
         async def work(scope: Scope, receive: Receive, send: Send) -> None:
@@ -113,6 +117,7 @@
         (customer,) = engine_of(guard)._gateway.customers.values()
         assert left <= customer.tokens < left + 0.5
         await guard.close()
+
     run(test())
 
 
@@ -129,6 +134,7 @@
         assert len(handler.runs) == 1 and engine_of(guard).tally.failed == 1
         assert_settled(engine_of(guard))
         await guard.close()
+
     run(test())
 
 
@@ -143,10 +149,13 @@
             await ask(guard)
         assert_settled(engine_of(guard))
         await guard.close()
+
     run(test())
 
 
-@pytest.mark.parametrize(("cls", "status"), [("ledger-read", 429), ("payment-book", 429), ("vat-filing", 502)])
+@pytest.mark.parametrize(
+    ("cls", "status"), [("ledger-read", 429), ("payment-book", 429), ("vat-filing", 502)]
+)
 def test_a_handler_that_never_answers_is_ended_in_time(cls: str, status: int) -> None:
     async def test() -> None:
         handler, loop = Handler(hang), asyncio.get_running_loop()
@@ -159,6 +168,7 @@
         assert len(handler.runs) == 1
         assert_settled(engine_of(guard))
         await guard.close()
+
     run(test())
 
 
@@ -182,6 +192,7 @@
         assert told.whole  # and nothing behind it
         assert_settled(engine_of(guard))
         await guard.close()
+
     run(test())
 
 
@@ -200,6 +211,7 @@
         await until(lambda: handler.cancelled == 1)
         assert_settled(engine_of(guard))
         await guard.close()
+
     run(test())
 
 
@@ -218,6 +230,7 @@
         assert engine_of(guard).tally.served == 1
         assert_settled(engine_of(guard))
         await guard.close()
+
     run(test())
 
 
@@ -238,6 +251,7 @@
         assert engine_of(guard).tally.failed == 2
         assert_settled(engine_of(guard))
         await guard.close()
+
     run(test())
 
 
@@ -256,7 +270,9 @@
             handler.work = reads
             ended = handler.ended
             body = b"somemore" if len(parts) > 1 else b""
-            task = asyncio.create_task(guard(scope(path, units=1, body=body), exchange.receive, exchange.send))
+            task = asyncio.create_task(
+                guard(scope(path, units=1, body=body), exchange.receive, exchange.send)
+            )
             await asyncio.sleep(0.02)
             assert handler.ended == ended
             exchange.left.set()
@@ -266,6 +282,7 @@
         assert handler.cancelled == 2 and engine_of(guard).tally.withdrawn == 2
         assert_settled(engine_of(guard))
         await guard.close()
+
     run(test())
 
 
@@ -282,7 +299,9 @@
         guard = guarded(handler)
         exchange = Exchange(b"half", b"")
         exchange.messages.pop()
-        task = asyncio.create_task(guard(scope("/vat-filing/7", units=1, body=b"halfmore"), exchange.receive, exchange.send))
+        task = asyncio.create_task(
+            guard(scope("/vat-filing/7", units=1, body=b"halfmore"), exchange.receive, exchange.send)
+        )
         await until(lambda: seen == [b"half"])
         exchange.left.set()
         await task
@@ -290,6 +309,7 @@
         assert engine_of(guard).tally.withdrawn == 1 and exchange.sent == []
         assert_settled(engine_of(guard))
         await guard.close()
+
     run(test())
 
 
@@ -306,13 +326,16 @@
 
         guard = guarded(late)
         exchange = Exchange(*[b"x" * 20_000] * 20, b"")
-        task = asyncio.create_task(guard(scope("/vat-filing/7", units=0.1, body=b"x" * 400_000), exchange.receive, exchange.send))
+        task = asyncio.create_task(
+            guard(scope("/vat-filing/7", units=0.1, body=b"x" * 400_000), exchange.receive, exchange.send)
+        )
         await asyncio.sleep(0.02)
         assert len(exchange.messages) == 21 - 4  # 64 KiB, and the message that passes it
         go_on.set()
         await task
         assert (exchange.status, got) == (200, [20_000] * 20)
         await guard.close()
+
     run(test())
 
 
@@ -329,6 +352,7 @@
             await guard(scope(units=0.1), broken, Exchange().send)
         assert_settled(engine_of(guard))
         await guard.close()
+
     run(test())
 
 
@@ -350,11 +374,13 @@
         assert (await ask(guard, b"", number=2)).status == 200  # a request without a body has its empty one
         assert got[3:] == [b""]
         await guard.close()
+
     run(test())
 
 
 def test_work_behind_the_answer_goes_on() -> None:
     """Background tasks of a framework run in the handler, after its answer: no deadline ends them."""
+
     async def test() -> None:
         async def work(scope: Scope, receive: Receive, send: Send) -> None:
             await whole(scope, receive, send)
@@ -369,6 +395,7 @@
         await task
         assert (handler.ended, handler.cancelled) == (1, 0)
         await guard.close()
+
     run(test())
 
 
@@ -383,7 +410,8 @@
         while not ended:
             exchange = Exchange(b"", awaits=2)
             cancelled, waits = await cancelled_at(
-                lambda: guard(scope(f"/{cls}/7", number=at), exchange.receive, exchange.send), at)
+                lambda: guard(scope(f"/{cls}/7", number=at), exchange.receive, exchange.send), at
+            )
             ended = waits < at
             cancels += cancelled
             assert handler.ended == len(handler.runs)  # a handler's end is waited for
@@ -394,12 +422,14 @@
         assert cancels >= 2
         assert len(handler.runs) >= 1
         await guard.close()
+
     run(test())
 
 
 @pytest.mark.parametrize("cls", NAMES)
 def test_a_host_that_cancels_while_the_handler_is_at_any_wait(cls: str) -> None:
     """Each wait of the handler in turn, those while its answer is passed on among them."""
+
     async def test() -> None:
         at, reached = 0, True
         while reached:
@@ -436,6 +466,7 @@
             assert (engine.tally.withdrawn, engine.tally.served) == ((1, 0) if reached else (0, 1))
             await guard.close()
         assert at == 8  # the last one was met by none
+
     run(test())
 
 
@@ -465,6 +496,7 @@
         await pair[0].close()
         assert (await ask(pair[1], number=99, account=8)).status == 200
         await pair[1].close()
+
     run(test())
 
 
@@ -478,6 +510,7 @@
         assert [(await ask(good, number=200 + n)).status for n in range(40)] == [200] * 40
         await stuck.close()
         await good.close()
+
     run(test())
 
 
@@ -498,16 +531,23 @@
         assert (tally.taken, tally.served) == (1, 1)  # counted once, though both saw it
         await outer.close()
         await inner.close()
+
     run(test())
 
 
 # ---- others
 
 
-@pytest.mark.parametrize(("changes", "status"), [
-    ({"path": "/nothing"}, 404), ({"plan": "gold"}, 400), ({"timeout": "nan"}, 400), ({"units": 9}, 400),
-    ({"headers": ((b"plan", b"plus"),)}, 400),
-])
+@pytest.mark.parametrize(
+    ("changes", "status"),
+    [
+        ({"path": "/nothing"}, 404),
+        ({"plan": "gold"}, 400),
+        ({"timeout": "nan"}, 400),
+        ({"units": 9}, 400),
+        ({"headers": ((b"plan", b"plus"),)}, 400),
+    ],
+)
 def test_what_makes_no_sense_does_not_reach_the_handler(changes: dict[str, Any], status: int) -> None:
     async def test() -> None:
         handler = Handler()
@@ -515,6 +555,7 @@
         told = await ask(guard, **changes)
         assert told.status == status and told.whole and not handler.runs
         await guard.close()
+
     run(test())
 
 
@@ -530,6 +571,7 @@
         assert (await ask(guard, timeout=None)).status == 200
         assert 3.5 < seen[0] < 4.0
         await guard.close()
+
     run(test())
 
 
@@ -545,6 +587,7 @@
         assert engine_of(guard).tally.failed == 1
         assert_settled(engine_of(guard))
         await guard.close()
+
     run(test())
 
 
--- a/tests/asgi/test_hosts.py
+++ b/tests/asgi/test_hosts.py
@@ -63,6 +63,7 @@
         for n in range(3):
             yield f"{n}"
             await asyncio.sleep(0.01)
+
     return StreamingResponse(parts())
 
 
@@ -75,14 +76,20 @@
 
 
 def starlette(*middleware: Middleware, **changes: Any) -> Starlette:
-    routes = [Route("/ledger-read/{n}", read), Route("/payment-book/{n}", stream, methods=["POST"]),
-              Route("/vat-filing/{n}", hang, methods=["POST"]), Route("/free", lambda r: PlainTextResponse("free"))]
+    routes = [
+        Route("/ledger-read/{n}", read),
+        Route("/payment-book/{n}", stream, methods=["POST"]),
+        Route("/vat-filing/{n}", hang, methods=["POST"]),
+        Route("/free", lambda r: PlainTextResponse("free")),
+    ]
     return Starlette(routes=changes.pop("routes", routes), middleware=list(middleware))
 
 
 def guard(**changes: Any) -> Middleware:
-    return Middleware(GuardMiddleware, **{"deployment": deployment(), "paths": ["/ledger-read", "/payment-book", "/vat-filing"],
-                                          **changes})
+    return Middleware(
+        GuardMiddleware,
+        **{"deployment": deployment(), "paths": ["/ledger-read", "/payment-book", "/vat-filing"], **changes},
+    )
 
 
 def test_starlette_guarded() -> None:
@@ -94,13 +101,20 @@
             assert (await w.ask(ask("vat-filing", Request_Timeout="0.200")))[0] == 502
             status, head, _ = await ask_streamed(w, ask("payment-book"))
             assert status == 200 and b"chunked" in head.lower()
-            told = [(await w.ask(ask(number=n, Plan="basis", Account="0" * 16, Quota_Info="units=2,spread=1,first=0")))
-                    for n in range(10)]
+            told = [
+                (
+                    await w.ask(
+                        ask(number=n, Plan="basis", Account="0" * 16, Quota_Info="units=2,spread=1,first=0")
+                    )
+                )
+                for n in range(10)
+            ]
             refused = [head for status, head, _ in told if status == 429]
             assert refused and all(b"retry-after: " in head.lower() for head in refused)
             await until(lambda: tally().taken == tally().served + tally().refused + tally().failed)
             settled()
         assert not shared._entries
+
     run(test())
 
 
@@ -118,6 +132,7 @@
 
 def test_fastapi_guarded_from_the_example() -> None:
     """The application of docs/library.md, as it stands in examples/."""
+
     async def test() -> None:
         async with served(examples.guard_app.app) as w:
             client = await w.client()
@@ -130,6 +145,7 @@
             free = b"GET /ledger-read/7 HTTP/1.1\r\nHost: x\r\n\r\n"
             assert (await client.ask(free))[0] == 200
             settled()
+
     run(test())
 
 
@@ -138,13 +154,19 @@
         async with nodes(answer(b"done")) as peers:
             app = FastAPI()
             app.get("/own")(lambda: {"own": True})
-            app.add_middleware(ForwardMiddleware, deployment=deployment(*peers), paths=["/ledger-read", "/vat-filing"])
+            app.add_middleware(
+                ForwardMiddleware, deployment=deployment(*peers), paths=["/ledger-read", "/vat-filing"]
+            )
             async with served(app) as w:
                 client = await w.client()
                 assert (await client.ask(ask()))[::2] == (200, b"done")
                 assert (await client.ask(ask("vat-filing", 2)))[::2] == (200, b"done")
-                assert (await client.ask(b"GET /own HTTP/1.1\r\nHost: x\r\n\r\n"))[::2] == (200, b'{"own":true}')
+                assert (await client.ask(b"GET /own HTTP/1.1\r\nHost: x\r\n\r\n"))[::2] == (
+                    200,
+                    b'{"own":true}',
+                )
                 settled()
+
     run(test())
 
 
@@ -157,6 +179,7 @@
                 assert peers[0].requests[0].startswith(b"GET /ledger-read/7?x=1 HTTP/1.1\r\n")
                 assert (await w.ask(ask(path="/api/nothing")))[0] == 404
             await forward.close()  # a mounted application is told of no lifespan
+
     run(test())
 
 
@@ -238,6 +261,7 @@
 @pytest.mark.parametrize("inside", [True, False])
 def test_a_host_that_cancels(inside: bool) -> None:
     """Outside, it cancels the admission with the handler; inside, only the handler: its answer passes through."""
+
     async def test() -> None:
         cancels = Middleware(Cancels, after_s=0.05)
         order = [guard(), cancels] if inside else [cancels, guard()]
@@ -246,6 +270,7 @@
             assert (status, body) == (504, b"the host gave up")
             assert (tally().withdrawn, tally().failed) == ((0, 1) if inside else (1, 0))
             settled()
+
     run(test())
 
 
@@ -258,11 +283,13 @@
                 await until(lambda: peers[0].closed == 1)
                 assert len(peers[0].requests) == 1 and tally().withdrawn == 1
                 settled()
+
     run(test())
 
 
 def test_a_host_that_retries_is_a_second_request() -> None:
     """Each call of the middleware is a request of its own, admitted and counted as such; the handler runs once in each."""
+
     async def test() -> None:
         runs: list[int] = []
 
@@ -272,11 +299,14 @@
                 raise ZeroDivisionError
             return PlainTextResponse("good")
 
-        app = starlette(Middleware(Retries), guard(), routes=[Route("/vat-filing/{n}", once_bad, methods=["POST"])])
+        app = starlette(
+            Middleware(Retries), guard(), routes=[Route("/vat-filing/{n}", once_bad, methods=["POST"])]
+        )
         async with served(app) as w:
             assert (await w.ask(ask("vat-filing")))[::2] == (200, b"good")
             assert (len(runs), tally().taken, tally().failed, tally().served) == (2, 2, 1, 1)
             settled()
+
     run(test())
 
 
@@ -292,6 +322,7 @@
             assert await ended(client)  # the client can tell that it is not whole
             assert tally().failed == 2
             settled()
+
     run(test())
 
 
@@ -299,6 +330,7 @@
     async def parts() -> Any:
         yield "half"
         await asyncio.Event().wait()
+
     return StreamingResponse(parts())
 
 
@@ -323,6 +355,7 @@
             client.writer.close()
             await until(lambda: tally().withdrawn == 1)
             settled()
+
     run(test())
 
 
@@ -346,6 +379,7 @@
             await until(lambda: ends == ["ended"])
             assert tally().withdrawn == 1
             settled()
+
     run(test())
 
 
@@ -364,6 +398,7 @@
             assert (await w.ask(ask()))[::2] == (200, b"now")
             settled()  # the engine waits for the answer alone
             await until(lambda: done == [1])
+
     run(test())
 
 
@@ -373,13 +408,18 @@
         async with nodes(answer(b"done")) as peers:
             made = deployment(*peers)
             inner = starlette()
-            app: Any = GuardMiddleware(inner, deployment=made) if kind == "guard" else ForwardMiddleware(deployment=made)
+            app: Any = (
+                GuardMiddleware(inner, deployment=made)
+                if kind == "guard"
+                else ForwardMiddleware(deployment=made)
+            )
             async with served(app, lifespan="off") as w:
                 assert not shared._entries
                 assert (await w.ask(ask()))[0] == 200
                 settled()
             await app.close()
             assert not shared._entries
+
     run(test())
 
 
@@ -394,8 +434,14 @@
 def test_a_start_that_fails_stops_the_server(tmp_path: Path) -> None:
     (tmp_path / "two.py").write_text(TWO_OF_A_NAME)
     paths = [str(tmp_path), *(str(ROOT / part) for part in ("tests/peers", "."))]
-    done = subprocess.run([sys.executable, "-m", "uvicorn", "--port", "0", "two:app"], timeout=60, capture_output=True,
-                          env={**os.environ, "PYTHONPATH": os.pathsep.join(paths)}, text=True, check=False)
+    done = subprocess.run(
+        [sys.executable, "-m", "uvicorn", "--port", "0", "two:app"],
+        timeout=60,
+        capture_output=True,
+        env={**os.environ, "PYTHONPATH": os.pathsep.join(paths)},
+        text=True,
+        check=False,
+    )
     assert done.returncode == 3
     assert "troutdock: deployment 'tests' is open in this process with other settings" in done.stderr
 
@@ -414,6 +460,7 @@
             w.server.should_exit = True
             assert [(await c.answer())[0] for c in clients] == [200] * 4
         assert not shared._entries
+
     run(test())
 
 
@@ -425,5 +472,8 @@
 
         async with served(starlette(guard(facts=facts, paths=["/ledger-read"]))) as w:
             statuses = [(await w.ask(ask(number=n, Account=f"{n % 2:016x}")))[0] for n in range(12)]
-            assert statuses.count(200) == 8 and statuses.count(429) == 4  # four of 2 units for each of two customers
+            assert (
+                statuses.count(200) == 8 and statuses.count(429) == 4
+            )  # four of 2 units for each of two customers
+
     run(test())
--- a/tests/asgi/test_lifespan.py
+++ b/tests/asgi/test_lifespan.py
@@ -50,6 +50,7 @@
         assert app.seen == ["lifespan.startup open"]
         assert await end() == {"type": "lifespan.shutdown.complete"}
         assert app.seen == ["lifespan.startup open", "lifespan.shutdown closed"] and not shared._entries
+
     run(test())
 
 
@@ -60,6 +61,7 @@
         assert started == {"type": "lifespan.startup.complete"} and shared._entries
         assert await end() == {"type": "lifespan.shutdown.complete"}
         assert not shared._entries
+
     run(test())
 
 
@@ -73,6 +75,7 @@
         with pytest.raises(ZeroDivisionError):
             await app({"type": "lifespan"}, startup, ignore)
         assert not shared._entries
+
     run(test())
 
 
@@ -86,6 +89,7 @@
 
 def test_a_start_that_fails_is_said_in_one_line() -> None:
     """Another loop has the name; and one with other settings."""
+
     async def test() -> None:
         made = deployment()
         open_now, leave_now = threading.Event(), threading.Event()
@@ -110,6 +114,7 @@
         await task
         assert "other settings" in started["message"]
         await shared.leave(ingress)
+
     run(test())
 
 
@@ -118,10 +123,13 @@
         async with nodes(answer()) as peers:
             forward = ForwardMiddleware(deployment=deployment(*peers))
             asked = [Exchange() for _ in range(4)]
-            await asyncio.gather(*(forward(scope(number=n, units=0.1), e.receive, e.send) for n, e in enumerate(asked)))
+            await asyncio.gather(
+                *(forward(scope(number=n, units=0.1), e.receive, e.send) for n, e in enumerate(asked))
+            )
             assert [e.status for e in asked] == [200] * 4 and len(shared._entries) == 1
             await forward.close()
             assert not shared._entries
+
     run(test())
 
 
@@ -135,11 +143,14 @@
             (entry,) = shared._entries.values()
             assert entry.holders == 2
             exchange = Exchange()
-            out = asyncio.create_task(outer(scope(units=0.1, timeout="0.300"), exchange.receive, exchange.send))
+            out = asyncio.create_task(
+                outer(scope(units=0.1, timeout="0.300"), exchange.receive, exchange.send)
+            )
             await until(lambda: len(peers[0].requests) == 1)
             assert await end() == {"type": "lifespan.shutdown.complete"}
             assert out.done() and exchange.status == 429  # what was taken had its answer first
             assert not shared._entries
+
     run(test())
 
 
@@ -153,4 +164,5 @@
         guard = GuardMiddleware(app, deployment=deployment())
         await guard({"type": "websocket", "path": "/ledger-read"}, startup, ignore)
         assert seen == ["websocket"] and not shared._entries
+
     run(test())
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -15,7 +15,9 @@
 
 
 def pytest_addoption(parser: pytest.Parser) -> None:
-    parser.addoption("--front", choices=sorted(loopback.FRONTS), default="daemon", help="what tests/rules/ is run against")
+    parser.addoption(
+        "--front", choices=sorted(loopback.FRONTS), default="daemon", help="what tests/rules/ is run against"
+    )
 
 
 def pytest_configure(config: pytest.Config) -> None:
@@ -24,7 +26,11 @@
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
     """How many tests of the rules met this front: the figure is the same for each of them."""
-    ran = [r for outcome in ("passed", "failed") for r in terminalreporter.getreports(outcome)
-           if r.when == "call" and "tests/rules/" in r.nodeid]
+    ran = [
+        r
+        for outcome in ("passed", "failed")
+        for r in terminalreporter.getreports(outcome)
+        if r.when == "call" and "tests/rules/" in r.nodeid
+    ]
     if ran:
         terminalreporter.write_line(f"rules: {len(ran)} tests ran against the {loopback.front}")
--- a/tests/engine/test_engine.py
+++ b/tests/engine/test_engine.py
@@ -16,10 +16,32 @@
 
 SAFE, KEYED, KEYED_ALL, UNSAFE = range(4)
 OUTCOMES = (Outcome.OK, Outcome.ERROR, Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.RESET)
-STEPS = st.lists(st.tuples(
-    st.sampled_from(["arrive", "arrive", "arrive", "end", "end", "end", "begin", "finish", "leave", "abandon", "count",
-                     "time", "time", "fleet", "other pool"]),
-    st.integers(0, 10**6)), min_size=5, max_size=80)
+STEPS = st.lists(
+    st.tuples(
+        st.sampled_from(
+            [
+                "arrive",
+                "arrive",
+                "arrive",
+                "end",
+                "end",
+                "end",
+                "begin",
+                "finish",
+                "leave",
+                "abandon",
+                "count",
+                "time",
+                "time",
+                "fleet",
+                "other pool",
+            ]
+        ),
+        st.integers(0, 10**6),
+    ),
+    min_size=5,
+    max_size=80,
+)
 
 
 def play(world: SimulatedWorld, steps: list[tuple[str, int]]) -> None:
@@ -27,8 +49,15 @@
     for what, pick in steps:
         out = world.out
         if what in ("arrive", "other pool"):
-            world.arrive(pick % 4, pick % 3, pick // 3 % 3, 1 + pick % 4, 30 + pick % 3000, pool=what != "arrive",
-                         most=pick // 7 % 3)
+            world.arrive(
+                pick % 4,
+                pick % 3,
+                pick // 3 % 3,
+                1 + pick % 4,
+                30 + pick % 3000,
+                pool=what != "arrive",
+                most=pick // 7 % 3,
+            )
         elif what == "end" and out:
             attempt = out[pick % len(out)]
             world.transport(attempt).end(attempt, OUTCOMES[pick // 7 % len(OUTCOMES)])
@@ -60,7 +89,9 @@
 
 @given(STEPS)
 @hypothesis_settings(derandomize=True, max_examples=600, deadline=None)
-def test_any_legal_order_ends_in_one_final_answer_and_leaves_nothing_behind(steps: list[tuple[str, int]]) -> None:
+def test_any_legal_order_ends_in_one_final_answer_and_leaves_nothing_behind(
+    steps: list[tuple[str, int]],
+) -> None:
     play(SimulatedWorld(), steps)
 
 
@@ -234,7 +265,8 @@
     for attempt in bad:
         world.transports[1].end(attempt, Outcome.ERROR)
     assert pools[0].slowness.value == 1.0 and all(
-        s.value == 1.0 for b in (1, 2, 3) for s in world.engine._gateway.backends[b].slowness)
+        s.value == 1.0 for b in (1, 2, 3) for s in world.engine._gateway.backends[b].slowness
+    )
     assert any(s.value > 1.0 for s in world.engine._gateway.backends[9].slowness)
     world.finish()
     alone.finish()
--- a/tests/engine/test_engine_fabric.py
+++ b/tests/engine/test_engine_fabric.py
@@ -18,9 +18,30 @@
 from troutdock.engine import Engine, Request
 
 OUTCOMES = (Outcome.OK, Outcome.ERROR, Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.MOOT)
-STEPS = st.lists(st.tuples(
-    st.sampled_from(["arrive", "arrive", "arrive", "end", "end", "end", "begin", "finish", "leave", "abandon", "time", "time", "fleet"]),
-    st.integers(0, 10**6)), min_size=5, max_size=80)
+STEPS = st.lists(
+    st.tuples(
+        st.sampled_from(
+            [
+                "arrive",
+                "arrive",
+                "arrive",
+                "end",
+                "end",
+                "end",
+                "begin",
+                "finish",
+                "leave",
+                "abandon",
+                "time",
+                "time",
+                "fleet",
+            ]
+        ),
+        st.integers(0, 10**6),
+    ),
+    min_size=5,
+    max_size=80,
+)
 IDS = (1, 2, 3, 4)
 
 
@@ -94,14 +115,20 @@
         elif what == "time":
             world.time.advance(pick % 700)
         elif what == "fleet":  # one that is gone does not come back under its number
-            world.fleet([i for i in IDS if pick >> i & 1], (BackendState.READY, BackendState.DRAINING)[pick % 2], ListKind.CHANGES)
+            world.fleet(
+                [i for i in IDS if pick >> i & 1],
+                (BackendState.READY, BackendState.DRAINING)[pick % 2],
+                ListKind.CHANGES,
+            )
         world.check()
     world.finish()
 
 
 @given(STEPS)
 @hypothesis_settings(derandomize=True, max_examples=400, deadline=None)
-def test_any_legal_order_sends_once_what_may_not_be_repeated_and_refuses_only_what_never_ran(steps: list[tuple[str, int]]) -> None:
+def test_any_legal_order_sends_once_what_may_not_be_repeated_and_refuses_only_what_never_ran(
+    steps: list[tuple[str, int]],
+) -> None:
     play(FabricWorld(), steps)
 
 
--- a/tests/grpc_front/test_grpc_front.py
+++ b/tests/grpc_front/test_grpc_front.py
@@ -33,16 +33,32 @@
 
 GRPC: Headers = [(b":status", b"200"), (b"content-type", b"application/grpc")]
 OK: Headers = [(b"grpc-status", b"0")]
-ROWS = (Row("/l/Read", "ledger-read"), Row("/l/Book", "payment-book"), Row("/l/File", "vat-filing"), Row("/l/List", "ledger-read", Kind.SERVER),
-        Row("/l/FileAll", "vat-filing", Kind.CLIENT), Row("/l/Talk", "vat-filing", Kind.BOTH), Row("/l/Watch", "vat-filing", Kind.SERVER))
+ROWS = (
+    Row("/l/Read", "ledger-read"),
+    Row("/l/Book", "payment-book"),
+    Row("/l/File", "vat-filing"),
+    Row("/l/List", "ledger-read", Kind.SERVER),
+    Row("/l/FileAll", "vat-filing", Kind.CLIENT),
+    Row("/l/Talk", "vat-filing", Kind.BOTH),
+    Row("/l/Watch", "vat-filing", Kind.SERVER),
+)
 CLASSES = {"/l/Read": "ledger-read", "/l/Book": "payment-book", "/l/File": "vat-filing"}
 
 
 def head(path: str = "/l/Read", **changes: str | None) -> Headers:
     told: dict[str, str | None] = {
-        ":method": "POST", ":scheme": "http", ":path": path, ":authority": "service.internal", "content-type": "application/grpc", "te": "trailers",
-        "account": "0000000000000009", "plan": "plus", "quota-info": "units=2,spread=2,first=0", "grpc-timeout": "1500m",
-        "idempotency-key": "ab" * 16}
+        ":method": "POST",
+        ":scheme": "http",
+        ":path": path,
+        ":authority": "service.internal",
+        "content-type": "application/grpc",
+        "te": "trailers",
+        "account": "0000000000000009",
+        "plan": "plus",
+        "quota-info": "units=2,spread=2,first=0",
+        "grpc-timeout": "1500m",
+        "idempotency-key": "ab" * 16,
+    }
     told |= {name.replace("_", "-"): value for name, value in changes.items()}
     return [(name.encode(), value.encode()) for name, value in told.items() if value is not None]
 
@@ -75,8 +91,13 @@
 
 
 @asynccontextmanager
-async def setup(*scripts: Callable[[Call], Awaitable[None]], terms: dict[str, Any] | None = None, whole: bool = True, credit: bool = True,
-                **how: Any) -> AsyncIterator[Setup]:
+async def setup(
+    *scripts: Callable[[Call], Awaitable[None]],
+    terms: dict[str, Any] | None = None,
+    whole: bool = True,
+    credit: bool = True,
+    **how: Any,
+) -> AsyncIterator[Setup]:
     s = Setup()
     s.wires, s.nodes = [], [H2Node(script, whole, credit) for script in scripts]
     for node in s.nodes:
@@ -91,6 +112,7 @@
         if not fixed:
             raw["known"]["targets"] = [loopback.target(node, f"s-{n}") for n, node in enumerate(s.nodes)]  # type: ignore[arg-type]
         await loopback.daemon(w, stack, json.dumps(raw), [s.part])
+
     before, loopback.FRONTS["setup"], front = loopback.FRONTS.get("setup"), fronted, loopback.front
     loopback.front = "setup"
     try:
@@ -110,11 +132,14 @@
 
 def playing(*scripts: Any, **how: Any) -> Callable[[Callable[[Setup], Awaitable[None]]], None]:
     """Run a course of events before such an ingress."""
+
     def decorate(course: Callable[[Setup], Awaitable[None]]) -> None:
         async def test() -> None:
             async with setup(*scripts, **how) as s:
                 await course(s)
+
         run(test())
+
     return decorate
 
 
@@ -129,6 +154,7 @@
     async def script(call: Call) -> None:
         first(call)
         call.cancel(code)
+
     return script
 
 
@@ -137,12 +163,16 @@
         first(call)
         await asyncio.sleep(0.01)
         call.wire.transport.abort()
+
     return script
 
 
-def ends(headers: Headers, data: bytes = b"", trailers: Headers | None = None) -> Callable[[Call], Awaitable[None]]:
+def ends(
+    headers: Headers, data: bytes = b"", trailers: Headers | None = None
+) -> Callable[[Call], Awaitable[None]]:
     async def script(call: Call) -> None:
         call.send(headers, data, trailers, end=True)
+
     return script
 
 
@@ -169,12 +199,16 @@
     "a head alone": ends(GRPC),
     "stopped half way": lambda call: asyncio.sleep(0, call.send(GRPC, message()[:-2])),
     "good, then bad": ends(GRPC, message(), [(b"grpc-status", b"13"), (b"grpc-message", b"late")]),
-    **{f"status {code}": ends([*GRPC, (b"grpc-status", b"%d" % code), (b"grpc-message", b"why")]) for code in (1, 2, 4, 8, 13, 14, 15)},
+    **{
+        f"status {code}": ends([*GRPC, (b"grpc-status", b"%d" % code), (b"grpc-message", b"why")])
+        for code in (1, 2, 4, 8, 13, 14, 15)
+    },
     **{f"HTTP {code}": ends([(b":status", b"%d" % code)]) for code in (301, 400, 404, 429, 500, 502, 503)},
     "no gRPC": ends([(b":status", b"200"), (b"content-type", b"text/html")], b"<html>"),
 }
 NEVER_RAN = {
-    "REFUSED_STREAM": resets(7), "above a GOAWAY": above_goaway,
+    "REFUSED_STREAM": resets(7),
+    "above a GOAWAY": above_goaway,
     "UNAVAILABLE, not started": ends([*GRPC, (b"grpc-status", b"14"), (b"not-started", b"1")]),
     "HTTP 503, not started": ends([(b":status", b"503"), (b"not-started", b"1")]),
 }
@@ -184,6 +218,7 @@
 @pytest.mark.parametrize("row", MAY_HAVE_RUN)
 def test_what_may_have_run_goes_on_as_far_as_its_class_allows(path: str, row: str) -> None:
     """Safe and keyed calls go to others and are refused at last; unsafe ones end there, never sent again."""
+
     @playing(*[MAY_HAVE_RUN[row]] * 4)
     async def course(s: Setup) -> None:
         call = await s.call(path)
@@ -205,7 +240,11 @@
     async def course(s: Setup) -> None:
         call = await s.call(path)
         assert (call["grpc-status"], sum(s.sent), max(s.sent)) == ("8", 3, 1)
-        assert int(call["grpc-retry-pushback-ms"]) > 0 and call["grpc-status-details-bin"] and call["retry-after"]
+        assert (
+            int(call["grpc-retry-pushback-ms"]) > 0
+            and call["grpc-status-details-bin"]
+            and call["retry-after"]
+        )
 
     @playing(NEVER_RAN[row], served)
     async def second(s: Setup) -> None:
@@ -217,10 +256,17 @@
 
 @pytest.mark.parametrize("code", [3, 5, 6, 7, 9, 10, 11, 12, 16])
 def test_what_a_service_says_of_the_call_is_its_answer(code: int) -> None:
-    @playing(*[ends([*GRPC, (b"grpc-status", b"%d" % code), (b"grpc-message", b"n%C3%B6"), (b"x-why", b"z")])] * 3)
+    @playing(
+        *[ends([*GRPC, (b"grpc-status", b"%d" % code), (b"grpc-message", b"n%C3%B6"), (b"x-why", b"z")])] * 3
+    )
     async def course(s: Setup) -> None:
         call = await s.call("/l/Read")
-        assert (call["grpc-status"], call["grpc-message"], call["x-why"], sum(s.sent)) == (str(code), "n%C3%B6", "z", 1)
+        assert (call["grpc-status"], call["grpc-message"], call["x-why"], sum(s.sent)) == (
+            str(code),
+            "n%C3%B6",
+            "z",
+            1,
+        )
 
 
 def test_calls_within_a_goaway_end_well_and_later_ones_go_over_another_connection() -> None:
@@ -234,14 +280,33 @@
 def test_a_call_passes_unchanged_and_its_time_runs_down() -> None:
     async def slow(call: Call) -> None:
         await asyncio.sleep(0.05)
-        call.send([*GRPC, (b"grpc-encoding", b"gzip"), (b"x-head", b"1")], message(b"\0\1zip", compressed=True), [*OK, (b"x-tail-bin", b"AAE")])
+        call.send(
+            [*GRPC, (b"grpc-encoding", b"gzip"), (b"x-head", b"1")],
+            message(b"\0\1zip", compressed=True),
+            [*OK, (b"x-tail-bin", b"AAE")],
+        )
 
     @playing(slow)
     async def course(s: Setup) -> None:
-        call = await s.call("/l/Book", message(b"\x1f\x8bask", compressed=True), grpc_encoding="gzip", x_own="kept", grpc_timeout="700m")
-        assert (call.data, call["grpc-encoding"], call["x-head"], call["x-tail-bin"]) == (message(b"\0\1zip", True), "gzip", "1", "AAE")
+        call = await s.call(
+            "/l/Book",
+            message(b"\x1f\x8bask", compressed=True),
+            grpc_encoding="gzip",
+            x_own="kept",
+            grpc_timeout="700m",
+        )
+        assert (call.data, call["grpc-encoding"], call["x-head"], call["x-tail-bin"]) == (
+            message(b"\0\1zip", True),
+            "gzip",
+            "1",
+            "AAE",
+        )
         (got,) = s.nodes[0].calls
-        assert got.data == message(b"\x1f\x8bask", True) and (got["x-own"], got["grpc-encoding"], got["te"]) == ("kept", "gzip", "trailers")
+        assert got.data == message(b"\x1f\x8bask", True) and (
+            got["x-own"],
+            got["grpc-encoding"],
+            got["te"],
+        ) == ("kept", "gzip", "trailers")
         assert 500_000 < int(got["grpc-timeout"][:-1]) < 700_000 and got["grpc-timeout"][-1] == "u"
 
 
@@ -263,7 +328,9 @@
         await until(lambda: len(s.nodes[0].calls) == 1)
         leave(call)
         await until(lambda: s.nodes[0].calls[0].reset == 8 and s.w.engine.open == 0)
-        assert s.w.engine.tally.withdrawn == 1 and not s.nodes[0].wires[0].closed.is_set()  # it can be used again
+        assert (
+            s.w.engine.tally.withdrawn == 1 and not s.nodes[0].wires[0].closed.is_set()
+        )  # it can be used again
 
 
 # ---- streams of messages
@@ -288,8 +355,13 @@
         assert (s.w.engine.tally.served, s.w.service.server.streams) == (1, 0)
 
 
-@pytest.mark.parametrize(("last", "status"), [([(b"grpc-status", b"5"), (b"grpc-message", b"gone")], 5), ([(b"grpc-status", b"14")], 14), (None, 13)])
-def test_a_stream_that_breaks_behind_a_message_ends_once_and_is_not_sent_again(last: Headers | None, status: int) -> None:
+@pytest.mark.parametrize(
+    ("last", "status"),
+    [([(b"grpc-status", b"5"), (b"grpc-message", b"gone")], 5), ([(b"grpc-status", b"14")], 14), (None, 13)],
+)
+def test_a_stream_that_breaks_behind_a_message_ends_once_and_is_not_sent_again(
+    last: Headers | None, status: int
+) -> None:
     async def script(call: Call) -> None:
         call.send(GRPC, message(b"1"))
         await asyncio.sleep(0.03)
@@ -427,7 +499,12 @@
 def test_a_preface_may_come_in_pieces_and_what_only_begins_like_one_is_http(cut: int) -> None:
     @playing(served)
     async def course(s: Setup) -> None:
-        data = f.PREFACE + f.settings({}) + f.frame(f.HEADERS, f.END_HEADERS, 1, encode(head())) + f.frame(f.DATA, 1, 1, message())
+        data = (
+            f.PREFACE
+            + f.settings({})
+            + f.frame(f.HEADERS, f.END_HEADERS, 1, encode(head()))
+            + f.frame(f.DATA, 1, 1, message())
+        )
         reader, writer = await asyncio.open_connection(*s.w.address)
         writer.write(data[:cut])
         await asyncio.sleep(0.03)
@@ -444,11 +521,21 @@
         assert (await http.answer())[0] == 200  # taken as HTTP/1.1
 
 
-@pytest.mark.parametrize(("data", "answer"), [
-    (f.PREFACE[:14], b""), (f.PREFACE, b""), (f.PREFACE + b"POST /vat-filing HTTP/1.1\r\n\r\n", b"too" ), (f.PREFACE[:20] + b"xxxxyyyy", b"no preface")])
-def test_a_preface_with_nothing_or_nonsense_behind_it_is_closed_and_hurts_nobody(monkeypatch: pytest.MonkeyPatch, data: bytes, answer: bytes) -> None:
+@pytest.mark.parametrize(
+    ("data", "answer"),
+    [
+        (f.PREFACE[:14], b""),
+        (f.PREFACE, b""),
+        (f.PREFACE + b"POST /vat-filing HTTP/1.1\r\n\r\n", b"too"),
+        (f.PREFACE[:20] + b"xxxxyyyy", b"no preface"),
+    ],
+)
+def test_a_preface_with_nothing_or_nonsense_behind_it_is_closed_and_hurts_nobody(
+    monkeypatch: pytest.MonkeyPatch, data: bytes, answer: bytes
+) -> None:
     monkeypatch.setattr(front_module, "FIRST_S", 0.1)
     from troutdock.http import bodies
+
     monkeypatch.setattr(bodies, "SILENT_S", 0.1)
 
     @playing(served)
@@ -464,11 +551,16 @@
 
 
 ATTACKS = {
-    "rapid reset": b"".join(f.frame(f.HEADERS, 4, 2 * n + 1, encode(head("/l/File"))) + f.reset(2 * n + 1, 8) for n in range(400)),
-    "PINGs": f.frame(f.PING, 0, 0, b"x" * 8) * 5000, "SETTINGS": f.settings({1: 4096}) * 5000,
+    "rapid reset": b"".join(
+        f.frame(f.HEADERS, 4, 2 * n + 1, encode(head("/l/File"))) + f.reset(2 * n + 1, 8) for n in range(400)
+    ),
+    "PINGs": f.frame(f.PING, 0, 0, b"x" * 8) * 5000,
+    "SETTINGS": f.settings({1: 4096}) * 5000,
     "CONTINUATION": f.frame(f.HEADERS, 0, 1, b"") + f.frame(f.CONTINUATION, 0, 1, b"\x00\x01a\x01b") * 5000,
     "an HPACK bomb": f.frame(f.HEADERS, 5, 1, encode([(b"a", b"x" * 4000)]) * 4 + b"\xbf" * 9000),
-    "metadata beyond the bound": f.frame(f.HEADERS, 5, 1, encode([*head(), *((b"x%d" % n, b"y" * 100) for n in range(200))])[:16_000]),
+    "metadata beyond the bound": f.frame(
+        f.HEADERS, 5, 1, encode([*head(), *((b"x%d" % n, b"y" * 100) for n in range(200))])[:16_000]
+    ),
     "headers never ended": f.frame(f.HEADERS, 0, 1, encode(head())),
 }
 
@@ -499,19 +591,40 @@
         await until(lambda: s.w.engine.open == 0 and len(s.w.service.server.others) == 1)
 
 
-@pytest.mark.parametrize(("path", "data", "changes", "status", "said"), [
-    ("/l/Other", message(), {}, 12, "no such method"), ("/l/Read", message(), {"account": None}, 3, "account"),
-    ("/l/Read", message(), {"plan": "gold"}, 3, "plan"), ("/l/Read", message()[:-1], {}, 13, "cut off"), ("/l/Read", message() * 2, {}, 12, "2 messages"),
-    ("/l/Read", b"", {}, 12, "0 messages"), ("/l/Read", message(b"x" * 20_000), {}, 8, "too long"), ("/l/Read", message(), {"grpc_timeout": "now"}, 3, "grpc-timeout")])
-def test_what_is_no_call_is_told_why_and_goes_nowhere(path: str, data: bytes, changes: dict, status: int, said: str) -> None:
+@pytest.mark.parametrize(
+    ("path", "data", "changes", "status", "said"),
+    [
+        ("/l/Other", message(), {}, 12, "no such method"),
+        ("/l/Read", message(), {"account": None}, 3, "account"),
+        ("/l/Read", message(), {"plan": "gold"}, 3, "plan"),
+        ("/l/Read", message()[:-1], {}, 13, "cut off"),
+        ("/l/Read", message() * 2, {}, 12, "2 messages"),
+        ("/l/Read", b"", {}, 12, "0 messages"),
+        ("/l/Read", message(b"x" * 20_000), {}, 8, "too long"),
+        ("/l/Read", message(), {"grpc_timeout": "now"}, 3, "grpc-timeout"),
+    ],
+)
+def test_what_is_no_call_is_told_why_and_goes_nowhere(
+    path: str, data: bytes, changes: dict, status: int, said: str
+) -> None:
     @playing(served, terms={"most_message": 10_000})
     async def course(s: Setup) -> None:
         call = await s.call(path, data, **changes)
         assert (int(call["grpc-status"]), s.sent) == (status, [0]) and said in call["grpc-message"]
         assert not call["grpc-status-details-bin"]  # no word of trying again
         other = await s.client()
-        plain = other.open([(b":method", b"GET"), (b":scheme", b"http"), (b":path", b"/healthz"), (b":authority", b"x")])
-        odd = other.open([(b":method", b"POST"), (b":scheme", b"http"), (b":path", b"/l/Read"), (b":authority", b"x"), (b"content-type", b"text/plain")])
+        plain = other.open(
+            [(b":method", b"GET"), (b":scheme", b"http"), (b":path", b"/healthz"), (b":authority", b"x")]
+        )
+        odd = other.open(
+            [
+                (b":method", b"POST"),
+                (b":scheme", b"http"),
+                (b":path", b"/l/Read"),
+                (b":authority", b"x"),
+                (b"content-type", b"text/plain"),
+            ]
+        )
         await plain.ended.wait()
         await odd.ended.wait()
         assert (plain[":status"], odd[":status"]) == ("200", "415")
@@ -533,7 +646,9 @@
         assert (late["grpc-status"], sum(s.sent)) == ("4", 0)
 
 
-def test_a_drain_says_goodbye_ends_what_is_there_and_refuses_what_comes_after(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_drain_says_goodbye_ends_what_is_there_and_refuses_what_comes_after(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def slow(call: Call) -> None:
         await asyncio.sleep(1.0)
         await served(call)
@@ -587,8 +702,10 @@
         assert (await s.call())["grpc-status"] == "0"
         node = s.nodes[0].wires[0]
         node.transport.write(f.settings({f.MAX_CONCURRENT_STREAMS: 2}))
+
         def connection() -> Any:
             return next(iter(s.part.transport.pools.of.values())).connections[0].h2
+
         await until(lambda: connection().peer_streams == 2)
         wire = await s.client()
         small = {"quota-info": "units=0.1,spread=2,first=0"}
@@ -664,7 +781,9 @@
         await until(lambda: s.nodes[0].wires[0].closed.is_set())
 
 
-def test_a_client_that_opens_no_window_holds_its_own_answer_and_for_a_time(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_client_that_opens_no_window_holds_its_own_answer_and_for_a_time(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(front_module, "STUCK_S", 0.3)
 
     @playing(served)
@@ -705,7 +824,10 @@
         async def client(number: int) -> None:
             wire = await connect(tier.address)
             while not leave:
-                call = wire.open(head("/l/File", account=f"{number:016x}", quota_info="units=0.1,spread=2,first=0"), message())
+                call = wire.open(
+                    head("/l/File", account=f"{number:016x}", quota_info="units=0.1,spread=2,first=0"),
+                    message(),
+                )
                 await call.ended.wait()
                 ended.append(call["grpc-status"] or f"reset {call.reset}")
                 if wire.goaways or wire.closed.is_set():
@@ -713,6 +835,7 @@
                     wire = await connect(tier.address)
                 await asyncio.sleep(0.002)
             wire.transport.abort()
+
         try:
             await tier.start()
             clients = [asyncio.create_task(client(n)) for n in range(4)]
@@ -728,6 +851,7 @@
             tier.kill()
             node.stop()
         assert set(ended) <= {"0", "8", "reset 7"} and ended.count("0") > 80
+
     run(test())
 
 
@@ -735,12 +859,18 @@
     @playing(served)
     async def course(s: Setup) -> None:
         raw = json.loads(json.dumps(s.w.config))
-        raw["settings"]["plans"].insert(0, {**SETTINGS["plans"][0], "name": "gold"})  # plans have other numbers by it
-        raw["settings"]["categories"] = [c for c in raw["settings"]["categories"] if c["name"] != "payment-book"]
+        raw["settings"]["plans"].insert(
+            0, {**SETTINGS["plans"][0], "name": "gold"}
+        )  # plans have other numbers by it
+        raw["settings"]["categories"] = [
+            c for c in raw["settings"]["categories"] if c["name"] != "payment-book"
+        ]
         assert (await s.call(plan="gold"))["grpc-status"] == str(int(Status.INVALID_ARGUMENT))
         s.w.service.reload(read_config(json.dumps(raw)))
         assert (await s.call(plan="gold", account="0000000000000007"))["grpc-status"] == "0"
-        assert (await s.call("/l/Book"))["grpc-status"] == "12" and (await s.call("/l/File"))["grpc-status"] == "0"
+        assert (await s.call("/l/Book"))["grpc-status"] == "12" and (await s.call("/l/File"))[
+            "grpc-status"
+        ] == "0"
         assert (await s.call(account="0000000000000005"))["grpc-status"] == "0"
         assert s.w.gateway.customers[5].plan.name == "plus"
 
@@ -751,6 +881,7 @@
     async def connect_late(pool: transport_module.Pool) -> None:
         await gate.wait()
         await connect_now(pool)
+
     monkeypatch.setattr(transport_module.Pool, "_connect", connect_late)
 
     @playing(served)
@@ -778,10 +909,26 @@
     return dict(Counter(type(o).__name__ for o in gc.get_objects() if isinstance(o, KINDS)))
 
 
-@pytest.mark.parametrize(("path", "script"), [
-    ("/l/Read", served), ("/l/Read", ends([(b":status", b"500")])), ("/l/Book", breaks(lambda call: None)), ("/l/File", resets(7)),
-    ("/l/List", three), ("/l/Watch", breaks(lambda call: call.send([(b":status", b"200"), (b"content-type", b"application/grpc")], message()))),
-    ("/l/FileAll", served), ("/l/File", silent)])
+@pytest.mark.parametrize(
+    ("path", "script"),
+    [
+        ("/l/Read", served),
+        ("/l/Read", ends([(b":status", b"500")])),
+        ("/l/Book", breaks(lambda call: None)),
+        ("/l/File", resets(7)),
+        ("/l/List", three),
+        (
+            "/l/Watch",
+            breaks(
+                lambda call: call.send(
+                    [(b":status", b"200"), (b"content-type", b"application/grpc")], message()
+                )
+            ),
+        ),
+        ("/l/FileAll", served),
+        ("/l/File", silent),
+    ],
+)
 def test_nothing_is_left_to_the_collector(path: str, script: Any) -> None:
     @playing(script, script)
     async def course(s: Setup) -> None:
--- a/tests/grpc_front/test_grpc_protocol.py
+++ b/tests/grpc_front/test_grpc_protocol.py
@@ -13,14 +13,28 @@
 from troutdock.engine import BadRequest
 from troutdock.grpc import protocol
 from troutdock.grpc.methods import Kind, Methods, Row
-from troutdock.grpc.protocol import Ended, Status, failed_status, format_timeout, outcome_of, parse_timeout, read_end
+from troutdock.grpc.protocol import (
+    Ended,
+    Status,
+    failed_status,
+    format_timeout,
+    outcome_of,
+    parse_timeout,
+    read_end,
+)
 from troutdock.grpc.request import REPLAY, Names, Reader, Upload
 
-CLASSES = (RequestClass(1500, 6000, 3, Effect.SAFE, name="ledger-read"),
-           RequestClass(1000, 4000, 5, Effect.KEYED, Group.ALL, 3000, name="payment-book"),
-           RequestClass(3000, 8000, 9, Effect.UNSAFE, name="vat-filing"))
+CLASSES = (
+    RequestClass(1500, 6000, 3, Effect.SAFE, name="ledger-read"),
+    RequestClass(1000, 4000, 5, Effect.KEYED, Group.ALL, 3000, name="payment-book"),
+    RequestClass(3000, 8000, 9, Effect.UNSAFE, name="vat-filing"),
+)
 SETTINGS = settings(classes=CLASSES, plans=(Plan(1, 8, name="basis"),))
-ROWS = (Row("/l.Ledger/Read", "ledger-read"), Row("/l.Ledger/*", "payment-book"), Row("*", "vat-filing", Kind.BOTH, 2.0))
+ROWS = (
+    Row("/l.Ledger/Read", "ledger-read"),
+    Row("/l.Ledger/*", "payment-book"),
+    Row("*", "vat-filing", Kind.BOTH, 2.0),
+)
 
 
 @pytest.mark.parametrize("status", range(18))
@@ -36,24 +50,50 @@
     assert failed_status(None)[0] == Status.INTERNAL
 
 
-@pytest.mark.parametrize(("trailers", "head", "outcome"), [
-    ([], [], Outcome.ERROR), ([(b"grpc-status", b"")], [], Outcome.ERROR), ([(b"grpc-status", b"-1")], [], Outcome.ERROR),
-    ([(b"grpc-status", b"0")], [(b"not-started", b"1")], Outcome.OK), ([(b"grpc-status", b"14")], [(b"not-started", b"1")], Outcome.FULL)])
+@pytest.mark.parametrize(
+    ("trailers", "head", "outcome"),
+    [
+        ([], [], Outcome.ERROR),
+        ([(b"grpc-status", b"")], [], Outcome.ERROR),
+        ([(b"grpc-status", b"-1")], [], Outcome.ERROR),
+        ([(b"grpc-status", b"0")], [(b"not-started", b"1")], Outcome.OK),
+        ([(b"grpc-status", b"14")], [(b"not-started", b"1")], Outcome.FULL),
+    ],
+)
 def test_odd_trailers(trailers: protocol.Metadata, head: protocol.Metadata, outcome: Outcome) -> None:
     assert outcome_of(read_end(trailers, head, [])) is outcome
     assert outcome_of(Ended(Status.UNIMPLEMENTED, http=True)) is Outcome.ERROR
     assert outcome_of(Ended(Status.UNAVAILABLE, http=True, not_started=True)) is Outcome.FULL
 
 
-@pytest.mark.parametrize(("head", "trailers", "units"), [
-    ([], [(b"billed-units", b"2.5")], 2.5), ([(b"billed-units", b"3")], [], 3.0), ([(b"billed-units", b"3")], [(b"billed-units", b"4")], 4.0),
-    ([], [(b"billed-units", b"many")], 0.0), ([], [], 0.0)])
-def test_true_units_are_in_the_trailers_or_the_head(head: protocol.Metadata, trailers: protocol.Metadata, units: float) -> None:
+@pytest.mark.parametrize(
+    ("head", "trailers", "units"),
+    [
+        ([], [(b"billed-units", b"2.5")], 2.5),
+        ([(b"billed-units", b"3")], [], 3.0),
+        ([(b"billed-units", b"3")], [(b"billed-units", b"4")], 4.0),
+        ([], [(b"billed-units", b"many")], 0.0),
+        ([], [], 0.0),
+    ],
+)
+def test_true_units_are_in_the_trailers_or_the_head(
+    head: protocol.Metadata, trailers: protocol.Metadata, units: float
+) -> None:
     assert Ended(0, head=head, trailers=trailers).true_units == units
 
 
-@pytest.mark.parametrize(("text", "ms"), [(b"1H", 3.6e6), (b"2M", 1.2e5), (b"3S", 3000), (b"1500m", 1500), (b"250u", 0.25), (b"100n", 1e-4),
-                                          (b"99999999H", protocol.MOST_TIMEOUT_MS)])
+@pytest.mark.parametrize(
+    ("text", "ms"),
+    [
+        (b"1H", 3.6e6),
+        (b"2M", 1.2e5),
+        (b"3S", 3000),
+        (b"1500m", 1500),
+        (b"250u", 0.25),
+        (b"100n", 1e-4),
+        (b"99999999H", protocol.MOST_TIMEOUT_MS),
+    ],
+)
 def test_timeouts_are_read(text: bytes, ms: float) -> None:
     assert parse_timeout(text) == pytest.approx(ms)
 
@@ -72,12 +112,18 @@
 
 def test_a_refusal_says_in_each_form_when_to_come_back() -> None:
     told = dict(protocol.refusal(1234.5))
-    assert (told[b"grpc-status"], told[b"grpc-retry-pushback-ms"], told[b"retry-after"]) == (b"8", b"1234", b"1.234")
+    assert (told[b"grpc-status"], told[b"grpc-retry-pushback-ms"], told[b"retry-after"]) == (
+        b"8",
+        b"1234",
+        b"1.234",
+    )
     raw = told[b"grpc-status-details-bin"]
     details = b64decode(raw + b"=" * (-len(raw) % 4))
     # as the library protobuf writes google.rpc.Status with an Any of RetryInfo in it: 1 s and 234,500,000 ns
-    assert details == (b"\x08\x08\x12!refused; trying again is harmless\x1a5\n(type.googleapis.com/google.rpc.RetryInfo"
-                       b"\x12\t\n\x07\x08\x01\x10\xa0\xdf\xe8o")
+    assert details == (
+        b"\x08\x08\x12!refused; trying again is harmless\x1a5\n(type.googleapis.com/google.rpc.RetryInfo"
+        b"\x12\t\n\x07\x08\x01\x10\xa0\xdf\xe8o"
+    )
     assert [name for name, _ in protocol.refusal(0.0)] == [b"grpc-status", b"grpc-message"]
 
 
@@ -99,50 +145,96 @@
     assert Methods(ROWS[:1], SETTINGS).find(b"/l.Ledger/Book") is None
 
 
-@pytest.mark.parametrize(("row", "said"), [
-    (Row("/a/b", "mail"), "no class"), (Row("a/b", "vat-filing"), "neither"), (Row("/a/b/c", "vat-filing"), "neither"),
-    (Row("/l.Ledger/Read", "vat-filing"), "twice"), (Row("/a/b", "ledger-read", Kind.CLIENT), "may be repeated"),
-    (Row("/a/b", "payment-book", Kind.BOTH), "may be repeated"), (Row("/a/b", "vat-filing", units=99.0), "beyond 4")])
+@pytest.mark.parametrize(
+    ("row", "said"),
+    [
+        (Row("/a/b", "mail"), "no class"),
+        (Row("a/b", "vat-filing"), "neither"),
+        (Row("/a/b/c", "vat-filing"), "neither"),
+        (Row("/l.Ledger/Read", "vat-filing"), "twice"),
+        (Row("/a/b", "ledger-read", Kind.CLIENT), "may be repeated"),
+        (Row("/a/b", "payment-book", Kind.BOTH), "may be repeated"),
+        (Row("/a/b", "vat-filing", units=99.0), "beyond 4"),
+    ],
+)
 def test_a_row_that_can_t_be_is_named(row: Row, said: str) -> None:
     with pytest.raises(ValueError, match=said):
         Methods((ROWS[0], row), SETTINGS)
 
 
-GOOD = {b"account": b"0000000000000009", b"plan": b"basis", b"quota-info": b"units=1.5,spread=2,first=1", b"grpc-timeout": b"700m",
-        b"request-id": b"r1", b"idempotency-key": b"k", b"x-other": b"kept", b"te": b"trailers"}
+GOOD = {
+    b"account": b"0000000000000009",
+    b"plan": b"basis",
+    b"quota-info": b"units=1.5,spread=2,first=1",
+    b"grpc-timeout": b"700m",
+    b"request-id": b"r1",
+    b"idempotency-key": b"k",
+    b"x-other": b"kept",
+    b"te": b"trailers",
+}
 
 
 def read(path: bytes = b"/l.Ledger/Read", **changes: bytes | None) -> object:
     told = GOOD | {name.replace("_", "-").encode(): value for name, value in changes.items()}  # type: ignore[operator]
-    return Reader(Methods(ROWS, SETTINGS), SETTINGS).read(path, b"host", [(k, v) for k, v in told.items() if v is not None])
+    return Reader(Methods(ROWS, SETTINGS), SETTINGS).read(
+        path, b"host", [(k, v) for k, v in told.items() if v is not None]
+    )
 
 
 def test_a_call_is_read_and_its_metadata_go_on() -> None:
     call = read()
     a = call.arrival  # type: ignore[attr-defined]
-    assert (a.customer, a.cls, a.units, a.width, a.first_gateway, a.time_left_ms, a.retry, a.key) == (9, 0, 1.5, 2, 1, 700.0, False, 0)
+    assert (a.customer, a.cls, a.units, a.width, a.first_gateway, a.time_left_ms, a.retry, a.key) == (
+        9,
+        0,
+        1.5,
+        2,
+        1,
+        700.0,
+        False,
+        0,
+    )
     assert call.timed and call.repeatable  # type: ignore[attr-defined]
     told = dict(call.message(600.0).headers())  # type: ignore[attr-defined]
-    assert (told[b":path"], told[b":authority"], told[b"grpc-timeout"], told[b"x-other"]) == (b"/l.Ledger/Read", b"host", b"600000u", b"kept")
+    assert (told[b":path"], told[b":authority"], told[b"grpc-timeout"], told[b"x-other"]) == (
+        b"/l.Ledger/Read",
+        b"host",
+        b"600000u",
+        b"kept",
+    )
     keyed = read(b"/l.Ledger/Book", client_retry=b"1")
     assert keyed.arrival.key != 0 and keyed.arrival.retry and keyed.id == b"r1"  # type: ignore[attr-defined]
     assert read(grpc_previous_rpc_attempts=b"1").arrival.retry  # type: ignore[attr-defined]
     free = read(b"/x/y", quota_info=None, grpc_timeout=None)
     assert (free.arrival.units, free.arrival.width, free.timeout_ms, free.timed) == (2.0, 2, 8000, False)  # type: ignore[attr-defined]
     names = Names(account=b"x-customer")
-    call = Reader(Methods(ROWS, SETTINGS), SETTINGS, names).read(b"/l.Ledger/Read", b"", [(b"x-customer" if k == b"account" else k, v) for k, v in GOOD.items()])
+    call = Reader(Methods(ROWS, SETTINGS), SETTINGS, names).read(
+        b"/l.Ledger/Read", b"", [(b"x-customer" if k == b"account" else k, v) for k, v in GOOD.items()]
+    )
     assert call.arrival.customer == 9
 
 
-@pytest.mark.parametrize(("changes", "said"), [
-    ({"account": None}, "account"), ({"account": b"9"}, "account"), ({"account": b"f" * 16}, "out of range"), ({"plan": b"gold"}, "plan"),
-    ({"quota_info": None}, "quota-info"), ({"quota_info": b"units=9,spread=2,first=0"}, "out of range"),
-    ({"quota_info": b"units=1,spread=9,first=0"}, "out of range"), ({"grpc_timeout": b"soon"}, "grpc-timeout"), ({"path": b"/l.Ledger/Book", "idempotency_key": None}, "idempotency-key")])
+@pytest.mark.parametrize(
+    ("changes", "said"),
+    [
+        ({"account": None}, "account"),
+        ({"account": b"9"}, "account"),
+        ({"account": b"f" * 16}, "out of range"),
+        ({"plan": b"gold"}, "plan"),
+        ({"quota_info": None}, "quota-info"),
+        ({"quota_info": b"units=9,spread=2,first=0"}, "out of range"),
+        ({"quota_info": b"units=1,spread=9,first=0"}, "out of range"),
+        ({"grpc_timeout": b"soon"}, "grpc-timeout"),
+        ({"path": b"/l.Ledger/Book", "idempotency_key": None}, "idempotency-key"),
+    ],
+)
 def test_what_is_missing_or_senseless_is_named(changes: dict, said: str) -> None:
     with pytest.raises(BadRequest, match=said):
         read(**changes)
     with pytest.raises(BadRequest, match="comes twice"):
-        Reader(Methods(ROWS, SETTINGS), SETTINGS).read(b"/l.Ledger/Read", b"", [*GOOD.items(), (b"account", b"1" * 16)])
+        Reader(Methods(ROWS, SETTINGS), SETTINGS).read(
+            b"/l.Ledger/Read", b"", [*GOOD.items(), (b"account", b"1" * 16)]
+        )
     with pytest.raises(BadRequest, match="no such method"):
         Reader(Methods(ROWS[:1], SETTINGS), SETTINGS).read(b"/a/b", b"", list(GOOD.items()))
 
@@ -165,12 +257,21 @@
         return self.room <= 0
 
 
-STEPS = st.lists(st.one_of(st.tuples(st.just("push"), st.integers(0, 30_000)), st.tuples(st.just("node"), st.integers(0, 60_000)),
-                           st.tuples(st.just("room"), st.integers(1, 60_000)), st.tuples(st.just("gone"), st.just(0))), max_size=25)
+STEPS = st.lists(
+    st.one_of(
+        st.tuples(st.just("push"), st.integers(0, 30_000)),
+        st.tuples(st.just("node"), st.integers(0, 60_000)),
+        st.tuples(st.just("room"), st.integers(1, 60_000)),
+        st.tuples(st.just("gone"), st.just(0)),
+    ),
+    max_size=25,
+)
 
 
 @given(STEPS)
-def test_an_upload_reaches_a_node_whole_or_not_at_all_and_little_is_held(steps: list[tuple[str, int]]) -> None:
+def test_an_upload_reaches_a_node_whole_or_not_at_all_and_little_is_held(
+    steps: list[tuple[str, int]],
+) -> None:
     credits: list[int] = []
     upload, node, came, spoilt = Upload(credits.append), None, b"", False
     for n, (what, size) in enumerate(steps):
@@ -192,7 +293,9 @@
             node = None
         if node is not None:
             assert came.startswith(node.data) and not node.ended
-        assert sum(credits) <= len(came) <= max(REPLAY, sum(credits)) + sum(s for w, s in steps if w == "push")
+        assert (
+            sum(credits) <= len(came) <= max(REPLAY, sum(credits)) + sum(s for w, s in steps if w == "push")
+        )
         # what is not credited is all that may be here beyond what is kept: the client can't send more of it
         held = len(came) - (len(node.data) if node is not None else 0)
         assert node is None or held <= REPLAY + len(came) - sum(credits)
--- a/tests/grpc_front/test_interop.py
+++ b/tests/grpc_front/test_interop.py
@@ -20,11 +20,22 @@
 from troutdock.grpc.service import Grpc, Terms
 
 SERVICE = "/grpc.testing.TestService/"
-ROWS = (Row(SERVICE + "EmptyCall", "payment-book"), Row(SERVICE + "UnaryCall", "vat-filing"), Row(SERVICE + "Unimplemented", "vat-filing"),
-        Row(SERVICE + "StreamingOutputCall", "vat-filing", Kind.SERVER), Row(SERVICE + "StreamingInputCall", "vat-filing", Kind.CLIENT),
-        Row(SERVICE + "FullDuplexCall", "vat-filing", Kind.BOTH), Row("/grpc.testing.UnimplementedService/*", "vat-filing"))
+ROWS = (
+    Row(SERVICE + "EmptyCall", "payment-book"),
+    Row(SERVICE + "UnaryCall", "vat-filing"),
+    Row(SERVICE + "Unimplemented", "vat-filing"),
+    Row(SERVICE + "StreamingOutputCall", "vat-filing", Kind.SERVER),
+    Row(SERVICE + "StreamingInputCall", "vat-filing", Kind.CLIENT),
+    Row(SERVICE + "FullDuplexCall", "vat-filing", Kind.BOTH),
+    Row("/grpc.testing.UnimplementedService/*", "vat-filing"),
+)
 SPECIAL = "\t\ntest with whitespace\r\nand Unicode BMP ☺ and non-BMP \U0001f608\t\n"
-TOLD = (("account", "0000000000000009"), ("plan", "plus"), ("quota-info", "units=0.1,spread=2,first=0"), ("idempotency-key", "k"))
+TOLD = (
+    ("account", "0000000000000009"),
+    ("plan", "plus"),
+    ("quota-info", "units=0.1,spread=2,first=0"),
+    ("idempotency-key", "k"),
+)
 ECHO = "x-grpc-test-echo-initial", "x-grpc-test-echo-trailing-bin"
 
 
@@ -47,7 +58,9 @@
         await echoed(context)
         asked = json.loads(request.partition(b"\0")[0] or b"{}")
         if "code" in asked:
-            await context.abort(next(c for c in grpc.StatusCode if c.value[0] == asked["code"]), asked["message"])
+            await context.abort(
+                next(c for c in grpc.StatusCode if c.value[0] == asked["code"]), asked["message"]
+            )
         return b"y" * asked.get("size", 0)
 
     async def output(self, request: bytes, context: Any) -> AsyncIterator[bytes]:
@@ -63,7 +76,9 @@
             async for request in requests:
                 asked = json.loads(request.partition(b"\0")[0])
                 if "code" in asked:
-                    await context.abort(next(c for c in grpc.StatusCode if c.value[0] == asked["code"]), asked["message"])
+                    await context.abort(
+                        next(c for c in grpc.StatusCode if c.value[0] == asked["code"]), asked["message"]
+                    )
                 await asyncio.sleep(asked.get("sleep", 0))
                 yield b"y" * asked["size"]
         except asyncio.CancelledError:
@@ -72,10 +87,12 @@
 
     def service(self, details: Any) -> Any:
         return {
-            SERVICE + "EmptyCall": grpc.unary_unary_rpc_method_handler(self.unary), SERVICE + "UnaryCall": grpc.unary_unary_rpc_method_handler(self.unary),
+            SERVICE + "EmptyCall": grpc.unary_unary_rpc_method_handler(self.unary),
+            SERVICE + "UnaryCall": grpc.unary_unary_rpc_method_handler(self.unary),
             SERVICE + "StreamingOutputCall": grpc.unary_stream_rpc_method_handler(self.output),
             SERVICE + "StreamingInputCall": grpc.stream_unary_rpc_method_handler(self.input),
-            SERVICE + "FullDuplexCall": grpc.stream_stream_rpc_method_handler(self.duplex)}.get(details.method)
+            SERVICE + "FullDuplexCall": grpc.stream_stream_rpc_method_handler(self.duplex),
+        }.get(details.method)
 
 
 @asynccontextmanager
@@ -91,8 +108,11 @@
 
     async def fronted(w: Any, stack: Any, config: str) -> None:
         raw = json.loads(config)
-        raw["known"]["targets"] = [target(type("At", (), {"address": f"127.0.0.1:{p}"})(), f"s-{n}") for n, p in enumerate(ports)]  # type: ignore[arg-type]
+        raw["known"]["targets"] = [
+            target(type("At", (), {"address": f"127.0.0.1:{p}"})(), f"s-{n}") for n, p in enumerate(ports)
+        ]  # type: ignore[arg-type]
         await daemon(w, stack, json.dumps(raw), [Grpc(Terms(ROWS))])
+
     front, FRONTS["interop"] = loopback.front, fronted
     loopback.front = "interop"
     try:
@@ -120,13 +140,17 @@
 @case
 async def client_streaming(channel: Any, services: Any) -> None:
     sizes = [27182, 8, 1828, 45904]
-    assert await channel.stream_unary(SERVICE + "StreamingInputCall")((b"x" * n for n in sizes), metadata=TOLD, timeout=5) == b"%d" % sum(sizes)
+    assert await channel.stream_unary(SERVICE + "StreamingInputCall")(
+        (b"x" * n for n in sizes), metadata=TOLD, timeout=5
+    ) == b"%d" % sum(sizes)
 
 
 @case
 async def server_streaming(channel: Any, services: Any) -> None:
     sizes = [31415, 9, 2653, 58979]
-    call = channel.unary_stream(SERVICE + "StreamingOutputCall")(json.dumps({"sizes": sizes}).encode(), metadata=TOLD, timeout=5)
+    call = channel.unary_stream(SERVICE + "StreamingOutputCall")(
+        json.dumps({"sizes": sizes}).encode(), metadata=TOLD, timeout=5
+    )
     assert [len(m) async for m in call] == sizes
 
 
@@ -199,11 +223,20 @@
 
 LARGE = json.dumps({"size": 314_159}).encode() + b"\0" * 271_828
 UNARY = {  # path, what is asked, compression, status, and the answer or the status's message
-    "empty_unary": (SERVICE + "EmptyCall", b"", None, 0, b""), "large_unary": (SERVICE + "UnaryCall", LARGE, None, 0, b"y" * 314_159),
+    "empty_unary": (SERVICE + "EmptyCall", b"", None, 0, b""),
+    "large_unary": (SERVICE + "UnaryCall", LARGE, None, 0, b"y" * 314_159),
     "client_compressed_unary": (SERVICE + "UnaryCall", LARGE, grpc.Compression.Gzip, 0, b"y" * 314_159),
-    "special_status_message": (SERVICE + "UnaryCall", json.dumps({"code": 2, "message": SPECIAL}).encode(), None, 2, SPECIAL),
-    "unimplemented_method": (SERVICE + "Unimplemented", b"", None, 12, None), "not_in_the_table": (SERVICE + "NotInTheTable", b"", None, 12, None),
-    "unimplemented_service": ("/grpc.testing.UnimplementedService/X", b"", None, 12, None)}
+    "special_status_message": (
+        SERVICE + "UnaryCall",
+        json.dumps({"code": 2, "message": SPECIAL}).encode(),
+        None,
+        2,
+        SPECIAL,
+    ),
+    "unimplemented_method": (SERVICE + "Unimplemented", b"", None, 12, None),
+    "not_in_the_table": (SERVICE + "NotInTheTable", b"", None, 12, None),
+    "unimplemented_service": ("/grpc.testing.UnimplementedService/X", b"", None, 12, None),
+}
 
 
 async def unary(channel: Any, name: str) -> None:
@@ -218,16 +251,26 @@
         async with interop() as (channel, services, w):
             await (CASES[name](channel, services) if name in CASES else unary(channel, name))
             await loopback.until(lambda: w.engine.open == 0)
+
     run(test())
 
 
 def test_a_refused_call_tells_grpc_s_own_client_when_to_come_back() -> None:
     async def test() -> None:
         async with interop() as (channel, _, _):
-            told = tuple((k, "basis" if k == "plan" else "units=2,spread=2,first=0" if k == "quota-info" else v) for k, v in TOLD)
-            calls = [channel.unary_unary(SERVICE + "UnaryCall")(b"", metadata=told, timeout=2) for _ in range(6)]
+            told = tuple(
+                (k, "basis" if k == "plan" else "units=2,spread=2,first=0" if k == "quota-info" else v)
+                for k, v in TOLD
+            )
+            calls = [
+                channel.unary_unary(SERVICE + "UnaryCall")(b"", metadata=told, timeout=2) for _ in range(6)
+            ]
             codes = [await code(call) for call in calls]
             assert sorted(dict.fromkeys(codes)) == [0, 8]
             refused = dict(await calls[codes.index(8)].trailing_metadata())
-            assert int(refused["grpc-retry-pushback-ms"]) > 0 and b"RetryInfo" in refused["grpc-status-details-bin"]
+            assert (
+                int(refused["grpc-retry-pushback-ms"]) > 0
+                and b"RetryInfo" in refused["grpc-status-details-bin"]
+            )
+
     run(test())
--- a/tests/handover/test_handover.py
+++ b/tests/handover/test_handover.py
@@ -57,10 +57,13 @@
                 await tier.start()
                 assert await tier.end(successor - 1) == 0
                 for n, client in enumerate([*clients, silent]):
-                    status, head, _ = await client.ask(request("ledger-read", 1000 * successor + n, Account=f"{n + 1:016x}"))
+                    status, head, _ = await client.ask(
+                        request("ledger-read", 1000 * successor + n, Account=f"{n + 1:016x}")
+                    )
                     assert status == 200 and b"connection: close" not in head.lower()
             for client in [*clients, silent]:
                 client.writer.close()
+
     run(test())
 
 
@@ -82,6 +85,7 @@
             assert (await client.ask(request("ledger-read", 2)))[0] == 200
             assert len(tier.node.requests) == 2
             client.writer.close()
+
     run(test())
 
 
@@ -100,11 +104,23 @@
     "within the first line": (posted(1, "ab")[:9], posted(1, "ab")[9:], [b"ab"]),
     "within the head": (posted(1, "ab")[:60], posted(1, "ab")[60:], [b"ab"]),
     "head without body": (posted(1, "ab")[:-2], b"ab", [b"ab"]),
-    "within a body": (posted(1, "x" * 999 + "y")[:-500], posted(1, "x" * 999 + "y")[-500:], [b"x" * 999 + b"y"]),
+    "within a body": (
+        posted(1, "x" * 999 + "y")[:-500],
+        posted(1, "x" * 999 + "y")[-500:],
+        [b"x" * 999 + b"y"],
+    ),
     "within a long body": (posted(1, "x" * 300_000)[:-9], b"x" * 9, [b"x" * 300_000]),
-    "within a chunk": (chunked(posted(1, "x" * 1000))[:-300], chunked(posted(1, "x" * 1000))[-300:], [b"x" * 1000]),
+    "within a chunk": (
+        chunked(posted(1, "x" * 1000))[:-300],
+        chunked(posted(1, "x" * 1000))[-300:],
+        [b"x" * 1000],
+    ),
     "behind another": (posted(1, "a") + posted(2, "b")[:70], posted(2, "b")[70:], [b"a", b"b"]),
-    "behind another, in its body": (posted(1, "a") + posted(2, "b" * 99)[:-5], b"b" * 5 + posted(3, "c"), [b"a", b"b" * 99, b"c"]),
+    "behind another, in its body": (
+        posted(1, "a") + posted(2, "b" * 99)[:-5],
+        b"b" * 5 + posted(3, "c"),
+        [b"a", b"b" * 99, b"c"],
+    ),
 }
 
 
@@ -126,13 +142,17 @@
                 assert (await client.answer())[0] == 200
             assert await ending == 0
             assert (await client.ask(posted(9, "last")))[0] == 200
-            assert sorted(data.partition(b"\r\n\r\n")[2] for data in tier.node.requests) == sorted([*bodies, b"last"])
+            assert sorted(data.partition(b"\r\n\r\n")[2] for data in tier.node.requests) == sorted(
+                [*bodies, b"last"]
+            )
             client.writer.close()
+
     run(test())
 
 
 def test_a_ceiling_is_not_filled_twice_by_two_processes(tmp_path: Path) -> None:
     """Eight units at once and one a second later; four processes by themselves let in four times that."""
+
     async def test() -> None:
         async with upgrade(tmp_path) as tier:
             served, began = 0, time.monotonic()
@@ -142,17 +162,29 @@
                     assert await tier.end(generation - 1) == 0
                 client = Client(*await asyncio.open_connection(*tier.address))
                 for n in range(8):
-                    status = (await client.ask(request("ledger-read", 100 * generation + n, Plan="basis",
-                                                       Quota_Info="units=2,spread=1,first=0")))[0]
+                    status = (
+                        await client.ask(
+                            request(
+                                "ledger-read",
+                                100 * generation + n,
+                                Plan="basis",
+                                Quota_Info="units=2,spread=1,first=0",
+                            )
+                        )
+                    )[0]
                     assert status in (200, 429)
                     served += status == 200
                 client.writer.close()
-            assert 2 * served <= 8 + (time.monotonic() - began) * 1.0 + 2  # the last one is let in by its guess
+            assert (
+                2 * served <= 8 + (time.monotonic() - began) * 1.0 + 2
+            )  # the last one is let in by its guess
+
     run(test())
 
 
 def test_successors_that_die_before_the_older_one_is_told_to_end_cost_nothing(tmp_path: Path) -> None:
     """Three in a row, by SIGKILL after their yes; then one that lives."""
+
     async def test() -> None:
         async with upgrade(tmp_path) as tier:
             await tier.start()
@@ -163,7 +195,9 @@
                 nonlocal number
                 for client in clients:
                     number += 1
-                    assert (await client.ask(request("ledger-read", number, Account=f"{number % 20:016x}")))[0] == 200
+                    assert (await client.ask(request("ledger-read", number, Account=f"{number % 20:016x}")))[
+                        0
+                    ] == 200
 
             for _ in range(3):
                 await all_ask()
@@ -178,6 +212,7 @@
             assert len(tier.node.requests) == number
             for client in clients:
                 client.writer.close()
+
     run(test())
 
 
@@ -186,7 +221,9 @@
         async with upgrade(tmp_path) as tier:
             await tier.start()
             await tier.start()
-            assert await tier.call(1, "POST", "out-of-service") == 200  # at the door of the one that stands by
+            assert (
+                await tier.call(1, "POST", "out-of-service") == 200
+            )  # at the door of the one that stands by
             assert await healthy(tier, False)
             assert await tier.call(1, "GET", "ready") == 200  # it stands by all the same
             assert await tier.end(0) == 0
@@ -196,6 +233,7 @@
             assert await healthy(tier, False)
             assert await tier.call(2, "POST", "in-service") == 200
             assert await healthy(tier, True)
+
     run(test())
 
 
@@ -209,6 +247,7 @@
             assert await healthy(tier, True)
             assert await tier.end(0) == 0
             assert await healthy(tier, True) and await tier.call(2, "GET", "ready") == 200
+
     run(test())
 
 
@@ -227,11 +266,13 @@
             assert (await client.answer())[0] == 200 and await ending == 0
             assert (await client.ask(request("ledger-read", 2)))[0] == 200
             client.writer.close()
+
     run(test())
 
 
 def test_a_budget_for_bodies_is_one_for_both_processes(tmp_path: Path) -> None:
     """2 MiB of it: while the older one has a body of 1.5 out, the newer one has room for half of one."""
+
     async def test() -> None:
         held = Held(lambda data: len(data) > 1_000_000)
         async with upgrade(tmp_path, held) as tier:
@@ -250,6 +291,7 @@
             assert (await first.answer())[0] == 200 and await ending == 0
             assert (await first.ask(posted(4, "x" * 900_000)))[0] == 200
             first.writer.close()
+
     run(test())
 
 
@@ -272,13 +314,17 @@
 
 def test_an_older_and_a_newer_program_take_over_from_each_other(tmp_path: Path) -> None:
     """Up and back: connections and a spent quota go over both times, and what is left out is in both logs."""
+
     async def test() -> None:
         async with upgrade(tmp_path) as tier:
             await tier.start()
             client = Client(*await asyncio.open_connection(*tier.address))
 
             async def let_in(first: int) -> int:
-                asks = [request("ledger-read", first + n, Plan="basis", Quota_Info="units=4,spread=1,first=0") for n in range(6)]
+                asks = [
+                    request("ledger-read", first + n, Plan="basis", Quota_Info="units=4,spread=1,first=0")
+                    for n in range(6)
+                ]
                 return [(await client.ask(ask))[0] for ask in asks].count(200)
 
             assert 1 <= await let_in(1) <= 3  # 8 units and one a second
@@ -291,6 +337,7 @@
             assert "not known here, or not there: weather, customers.mood" in back
             assert "the successor has left out: weather, customers.mood" in newer
             client.writer.close()
+
     run(test())
 
 
@@ -303,11 +350,13 @@
             assert (await client.ask(request("ledger-read")))[0] == 200
             assert await asyncio.gather(tier.end(0), tier.end(1)) == [0, 0]
             client.writer.close()
+
     run(test())
 
 
 def test_settings_that_change_while_a_successor_stands_by_hold_after_it(tmp_path: Path) -> None:
     """SIGHUP a hundred times in a second at both; what the newer one has read is in force in the end."""
+
     async def test() -> None:
         async with upgrade(tmp_path) as tier:
             await tier.start()
@@ -315,7 +364,9 @@
             for number in (0, 1):
                 file = tmp_path / f"{number}.json"
                 config = json.loads(file.read_text())
-                config["settings"]["categories"].append({**config["settings"]["categories"][0], "name": "ledger-list"})
+                config["settings"]["categories"].append(
+                    {**config["settings"]["categories"][0], "name": "ledger-list"}
+                )
                 file.write_text(json.dumps(config))
             client = Client(*await asyncio.open_connection(*tier.address))
             for turn in range(100):
@@ -328,6 +379,7 @@
             assert await tier.end(0) == 0
             assert (await client.ask(request("ledger-read", 501, path="/ledger-list/7")))[0] == 200
             client.writer.close()
+
     run(test())
 
 
@@ -350,9 +402,8 @@
             reader, writer = await asyncio.open_connection(*tier.address)
             assert (await Client(reader, writer).ask(request()))[0] == 200
             writer.close()
-    run(test())
-
 
+    run(test())
 
 
 def test_what_a_predecessor_holds_of_the_budgets_is_free_once_it_is_gone_however_it_goes() -> None:
@@ -361,10 +412,13 @@
             for alone in (False, True):  # followed to its end; or dead before it was
                 assert w.service.take(b"no state", Holds(bodies=7, streams=1))[0]
                 w.service.own(alone)
-                assert (w.service._server.bodies.held, w.service._server.streams) == ((0, 0) if alone else (7, 1))
+                assert (w.service._server.bodies.held, w.service._server.streams) == (
+                    (0, 0) if alone else (7, 1)
+                )
                 if not alone:
                     w.service.ended()
                 assert (w.service._server.bodies.held, w.service._server.streams) == (0, 0)
+
     run(test())
 
 
@@ -381,6 +435,7 @@
 
 def test_what_was_left_to_a_successor_that_dies_is_answered_here_after_all() -> None:
     """Whole messages that waited for it, whole ones that were on their way to it, and one that had begun."""
+
     async def test() -> None:
         async with world(*[answer()] * 6) as w:
             server, heir = w.service._server, Heir()
@@ -391,8 +446,12 @@
             waiting.writer.write(posted(1, "a"))
             pipelined.writer.write(posted(4, "c") + posted(5, "d") + posted(6, "ef")[:-1])
             await until(lambda: sum(len(c._wholes) for c in server._clients) == 3)
-            assert not [c for c in server._clients if c._wholes and c in server.waiting]  # where it would be late one day
-            spoilt.writer.write(posted(7, "g") + b"nonsense\r\n\r\n")  # can't go over: answered here, in order
+            assert not [
+                c for c in server._clients if c._wholes and c in server.waiting
+            ]  # where it would be late one day
+            spoilt.writer.write(
+                posted(7, "g") + b"nonsense\r\n\r\n"
+            )  # can't go over: answered here, in order
             assert [(await spoilt.answer())[0] for _ in range(2)] == [200, 400]
             server.take_back()
             assert (await waiting.answer())[0] == 200
@@ -409,4 +468,5 @@
             assert [(await client.answer())[0] for client in (passed, begun, pipelined)] == [200, 200, 200]
             bodies = sorted(data.partition(b"\r\n\r\n")[2] for node in w.backends for data in node.requests)
             assert bodies == [b"a", b"ab", b"b" * 70_000, b"c", b"d", b"ef", b"g"]
+
     run(test())
--- a/tests/handover/test_link.py
+++ b/tests/handover/test_link.py
@@ -17,7 +17,24 @@
 from troutdock.handover import link
 from troutdock.handover.link import NAME, PredecessorLink, SuccessorLink
 from troutdock.handover.protocol import (
-    PIECE, Ack, Bytes, Done, Hello, Holds, Message, Passed, Sorry, State, StateEnd, Told, Took, Welcome, Wish, checksum, decode, encode,
+    PIECE,
+    Ack,
+    Bytes,
+    Done,
+    Hello,
+    Holds,
+    Message,
+    Passed,
+    Sorry,
+    State,
+    StateEnd,
+    Told,
+    Took,
+    Welcome,
+    Wish,
+    checksum,
+    decode,
+    encode,
 )
 from troutdock.handover.roles import Giving, Item, Taking
 
@@ -109,12 +126,18 @@
             item.connection.close()
         assert not older.link.give(Item(None)) and older.returned == []
         older.link.close()
+
     run(test())
 
 
 # what a successor says, in turn, and what the older process is left as when it ends after so many of them
 SAYS: list[tuple[Message, list[Any]]] = [
-    (Hello(), []), (Wish(False), [("wished", False)]), (Took(), ["retired", "owned"]), (Ack(1), []), (Ack(3), [])]
+    (Hello(), []),
+    (Wish(False), [("wished", False)]),
+    (Took(), ["retired", "owned"]),
+    (Ack(1), []),
+    (Ack(3), []),
+]
 LEFT = [[], [], ["retired", "untouched"], ["lost"], ["lost"], ["lost"]]
 RETURNED = [0, 0, 0, 3, 2, 0]
 
@@ -151,16 +174,29 @@
         for mine, given in pairs:
             mine.close()
             given.close()
+
     run(test())
 
 
 GIVES: list[Message] = [
-    Welcome(), State(STATE[:PIECE]), State(STATE[PIECE:2 * PIECE]), State(STATE[2 * PIECE:3 * PIECE]), State(STATE[3 * PIECE:]),
-    StateEnd(len(STATE), checksum(STATE)), Told(Settled(1, 0)), Bytes(b"be"), Bytes(b"gun"), Passed(5), Done()]
+    Welcome(),
+    State(STATE[:PIECE]),
+    State(STATE[PIECE : 2 * PIECE]),
+    State(STATE[2 * PIECE : 3 * PIECE]),
+    State(STATE[3 * PIECE :]),
+    StateEnd(len(STATE), checksum(STATE)),
+    Told(Settled(1, 0)),
+    Bytes(b"be"),
+    Bytes(b"gun"),
+    Passed(5),
+    Done(),
+]
 
 
 @pytest.mark.parametrize("said", range(len(GIVES) + 1))
-def test_a_predecessor_that_ends_after_any_message_leaves_its_successor_in_service(tmp_path: Path, said: int) -> None:
+def test_a_predecessor_that_ends_after_any_message_leaves_its_successor_in_service(
+    tmp_path: Path, said: int
+) -> None:
     async def test() -> None:
         listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET | socket.SOCK_NONBLOCK)
         listener.bind(str(tmp_path / NAME))
@@ -177,7 +213,12 @@
                 sock.send(encode(message))
         if said:
             assert await asking
-            await until(lambda: newer.link.role.at is (Taking.STANDBY if said < 6 else Taking.OWNER if said < 11 else Taking.ALONE))
+            await until(
+                lambda: (
+                    newer.link.role.at
+                    is (Taking.STANDBY if said < 6 else Taking.OWNER if said < 11 else Taking.ALONE)
+                )
+            )
         listener.close()
         sock.close()
         await until(newer.link.over.is_set)
@@ -191,10 +232,14 @@
         newer.link.close()
         for end in (other, given, *(item.connection for item in newer.items)):
             end.close()
+
     run(test())
 
 
-@pytest.mark.parametrize("nonsense", [b"take", b"\xff" * 2000, msgspec.msgpack.encode({"type": "took"}), encode(Took()), encode(Done())])
+@pytest.mark.parametrize(
+    "nonsense",
+    [b"take", b"\xff" * 2000, msgspec.msgpack.encode({"type": "took"}), encode(Took()), encode(Done())],
+)
 def test_nonsense_ends_its_link_and_nothing_else(tmp_path: Path, nonsense: bytes) -> None:
     async def test() -> None:
         older = Older(tmp_path)
@@ -213,10 +258,13 @@
         assert not await asking and late.log == []
         for sock in [*others, bad]:
             sock.close()
+
     run(test())
 
 
-def test_a_successor_that_does_not_take_the_state_in_time_is_not_the_owner(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_successor_that_does_not_take_the_state_in_time_is_not_the_owner(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """It wakes up later, and asks anew; then it is."""
     monkeypatch.setattr(link, "ANSWER_S", 0.05)
 
@@ -230,10 +278,13 @@
         await until(lambda: newer.log[-1:] == ["owner"])
         assert older.log[2:] == ["retired", "owned"]
         older.link.close()
+
     run(test())
 
 
-def test_a_predecessor_that_says_nothing_is_waited_for_no_longer_than_told(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_predecessor_that_says_nothing_is_waited_for_no_longer_than_told(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(link, "ANSWER_S", 0.05)
 
     async def test() -> None:
@@ -244,10 +295,13 @@
             assert not await newer.link.ask(str(tmp_path)) and newer.link.over.is_set()
         assert not await Newer().link.ask(str(tmp_path))  # nobody listens there any more
         assert not await Newer().link.ask(str(tmp_path / "nowhere"))
+
     run(test())
 
 
-def test_a_process_of_another_user_is_turned_away_at_either_end(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_process_of_another_user_is_turned_away_at_either_end(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     async def test() -> None:
         older = Older(tmp_path)
         monkeypatch.setattr(link, "_same_user", lambda sock: False)
@@ -256,6 +310,7 @@
         assert await packet(sock) is None
         sock.close()
         older.link.close()
+
     run(test())
 
 
@@ -270,6 +325,7 @@
         await until(lambda: older.log == [("wished", True)])
         sock.close()
         older.link.close()
+
     run(test())
     assert "'weather' is of a newer program" in caplog.text
 
@@ -283,4 +339,5 @@
         assert await packet(sock) is None
         sock.close()
         older.link.close()
+
     run(test())
--- a/tests/handover/test_roles.py
+++ b/tests/handover/test_roles.py
@@ -13,8 +13,26 @@
 from tamarindfold.interface import Outcome, Settled
 from troutdock.handover import roles
 from troutdock.handover.protocol import (
-    MAX_STATE, PIECE, VERSION, WINDOW, Ack, Bytes, Done, Hello, Holds, Passed, ProtocolError, Sorry, State, StateEnd, Took,
-    Welcome, Wish, checksum, decode, encode,
+    MAX_STATE,
+    PIECE,
+    VERSION,
+    WINDOW,
+    Ack,
+    Bytes,
+    Done,
+    Hello,
+    Holds,
+    Passed,
+    ProtocolError,
+    Sorry,
+    State,
+    StateEnd,
+    Took,
+    Welcome,
+    Wish,
+    checksum,
+    decode,
+    encode,
 )
 from troutdock.handover.roles import Giving, Item, Predecessor, Successor, Taking
 
@@ -45,7 +63,9 @@
         self.at_older: dict[int, bytes] = {}  # connections that it reads from, and what has come on them
         self.at_newer: dict[int, bytes] = {}
         self.all: dict[int, bytes] = {}
-        self.asked: dict[int, str] = {}  # requests without an answer, by connection: who has read it, "" for nobody
+        self.asked: dict[
+            int, str
+        ] = {}  # requests without an answer, by connection: who has read it, "" for nobody
         self.answered: dict[int, int] = {}
         self.requests: dict[int, int] = {}
         self.find()
@@ -198,7 +218,7 @@
     @rule(many=st.booleans())
     def give(self, many: bool) -> None:
         owes = [name for name, reader in self.asked.items() if reader == "older"]
-        for name in [n for n in self.at_older if n not in owes][:None if many else 1]:
+        for name in [n for n in self.at_older if n not in owes][: None if many else 1]:
             if self.older.at is Giving.FOLLOWED:
                 self.done_older(self.older.give(Item(name, self.at_older.pop(name))))
 
@@ -265,7 +285,7 @@
 
     @invariant()
     def reports_come_once_and_in_order(self) -> None:
-        assert self.heard == self.told[:len(self.heard)]
+        assert self.heard == self.told[: len(self.heard)]
 
     @invariant()
     def few_descriptors_are_held_twice(self) -> None:
@@ -303,14 +323,29 @@
 
 
 CALLS = {
-    Giving.ALONE: [], Giving.AWAITED: [Hello()], Giving.GIVING: [Hello(), "end"],
-    Giving.FOLLOWED: [Hello(), "end", Took()]}
-
-
-@pytest.mark.parametrize(("at", "message"), [
-    (Giving.ALONE, Took()), (Giving.ALONE, Wish(True)), (Giving.AWAITED, Took()), (Giving.AWAITED, Ack(0)),
-    (Giving.AWAITED, Done()), (Giving.GIVING, Ack(0)), (Giving.GIVING, Welcome()), (Giving.FOLLOWED, Took()),
-    (Giving.FOLLOWED, Ack(1)), (Giving.FOLLOWED, State(b"")), (Giving.ALONE, "new")])
+    Giving.ALONE: [],
+    Giving.AWAITED: [Hello()],
+    Giving.GIVING: [Hello(), "end"],
+    Giving.FOLLOWED: [Hello(), "end", Took()],
+}
+
+
+@pytest.mark.parametrize(
+    ("at", "message"),
+    [
+        (Giving.ALONE, Took()),
+        (Giving.ALONE, Wish(True)),
+        (Giving.AWAITED, Took()),
+        (Giving.AWAITED, Ack(0)),
+        (Giving.AWAITED, Done()),
+        (Giving.GIVING, Ack(0)),
+        (Giving.GIVING, Welcome()),
+        (Giving.FOLLOWED, Took()),
+        (Giving.FOLLOWED, Ack(1)),
+        (Giving.FOLLOWED, State(b"")),
+        (Giving.ALONE, "new"),
+    ],
+)
 def test_a_predecessor_takes_no_message_that_makes_no_sense(at: Giving, message: Any) -> None:
     older = Predecessor()
     for call in CALLS[at]:
@@ -320,11 +355,21 @@
         older.receive("link", message)
 
 
-@pytest.mark.parametrize(("before", "message"), [
-    ([], State(b"")), ([], Done()), ([Welcome()], Welcome()), ([Welcome()], Passed()), ([Welcome()], StateEnd(1, 0)),
-    ([Welcome(), State(b"ab")], StateEnd(2, 0)), ([Welcome(), *[State(b"x" * PIECE)] * (MAX_STATE // PIECE)], State(b"x")),
-    ([Welcome(), StateEnd(0, checksum(b"")), "said"], Passed()), ([Welcome(), StateEnd(0, checksum(b"")), "said"], State(b"")),
-    ([Welcome(), StateEnd(0, checksum(b"")), "said", Bytes(b"ab")], Passed(3))])
+@pytest.mark.parametrize(
+    ("before", "message"),
+    [
+        ([], State(b"")),
+        ([], Done()),
+        ([Welcome()], Welcome()),
+        ([Welcome()], Passed()),
+        ([Welcome()], StateEnd(1, 0)),
+        ([Welcome(), State(b"ab")], StateEnd(2, 0)),
+        ([Welcome(), *[State(b"x" * PIECE)] * (MAX_STATE // PIECE)], State(b"x")),
+        ([Welcome(), StateEnd(0, checksum(b"")), "said"], Passed()),
+        ([Welcome(), StateEnd(0, checksum(b"")), "said"], State(b"")),
+        ([Welcome(), StateEnd(0, checksum(b"")), "said", Bytes(b"ab")], Passed(3)),
+    ],
+)
 def test_a_successor_takes_no_message_that_makes_no_sense(before: list[Any], message: Any) -> None:
     newer = Successor()
     for step in before:
@@ -333,9 +378,15 @@
         newer.receive(message, 7 if message == Passed(3) else None)
 
 
-@pytest.mark.parametrize(("hello", "answer"), [
-    (Hello(VERSION + 5, VERSION), Welcome(VERSION)), (Hello(VERSION, 1), Welcome(VERSION)),
-    (Hello(VERSION + 5, VERSION + 1), Sorry), (Hello(1, 1), Sorry)])
+@pytest.mark.parametrize(
+    ("hello", "answer"),
+    [
+        (Hello(VERSION + 5, VERSION), Welcome(VERSION)),
+        (Hello(VERSION, 1), Welcome(VERSION)),
+        (Hello(VERSION + 5, VERSION + 1), Sorry),
+        (Hello(1, 1), Sorry),
+    ],
+)
 def test_the_newest_version_that_both_speak_is_spoken(hello: Hello, answer: Any) -> None:
     (sent, *_) = Predecessor().receive("link", hello)
     assert isinstance(sent, roles.Send)
--- a/tests/handover/test_snapshot.py
+++ b/tests/handover/test_snapshot.py
@@ -14,7 +14,17 @@
 
 from tamarindfold import Gateway, snapshot
 from tamarindfold.interface import (
-    Count, CountAnswered, Effect, Fail, Group, Outcome, Plan, Refuse, RequestClass, Send, Settled,
+    Count,
+    CountAnswered,
+    Effect,
+    Fail,
+    Group,
+    Outcome,
+    Plan,
+    Refuse,
+    RequestClass,
+    Send,
+    Settled,
 )
 
 READ = RequestClass(1500, 6000, 3, Effect.SAFE, name="read")
@@ -45,7 +55,8 @@
 
 @given(st.lists(st.tuples(st.floats(0, 3000), st.integers(1, 30)), min_size=1, max_size=8), st.integers(0, 7))
 def test_bucket_and_ceiling_are_those_of_one_gateway_however_often_it_is_replaced(
-        steps: list[tuple[float, int]], replaced: int) -> None:
+    steps: list[tuple[float, int]], replaced: int
+) -> None:
     """The same requests at one gateway and at a row of successors: what is let in of each customer is alike."""
     one, row = made(), made()
     now, number = START + OLD, 1
@@ -71,7 +82,9 @@
     lets_in(g, START + OLD, 5)
     heir = passed_on(g)
     assert lets_in(g, START + OLD, 40, 2000) == 0
-    assert all(isinstance(g.handle(START + OLD, request(n, customer=77, width=1))[0], Refuse) for n in (3001, 3002))
+    assert all(
+        isinstance(g.handle(START + OLD, request(n, customer=77, width=1))[0], Refuse) for n in (3001, 3002)
+    )
     before = heir.customers[9].cap_tokens
     assert 0 < lets_in(heir, START + OLD, 40, 4000) <= before
 
@@ -164,12 +177,32 @@
     return wrong
 
 
-@pytest.mark.parametrize(("path", "value"), [
-    ("version", 1), ("version", KeyError), ("classes", KeyError), ("classes", ["read"]), ("customers", 7),
-    ("customers.rows.0", [1, 2]), ("customers.rows.0.5", 0.0), ("customers.rows.0.5", "x"), ("customers.fields", [7]),
-    ("customers.rows.0.4", float("nan")), ("pools.rows.0.3", [1.0]), ("pools.rows.0.3.0", -1.0), ("pools.rows.0.1", [1.0]),
-    ("backends.rows.0.5", []), ("backends.rows.0.1", None), ("booked.rows.0.2", ["nowhere", 0]), ("booked.rows.0", "x"),
-    ("attempts.rows.0.7", 5), ("attempts.rows.0.5", -1.0), ("asking", True), ("", 1)])
+@pytest.mark.parametrize(
+    ("path", "value"),
+    [
+        ("version", 1),
+        ("version", KeyError),
+        ("classes", KeyError),
+        ("classes", ["read"]),
+        ("customers", 7),
+        ("customers.rows.0", [1, 2]),
+        ("customers.rows.0.5", 0.0),
+        ("customers.rows.0.5", "x"),
+        ("customers.fields", [7]),
+        ("customers.rows.0.4", float("nan")),
+        ("pools.rows.0.3", [1.0]),
+        ("pools.rows.0.3.0", -1.0),
+        ("pools.rows.0.1", [1.0]),
+        ("backends.rows.0.5", []),
+        ("backends.rows.0.1", None),
+        ("booked.rows.0.2", ["nowhere", 0]),
+        ("booked.rows.0", "x"),
+        ("attempts.rows.0.7", 5),
+        ("attempts.rows.0.5", -1.0),
+        ("asking", True),
+        ("", 1),
+    ],
+)
 def test_a_state_that_makes_no_sense_changes_nothing(path: str, value: Any) -> None:
     g = made()
     arrival = request(1, 1, width=1)
@@ -199,7 +232,12 @@
     for row in [state["backends"]["fields"], *state["backends"]["rows"]]:
         del row[column]
     heir = made()
-    assert snapshot.restore(heir, state) == ["weather", "customers.mood", "no backends.cold_turn", "no booked"]
+    assert snapshot.restore(heir, state) == [
+        "weather",
+        "customers.mood",
+        "no backends.cold_turn",
+        "no booked",
+    ]
     assert heir.customers[9].cap_tokens == g.customers[9].cap_tokens
 
 
@@ -215,7 +253,9 @@
                 counted += action.amount
                 todo += g.handle(START + OLD, CountAnswered(action.name, Outcome.OK, 1.0, counted))
         g.customers[9].tokens, g.customers[9].debt = 0.0, 1.0
-        (count,) = [a for a in g.handle(START + OLD + 1, arrival) if isinstance(a, Count)]  # held for its answer
+        (count,) = [
+            a for a in g.handle(START + OLD + 1, arrival) if isinstance(a, Count)
+        ]  # held for its answer
         heir = passed_on(g)
         counted += count.amount if sent else 1000.0
         for action in g.handle(START + OLD + 2, CountAnswered(count.name, Outcome.OK, 1.0, counted)):
@@ -239,7 +279,9 @@
     out = sum(len(b.out) for b in third.backends.values())
     assert out == 2
     unknown = Settled(6, 0, Outcome.OK, 1, cls="read", customer=9, plan="plus", true_units=1.5, units=0.5)
-    (told,) = second.handle(START + OLD + 5, unknown)  # of the first one, and none that the second has heard of
+    (told,) = second.handle(
+        START + OLD + 5, unknown
+    )  # of the first one, and none that the second has heard of
     before = [s.value for b in third.backends.values() for s in b.slowness]
     third.handle(START + OLD + 5, told)
     assert sum(len(b.out) for b in third.backends.values()) == 2 and third.customers[9].answers == 1
@@ -286,6 +328,8 @@
             snapshot.forget(row[-1])
         last = row[-1]
         assert sum(len(b.out) for b in last.backends.values()) == len(out)
-        assert all(b.load == pytest.approx(sum(sent[1] for sent in b.out.values())) for b in last.backends.values())
+        assert all(
+            b.load == pytest.approx(sum(sent[1] for sent in b.out.values())) for b in last.backends.values()
+        )
         if last.customers:
             assert last.customers[9].answers == answered
--- a/tests/http/test_age.py
+++ b/tests/http/test_age.py
@@ -54,6 +54,7 @@
 
 def test_the_time_that_an_answer_lay_unread_is_not_the_backends() -> None:
     """Found on the day at the size of a whole service: the fleet looked slow, and all was refused."""
+
     async def test() -> None:
         node = ThreadedNode()
         async with world(answer()) as w:
@@ -74,6 +75,7 @@
             assert ended.lag_ms > 0.8 * BUSY_S * 1000
             assert ended.elapsed_ms - ended.lag_ms < 0.5 * BUSY_S * 1000
         node.listener.close()
+
     run(test())
 
 
@@ -88,6 +90,7 @@
                 await until(lambda: any(isinstance(e, RequestArrived) for e in seen))
             (arrived,) = [e for e in seen if isinstance(e, RequestArrived)]
             assert arrived.time_left_ms < 1500 - 0.8 * BUSY_S * 1000
+
     run(test())
 
 
@@ -108,6 +111,7 @@
 
 def test_a_request_that_waited_for_this_process_is_refused_at_once_with_a_time() -> None:
     """Before any work: the decision module makes no call of it, and no backend hears of it."""
+
     async def test() -> None:
         async with world(answer()) as w:
             clients = [await w.client() for _ in range(3)]
@@ -125,6 +129,7 @@
             assert len(w.backends[0].requests) == sent
             await asyncio.sleep(0.2)
             assert (await clients[0].ask(request("vat-filing", 20)))[0] == 200  # nothing is left of it
+
     run(test())
 
 
@@ -137,11 +142,13 @@
             c.writer.write(request("ledger-read", 2, Plan="gold"))
             time.sleep(2 * BUSY_S)
             assert (await c.answer())[0] == 400
+
     run(test())
 
 
 def test_what_a_client_that_has_left_asked_late_is_not_done() -> None:
     """Else a storm is answered long after it has gone, and all that is new waits behind it."""
+
     async def test() -> None:
         async with world(answer()) as w:
             kept = socket.create_connection(w.address)
@@ -157,4 +164,5 @@
             assert len(w.backends[0].requests) == 1 and w.engine.open == 0
             assert w.engine.tally.taken == 1
             assert (await w.ask(request("payment-book", 4)))[0] == 200
+
     run(test())
--- a/tests/http/test_bodies.py
+++ b/tests/http/test_bodies.py
@@ -41,7 +41,13 @@
 
 def small_config() -> dict[str, Any]:
     from loopback import SETTINGS
-    return {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "limits": {"memory_mb": 80}, "settings": SETTINGS}
+
+    return {
+        "listen": "127.0.0.1:0",
+        "discovery": "127.0.0.1:9",
+        "limits": {"memory_mb": 80},
+        "settings": SETTINGS,
+    }
 
 
 def test_a_silent_connection_a_head_and_a_body_each_have_their_own_time() -> None:
@@ -60,11 +66,14 @@
     async def test() -> None:
         async with world(answer()) as w:
             for name in ("Request_Id", "Plan", "Account", "Request_Timeout", "Quota_Info", "Content_Length"):
-                plain = dict(line.split(": ") for line in request().decode().split("\r\n\r\n")[0].split("\r\n")[1:])
+                plain = dict(
+                    line.split(": ") for line in request().decode().split("\r\n\r\n")[0].split("\r\n")[1:]
+                )
                 padded = " \t" + plain[name.replace("_", "-")] + " \t "
                 assert (await w.ask(request(**{name: padded})))[0] == 200, name
             assert (await w.ask(request("payment-book", Idempotency_Key="ab" * 16 + " ")))[0] == 200
             assert b"ab\r\n" in w.backends[0].requests[-1]
+
     run(test())
 
 
@@ -86,12 +95,22 @@
             await asyncio.sleep(0.1)
             client.writer.write(second[30:])
             assert (await client.answer())[0] == 200
+
     run(test())
 
 
-@pytest.mark.parametrize(("url", "path"), [
-    (b"/a/b?c=http://x", b"/a/b?c=http://x"), (b"http://h:80/a/b?c", b"/a/b?c"), (b"HTTPS://h/a", b"/a"),
-    (b"http://h", b"/"), (b"http://h?c", b"/?c"), (b"*", b"*"), (b"h:80", b"h:80")])
+@pytest.mark.parametrize(
+    ("url", "path"),
+    [
+        (b"/a/b?c=http://x", b"/a/b?c=http://x"),
+        (b"http://h:80/a/b?c", b"/a/b?c"),
+        (b"HTTPS://h/a", b"/a"),
+        (b"http://h", b"/"),
+        (b"http://h?c", b"/?c"),
+        (b"*", b"*"),
+        (b"h:80", b"h:80"),
+    ],
+)
 def test_a_target_in_absolute_form_is_the_path_behind_the_host(url: bytes, path: bytes) -> None:
     assert path_of(url) == path
 
@@ -110,6 +129,7 @@
             whole = [r for b in w.backends for r in b.requests]
             assert len(whole) >= 1 and all(r.endswith(b"\r\n\r\n" + LONG.encode()) for r in whole)
             await until(lambda: w.service._server.bodies.held == 0)
+
     run(test())
 
 
@@ -117,12 +137,15 @@
     async def test() -> None:
         async with world(answer()) as w:
             data = LONG.encode()
-            chunks = b"".join(b"%x;ext=1\r\n%b\r\n" % (len(part), part)
-                              for part in (data[i:i + 50_000] for i in range(0, len(data), 50_000)))
+            chunks = b"".join(
+                b"%x;ext=1\r\n%b\r\n" % (len(part), part)
+                for part in (data[i : i + 50_000] for i in range(0, len(data), 50_000))
+            )
             head = request(body="", Content_Length=None, Transfer_Encoding="chunked ")
             status, _, _ = await w.ask(head + chunks + b"0\r\nTrailer: x\r\n\r\n")
             assert status == 200 and w.backends[0].requests[0].endswith(b"\r\n\r\n" + data)
             assert w.service._server.bodies.held == 0
+
     run(test())
 
 
@@ -140,6 +163,7 @@
             assert (await first.answer())[0] == 200
             assert (await w.ask(request(number=4, body=LONG)))[0] == 200
             assert len(w.backends[0].requests) == 3 and w.service._server.bodies.held == 0
+
     run(test())
 
 
@@ -160,6 +184,7 @@
             whole.writer.close()
             await until(lambda: held.held == 0)
             release.set()
+
     run(test())
 
 
@@ -186,11 +211,13 @@
             assert b"xpect" not in w.backends[0].requests[1]
             status, _, _ = await client.ask(request(number=3, body="y", Expect="100-continue"))
             assert status in (100, 200)  # it did not wait: told or not, the answer follows
+
     run(test())
 
 
 def test_a_body_that_comes_slowly_at_its_pace_is_taken_and_one_that_stops_is_not(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     for limit, value in (("HEAD_S", 0.2), ("SILENT_S", 0.2), ("GRACE_S", 0.1), ("PACE", 20_000)):
         monkeypatch.setattr(bodies, limit, value)
     monkeypatch.setattr("troutdock.daemon.SWEEP_S", 0.02)
@@ -201,21 +228,25 @@
             whole = request(body="x" * 40_000)
             stops.writer.write(request(number=2, body="x" * 40_000)[:20_000])
             for at in range(0, len(whole), 4000):  # in some 0.5 s, far over the head's time
-                slow.writer.write(whole[at:at + 4000])
+                slow.writer.write(whole[at : at + 4000])
                 await asyncio.sleep(0.05)
             assert (await slow.answer())[0] == 200
             assert (await stops.answer())[0] == 408
             assert len(w.backends[0].requests) == 1
+
     run(test())
 
 
-@pytest.mark.parametrize(("head", "served"), [
-    (b"Content-Length: 4 \r\n\r\ndone", True),
-    (b"Transfer-Encoding: chunked \r\n\r\n2\r\ndo\r\n2;x=y\r\nne\r\n0\r\nT: x\r\n\r\n", True),
-    (b"Connection: close\r\n\r\ndone", True),
-    (b"Connection: Close \r\n\r\ndone", True),
-    (b"\r\ndone", False),  # nobody said that the end would come
-])
+@pytest.mark.parametrize(
+    ("head", "served"),
+    [
+        (b"Content-Length: 4 \r\n\r\ndone", True),
+        (b"Transfer-Encoding: chunked \r\n\r\n2\r\ndo\r\n2;x=y\r\nne\r\n0\r\nT: x\r\n\r\n", True),
+        (b"Connection: close\r\n\r\ndone", True),
+        (b"Connection: Close \r\n\r\ndone", True),
+        (b"\r\ndone", False),  # nobody said that the end would come
+    ],
+)
 def test_every_form_of_an_answers_body(head: bytes, served: bool) -> None:
     async def test() -> None:
         async def script(peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
@@ -226,6 +257,7 @@
         async with world(script) as w:
             status, _, body = await w.ask(request())
             assert (status, body) == ((200, b"done") if served else (502, b""))
+
     run(test())
 
 
@@ -240,6 +272,7 @@
         async with world(script) as w:
             sock_closes_hard(w.backends[0])
             assert (await w.ask(request()))[0] == 502
+
     run(test())
 
 
--- a/tests/http/test_closing_requests.py
+++ b/tests/http/test_closing_requests.py
@@ -33,9 +33,11 @@
         address = server.listen(("127.0.0.1", 0))
         _, writer = await asyncio.open_connection(*address)
         name = Silent.settings.classes[0].name.encode()
-        writer.write(b"GET /%b HTTP/1.1\r\nHost: x\r\nRequest-Id: a\r\nAccount: 000000000000000a\r\nPlan: %b\r\n"
-                     b"Request-Timeout: 9\r\nQuota-Info: units=1,spread=1,first=0\r\n%b\r\n"
-                     % (name, Silent.settings.plans[0].name.encode(), ends))
+        writer.write(
+            b"GET /%b HTTP/1.1\r\nHost: x\r\nRequest-Id: a\r\nAccount: 000000000000000a\r\nPlan: %b\r\n"
+            b"Request-Timeout: 9\r\nQuota-Info: units=1,spread=1,first=0\r\n%b\r\n"
+            % (name, Silent.settings.plans[0].name.encode(), ends)
+        )
         while not engine.open:
             await asyncio.sleep(0)
         await asyncio.sleep(0)  # to the end of what reads it
--- a/tests/http/test_cycles.py
+++ b/tests/http/test_cycles.py
@@ -23,14 +23,23 @@
 
 def alive(w: Any) -> dict[str, int]:
     found = Counter(type(o).__name__ for o in gc.get_objects() if isinstance(o, KINDS))
-    found["ResponseReader"] -= w.discovery.connections + 1  # the watch of discovery has its own, and failed ones
+    found["ResponseReader"] -= (
+        w.discovery.connections + 1
+    )  # the watch of discovery has its own, and failed ones
     return {kind: n for kind, n in found.items() if n > 0}
 
 
-@pytest.mark.parametrize(("cls", "script"), [
-    ("ledger-read", answer()), ("ledger-read", answer(b"", 500)), ("payment-book", sends(b"")),
-    ("vat-filing", sends(b"")), ("vat-filing", silence), ("ledger-read", answer(b"", 503, b"Not-Started: 1\r\n")),
-])
+@pytest.mark.parametrize(
+    ("cls", "script"),
+    [
+        ("ledger-read", answer()),
+        ("ledger-read", answer(b"", 500)),
+        ("payment-book", sends(b"")),
+        ("vat-filing", sends(b"")),
+        ("vat-filing", silence),
+        ("ledger-read", answer(b"", 503, b"Not-Started: 1\r\n")),
+    ],
+)
 def test_nothing_is_left_to_the_collector(cls: str, script: Script) -> None:
     async def test() -> None:
         async with world(script, script) as w:
@@ -55,6 +64,5 @@
                 assert not alive(w), w.discovery.connections
             finally:
                 gc.enable()
-    run(test())
-
 
+    run(test())
