--- a/tests/http/test_long_answers.py
+++ b/tests/http/test_long_answers.py
@@ -21,12 +21,18 @@
 
 
 def framed(form: str, total: int) -> bytes:
-    return {"length": LENGTH % total, "chunked": b"Transfer-Encoding: chunked\r\n\r\n",
-            "end": b"Connection: close\r\n\r\n"}[form]
+    return {
+        "length": LENGTH % total,
+        "chunked": b"Transfer-Encoding: chunked\r\n\r\n",
+        "end": b"Connection: close\r\n\r\n",
+    }[form]
 
 
-def writes(form: str, pieces: int, before: int = 0, release: asyncio.Event | None = None, cut: int | None = None) -> Script:
+def writes(
+    form: str, pieces: int, before: int = 0, release: asyncio.Event | None = None, cut: int | None = None
+) -> Script:
     """An answer of so many pieces; before: how many come before release; cut: how many come at all."""
+
     async def script(peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
         peer.written = 0
         writer.write(b"HTTP/1.1 200 OK\r\nBilled-Units: 2\r\n" + framed(form, pieces * len(PIECE)))
@@ -42,6 +48,7 @@
             writer.write(b"0\r\n\r\n")
         elif form == "end":
             writer.close()
+
     return script
 
 
@@ -71,6 +78,7 @@
                 assert first + b"".join([chunk async for chunk in chunks]) == PIECE * 12
             assert (await client.ask(request(number=2)))[0] == 200  # the connection goes on
             assert w.engine.tally.served >= 1
+
     run(test())
 
 
@@ -82,11 +90,13 @@
             whole = await client.reader.read()
             head, _, body = whole.partition(b"\r\n\r\n")
             assert b"chunked" not in head and b"Connection: close" in head and body == PIECE * 4
+
     run(test())
 
 
 def test_a_client_that_reads_slowly_stops_the_reading_from_the_backend() -> None:
     """What is held is bounded by the buffers of both sides, not by the answer."""
+
     async def test() -> None:
         async with world(writes("length", 512)) as w:  # 32 MiB
             sock = socket.socket()
@@ -108,6 +118,7 @@
                 left -= len(await reader.read(min(left, 1 << 20)))
             assert resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - peak < 16 * 1024  # KiB
             writer.close()
+
     run(test())
 
 
@@ -121,6 +132,7 @@
             await asyncio.sleep(0.4)
             release.set()
             assert await client.reader.readexactly(4 * len(PIECE)) == PIECE * 4
+
     run(test())
 
 
@@ -140,6 +152,7 @@
             assert whole.startswith(b"HTTP/1.1 200 ") and not whole.endswith(b"0\r\n\r\n")
             assert sum(len(b.requests) for b in w.backends) == 1
             assert w.engine.tally.failed == 1 and w.engine.open == 0
+
     run(test())
 
 
@@ -153,6 +166,7 @@
             await client.reader.readuntil(b"\r\n\r\n")
             with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
                 await client.reader.readexactly(4 * len(PIECE))
+
     run(test())
 
 
@@ -162,19 +176,25 @@
             writer.write(b"HTTP/1.1 200 OK\r\n" + LENGTH % (3 * 1024**3) + PIECE)
 
         async def stops_early(peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
-            writer.write(b"HTTP/1.1 200 OK\r\n" + LENGTH % 1_000_000 + PIECE[:STREAM_FROM - 1])
+            writer.write(b"HTTP/1.1 200 OK\r\n" + LENGTH % 1_000_000 + PIECE[: STREAM_FROM - 1])
 
         for spoilt in (says_too_much, stops_early):
             turns: list[int] = []
 
-            async def first_spoilt(peer: Peer, data: bytes, writer: asyncio.StreamWriter,
-                                   spoilt: Script = spoilt, turns: list[int] = turns) -> None:
+            async def first_spoilt(
+                peer: Peer,
+                data: bytes,
+                writer: asyncio.StreamWriter,
+                spoilt: Script = spoilt,
+                turns: list[int] = turns,
+            ) -> None:
                 turns.append(1)
                 await (spoilt if len(turns) == 1 else answer())(peer, data, writer)
 
             async with world(first_spoilt, first_spoilt) as w:
                 assert (await w.ask(request("ledger-read")))[2] == b"done"
                 assert len(turns) == 2
+
     run(test())
 
 
@@ -188,6 +208,7 @@
             await until(lambda: w.engine.open == 0)
             await until(lambda: w.service.ingress.transport.open == 0)
             assert w.engine.tally.withdrawn == 1
+
     run(test())
 
 
@@ -205,6 +226,7 @@
             await until(lambda: w.engine.tally.taken == 1)
             await until(lambda: w.engine.open == 0)
             sock.close()
+
     run(test())
 
 
@@ -220,6 +242,7 @@
             await client.reader.readuntil(b"\r\n\r\n")
             await asyncio.sleep(0.3)
             assert len(await client.reader.read()) == 64 * len(PIECE)
+
     run(test())
 
 
@@ -236,12 +259,15 @@
 
         async with world(*[first_waits] * 5) as w:
             client = await w.client()
-            client.writer.write(request("ledger-read") + request("ledger-read", 2) + request("ledger-read", 3))
+            client.writer.write(
+                request("ledger-read") + request("ledger-read", 2) + request("ledger-read", 3)
+            )
             await asyncio.sleep(0.1)
             release.set()
             assert (await client.answer())[2] == b"first"
             assert (await client.answer())[2] == PIECE * 40
             assert (await client.answer())[2] == PIECE * 40
+
     run(test())
 
 
@@ -253,6 +279,7 @@
             await until(lambda: w.engine.open == 0)
             held = [o for o in gc.get_objects() if isinstance(o, Exchange)]
             assert not [e for e in held if e.flow is not None]
+
     run(test())
 
 
@@ -282,6 +309,7 @@
             for sock in slow:
                 sock.close()
             await until(lambda: server.streams == 0)
+
     run(test())
 
 
@@ -294,8 +322,11 @@
 
 
 @pytest.mark.parametrize(("cls", "tries"), [("vat-filing", 1), ("ledger-read", 2)])
-def test_the_rest_of_an_answer_is_waited_for_longer_where_nothing_else_can_be_tried(cls: str, tries: int) -> None:
+def test_the_rest_of_an_answer_is_waited_for_longer_where_nothing_else_can_be_tried(
+    cls: str, tries: int
+) -> None:
     """A backend that stands still for half a second in the middle of its answer: seen on a recorded day."""
+
     async def test() -> None:
         asked: list[int] = []
 
@@ -311,4 +342,5 @@
         async with world(pauses, pauses) as w:
             status, _, body = await w.ask(request(cls))
             assert (status, body, len(asked)) == (200, b"done", tries)
+
     run(test())
--- a/tests/http/test_places.py
+++ b/tests/http/test_places.py
@@ -47,6 +47,7 @@
 @pytest.mark.parametrize(("clients", "sockets"), [(13, 80), (40, 80), (128, 1024)])
 def test_clients_that_ask_in_a_row_are_never_reset(clients: int, sockets: int) -> None:
     """128 of them within 488 places, and more of them than there are places."""
+
     async def test() -> None:
         async with places(sockets) as w:
             told: list[str] = []
@@ -57,11 +58,14 @@
                 assert "end" not in told  # there was room for all
             if clients > (sockets - 48) // 2:
                 assert "end" in told
+
     run(test())
     gc.collect()
 
 
-def test_a_connection_that_never_asks_makes_room_once_it_is_not_fresh(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_connection_that_never_asks_makes_room_once_it_is_not_fresh(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """All others are in use; without a look of its own the door stayed shut until the message's time was over."""
     monkeypatch.setattr(server_module, "USED_S", 60.0)
     monkeypatch.setattr(bodies, "SILENT_S", 60.0)
@@ -76,11 +80,13 @@
             assert (await w.ask(read(99)))[0] == 200
             assert await silent[0].reader.read() == b""
             assert not used[0].reader.at_eof()
+
     run(test())
 
 
 def test_connections_that_never_ask_make_room() -> None:
     """Guards the door: places all held by idle connections are free again once those are out of use."""
+
     async def test() -> None:
         async with places(80) as w:
             server = w.service._server
@@ -91,11 +97,13 @@
             assert (await asyncio.wait_for(w.ask(read(99)), 3))[0] == 200
             late = [w.ask(read(100 + n)) for n in range(16)]
             assert {status for status, _, _ in await asyncio.gather(*late)} == {200}
+
     run(test())
 
 
 def test_a_request_that_came_while_the_process_stood_is_not_cut_as_idle() -> None:
     """After a stall the sweep comes before the reads: connections that stood idle for too long had asked meanwhile."""
+
     async def test() -> None:
         loop = asyncio.get_running_loop()
 
@@ -120,7 +128,11 @@
 
             w.engine.arrive = stalls
             assert (await w.ask(read(300)))[0] == 200
-            assert {await answered(sock) for sock in socks} <= {b"HTTP/1.1 200", b"HTTP/1.1 429"}  # and none is cut
+            assert {await answered(sock) for sock in socks} <= {
+                b"HTTP/1.1 200",
+                b"HTTP/1.1 429",
+            }  # and none is cut
             for sock in socks:
                 sock.close()
+
     run(test())
--- a/tests/http/test_taking_in.py
+++ b/tests/http/test_taking_in.py
@@ -27,6 +27,7 @@
 
 def test_what_fails_while_a_request_is_taken_in_is_logged_and_fails_that_request_only(caplog: Any) -> None:
     """The parser swallows what its callbacks raise: the request stood unanswered before all later ones."""
+
     async def test() -> None:
         async with world(answer()) as w:
             client, arrive = await w.client(), w.engine.arrive
@@ -38,5 +39,6 @@
             w.engine.arrive = broken
             assert (await client.ask(request("ledger-read", 1)))[0] == 500
             assert (await client.ask(request("ledger-read", 2)))[0] == 200
+
     run(test())
     assert "not foreseen" in caplog.text
--- a/tests/http/test_transport.py
+++ b/tests/http/test_transport.py
@@ -24,26 +24,32 @@
 NOT_STARTED = b"Not-Started: 1\r\n"
 
 
-@pytest.mark.parametrize(("script", "outcome"), [
-    (answer(b"done"), Outcome.OK),
-    (answer(b"", 500), Outcome.ERROR),
-    (answer(b"", 503, NOT_STARTED), Outcome.FULL),
-    (answer(b"", 504, NOT_STARTED), Outcome.FULL),
-    (answer(b"", 503), Outcome.ERROR),
-    (answer(b"", 504, b"Not-Started: 0\r\n"), Outcome.ERROR),
-    (answer(b"", 500, NOT_STARTED), Outcome.ERROR),
-    (answer(b"", 404), Outcome.ERROR),
-    (sends(b""), Outcome.RESET),
-    (sends(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"), Outcome.RESET),
-    (sends(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"), Outcome.RESET),
-    (sends(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n"), Outcome.OK),
-    (sends(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"), Outcome.OK),
-    (sends(b"HTTP/1.1 200 OK\r\n\r\ndone"), Outcome.RESET),  # whether that is all of it can't be told
-    (sends(b"SSH-2.0-nonsense\r\n", close=False), Outcome.RESET),
-    (sends(b"HTTP/1.1 200 OK\r\nX: " + b"x" * 70_000, close=False), Outcome.RESET),
-    (answer(b"x" * (MAX_BODY + 1)), Outcome.RESET),
-    (sends(b"HTTP/1.1 101 Switching\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n", close=False), Outcome.RESET),
-])
+@pytest.mark.parametrize(
+    ("script", "outcome"),
+    [
+        (answer(b"done"), Outcome.OK),
+        (answer(b"", 500), Outcome.ERROR),
+        (answer(b"", 503, NOT_STARTED), Outcome.FULL),
+        (answer(b"", 504, NOT_STARTED), Outcome.FULL),
+        (answer(b"", 503), Outcome.ERROR),
+        (answer(b"", 504, b"Not-Started: 0\r\n"), Outcome.ERROR),
+        (answer(b"", 500, NOT_STARTED), Outcome.ERROR),
+        (answer(b"", 404), Outcome.ERROR),
+        (sends(b""), Outcome.RESET),
+        (sends(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"), Outcome.RESET),
+        (sends(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"), Outcome.RESET),
+        (sends(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n"), Outcome.OK),
+        (sends(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"), Outcome.OK),
+        (sends(b"HTTP/1.1 200 OK\r\n\r\ndone"), Outcome.RESET),  # whether that is all of it can't be told
+        (sends(b"SSH-2.0-nonsense\r\n", close=False), Outcome.RESET),
+        (sends(b"HTTP/1.1 200 OK\r\nX: " + b"x" * 70_000, close=False), Outcome.RESET),
+        (answer(b"x" * (MAX_BODY + 1)), Outcome.RESET),
+        (
+            sends(b"HTTP/1.1 101 Switching\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n", close=False),
+            Outcome.RESET,
+        ),
+    ],
+)
 def test_each_answer_has_its_outcome(script: Script, outcome: Outcome) -> None:
     async def test() -> None:
         peer = Peer(script)
@@ -52,6 +58,7 @@
         assert got is outcome
         assert (response.body == b"done") if got is Outcome.OK else True
         peer.stop()
+
     run(test())
 
 
@@ -62,6 +69,7 @@
         peer.server.close()
         await peer.server.wait_closed()
         assert (await Outcomes(peer.port).outcome())[0] is Outcome.CONNECT_FAILED
+
     run(test())
 
 
@@ -85,11 +93,13 @@
             outcomes = Outcomes(port)
             assert (await outcomes.outcome())[0] is Outcome.CONNECT_FAILED
             assert outcomes.backends.open == 0
+
     run(test())
 
 
 def test_an_attempt_given_up_while_its_connection_opens_leaves_no_cycle() -> None:
     """Its task keeps the error that ended it, that its frame, and the frame the attempt."""
+
     async def test() -> None:
         with full_backlog() as port:
             outcomes = Outcomes(port)
@@ -105,6 +115,7 @@
                 assert opening() is None
             finally:
                 gc.enable()
+
     run(test())
 
 
@@ -123,6 +134,7 @@
         assert (await outcomes.outcome(b"x" * 50_000_000))[0] is Outcome.CONNECT_FAILED
         assert (await outcomes.outcome(b"x" * 10))[0] is Outcome.RESET
         peer.stop()
+
     run(test())
 
 
@@ -144,11 +156,13 @@
         assert peer.connections == 2
         assert first.over and second.over and not third.over
         peer.stop()
+
     run(test())
 
 
 def test_a_connection_that_the_peer_closed_is_never_handed_out() -> None:
     """Even in the moment before the loop has read of the close: an unsafe request would end as a reset."""
+
     async def test() -> None:
         peer = Peer(answer())
         await peer.start()
@@ -163,6 +177,7 @@
         assert (await outcomes.outcome())[0] is Outcome.OK
         assert peer.connections == 2
         peer.stop()
+
     run(test())
 
 
@@ -185,11 +200,13 @@
         await until(lambda: len(peer.requests) == 2)
         assert peer.connections == 1 and not second.over
         peer.stop()
+
     run(test())
 
 
 def test_each_waiting_attempt_keeps_the_connection_that_comes_up_for_it() -> None:
     """Found in review: one that served an older attempt left its own waiting, if the other then failed."""
+
     async def test() -> None:
         peer = Peer(answer())
         await peer.start()
@@ -203,6 +220,7 @@
         assert [o for a, o, _ in outcomes.ended if a is first] == [Outcome.OK]
         assert peer.connections == 1
         peer.stop()
+
     run(test())
 
 
@@ -217,6 +235,7 @@
             assert (await outcomes.outcome())[0] in (Outcome.CONNECT_FAILED, Outcome.RESET)
         assert outcomes.backends.open == 0
         server.close()
+
     run(test())
 
 
@@ -231,19 +250,25 @@
         await until(lambda: peer.closed == 1)
         assert outcomes.backends.open == 0 and not outcomes.ended
         peer.stop()
+
     run(test())
 
 
-@pytest.mark.parametrize(("served", "resets", "shrinks"), [
-    ((), (3.0,), True),  # nothing is known of such an age
-    ((5.0,), (3.0,), False),  # another as old has just served
-    ((5.0,), (3.0, 3.0), True),  # two in a row, and none that served between them
-    ((5.0, None, 5.0), (3.0,), False),
-    ((2.0,), (3.0,), True),  # only a younger one has
-])
+@pytest.mark.parametrize(
+    ("served", "resets", "shrinks"),
+    [
+        ((), (3.0,), True),  # nothing is known of such an age
+        ((5.0,), (3.0,), False),  # another as old has just served
+        ((5.0,), (3.0, 3.0), True),  # two in a row, and none that served between them
+        ((5.0, None, 5.0), (3.0,), False),
+        ((2.0,), (3.0,), True),  # only a younger one has
+    ],
+)
 def test_a_reset_is_laid_to_a_connections_age_only_where_none_as_old_serves(
-        served: tuple[float | None, ...], resets: tuple[float, ...], shrinks: bool) -> None:
+    served: tuple[float | None, ...], resets: tuple[float, ...], shrinks: bool
+) -> None:
     """A few resets of other causes had a gateway with little traffic open a connection for each request."""
+
     async def test() -> None:
         transport = HttpTransport(8, 0.25, 30.0, lambda *_: None)
         before = transport.use_s
@@ -252,6 +277,7 @@
         for idle_s in resets:
             transport.stale(idle_s)
         assert (transport.use_s < 0.9 * before) == shrinks
+
     run(test())
 
 
@@ -265,6 +291,7 @@
 @pytest.mark.parametrize("repeatable", (True, False))
 def test_an_interim_answer_is_no_answer_that_has_stopped_midway(repeatable: bool) -> None:
     """A backend that had said 103 was taken for one that broke off 0.3 s later, while it was at work."""
+
     async def test() -> None:
         peer = Peer(sends(b"HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n", close=False))
         await peer.start()
@@ -279,11 +306,17 @@
         await until(lambda: bool(outcomes.ended))
         assert outcomes.ended[0][1] is Outcome.OK and attempt.lag_ms < 1000
         peer.stop()
+
     run(test())
 
 
-@pytest.mark.parametrize(("silence_ends", "repeatable", "watched"), [(True, True, True), (True, False, True), (False, True, True), (False, False, False)])
-def test_an_answer_that_stops_is_waited_for_where_nothing_else_may_be_tried(silence_ends: bool, repeatable: bool, watched: bool) -> None:
+@pytest.mark.parametrize(
+    ("silence_ends", "repeatable", "watched"),
+    [(True, True, True), (True, False, True), (False, True, True), (False, False, False)],
+)
+def test_an_answer_that_stops_is_waited_for_where_nothing_else_may_be_tried(
+    silence_ends: bool, repeatable: bool, watched: bool
+) -> None:
     async def test() -> None:
         peer = Peer(sends(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nha", close=False))
         await peer.start()
@@ -294,12 +327,19 @@
         assert attempt.connection is not None and (attempt.connection._stalled is not None) is watched
         outcomes.backends.give_up(attempt)
         peer.stop()
+
     run(test())
 
 
-@pytest.mark.parametrize(("silence_ends", "left_ms", "least_s"), [(True, 60_000.0, 0.0), (False, 60_000.0, 55.0), (False, 100.0, 0.0)])
-def test_a_long_answer_that_stops_is_waited_for_until_its_time_is_over(silence_ends: bool, left_ms: float, least_s: float) -> None:
+@pytest.mark.parametrize(
+    ("silence_ends", "left_ms", "least_s"),
+    [(True, 60_000.0, 0.0), (False, 60_000.0, 55.0), (False, 100.0, 0.0)],
+)
+def test_a_long_answer_that_stops_is_waited_for_until_its_time_is_over(
+    silence_ends: bool, left_ms: float, least_s: float
+) -> None:
     """Its deadline holds for its beginning only, and 5 s of silence ended one that had a minute."""
+
     async def test() -> None:
         loop = asyncio.get_running_loop()
         peer = Peer(sends(b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n" + b"x" * 50_000, close=False))
@@ -310,18 +350,29 @@
         attempt = Attempt(Owner(Manners(silence_ends=silence_ends), left_ms), 0, 1, PAYLOAD, 0.0)
         attempt.streams = True
         backends.start(attempt)
-        await until(lambda: attempt.connection is not None and attempt.connection._streaming and attempt.connection._stalled is not None)
+        await until(
+            lambda: (
+                attempt.connection is not None
+                and attempt.connection._streaming
+                and attempt.connection._stalled is not None
+            )
+        )
         assert attempt.connection is not None and attempt.connection._stalled is not None
         left_s = attempt.connection._stalled.when() - loop.time()
         assert (left_s > least_s) and (left_s < STREAM_STALL_S + 0.1 or least_s > 0)
         backends.give_up(attempt)
         peer.stop()
+
     run(test())
 
 
-@pytest.mark.parametrize(("manners", "outcome"), [(Manners(), Outcome.CONNECT_FAILED), (Manners(whole_first=False), Outcome.RESET)])
+@pytest.mark.parametrize(
+    ("manners", "outcome"), [(Manners(), Outcome.CONNECT_FAILED), (Manners(whole_first=False), Outcome.RESET)]
+)
 @pytest.mark.parametrize("ends", ("reset", "close"))
-def test_a_break_before_the_last_byte_is_what_the_protocol_makes_of_it(manners: Manners, outcome: Outcome, ends: str) -> None:
+def test_a_break_before_the_last_byte_is_what_the_protocol_makes_of_it(
+    manners: Manners, outcome: Outcome, ends: str
+) -> None:
     async def test() -> None:
         async def half(reader: asyncio.StreamReader) -> bytes:
             return await reader.readexactly(10)
@@ -338,12 +389,14 @@
         await until(lambda: bool(outcomes.ended))
         assert outcomes.ended[0][1] is outcome
         peer.stop()
+
     run(test())
 
 
 @pytest.mark.parametrize("early", (b"HTTP/1.1 200 OK\r\nContent-Le", b"garbage\r\n"))
 def test_who_has_begun_to_answer_may_have_run_what_was_not_written_whole(early: bytes) -> None:
     """It counted as never run, and was sent again."""
+
     async def test() -> None:
         async def half(reader: asyncio.StreamReader) -> bytes:
             return await reader.readexactly(10)
@@ -360,4 +413,5 @@
         await until(lambda: bool(outcomes.ended))
         assert outcomes.ended[0][1] is Outcome.RESET
         peer.stop()
+
     run(test())
--- a/tests/http2/test_h2_connection.py
+++ b/tests/http2/test_h2_connection.py
@@ -7,7 +7,14 @@
 import pytest
 from h2.config import H2Configuration
 from h2.connection import H2Connection
-from h2.events import DataReceived, RequestReceived, ResponseReceived, StreamEnded, StreamReset, TrailersReceived
+from h2.events import (
+    DataReceived,
+    RequestReceived,
+    ResponseReceived,
+    StreamEnded,
+    StreamReset,
+    TrailersReceived,
+)
 from h2.exceptions import ProtocolError
 from hpack import Decoder, Encoder
 from hypothesis import given
@@ -20,7 +27,13 @@
 from troutdock.http2.guard import CHEAP, RESETS, YOUNG_S
 from troutdock.http2.headers import MOST_LIST, Headers, encode, split
 
-HEAD: Headers = [(b":method", b"POST"), (b":scheme", b"http"), (b":path", b"/a/b"), (b":authority", b"x"), (b"te", b"trailers")]
+HEAD: Headers = [
+    (b":method", b"POST"),
+    (b":scheme", b"http"),
+    (b":path", b"/a/b"),
+    (b":authority", b"x"),
+    (b"te", b"trailers"),
+]
 SETTINGS = f.settings({})
 
 
@@ -88,7 +101,9 @@
                 self.trailers[event.stream_id] = [(bytes(k), bytes(v)) for k, v in event.headers]
             elif isinstance(event, DataReceived):
                 self.data[event.stream_id] = self.data.get(event.stream_id, b"") + event.data
-                self.uncredited[event.stream_id] = self.uncredited.get(event.stream_id, 0) + event.flow_controlled_length
+                self.uncredited[event.stream_id] = (
+                    self.uncredited.get(event.stream_id, 0) + event.flow_controlled_length
+                )
             elif isinstance(event, StreamEnded):
                 self.ended.append(event.stream_id)
             elif isinstance(event, StreamReset):
@@ -129,8 +144,9 @@
 
 @examples(max_examples=60, deadline=None)
 @given(BODIES, BODIES, st.lists(st.integers(1, 40_000), max_size=30), st.booleans())
-def test_bodies_and_headers_go_over_whole_both_ways_within_all_windows(up: list[int], down: list[int], cuts: list[int],
-                                                                       ours_is_client: bool) -> None:
+def test_bodies_and_headers_go_over_whole_both_ways_within_all_windows(
+    up: list[int], down: list[int], cuts: list[int], ours_is_client: bool
+) -> None:
     ours, peer = Owner(ours_is_client), Peer(not ours_is_client)
     exchange(ours, peer, cuts)
     sent: dict[int, bytes] = {}
@@ -188,7 +204,9 @@
         while (room := min(peer.h2.local_flow_control_window(stream.id), 16_384)) > 0:
             peer.h2.send_data(stream.id, b"x" * room)
             exchange(ours, peer, [])
-    assert [len(ours.data[s.id]) for s in streams] == [20_000] * 40  # 800 KB: the connection's window did not stop them
+    assert [len(ours.data[s.id]) for s in streams] == [
+        20_000
+    ] * 40  # 800 KB: the connection's window did not stop them
     ours.h2.consumed(streams[7], 20_000)
     exchange(ours, peer, [])
     assert [peer.h2.local_flow_control_window(s.id) for s in streams[6:9]] == [0, 20_000, 0]
@@ -232,7 +250,11 @@
 BREAKS = [
     ("no preface", b"GET / HTTP/1.1\r\n\r\n", Code.PROTOCOL_ERROR),
     ("a preface that turns out none", f.PREFACE[:20] + b"xxxx", Code.PROTOCOL_ERROR),
-    ("HTTP/1.1 behind the preface", f.PREFACE + b"POST /vat-filing HTTP/1.1\r\nHost: x\r\n\r\n", Code.FRAME_SIZE_ERROR),
+    (
+        "HTTP/1.1 behind the preface",
+        f.PREFACE + b"POST /vat-filing HTTP/1.1\r\nHost: x\r\n\r\n",
+        Code.FRAME_SIZE_ERROR,
+    ),
     ("no SETTINGS at first", f.PREFACE + f.frame(f.PING, 0, 0, b"x" * 8), Code.PROTOCOL_ERROR),
     ("a frame too long", f.PREFACE + SETTINGS + f.HEAD.pack(1, 0, f.DATA, 0, 1), None),
     ("an even stream", f.PREFACE + SETTINGS + opened(2), Code.PROTOCOL_ERROR),
@@ -244,26 +266,91 @@
     ("a window of an idle stream", f.PREFACE + SETTINGS + f.window_update(9, 8), Code.PROTOCOL_ERROR),
     ("a window that grows by nothing", f.PREFACE + SETTINGS + f.window_update(0, 0), Code.PROTOCOL_ERROR),
     ("a window too wide", f.PREFACE + SETTINGS + f.window_update(0, 2**31 - 1), Code.FLOW_CONTROL_ERROR),
-    ("a first window too wide", f.PREFACE + f.settings({f.INITIAL_WINDOW_SIZE: 2**31}), Code.FLOW_CONTROL_ERROR),
+    (
+        "a first window too wide",
+        f.PREFACE + f.settings({f.INITIAL_WINDOW_SIZE: 2**31}),
+        Code.FLOW_CONTROL_ERROR,
+    ),
     ("frames too small", f.PREFACE + f.settings({f.MAX_FRAME_SIZE: 100}), Code.PROTOCOL_ERROR),
     ("a push", f.PREFACE + SETTINGS + f.frame(f.PUSH_PROMISE, 0, 1, b"x" * 8), Code.PROTOCOL_ERROR),
     ("SETTINGS cut", f.PREFACE + f.frame(f.SETTINGS, 0, 0, b"x" * 5), Code.FRAME_SIZE_ERROR),
     ("a PING cut", f.PREFACE + SETTINGS + f.frame(f.PING, 0, 0, b"x"), Code.FRAME_SIZE_ERROR),
     ("a GOAWAY cut", f.PREFACE + SETTINGS + f.frame(f.GOAWAY, 0, 0, b"x"), Code.PROTOCOL_ERROR),
-    ("padding beyond the frame", f.PREFACE + SETTINGS + f.frame(f.DATA, f.PADDED, 1, b"\x09x"), Code.PROTOCOL_ERROR),
-    ("a frame in a block", f.PREFACE + SETTINGS + f.frame(f.HEADERS, 0, 1, b"") + f.frame(f.PING, 0, 0, b"x" * 8), Code.PROTOCOL_ERROR),
-    ("CONTINUATION of nothing", f.PREFACE + SETTINGS + f.frame(f.CONTINUATION, 4, 1, b""), Code.PROTOCOL_ERROR),
-    ("CONTINUATION without end", f.PREFACE + SETTINGS + f.frame(f.HEADERS, 0, 1, b"") + flood(f.frame(f.CONTINUATION, 0, 1, b""), 20), Code.ENHANCE_YOUR_CALM),
-    ("a block too long", f.PREFACE + SETTINGS + f.frame(f.HEADERS, 0, 1, b"x" * 16_000) + flood(f.frame(f.CONTINUATION, 0, 1, b"x" * 16_000), 1 + MOST_BLOCK // 16_000), Code.ENHANCE_YOUR_CALM),
-    ("a block that is none", f.PREFACE + SETTINGS + opened(1, block=b"\xff\xff\xff\xff\xff\xff"), Code.COMPRESSION_ERROR),
-    ("an HPACK bomb", f.PREFACE + SETTINGS + opened(1, block=BOMB.encode([(b"a", b"x" * 3000)]) + b"\xbe" * 2000), Code.ENHANCE_YOUR_CALM),
-    ("headers beyond the bound", f.PREFACE + SETTINGS + opened(1, block=encode([(b"x%d" % n, b"y" * 500) for n in range(30)]) + encode([(b"z", b"y" * 1000)])), Code.ENHANCE_YOUR_CALM),
-    ("PINGs", f.PREFACE + SETTINGS + flood(f.frame(f.PING, 0, 0, b"x" * 8), int(CHEAP) + 2), Code.ENHANCE_YOUR_CALM),
+    (
+        "padding beyond the frame",
+        f.PREFACE + SETTINGS + f.frame(f.DATA, f.PADDED, 1, b"\x09x"),
+        Code.PROTOCOL_ERROR,
+    ),
+    (
+        "a frame in a block",
+        f.PREFACE + SETTINGS + f.frame(f.HEADERS, 0, 1, b"") + f.frame(f.PING, 0, 0, b"x" * 8),
+        Code.PROTOCOL_ERROR,
+    ),
+    (
+        "CONTINUATION of nothing",
+        f.PREFACE + SETTINGS + f.frame(f.CONTINUATION, 4, 1, b""),
+        Code.PROTOCOL_ERROR,
+    ),
+    (
+        "CONTINUATION without end",
+        f.PREFACE + SETTINGS + f.frame(f.HEADERS, 0, 1, b"") + flood(f.frame(f.CONTINUATION, 0, 1, b""), 20),
+        Code.ENHANCE_YOUR_CALM,
+    ),
+    (
+        "a block too long",
+        f.PREFACE
+        + SETTINGS
+        + f.frame(f.HEADERS, 0, 1, b"x" * 16_000)
+        + flood(f.frame(f.CONTINUATION, 0, 1, b"x" * 16_000), 1 + MOST_BLOCK // 16_000),
+        Code.ENHANCE_YOUR_CALM,
+    ),
+    (
+        "a block that is none",
+        f.PREFACE + SETTINGS + opened(1, block=b"\xff\xff\xff\xff\xff\xff"),
+        Code.COMPRESSION_ERROR,
+    ),
+    (
+        "an HPACK bomb",
+        f.PREFACE + SETTINGS + opened(1, block=BOMB.encode([(b"a", b"x" * 3000)]) + b"\xbe" * 2000),
+        Code.ENHANCE_YOUR_CALM,
+    ),
+    (
+        "headers beyond the bound",
+        f.PREFACE
+        + SETTINGS
+        + opened(
+            1, block=encode([(b"x%d" % n, b"y" * 500) for n in range(30)]) + encode([(b"z", b"y" * 1000)])
+        ),
+        Code.ENHANCE_YOUR_CALM,
+    ),
+    (
+        "PINGs",
+        f.PREFACE + SETTINGS + flood(f.frame(f.PING, 0, 0, b"x" * 8), int(CHEAP) + 2),
+        Code.ENHANCE_YOUR_CALM,
+    ),
     ("SETTINGS", f.PREFACE + flood(SETTINGS, int(CHEAP) + 3), Code.ENHANCE_YOUR_CALM),
-    ("empty DATA", f.PREFACE + SETTINGS + opened(1) + flood(f.frame(f.DATA, 0, 1), int(CHEAP) + 2), Code.ENHANCE_YOUR_CALM),
-    ("PRIORITY", f.PREFACE + SETTINGS + flood(f.frame(f.PRIORITY, 0, 1, b"x" * 5), int(CHEAP) + 2), Code.ENHANCE_YOUR_CALM),
-    ("rapid resets", f.PREFACE + SETTINGS + b"".join(opened(2 * n + 1) + f.reset(2 * n + 1, 8) for n in range(int(RESETS) + 2)), Code.ENHANCE_YOUR_CALM),
-    ("streams beyond the bound", f.PREFACE + SETTINGS + b"".join(opened(2 * n + 1) for n in range(int(CHEAP) + 20)), Code.ENHANCE_YOUR_CALM),
+    (
+        "empty DATA",
+        f.PREFACE + SETTINGS + opened(1) + flood(f.frame(f.DATA, 0, 1), int(CHEAP) + 2),
+        Code.ENHANCE_YOUR_CALM,
+    ),
+    (
+        "PRIORITY",
+        f.PREFACE + SETTINGS + flood(f.frame(f.PRIORITY, 0, 1, b"x" * 5), int(CHEAP) + 2),
+        Code.ENHANCE_YOUR_CALM,
+    ),
+    (
+        "rapid resets",
+        f.PREFACE
+        + SETTINGS
+        + b"".join(opened(2 * n + 1) + f.reset(2 * n + 1, 8) for n in range(int(RESETS) + 2)),
+        Code.ENHANCE_YOUR_CALM,
+    ),
+    (
+        "streams beyond the bound",
+        f.PREFACE + SETTINGS + b"".join(opened(2 * n + 1) for n in range(int(CHEAP) + 20)),
+        Code.ENHANCE_YOUR_CALM,
+    ),
 ]
 
 
@@ -278,7 +365,7 @@
         return
     with pytest.raises(ConnectionError) as raised:
         for at in range(0, len(data), cut or len(data)):
-            owner.h2.receive(data[at:at + (cut or len(data))], 0.0)
+            owner.h2.receive(data[at : at + (cut or len(data))], 0.0)
     assert raised.value.code == code
     assert sum(map(len, owner.h2.out)) < 20_000  # what is answered is bounded, whatever was asked
 
@@ -287,7 +374,11 @@
     ("trailers that are no end", opened(1) + opened(1), Code.PROTOCOL_ERROR),
     ("data behind the end", opened(1, True) + f.frame(f.DATA, 0, 1, b"x"), Code.STREAM_CLOSED),
     ("headers behind the end", opened(1, True) + opened(1, True), Code.STREAM_CLOSED),
-    ("data beyond the window", opened(1) + flood(f.frame(f.DATA, 0, 1, b"x" * 16_384), 5), Code.FLOW_CONTROL_ERROR),
+    (
+        "data beyond the window",
+        opened(1) + flood(f.frame(f.DATA, 0, 1, b"x" * 16_384), 5),
+        Code.FLOW_CONTROL_ERROR,
+    ),
     ("a window of nothing", opened(1) + f.window_update(1, 0), Code.PROTOCOL_ERROR),
     ("a window too wide", opened(1) + f.window_update(1, 2**31 - 1), Code.FLOW_CONTROL_ERROR),
     ("too many streams", b"".join(opened(2 * n + 1) for n in range(5)), Code.REFUSED_STREAM),
@@ -304,6 +395,7 @@
         if stream.id in owner.heads and not end:
             raise StreamError(Code.PROTOCOL_ERROR, "trailers that are no end")
         plain(stream, headers, end)
+
     owner.on_headers = strict  # type: ignore[method-assign]
     owner.h2.receive(data, 0.0)
     out = owner.h2.take()
@@ -327,13 +419,21 @@
 
 
 @examples(max_examples=150, deadline=None)
-@given(st.lists(st.one_of(
-    st.binary(max_size=60),
-    st.builds(f.frame, st.integers(0, 12), st.integers(0, 255), st.integers(0, 12), st.binary(max_size=40)),
-    st.builds(opened, st.integers(0, 12), st.booleans()),
-    st.builds(f.window_update, st.integers(0, 9), st.integers(0, 2**31 - 1)),
-    st.builds(f.reset, st.integers(0, 9), st.integers(0, 20)),
-), max_size=40), st.booleans())
+@given(
+    st.lists(
+        st.one_of(
+            st.binary(max_size=60),
+            st.builds(
+                f.frame, st.integers(0, 12), st.integers(0, 255), st.integers(0, 12), st.binary(max_size=40)
+            ),
+            st.builds(opened, st.integers(0, 12), st.booleans()),
+            st.builds(f.window_update, st.integers(0, 9), st.integers(0, 2**31 - 1)),
+            st.builds(f.reset, st.integers(0, 9), st.integers(0, 20)),
+        ),
+        max_size=40,
+    ),
+    st.booleans(),
+)
 def test_no_bytes_do_anything_but_end_the_connection(parts: list[bytes], client: bool) -> None:
     owner = Owner(client, streams=4)
     try:
@@ -360,7 +460,11 @@
     ours.h2.receive(opened(3), 0.0)
     assert 3 not in ours.heads
     out = ours.h2.take()
-    assert out.endswith(f.reset(3, Code.REFUSED_STREAM)) and f.goaway(1, 0) in out and f.goaway(2**31 - 1, 0) in out
+    assert (
+        out.endswith(f.reset(3, Code.REFUSED_STREAM))
+        and f.goaway(1, 0) in out
+        and f.goaway(2**31 - 1, 0) in out
+    )
     ours.h2.receive(f.frame(f.DATA, f.END_STREAM, 3, b"late"), 0.0)  # it had not heard yet
     with pytest.raises(ProtocolError):
         peer.receive(b"\0\0\0\x09\0\0\0\0\1")  # the library holds our side to the protocol
@@ -371,18 +475,36 @@
 
 @given(st.lists(st.tuples(st.binary(min_size=1, max_size=300), st.binary(max_size=300)), max_size=10))
 def test_blocks_are_what_any_decoder_reads(headers: Headers) -> None:
-    assert [(bytes(k), bytes(v)) for k, v in Decoder(max_header_list_size=1 << 20).decode(encode(headers), raw=True)] == headers
+    assert [
+        (bytes(k), bytes(v))
+        for k, v in Decoder(max_header_list_size=1 << 20).decode(encode(headers), raw=True)
+    ] == headers
 
 
 PSEUDO = frozenset((b":method", b":path"))
 
 
-@pytest.mark.parametrize("bad", [
-    [(b"a", b"b"), (b":method", b"POST")], [(b":method", b"POST")] * 2, [(b":other", b"x")], [(b"Upper", b"x")], [(b"", b"x")],
-    [(b"connection", b"close")], [(b"transfer-encoding", b"chunked")], [(b"te", b"gzip")], [(b"a b", b"x")],
-    [(b"a", b"x\r\ny")], [(b"a", b"x\0")]])
+@pytest.mark.parametrize(
+    "bad",
+    [
+        [(b"a", b"b"), (b":method", b"POST")],
+        [(b":method", b"POST")] * 2,
+        [(b":other", b"x")],
+        [(b"Upper", b"x")],
+        [(b"", b"x")],
+        [(b"connection", b"close")],
+        [(b"transfer-encoding", b"chunked")],
+        [(b"te", b"gzip")],
+        [(b"a b", b"x")],
+        [(b"a", b"x\r\ny")],
+        [(b"a", b"x\0")],
+    ],
+)
 def test_malformed_headers_are_the_streams_error(bad: Headers) -> None:
     with pytest.raises(StreamError):
         split(bad, PSEUDO)
-    assert split([(b":path", b"/"), (b"te", b"trailers")], PSEUDO) == ({b":path": b"/"}, [(b"te", b"trailers")])
+    assert split([(b":path", b"/"), (b"te", b"trailers")], PSEUDO) == (
+        {b":path": b"/"},
+        [(b"te", b"trailers")],
+    )
     assert MOST_LIST < MOST_BLOCK
--- a/tests/library/test_local.py
+++ b/tests/library/test_local.py
@@ -18,8 +18,20 @@
 
 from tamarindfold.interface import Effect, Plan, RequestClass
 from troutdock.library import (
-    BadRequest, ConfigError, Deployment, DeploymentInUse, Facts, Failed, Failure, Ingress, IngressClosed, Refused,
-    Request, Served, customer_number, shared,
+    BadRequest,
+    ConfigError,
+    Deployment,
+    DeploymentInUse,
+    Facts,
+    Failed,
+    Failure,
+    Ingress,
+    IngressClosed,
+    Refused,
+    Request,
+    Served,
+    customer_number,
+    shared,
 )
 
 
@@ -29,9 +41,22 @@
     asyncio.run(asyncio.wait_for(test(), 30))
 
 
-def ask(cls: str = "vat-filing", number: int = 1, plan: str = "plus", timeout_s: float | None = 1.5,
-        units: float = 0.1, **changes: Any) -> Request:
-    facts = Facts(cls=cls, customer="of " + plan, plan=plan, units=units, timeout_s=timeout_s, request_id=f"{number:016x}")
+def ask(
+    cls: str = "vat-filing",
+    number: int = 1,
+    plan: str = "plus",
+    timeout_s: float | None = 1.5,
+    units: float = 0.1,
+    **changes: Any,
+) -> Request:
+    facts = Facts(
+        cls=cls,
+        customer="of " + plan,
+        plan=plan,
+        units=units,
+        timeout_s=timeout_s,
+        request_id=f"{number:016x}",
+    )
     body = b"" if cls == "ledger-read" else b"receipt"
     return Request(**{"target": f"/{cls}/7?year=3", "facts": facts, "body": body, **changes})
 
@@ -45,46 +70,68 @@
                 assert isinstance(served, Served)
                 assert (served.body, served.true_units, served.headers[b"x-y"]) == (b"done", 3.0, b"z")
                 sent = peers[0].requests[0].lower()
-                assert sent.startswith(b"post /payment-book/7?year=3 http/1.1\r\n") and sent.endswith(b"\r\n\r\nreceipt")
+                assert sent.startswith(b"post /payment-book/7?year=3 http/1.1\r\n") and sent.endswith(
+                    b"\r\n\r\nreceipt"
+                )
                 assert b"request-id: 0000000000000001\r\n" in sent and b"idempotency-key: " in sent
-                refused = [r for n in range(8) if isinstance(r := await ingress.call(ask("ledger-read", n, "basis", units=2)), Refused)]
+                refused = [
+                    r
+                    for n in range(8)
+                    if isinstance(r := await ingress.call(ask("ledger-read", n, "basis", units=2)), Refused)
+                ]
                 assert refused and all(r.retry_after_s > 0 for r in refused)
                 peers[0].script = answer(b"", 500)
                 assert await ingress.call(ask()) == Failed(Failure.ATTEMPT)
                 assert_settled(ingress.core.engine)
             with pytest.raises(IngressClosed):
                 await ingress.call(ask())
+
     run(test)
 
 
 def test_the_headers_of_a_call_go_on_and_those_of_the_protocol_are_worded_anew() -> None:
     async def test() -> None:
         async with nodes(answer()) as peers, Ingress(deployment(*peers)) as ingress:
-            await ingress.call(ask("ledger-read", headers=[("X-Trace", "7"), ("Request-Id", "false"), ("Connection", "x")]))
+            await ingress.call(
+                ask("ledger-read", headers=[("X-Trace", "7"), ("Request-Id", "false"), ("Connection", "x")])
+            )
             lines = peers[0].requests[0].lower().split(b"\r\n")
             assert b"x-trace: 7" in lines and b"request-id: 0000000000000001" in lines
             assert not any(b"false" in line or line.startswith(b"connection") for line in lines)
+
     run(test)
 
 
-@pytest.mark.parametrize(("changes", "said"), [
-    ({"target": "/elsewhere"}, "404"), ({"target": "ledger-read"}, "404"), ({"target": "/vat-filing/ x"}, "400"),
-    ({"target": "/vat-filing/\r\nX: y"}, "400"), ({"headers": [("X", "a\r\nb: c")]}, "400"),
-    ({"body": b"x" * 65537}, "413"), ({"facts": Facts("nothing", 9, "plus")}, "404"),
-    ({"facts": Facts("vat-filing", 9, "gold")}, "no such plan"), ({"facts": Facts("vat-filing", 1 << 33, "plus")}, "customer"),
-    ({"facts": Facts("vat-filing", 9, "plus", units=9)}, "400"), ({"facts": Facts("vat-filing", 9, "plus", units=0)}, "400"),
-    ({"facts": Facts("vat-filing", 9, "plus", timeout_s=-1)}, "400"), ({"facts": Facts("vat-filing", 9, "plus", spread=2)}, "400"),
-    ({"facts": Facts("vat-filing", 9, "plus", first=1)}, "400"), ({"facts": Facts("vat-filing", 9, "plus", request_id="a\nb")}, "400"),
-    ({"facts": Facts("vat-filing", 9, "plus", request_id="x" * 200)}, "400"),
-    ({"facts": Facts("vat-filing", 9, "plus", units=float("nan"))}, "400"),
-    ({"facts": Facts("ledger-read", 9, "plus"), "target": "/ledger-read"}, "no body"),
-])
+@pytest.mark.parametrize(
+    ("changes", "said"),
+    [
+        ({"target": "/elsewhere"}, "404"),
+        ({"target": "ledger-read"}, "404"),
+        ({"target": "/vat-filing/ x"}, "400"),
+        ({"target": "/vat-filing/\r\nX: y"}, "400"),
+        ({"headers": [("X", "a\r\nb: c")]}, "400"),
+        ({"body": b"x" * 65537}, "413"),
+        ({"facts": Facts("nothing", 9, "plus")}, "404"),
+        ({"facts": Facts("vat-filing", 9, "gold")}, "no such plan"),
+        ({"facts": Facts("vat-filing", 1 << 33, "plus")}, "customer"),
+        ({"facts": Facts("vat-filing", 9, "plus", units=9)}, "400"),
+        ({"facts": Facts("vat-filing", 9, "plus", units=0)}, "400"),
+        ({"facts": Facts("vat-filing", 9, "plus", timeout_s=-1)}, "400"),
+        ({"facts": Facts("vat-filing", 9, "plus", spread=2)}, "400"),
+        ({"facts": Facts("vat-filing", 9, "plus", first=1)}, "400"),
+        ({"facts": Facts("vat-filing", 9, "plus", request_id="a\nb")}, "400"),
+        ({"facts": Facts("vat-filing", 9, "plus", request_id="x" * 200)}, "400"),
+        ({"facts": Facts("vat-filing", 9, "plus", units=float("nan"))}, "400"),
+        ({"facts": Facts("ledger-read", 9, "plus"), "target": "/ledger-read"}, "no body"),
+    ],
+)
 def test_a_call_that_makes_no_sense_is_not_taken(changes: dict[str, Any], said: str) -> None:
     async def test() -> None:
         async with nodes(answer()) as peers, Ingress(deployment(*peers)) as ingress:
             with pytest.raises(BadRequest, match=said):
                 await ingress.call(ask(**changes))
             assert peers[0].requests == [] and ingress.tally.taken == 0
+
     run_on_uvloop(test())
 
 
@@ -96,6 +143,7 @@
             with pytest.raises(BadRequest, match="409"):
                 await ingress.call(ask())
             assert isinstance(await first, Failed)
+
     run(test)
 
 
@@ -119,12 +167,14 @@
             sent = sum(len(p.requests) for p in peers)
             await asyncio.sleep(0.03)
             assert sum(len(p.requests) for p in peers) == sent
+
     run(test)
 
 
 @pytest.mark.parametrize("cls", NAMES)
 def test_a_call_cancelled_after_any_event_repeats_nothing_beyond_its_class(cls: str) -> None:
     """Before the first attempt, with one out, between two, and with the answer on its way."""
+
     async def test() -> None:
         async with nodes(sends(b""), sends(b""), sends(b"")) as peers, Ingress(deployment(*peers)) as ingress:
             engine, number, met = ingress.core.engine, 0, True
@@ -151,11 +201,13 @@
                 assert sent == [sum(b"%016x" % number in r for r in p.requests) for p in peers]
                 assert_settled(engine)
             assert number > 2
+
     run(test)
 
 
 def test_a_call_cancelled_before_its_first_attempt_is_never_sent() -> None:
     """The counter holds it; the answer that comes after finds nobody waiting."""
+
     async def test() -> None:
         asked: list[tuple[bytes, asyncio.StreamWriter]] = []
 
@@ -187,6 +239,7 @@
                 assert len(peers[0].requests) == sent
                 assert_settled(ingress.core.engine)
         counter.stop()
+
     run(test)
 
 
@@ -207,6 +260,7 @@
             await ingress.close()
             assert all(isinstance(task.result(), Served) for task in out)
             await ingress.close()  # harmless
+
     run(test)
 
 
@@ -222,30 +276,48 @@
             assert await out == Failed(Failure.CLOSED)
             await until(lambda: peers[0].closed == 1)
             assert_settled(engine)
+
     run(test)
 
 
 def test_no_task_is_left_and_the_process_is_as_before() -> None:
     async def test() -> None:
-        before = (asyncio.all_tasks(), [signal.getsignal(n) for n in signal.valid_signals()],
-                  list(logging.getLogger().handlers), list(logging.getLogger("troutdock").handlers),
-                  logging.getLogger("troutdock").level, asyncio.get_running_loop().get_debug())
+        before = (
+            asyncio.all_tasks(),
+            [signal.getsignal(n) for n in signal.valid_signals()],
+            list(logging.getLogger().handlers),
+            list(logging.getLogger("troutdock").handlers),
+            logging.getLogger("troutdock").level,
+            asyncio.get_running_loop().get_debug(),
+        )
         discovery, counter = Peer(silence), Peer(silence)
         await discovery.start()
         await counter.start()
         async with nodes(answer()) as peers:
-            made = deployment(*peers, discovery=discovery.address, counter=counter.address, counter_timeout_s=0.02)
+            made = deployment(
+                *peers, discovery=discovery.address, counter=counter.address, counter_timeout_s=0.02
+            )
             tasks = asyncio.all_tasks()
             async with Ingress(made) as ingress:
                 assert isinstance(await ingress.call(ask()), Served)
-            await until(lambda: discovery.closed == discovery.connections and counter.closed == counter.connections)
-            await until(lambda: asyncio.all_tasks() <= tasks | {t for t in asyncio.all_tasks() if "Peer" in repr(t)})
+            await until(
+                lambda: discovery.closed == discovery.connections and counter.closed == counter.connections
+            )
+            await until(
+                lambda: asyncio.all_tasks() <= tasks | {t for t in asyncio.all_tasks() if "Peer" in repr(t)}
+            )
         discovery.stop()
         counter.stop()
-        after = (before[0], [signal.getsignal(n) for n in signal.valid_signals()],
-                 list(logging.getLogger().handlers), list(logging.getLogger("troutdock").handlers),
-                 logging.getLogger("troutdock").level, asyncio.get_running_loop().get_debug())
+        after = (
+            before[0],
+            [signal.getsignal(n) for n in signal.valid_signals()],
+            list(logging.getLogger().handlers),
+            list(logging.getLogger("troutdock").handlers),
+            logging.getLogger("troutdock").level,
+            asyncio.get_running_loop().get_debug(),
+        )
         assert before == after and not shared._entries
+
     run(test)
 
 
@@ -264,6 +336,7 @@
 
             await asyncio.to_thread(elsewhere)
             assert said == ["the ingress belongs to another event loop"]
+
     run(test)
 
 
@@ -276,7 +349,9 @@
             one = await shared.join(deployment(*peers))
             other = await shared.join(deployment(*peers))
             assert one is other
-            served = [await i.call(ask("ledger-read", n, "basis", units=2)) for n in range(8) for i in (one, other)]
+            served = [
+                await i.call(ask("ledger-read", n, "basis", units=2)) for n in range(8) for i in (one, other)
+            ]
             assert sum(isinstance(r, Served) for r in served) == 4  # the burst of 8, in requests of 2
             await shared.leave(one)
             assert isinstance(await other.call(ask()), Served)
@@ -284,6 +359,7 @@
             with pytest.raises(IngressClosed):
                 await other.call(ask())
             assert not shared._entries
+
     run(test)
 
 
@@ -296,6 +372,7 @@
             await shared.leave(one)
             changed = await shared.join(deployment(*peers, marks_retry=True))
             await shared.leave(changed)
+
     run(test)
 
 
@@ -319,6 +396,7 @@
             assert isinstance(await one.call(ask()), Served)
             await shared.leave(one)
             await asyncio.to_thread(lambda: asyncio.run(open_and_leave(made)))  # free again
+
     run(test)
 
 
@@ -351,6 +429,7 @@
         task.cancel()
         await asyncio.wait({task})
         assert not shared._entries
+
     run(test)
 
 
@@ -360,15 +439,29 @@
 SAFE = RequestClass(name="read", aim_ms=1, deadline_ms=1, worth=1, effect=Effect.SAFE)
 
 
-@pytest.mark.parametrize(("changes", "said"), [
-    ({"classes": ()}, "classes"), ({"plans": ()}, "plans"), ({"classes": (SAFE, SAFE)}, "class 'read' is there twice"),
-    ({"classes": (RequestClass(1, 1, 1, Effect.SAFE),)}, "class 0: ''"), ({"plans": (Plan(1, 1, name="a b"),)}, "plan 0: 'a b'"),
-    ({"nodes": ["nowhere"]}, "nodes: 'nowhere'"), ({"nodes": ["a:1", "a:1"]}, "twice"), ({"discovery": ":1"}, "discovery"),
-    ({"counter": "x"}, "counter"), ({"ingresses": 2}, "counter"), ({"index": 1}, "index"), ({"sockets": 3}, "sockets"),
-    ({"max_answer_bytes": 1}, "max_answer_bytes"), ({"connect_timeout_s": 0}, "connect_timeout_s"),
-    ({"idle_s": float("nan")}, "idle_s"), ({"max_attempts": 0}, "max_attempts"), ({"cold_s": -1}, "cold_ms"),
-    ({"most_units": "8"}, "most_units"),
-])
+@pytest.mark.parametrize(
+    ("changes", "said"),
+    [
+        ({"classes": ()}, "classes"),
+        ({"plans": ()}, "plans"),
+        ({"classes": (SAFE, SAFE)}, "class 'read' is there twice"),
+        ({"classes": (RequestClass(1, 1, 1, Effect.SAFE),)}, "class 0: ''"),
+        ({"plans": (Plan(1, 1, name="a b"),)}, "plan 0: 'a b'"),
+        ({"nodes": ["nowhere"]}, "nodes: 'nowhere'"),
+        ({"nodes": ["a:1", "a:1"]}, "twice"),
+        ({"discovery": ":1"}, "discovery"),
+        ({"counter": "x"}, "counter"),
+        ({"ingresses": 2}, "counter"),
+        ({"index": 1}, "index"),
+        ({"sockets": 3}, "sockets"),
+        ({"max_answer_bytes": 1}, "max_answer_bytes"),
+        ({"connect_timeout_s": 0}, "connect_timeout_s"),
+        ({"idle_s": float("nan")}, "idle_s"),
+        ({"max_attempts": 0}, "max_attempts"),
+        ({"cold_s": -1}, "cold_ms"),
+        ({"most_units": "8"}, "most_units"),
+    ],
+)
 def test_a_bad_setting_is_named_when_the_deployment_is_made(changes: dict[str, Any], said: str) -> None:
     with pytest.raises(ConfigError, match=said) as error:
         deployment(**changes)
--- a/tests/library/test_workers.py
+++ b/tests/library/test_workers.py
@@ -25,7 +25,10 @@
         counter = Peer(adds, read_call)
         await counter.start()
         async with nodes(answer()) as peers:
-            made = [deployment(*peers, name=f"worker {n}", ingresses=2, index=n, counter=counter.address) for n in (0, 1)]
+            made = [
+                deployment(*peers, name=f"worker {n}", ingresses=2, index=n, counter=counter.address)
+                for n in (0, 1)
+            ]
             async with Ingress(made[0]) as one, Ingress(made[1]) as other:
                 served = 0
                 for number in range(30):
@@ -36,4 +39,5 @@
             assert 6 <= served <= 14
             assert len(totals) == 1  # both called it, by the same name
         counter.stop()
+
     run(test())
--- a/tests/management/test_door.py
+++ b/tests/management/test_door.py
@@ -18,7 +18,9 @@
 async def call(w: Any, method: str, path: str) -> int:
     reader, writer = await asyncio.open_connection(*w.service.management)
     try:
-        status = (await Client(reader, writer).ask(f"{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode()))[0]
+        status = (await Client(reader, writer).ask(f"{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode()))[
+            0
+        ]
         assert await reader.read() == b""  # one call per connection
         return status
     finally:
@@ -37,6 +39,7 @@
             assert await call(w, "GET", "/control/ready") == 503
             assert await call(w, "POST", "/control/in-service") == 200
             assert await call(w, "GET", "/control/ready") == 200
+
     run(test())
 
 
@@ -44,17 +47,21 @@
     async def test() -> None:
         async with managed() as w:
             assert await call(w, "GET", "/control/ready") == 503
+
     run(test())
 
 
-@pytest.mark.parametrize(("data", "status"), [
-    (b"GET /control/nothing HTTP/1.1\r\nHost: x\r\n\r\n", 404),
-    (b"GET /control/in-service HTTP/1.1\r\nHost: x\r\n\r\n", 405),
-    (b"POST /control/ready HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", 405),
-    (b"GET /ledger-read/7 HTTP/1.1\r\nHost: x\r\n\r\n", 404),
-    (b"what is this\r\n\r\n", 400),
-    (b"GET /control/ready HTTP/1.1\r\nX: " + b"x" * 9000 + b"\r\n\r\n", 413),
-])
+@pytest.mark.parametrize(
+    ("data", "status"),
+    [
+        (b"GET /control/nothing HTTP/1.1\r\nHost: x\r\n\r\n", 404),
+        (b"GET /control/in-service HTTP/1.1\r\nHost: x\r\n\r\n", 405),
+        (b"POST /control/ready HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", 405),
+        (b"GET /ledger-read/7 HTTP/1.1\r\nHost: x\r\n\r\n", 404),
+        (b"what is this\r\n\r\n", 400),
+        (b"GET /control/ready HTTP/1.1\r\nX: " + b"x" * 9000 + b"\r\n\r\n", 413),
+    ],
+)
 def test_what_is_no_call_is_a_no_and_changes_nothing(data: bytes, status: int) -> None:
     async def test() -> None:
         async with managed(answer()) as w:
@@ -62,14 +69,18 @@
             assert (await Client(reader, writer).ask(data))[0] == status
             writer.close()
             assert (await w.ask(HEALTH))[0] == 200 and (await w.ask(request()))[0] == 200
+
     run(test())
 
 
 def test_the_calls_are_not_to_be_had_at_the_clients_address() -> None:
     async def test() -> None:
         async with managed(answer()) as w:
-            assert (await w.ask(b"POST /control/out-of-service HTTP/1.1\r\nContent-Length: 0\r\n\r\n"))[0] == 404
+            assert (await w.ask(b"POST /control/out-of-service HTTP/1.1\r\nContent-Length: 0\r\n\r\n"))[
+                0
+            ] == 404
             assert (await w.ask(HEALTH))[0] == 200
+
     run(test())
 
 
@@ -84,11 +95,13 @@
             assert len(w.service._door.callers) < CALLERS + 1
             for _, writer in held:
                 writer.close()
+
     run(test())
 
 
 def test_calls_are_answered_beside_callers_that_hold_on_and_under_all_the_load_that_clients_make() -> None:
     """More half calls than there are places, each back at once when it is cut; clients that never pause."""
+
     async def test() -> None:
         async with managed(answer()) as w:
             over = asyncio.Event()
@@ -116,6 +129,7 @@
             over.set()
             for task in busy:
                 task.cancel()
+
     run(test())
 
 
@@ -126,11 +140,13 @@
             reader, writer = await asyncio.open_connection(*w.service.management)
             assert (await Client(reader, writer).ask(b"GET /control/ready HTTP/1.1\r\n"))[0] == 408
             writer.close()
+
     run(test())
 
 
 def test_out_of_service_tells_health_ends_connections_with_answers_and_the_idle_ones_later(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr("troutdock.http.listener.SENT_AWAY_S", 0.1)
     monkeypatch.setattr("troutdock.http.listener.DRAIN_QUIET_S", 0.02)
 
@@ -153,6 +169,7 @@
             back = await w.client()
             status, head, _ = await back.ask(request(number=3))
             assert status == 200 and b"connection: close" not in head.lower()
+
     run(test())
 
 
@@ -171,6 +188,7 @@
             await call(w, "POST", "/control/out-of-service")
             release.set()
             assert (await client.answer())[0] == 200
+
     run(test())
 
 
@@ -181,4 +199,5 @@
             await w.task
             with pytest.raises(ConnectionRefusedError):
                 await asyncio.open_connection(*w.service.management)
+
     run(test())
--- a/tests/management/test_inherited.py
+++ b/tests/management/test_inherited.py
@@ -14,6 +14,7 @@
 from troutdock.platform.config import ConfigError
 from troutdock.platform.inherited import inherited_socket, management_address
 
+
 def test_clients_notice_nothing_of_an_upgrade(tmp_path: Path) -> None:
     async def test() -> None:
         node = Peer(answer())
@@ -30,7 +31,8 @@
                     reader, writer = await asyncio.open_connection(*tier.address)
                 count += 1
                 status, head, _ = await Client(reader, writer).ask(
-                    request("ledger-read", number * 100_000 + count, Account=f"{number + 1:016x}"))
+                    request("ledger-read", number * 100_000 + count, Account=f"{number + 1:016x}")
+                )
                 assert status in (200, 429)
                 served.append(status)
                 if b"connection: close" in head.lower():
@@ -54,6 +56,7 @@
         finally:
             tier.kill()
             node.stop()
+
     run(test())
 
 
@@ -73,6 +76,7 @@
         finally:
             tier.kill()
             node.stop()
+
     run(test())
 
 
--- a/tests/membership/test_datagrams.py
+++ b/tests/membership/test_datagrams.py
@@ -21,13 +21,20 @@
     return sock
 
 
-def test_what_peers_tell_is_heard_and_all_else_is_dropped_counted_and_named_once(caplog: pytest.LogCaptureFixture) -> None:
+def test_what_peers_tell_is_heard_and_all_else_is_dropped_counted_and_named_once(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
     async def test() -> None:
         peer, stranger, own = bound(), bound(), bound()
         address = own.getsockname()
         own.close()
         heard: list[tuple[int, bytes]] = []
-        ways = Datagrams(Peers(address, (address, peer.getsockname()), None), 0, 20.0, lambda n, body: heard.append((n, body)))
+        ways = Datagrams(
+            Peers(address, (address, peer.getsockname()), None),
+            0,
+            20.0,
+            lambda n, body: heard.append((n, body)),
+        )
         ways.open()
         try:
             with caplog.at_level(logging.WARNING, logger="troutdock"):
@@ -41,7 +48,9 @@
                 for _ in range(200):
                     peer.sendto(b"flood", address)
                 await until(lambda: len(heard) + ways.dropped["too many"] == 201)
-                assert 10 < len(heard) < 100  # twice what is taken in, and what came free while they were read
+                assert (
+                    10 < len(heard) < 100
+                )  # twice what is taken in, and what came free while they were read
             assert len(caplog.records) == 2  # a line for each of the two senders
             ways.tell(None, b"to all")
             ways.tell(1, b"to one")
@@ -53,27 +62,49 @@
             ways.tell(1, b"nothing goes")
             peer.close()
             stranger.close()
+
     run(test())
 
 
 def config(**changes: Any) -> str:
     settings = json.loads(json.dumps(SETTINGS))
     peers = [f"127.0.0.1:{7000 + n}" for n in range(settings["balancers"])]
-    return json.dumps({"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": settings,
-                       "peer_listen": "127.0.0.1:7946", "peers": peers, "peers_all": "127.0.0.1:7947", **changes})
+    return json.dumps(
+        {
+            "name": "n0",
+            "listen": "127.0.0.1:0",
+            "discovery": "127.0.0.1:1",
+            "settings": settings,
+            "peer_listen": "127.0.0.1:7946",
+            "peers": peers,
+            "peers_all": "127.0.0.1:7947",
+            **changes,
+        }
+    )
 
 
 def test_the_configuration_names_the_peers_or_none() -> None:
     peers = read_config(config()).peers
-    assert peers is not None and peers.listen == ("127.0.0.1", 7946) and peers.everybody == ("127.0.0.1", 7947)
+    assert (
+        peers is not None and peers.listen == ("127.0.0.1", 7946) and peers.everybody == ("127.0.0.1", 7947)
+    )
     raw = json.loads(config())
     for key in ("peer_listen", "peers"):
         del raw[key]
     assert read_config(json.dumps(raw)).peers is None
 
 
-@pytest.mark.parametrize(("key", "value"), [("peer_listen", 7), ("peer_listen", "here"), ("peers", "127.0.0.1:1"), ("peers", []),
-                                            ("peers", None), ("peers_all", ["127.0.0.1:1"])])
+@pytest.mark.parametrize(
+    ("key", "value"),
+    [
+        ("peer_listen", 7),
+        ("peer_listen", "here"),
+        ("peers", "127.0.0.1:1"),
+        ("peers", []),
+        ("peers", None),
+        ("peers_all", ["127.0.0.1:1"]),
+    ],
+)
 def test_peers_of_a_wrong_shape_are_named(key: str, value: Any) -> None:
     with pytest.raises(ConfigError, match=key):
         read_config(config(**{key: value}))
@@ -88,6 +119,7 @@
 
 def test_a_successor_hears_peers_once_the_address_is_free() -> None:
     """At an upgrade two processes have the same addresses for a while."""
+
     async def test() -> None:
         before = bound()
         listen = "{}:{}".format(*before.getsockname())
@@ -101,4 +133,5 @@
             await until(lambda: ingress.peers is not None and ingress.peers.is_open)
         finally:
             await ingress.close()
+
     run(test())
--- a/tests/membership/test_watch.py
+++ b/tests/membership/test_watch.py
@@ -87,8 +87,15 @@
 @given(st.integers(1, 5000), st.lists(st.sampled_from("arfncmg"), max_size=30), st.integers(0, 99))
 def test_any_course_ends_in_a_call_within_bounds(gateways: int, course: str, seed: int) -> None:
     watch = Watch(gateways, 3, Random(seed))
-    steps = {"a": lambda: watch.answered(9), "r": watch.refused, "f": watch.failed, "n": watch.misfit,
-             "c": watch.closed, "m": watch.moved, "g": lambda: watch.follow(gateways // 2 + 1)}
+    steps = {
+        "a": lambda: watch.answered(9),
+        "r": watch.refused,
+        "f": watch.failed,
+        "n": watch.misfit,
+        "c": watch.closed,
+        "m": watch.moved,
+        "g": lambda: watch.follow(gateways // 2 + 1),
+    }
     for step in course:
         before = watch.version
         steps[step]()
@@ -108,4 +115,6 @@
     watch.answered(8)
     silent = watch.ask()
     watch.failed()
-    assert silent.patience_s + watch.ask().after_s < silent.hold_ms / 1000 + BINDS_S - 0.1  # to connect, and the answer's way
+    assert (
+        silent.patience_s + watch.ask().after_s < silent.hold_ms / 1000 + BINDS_S - 0.1
+    )  # to connect, and the answer's way
--- a/tests/overload/test_storm.py
+++ b/tests/overload/test_storm.py
@@ -18,13 +18,26 @@
             self.now = FRESH_S * 1000
             self.watch.look(self.now, self.sums, 0.0)
 
-    def second(self, taken: int = 500, refused: int = 0, turned: int = 0, retries: int = 0, connections: int = 5,
-               times: int = 1) -> None:
+    def second(
+        self,
+        taken: int = 500,
+        refused: int = 0,
+        turned: int = 0,
+        retries: int = 0,
+        connections: int = 5,
+        times: int = 1,
+    ) -> None:
         for _ in range(times):
             self.now += 1000
             s = self.sums
-            self.sums = replace(s, taken=s.taken + taken, refused=s.refused + refused, turned_away=s.turned_away + turned,
-                                retries=s.retries + retries, connections=s.connections + connections)
+            self.sums = replace(
+                s,
+                taken=s.taken + taken,
+                refused=s.refused + refused,
+                turned_away=s.turned_away + turned,
+                retries=s.retries + retries,
+                connections=s.connections + connections,
+            )
             self.watch.look(self.now, self.sums, 40.0)
 
 
@@ -36,8 +49,11 @@
 
 
 def test_each_sign_begins_one_and_is_named() -> None:
-    for sign, part in (({"turned": 100}, "20% turned away unread"), ({"refused": 400}, "80% refused"),
-                       ({"retries": 300}, "60% retries")):
+    for sign, part in (
+        ({"turned": 100}, "20% turned away unread"),
+        ({"refused": 400}, "80% refused"),
+        ({"retries": 300}, "60% retries"),
+    ):
         w = Watch()
         w.second()
         w.second(**sign)
@@ -66,7 +82,10 @@
     assert w.watch.on
     w.second()
     assert not w.watch.on and len(w.lines) == 2
-    assert w.lines[-1] == f"storm over after {2 + CALM_S} s: {500 * (2 + CALM_S)} requests, 800 refused, 200 of them unread"
+    assert (
+        w.lines[-1]
+        == f"storm over after {2 + CALM_S} s: {500 * (2 + CALM_S)} requests, 800 refused, 200 of them unread"
+    )
 
 
 def test_a_gap_in_the_storm_is_no_end_and_no_new_storm() -> None:
--- a/tests/overload/test_waited.py
+++ b/tests/overload/test_waited.py
@@ -22,8 +22,9 @@
     return gateway(classes=(READ, FILE), plans=(BASIS, PLUS), gateways=1, **changes)
 
 
-def waited(ms: float, cls: int = 0, plan: int = 1, customer: int = 9, units: float = 1.0,
-           retry: bool = False) -> RequestWaited:
+def waited(
+    ms: float, cls: int = 0, plan: int = 1, customer: int = 9, units: float = 1.0, retry: bool = False
+) -> RequestWaited:
     return RequestWaited(customer, plan, cls, units, 1, retry, ms)
 
 
@@ -44,7 +45,10 @@
 
 
 def test_what_is_worth_less_is_turned_away_first() -> None:
-    bounds = [bound_ms(made(), cls=cls, plan=plan) / (READ, FILE)[cls].aim_ms for cls, plan in ((0, 0), (0, 1), (1, 1))]
+    bounds = [
+        bound_ms(made(), cls=cls, plan=plan) / (READ, FILE)[cls].aim_ms
+        for cls, plan in ((0, 0), (0, 1), (1, 1))
+    ]
     assert bounds == sorted(bounds) and bounds[0] < 0.7 * bounds[-1]
 
 
@@ -153,7 +157,9 @@
     loop.run(6000, lambda now: times * CAPACITY)
     share = (1 - times * loop.REFUSED_MS / loop.SERVED_MS) / (1 - loop.REFUSED_MS / loop.SERVED_MS)
     assert loop.goodput(START + 2000) > 0.95 * share * CAPACITY
-    seconds = [sum(START + 1000 * n <= at < START + 1000 * (n + 1) for at, _ in loop.served) for n in range(2, 7)]
+    seconds = [
+        sum(START + 1000 * n <= at < START + 1000 * (n + 1) for at, _ in loop.served) for n in range(2, 7)
+    ]
     assert max(seconds) < 1.15 * min(seconds)  # no oscillation
     drowned = Loop(sheds=False)
     drowned.run(1000, lambda now: 0.5 * CAPACITY)
--- a/tests/peers/asgi_host.py
+++ b/tests/peers/asgi_host.py
@@ -15,7 +15,9 @@
 
 CLASSES = (
     RequestClass(name="ledger-read", aim_ms=1500, deadline_ms=4000, worth=2, effect=Effect.SAFE),
-    RequestClass(name="payment-book", aim_ms=1000, deadline_ms=4000, worth=5, effect=Effect.KEYED, window_ms=3000),
+    RequestClass(
+        name="payment-book", aim_ms=1000, deadline_ms=4000, worth=5, effect=Effect.KEYED, window_ms=3000
+    ),
     RequestClass(name="vat-filing", aim_ms=750, deadline_ms=1500, worth=5, effect=Effect.UNSAFE),
 )
 PLANS = (Plan(name="basis", rate=1, burst=8), Plan(name="plus", rate=1000, burst=1000))
@@ -23,7 +25,9 @@
 
 
 def deployment(*peers: Peer, name: str = "tests", **changes: Any) -> Deployment:
-    made = Deployment.of(name, **{"classes": CLASSES, "plans": PLANS, "nodes": [p.address for p in peers], **changes})
+    made = Deployment.of(
+        name, **{"classes": CLASSES, "plans": PLANS, "nodes": [p.address for p in peers], **changes}
+    )
     return replace(made, config=replace(made.config, seed=7))  # the same chances on every run
 
 
@@ -37,23 +41,48 @@
         yield peers
 
 
-def scope(path: str = "/ledger-read/7", method: str | None = None, plan: str = "plus", timeout: str | None = "1.500",
-          number: int = 1, units: float = 2, account: int = 9, headers: tuple[tuple[bytes, bytes], ...] = (), body: bytes = b"",
-          **changes: Any) -> dict[str, Any]:
+def scope(
+    path: str = "/ledger-read/7",
+    method: str | None = None,
+    plan: str = "plus",
+    timeout: str | None = "1.500",
+    number: int = 1,
+    units: float = 2,
+    account: int = 9,
+    headers: tuple[tuple[bytes, bytes], ...] = (),
+    body: bytes = b"",
+    **changes: Any,
+) -> dict[str, Any]:
     """The scope of one request, with the protocol's headers."""
     method = method or ("GET" if path.startswith("/ledger-read") else "POST")
-    sent = [(b"host", b"service.internal"), (b"request-id", b"%016x" % number), (b"plan", plan.encode()),
-            (b"account", b"%016x" % account), (b"quota-info", b"units=%a,spread=1,first=0" % units)]
+    sent = [
+        (b"host", b"service.internal"),
+        (b"request-id", b"%016x" % number),
+        (b"plan", plan.encode()),
+        (b"account", b"%016x" % account),
+        (b"quota-info", b"units=%a,spread=1,first=0" % units),
+    ]
     if timeout is not None:
         sent.append((b"request-timeout", timeout.encode()))
     if path.startswith("/payment-book"):
         sent.append((b"idempotency-key", b"ab" * 16))
     if method == "POST":
         sent.append((b"content-length", b"%d" % len(body)))
-    return {"type": "http", "asgi": {"version": "3.0"}, "http_version": "1.1", "method": method, "scheme": "http",
-            "path": path.partition("?")[0], "raw_path": path.partition("?")[0].encode(), "root_path": "",
-            "query_string": path.partition("?")[2].encode(), "headers": [*sent, *headers],
-            "client": ("127.0.0.1", 1), "server": ("127.0.0.1", 2), **changes}
+    return {
+        "type": "http",
+        "asgi": {"version": "3.0"},
+        "http_version": "1.1",
+        "method": method,
+        "scheme": "http",
+        "path": path.partition("?")[0],
+        "raw_path": path.partition("?")[0].encode(),
+        "root_path": "",
+        "query_string": path.partition("?")[2].encode(),
+        "headers": [*sent, *headers],
+        "client": ("127.0.0.1", 1),
+        "server": ("127.0.0.1", 2),
+        **changes,
+    }
 
 
 class Exchange:
@@ -61,8 +90,10 @@
 
     def __init__(self, *parts: bytes, awaits: int = 0, stays: bool = True) -> None:
         parts = parts or (b"",)
-        self.messages = [{"type": "http.request", "body": part, "more_body": n + 1 < len(parts) or not stays}
-                         for n, part in enumerate(parts)]
+        self.messages = [
+            {"type": "http.request", "body": part, "more_body": n + 1 < len(parts) or not stays}
+            for n, part in enumerate(parts)
+        ]
         self.sent: list[dict[str, Any]] = []
         self.left = asyncio.Event()
         self.awaits = awaits  # how often each call yields to the loop first
@@ -95,12 +126,23 @@
         """One start, then bodies, the last of which says that it is the last."""
         kinds = [m["type"] for m in self.sent]
         bodies = [m.get("more_body", False) for m in self.sent[1:]]
-        return kinds[:1] == ["http.response.start"] and set(kinds[1:]) == {"http.response.body"} and (
-            not bodies[-1] and all(bodies[:-1]))
+        return (
+            kinds[:1] == ["http.response.start"]
+            and set(kinds[1:]) == {"http.response.body"}
+            and (not bodies[-1] and all(bodies[:-1]))
+        )
 
     def header(self, name: bytes) -> bytes | None:
-        return next((v for m in self.sent if m["type"] == "http.response.start" for n, v in m["headers"]
-                     if n.lower() == name), None)
+        return next(
+            (
+                v
+                for m in self.sent
+                if m["type"] == "http.response.start"
+                for n, v in m["headers"]
+                if n.lower() == name
+            ),
+            None,
+        )
 
 
 class CancelAt:
@@ -156,4 +198,5 @@
         ended = await from_app.get()
         await task
         return ended
+
     return started, end, task
--- a/tests/peers/build.py
+++ b/tests/peers/build.py
@@ -7,8 +7,18 @@
 
 from tamarindfold import Gateway
 from tamarindfold.interface import (
-    AttemptEnded, BackendEntry, BackendState, Effect, FleetUpdate, Group, ListKind, Outcome, Plan, RequestArrived,
-    RequestClass, Settings,
+    AttemptEnded,
+    BackendEntry,
+    BackendState,
+    Effect,
+    FleetUpdate,
+    Group,
+    ListKind,
+    Outcome,
+    Plan,
+    RequestArrived,
+    RequestClass,
+    Settings,
 )
 
 SAFE = RequestClass(1500, 6000, 3, Effect.SAFE)
@@ -20,14 +30,28 @@
 
 
 def settings(**changes: Any) -> Settings:
-    base = Settings(gateways=2, index=0, classes=(SAFE, KEYED, KEYED_ALL, UNSAFE), plans=(OPEN,), max_attempts=3,
-                    start_capacity=0.2, cold_ms=10_000, fall_multiple=2, overload_ms=3000, drain_grace_ms=250,
-                    max_retry_after_ms=500, most_units=4, tick_ms=2, cancel=True)
+    base = Settings(
+        gateways=2,
+        index=0,
+        classes=(SAFE, KEYED, KEYED_ALL, UNSAFE),
+        plans=(OPEN,),
+        max_attempts=3,
+        start_capacity=0.2,
+        cold_ms=10_000,
+        fall_multiple=2,
+        overload_ms=3000,
+        drain_grace_ms=250,
+        max_retry_after_ms=500,
+        most_units=4,
+        tick_ms=2,
+        cancel=True,
+    )
     return replace(base, **changes)
 
 
-def fleet(*ids: int, state: BackendState = BackendState.READY, kind: ListKind = ListKind.FULL,
-          up: float = 0.0) -> FleetUpdate:
+def fleet(
+    *ids: int, state: BackendState = BackendState.READY, kind: ListKind = ListKind.FULL, up: float = 0.0
+) -> FleetUpdate:
     return FleetUpdate(kind, [BackendEntry(i, state, cell=i % 2, up_since_ms=up) for i in ids])
 
 
@@ -37,11 +61,25 @@
     return made
 
 
-def request(number: int, cls: int = 0, customer: int = 9, plan: int = 0, units: float = 1.0, width: int = 2,
-            left: float = 4000.0, retry: bool = False) -> RequestArrived:
+def request(
+    number: int,
+    cls: int = 0,
+    customer: int = 9,
+    plan: int = 0,
+    units: float = 1.0,
+    width: int = 2,
+    left: float = 4000.0,
+    retry: bool = False,
+) -> RequestArrived:
     return RequestArrived(number, customer, plan, cls, units, 0, width, left, retry)
 
 
-def ended(number: int, backend: int, outcome: Outcome = Outcome.OK, attempt: int = 0, took: float = 100.0,
-          units: float = 0.0) -> AttemptEnded:
+def ended(
+    number: int,
+    backend: int,
+    outcome: Outcome = Outcome.OK,
+    attempt: int = 0,
+    took: float = 100.0,
+    units: float = 0.0,
+) -> AttemptEnded:
     return AttemptEnded(number, attempt, backend, outcome, took, outcome is Outcome.OK, None, units)
--- a/tests/peers/checker.py
+++ b/tests/peers/checker.py
@@ -6,8 +6,23 @@
 from dataclasses import dataclass, field
 
 from tamarindfold.interface import (
-    Action, AttemptEnded, BackendState, Cancel, Effect, Event, Fail, FleetUpdate, Group, ListKind, Outcome, Refuse,
-    RequestArrived, RequestClass, RequestWithdrawn, Send, Settings,
+    Action,
+    AttemptEnded,
+    BackendState,
+    Cancel,
+    Effect,
+    Event,
+    Fail,
+    FleetUpdate,
+    Group,
+    ListKind,
+    Outcome,
+    Refuse,
+    RequestArrived,
+    RequestClass,
+    RequestWithdrawn,
+    Send,
+    Settings,
 )
 
 
@@ -50,7 +65,9 @@
     def observe(self, now: float, event: Event) -> None:
         match event:
             case RequestArrived():
-                self.tries[event.request] = Try(event, self.settings.classes[event.cls], now + event.time_left_ms)
+                self.tries[event.request] = Try(
+                    event, self.settings.classes[event.cls], now + event.time_left_ms
+                )
             case RequestWithdrawn():
                 self.tries[event.request].closed = True
             case AttemptEnded() if event.request in self.tries:
@@ -85,7 +102,9 @@
         if isinstance(action, Send):
             self.judge_send(now, action, t, risky)
             return
-        self.need(now <= t.give_up + self.settings.answer_grace_ms, f"request {action.request}: answered too late")
+        self.need(
+            now <= t.give_up + self.settings.answer_grace_ms, f"request {action.request}: answered too late"
+        )
         if isinstance(action, Refuse) and risky:
             good = t.cls.effect is Effect.SAFE or (t.cls.effect is Effect.KEYED and t.cls.group is Group.ALL)
             self.need(good, f"request {action.request}: refused though it may have run")
@@ -97,15 +116,19 @@
         self.need(len(t.sends) < self.settings.max_attempts, f"request {action.request}: too many attempts")
         self.need(action.backend in self.named, f"request {action.request}: to an unknown backend")
         since = self.told.get(action.backend)
-        self.need(since is None or now <= since + self.settings.drain_grace_ms,
-                  f"request {action.request}: to a draining backend")
+        self.need(
+            since is None or now <= since + self.settings.drain_grace_ms,
+            f"request {action.request}: to a draining backend",
+        )
         if risky and t.cls.effect is Effect.UNSAFE:
             raise RuleBroken(f"request {action.request}: unsafe, sent again though it may have run")
         if risky and t.cls.effect is Effect.KEYED:
             sent, first = risky[0]
             self.need(now < sent + t.cls.window_ms, f"request {action.request}: keyed, past its window")
-            self.need(self.group(action.backend, t.cls) == self.group(first, t.cls),
-                      f"request {action.request}: keyed, outside its group")
+            self.need(
+                self.group(action.backend, t.cls) == self.group(first, t.cls),
+                f"request {action.request}: keyed, outside its group",
+            )
         if not t.sends:
             self.draw_ceiling(now, t.event)
         t.sends.append((now, action.backend, None))
--- a/tests/peers/cluster.py
+++ b/tests/peers/cluster.py
@@ -27,7 +27,18 @@
 
 import msgspec
 
-from furrow.messages import NOTHING, Message, Probe, ProbeAck, Read, ReadAck, Status, Write, WriteAck, digest_of
+from furrow.messages import (
+    NOTHING,
+    Message,
+    Probe,
+    ProbeAck,
+    Read,
+    ReadAck,
+    Status,
+    Write,
+    WriteAck,
+    digest_of,
+)
 from rootstock.replica import Replica, Stage
 from rootstock.state import Bounds, InForce, Kept, Save, Send
 
@@ -80,11 +91,15 @@
     crash_after: int = -1  # actions, until the process ends in their midst; below 0: it doesn't
     leaves_until: float = 0.0  # the end of its grace, once it leaves in order; 0: it doesn't leave
     out_since: float = -1.0  # without contact to a majority; below 0: in contact
-    claimed_at: float = -1.0  # when it said last, out of contact, that it leads, or confirmed or told something
+    claimed_at: float = (
+        -1.0
+    )  # when it said last, out of contact, that it leads, or confirmed or told something
     ended: dict[int, float] = field(default_factory=dict)  # when each life ended
     dials: dict[str, None] = field(default_factory=dict)  # whom it keeps a connection to
     links: dict[str, int] = field(default_factory=dict)  # those that are up: to which life
-    cut_seen: dict[str, float] = field(default_factory=dict)  # since when one of its connections hears nothing
+    cut_seen: dict[str, float] = field(
+        default_factory=dict
+    )  # since when one of its connections hears nothing
     dials_at: dict[str, float] = field(default_factory=dict)  # the next try, after one that failed
 
 
@@ -120,7 +135,12 @@
     collects = False  # what is broken, rather than to raise at the first
 
     def __init__(
-        self, seed: int, machines: int = 3, seeds: int = 3, apart: bool = False, lost_at_once: int = 1,
+        self,
+        seed: int,
+        machines: int = 3,
+        seeds: int = 3,
+        apart: bool = False,
+        lost_at_once: int = 1,
         dialled: bool = False,
     ) -> None:
         """lost_at_once: so many machines may be, as faultTolerance.machines says.
@@ -138,7 +158,9 @@
         self.latency = 0.001, 0.01  # seconds on a way, least and most
         self.bandwidth = 0.0  # bytes a second of each way; 0: not bounded
         self.body_bytes = 0  # that a configuration is taken to have
-        self.links_end = False  # a way that is cut in one direction ends its connections, so the other one too
+        self.links_end = (
+            False  # a way that is cut in one direction ends its connections, so the other one too
+        )
         self._one_way: dict[tuple[str, str], float] = {}  # ways whose other direction is cut: since when
         self.answers_lost = 0.0  # the share of answers to callers that are lost
         self._queue: list[tuple[float, int, str, Any]] = []
@@ -261,7 +283,9 @@
                 if one in group and other not in group:
                     self.cut[one, other] = how in ("cut", "out")
                     self.cut[other, one] = how in ("cut", "in")
-        records = [m.disk.record for m in self.machines.values() if m.disk is not None and m.disk.record is not None]
+        records = [
+            m.disk.record for m in self.machines.values() if m.disk is not None and m.disk.record is not None
+        ]
         newest = max(records, key=lambda record: record.epoch, default=None)
         lists = [newest.voters, newest.before] if newest is not None and newest.voters else [self.seeds]
         for ip, machine in self.machines.items():
@@ -328,7 +352,9 @@
 
     @property
     def primary(self) -> str | None:
-        found = [m.ip for m in self.machines.values() if m.replica is not None and m.replica.stage is Stage.ACTIVE]
+        found = [
+            m.ip for m in self.machines.values() if m.replica is not None and m.replica.stage is Stage.ACTIVE
+        ]
         return max(found, key=lambda ip: self.machines[ip].replica.epoch, default=None)  # type: ignore[union-attr]
 
     # ---- time
@@ -384,7 +410,11 @@
             if machine.crash_after > 0 and isinstance(action, Save | Send):
                 machine.crash_after -= 1
         replica = machine.replica
-        if replica is not None and (replica.stage is Stage.ACTIVE or machine.out_since >= 0) and replica.status.active:
+        if (
+            replica is not None
+            and (replica.stage is Stage.ACTIVE or machine.out_since >= 0)
+            and replica.status.active
+        ):
             self._leads(machine, replica)
 
     def _send(self, machine: Machine, to: str, message: Any) -> None:
@@ -392,7 +422,11 @@
         if to.startswith("@"):
             self._answering(machine, message)
             caller = self.callers.get(to[1:].partition("#")[0])
-            if caller is None or self.cut.get((machine.ip, caller.ip)) or self.random.random() < self.answers_lost:
+            if (
+                caller is None
+                or self.cut.get((machine.ip, caller.ip))
+                or self.random.random() < self.answers_lost
+            ):
                 return
             self._later(leaves_at + CALL_S, "", ("answer", to, message, self.newest))
             return
@@ -404,7 +438,9 @@
         lane = machine.ip, to, isinstance(message, PASSING)
         at = max(leaves_at + self.random.uniform(*self.latency), self._way_free.get(lane, 0.0))
         if self.bandwidth:
-            at += (OVERHEAD + (self.body_bytes if getattr(message, "body", NOTHING) != NOTHING else 0)) / self.bandwidth
+            at += (
+                OVERHEAD + (self.body_bytes if getattr(message, "body", NOTHING) != NOTHING else 0)
+            ) / self.bandwidth
         self._way_free[lane] = at
         self._later(at, to, ("hear", other.life, machine.ip, message, machine.life, leaves_at))
 
@@ -430,9 +466,18 @@
         if machine.out_since >= 0:
             machine.claimed_at = self.now
             if self._out(machine):
-                self.violated("active out of contact", f"{machine.ip}, {self.now - machine.out_since:.2f} s after the cut")
+                self.violated(
+                    "active out of contact",
+                    f"{machine.ip}, {self.now - machine.out_since:.2f} s after the cut",
+                )
         last = max(self.active_since)
-        if last > epoch and min(self.now - self.active_since[last] - CONTACT_S, self.now - machine.hangs_until - 2 * TICK_S) > 0:
+        if (
+            last > epoch
+            and min(
+                self.now - self.active_since[last] - CONTACT_S, self.now - machine.hangs_until - 2 * TICK_S
+            )
+            > 0
+        ):
             self.violated("active under an old epoch", f"{machine.ip}, {epoch}, {last} leads")
 
     def _answering(self, machine: Machine, message: Any) -> None:
--- a/tests/peers/company.py
+++ b/tests/peers/company.py
@@ -16,17 +16,47 @@
 from furrow.messages import encode
 from tamarindfold.fabric import LABELS, QUOTA_LABEL, Fabric
 from tamarindfold.interface import (
-    Actions, BackendEntry, BackendState, Company, Effect, Event, FleetUpdate, LeasesDue, ListKind, OthersLoad,
-    Plan, RequestArrived, RequestClass, Send, SetTimer, Settings, TimerFired,
+    Actions,
+    BackendEntry,
+    BackendState,
+    Company,
+    Effect,
+    Event,
+    FleetUpdate,
+    LeasesDue,
+    ListKind,
+    OthersLoad,
+    Plan,
+    RequestArrived,
+    RequestClass,
+    Send,
+    SetTimer,
+    Settings,
+    TimerFired,
 )
 
 
-def terms(rate: float = 0.0, burst: float = 0.0, aim_ms: float = 800.0, deadline_ms: float = 5000.0,
-          effect: Effect = Effect.SAFE) -> Settings:
+def terms(
+    rate: float = 0.0,
+    burst: float = 0.0,
+    aim_ms: float = 800.0,
+    deadline_ms: float = 5000.0,
+    effect: Effect = Effect.SAFE,
+) -> Settings:
     return Settings(
-        gateways=1, index=0, classes=(RequestClass(aim_ms, deadline_ms, 1, effect, name="read"),),
-        plans=(Plan(0, 0), Plan(rate, burst, name="tenant")), max_attempts=2, start_capacity=1, cold_ms=0,
-        fall_multiple=1, overload_ms=1000, drain_grace_ms=0, cancel=True, second_copies=True)
+        gateways=1,
+        index=0,
+        classes=(RequestClass(aim_ms, deadline_ms, 1, effect, name="read"),),
+        plans=(Plan(0, 0), Plan(rate, burst, name="tenant")),
+        max_attempts=2,
+        start_capacity=1,
+        cold_ms=0,
+        fall_multiple=1,
+        overload_ms=1000,
+        drain_grace_ms=0,
+        cancel=True,
+        second_copies=True,
+    )
 
 
 def arrival(number: int, tenant: int = 1, left_ms: float = 5000.0, attempts: int = 2) -> RequestArrived:
@@ -34,7 +64,9 @@
 
 
 def ready(*backends: int, zone: int = 0, slots: int = 2) -> FleetUpdate:
-    return FleetUpdate(ListKind.CHANGES, [BackendEntry(b, BackendState.READY, zone, size=slots) for b in backends])
+    return FleetUpdate(
+        ListKind.CHANGES, [BackendEntry(b, BackendState.READY, zone, size=slots) for b in backends]
+    )
 
 
 class Two:
@@ -74,7 +106,9 @@
                 self._forget(action.request)
             elif isinstance(action, SetTimer) and action.label % LABELS == QUOTA_LABEL:
                 fired = TimerFired(action.label)
-                self.network.later(action.after_ms / 1000, lambda fired=fired: self.do(lambda: self.handle(fired)))
+                self.network.later(
+                    action.after_ms / 1000, lambda fired=fired: self.do(lambda: self.handle(fired))
+                )
         return actions
 
     def _forget(self, request: int) -> None:
@@ -130,7 +164,12 @@
             other.do(lambda other=other: other.listed(self.network.members()))
             self._company(other)
         for other in self.ingresses.values():
-            if other is not ingress and other.alive and (other.name, name) not in self.cut and other.zone == zone:
+            if (
+                other is not ingress
+                and other.alive
+                and (other.name, name) not in self.cut
+                and other.zone == zone
+            ):
                 self._link(other, ingress)
         return ingress
 
@@ -175,8 +214,14 @@
             self.later(self.now + delay, lambda other=other: self._heard(other, ingress, shares))
 
     def _near(self, ingress: Ingress) -> list[Ingress]:
-        return [o for o in self.ingresses.values() if o is not ingress and o.alive and o.zone == ingress.zone
-                and (ingress.name, o.name) not in self.cut]
+        return [
+            o
+            for o in self.ingresses.values()
+            if o is not ingress
+            and o.alive
+            and o.zone == ingress.zone
+            and (ingress.name, o.name) not in self.cut
+        ]
 
     def _heard(self, other: Ingress, sender: Ingress, shares: Any) -> None:
         if not other.alive:
@@ -191,8 +236,14 @@
     def _away(self, ingress: Ingress) -> list[Ingress]:
         """Those of other zones that it is linked to: homes link to homes."""
         duties = [d for d in ingress.exchange.duties() if self.speaks(ingress, d)]
-        return [o for o in self.ingresses.values() if o.alive and o.zone != ingress.zone
-                and (ingress.name, o.name) not in self.cut and any(self.speaks(o, d) for d in duties)]
+        return [
+            o
+            for o in self.ingresses.values()
+            if o.alive
+            and o.zone != ingress.zone
+            and (ingress.name, o.name) not in self.cut
+            and any(self.speaks(o, d) for d in duties)
+        ]
 
     def _tell_zone(self) -> None:
         for ingress in self.ingresses.values():
@@ -209,7 +260,10 @@
             if ingress.alive:
                 near, away = self._near(ingress), self._away(ingress)
                 for other in away:
-                    if frozenset([(ingress.name, ingress.exchange.life), (other.name, other.exchange.life)]) not in self._linked:
+                    if (
+                        frozenset([(ingress.name, ingress.exchange.life), (other.name, other.exchange.life)])
+                        not in self._linked
+                    ):
                         self._link(ingress, other)
                 links = [(o.name, o.zone) for o in away]
                 for names, shares in ingress.exchange.for_away(ingress.now, [o.name for o in near], links):
--- a/tests/peers/grpc_rules.py
+++ b/tests/peers/grpc_rules.py
@@ -58,7 +58,9 @@
             return
         cls = call[":path"].removeprefix(PATH.decode())
         lines = [f"{'GET' if cls == 'ledger-read' else 'POST'} {call['x-target']} HTTP/1.1".encode()]
-        lines += [name + b": " + value for name, value in call.headers if name[:1] != b":" and name != b"x-target"]
+        lines += [
+            name + b": " + value for name, value in call.headers if name[:1] != b":" and name != b"x-target"
+        ]
         timeout = call["grpc-timeout"]
         seconds = int(timeout[:-1]) * {"u": 1e-6, "m": 1e-3, "S": 1.0}[timeout[-1]]
         lines += [b"request-timeout: %.3f" % seconds, b"", call.data[5:]]
@@ -85,8 +87,10 @@
         data = writer.data
         while (interim := re.match(rb"HTTP/1.1 (100) .*?\r\n\r\n", data, re.S)) is not None:
             wire.h2.send_headers(call.id, [(b":status", b"103")])
-            data = data[interim.end():]
-        found = re.match(rb"HTTP/1.1 (\d+) .*?\r\n(.*?)\r\n\r\n", data, re.S) or re.match(rb"HTTP/1.1 (\d+) [^\r]*\r\n()\r\n", data)
+            data = data[interim.end() :]
+        found = re.match(rb"HTTP/1.1 (\d+) .*?\r\n(.*?)\r\n\r\n", data, re.S) or re.match(
+            rb"HTTP/1.1 (\d+) [^\r]*\r\n()\r\n", data
+        )
         if found is None:
             if data.startswith(b"HTTP/1.1 200"):  # a head without end: one beyond every bound
                 call.send([*GRPC, *((b"x-%d" % n, b"x" * 1000) for n in range(70))])
@@ -96,14 +100,17 @@
             if writer.ended:
                 wire.transport.close()
             return
-        status, body = int(found[1]), data[found.end():]
+        status, body = int(found[1]), data[found.end() :]
         head = [tuple(line.split(b": ", 1)) for line in found[2].lower().split(b"\r\n") if line]
         names = dict(head)
         if status != 200:
             self._bad(call, status, names.get(b"not-started", b""))
             return
-        metadata = [(b"x-content-type" if name == b"content-type" else name, value) for name, value in head
-                    if name not in (b"content-length", b"transfer-encoding")]
+        metadata = [
+            (b"x-content-type" if name == b"content-type" else name, value)
+            for name, value in head
+            if name not in (b"content-length", b"transfer-encoding")
+        ]
         length = names.get(b"content-length")
         if b"transfer-encoding" in names:
             chunk = re.match(rb"([0-9a-f]+)\r\n(.*)", body, re.S)
@@ -122,8 +129,11 @@
         if status == 503 and not_started == b"1":
             call.cancel(7)  # REFUSED_STREAM
         elif not_started:
-            told = [(b"grpc-status", b"14"), (b"not-started", not_started)] if status != 500 else [
-                (b"grpc-status", b"13"), (b"not-started", not_started)]
+            told = (
+                [(b"grpc-status", b"14"), (b"not-started", not_started)]
+                if status != 500
+                else [(b"grpc-status", b"13"), (b"not-started", not_started)]
+            )
             call.send([*GRPC, *told], end=True)
         elif status == 500:
             call.send([*GRPC, (b"grpc-status", b"13"), (b"grpc-message", b"failed")], end=True)
@@ -174,9 +184,15 @@
         headers = dict(line.lower().split(b": ", 1) for line in lines)
         for name in (b"host", b"content-length"):
             headers.pop(name, None)
-        told = [(b":method", b"POST"), (b":scheme", b"http"), (b":path", PATH + target.split(b"/")[1].split(b"?")[0]),
-                (b":authority", b"service.internal"), (b"content-type", b"application/grpc"), (b"te", b"trailers"),
-                (b"x-target", target)]
+        told = [
+            (b":method", b"POST"),
+            (b":scheme", b"http"),
+            (b":path", PATH + target.split(b"/")[1].split(b"?")[0]),
+            (b":authority", b"service.internal"),
+            (b"content-type", b"application/grpc"),
+            (b"te", b"trailers"),
+            (b"x-target", target),
+        ]
         if (timeout := headers.pop(b"request-timeout", None)) is not None:
             told.append((b"grpc-timeout", b"%dm" % round(float(timeout) * 1000)))
         self.call = self.wire.open([*told, *headers.items()], message(body))
@@ -192,8 +208,14 @@
         status = call["grpc-status"]
         if not status:
             raise asyncio.IncompleteReadError(b"", None)
-        lines = [name.removeprefix(b"x-") if name == b"x-content-type" else name + b": " + value if name != b"content-type" else b""
-                 for name, value in (*call.headers, *call.trailers)]
+        lines = [
+            name.removeprefix(b"x-")
+            if name == b"x-content-type"
+            else name + b": " + value
+            if name != b"content-type"
+            else b""
+            for name, value in (*call.headers, *call.trailers)
+        ]
         lines += [b"content-type: " + value for name, value in call.headers if name == b"x-content-type"]
         refused = status == "8" and call["grpc-status-details-bin"]
         unknown = status == "12" and call["grpc-message"].startswith("no such")  # the ingress's own word
@@ -207,6 +229,7 @@
 
     from troutdock.grpc.methods import Row
     from troutdock.grpc.service import Grpc, Terms
+
     names = [category["name"] for category in json.loads(config)["settings"]["categories"]]
     part = Grpc(Terms(tuple(Row(PATH.decode() + name, name) for name in names)))
     await daemon(w, stack, config, [part])
@@ -216,4 +239,5 @@
         wire = await connect(w.address)
         stack.callback(lambda: wire.transport.abort())
         return GrpcClient(wire)
+
     w.client = client
--- a/tests/peers/h2_peers.py
+++ b/tests/peers/h2_peers.py
@@ -10,8 +10,15 @@
 from h2.config import H2Configuration
 from h2.connection import H2Connection
 from h2.events import (
-    ConnectionTerminated, DataReceived, InformationalResponseReceived, RequestReceived, ResponseReceived, StreamEnded,
-    StreamReset, TrailersReceived, WindowUpdated,
+    ConnectionTerminated,
+    DataReceived,
+    InformationalResponseReceived,
+    RequestReceived,
+    ResponseReceived,
+    StreamEnded,
+    StreamReset,
+    TrailersReceived,
+    WindowUpdated,
 )
 from h2.exceptions import ProtocolError, StreamClosedError
 import contextlib
@@ -47,7 +54,13 @@
                 return value.decode()
         return ""
 
-    def send(self, headers: Headers | None = None, data: bytes = b"", trailers: Headers | None = None, end: bool = False) -> None:
+    def send(
+        self,
+        headers: Headers | None = None,
+        data: bytes = b"",
+        trailers: Headers | None = None,
+        end: bool = False,
+    ) -> None:
         """What there is of a head, data and trailers; a block of headers alone may end it."""
         h2 = self.wire.h2
         try:
@@ -73,10 +86,19 @@
 class Wire(asyncio.Protocol):
     """A connection of either side."""
 
-    def __init__(self, client: bool, opened: Callable[[Call], None] | None = None, credit: bool = True) -> None:
+    def __init__(
+        self, client: bool, opened: Callable[[Call], None] | None = None, credit: bool = True
+    ) -> None:
         """opened: told of a call of the other side's, once its head is here. credit: what is read is credited at once."""
-        self.h2 = H2Connection(H2Configuration(client_side=client, header_encoding=None, validate_outbound_headers=False,
-                                               normalize_outbound_headers=False, validate_inbound_headers=client))
+        self.h2 = H2Connection(
+            H2Configuration(
+                client_side=client,
+                header_encoding=None,
+                validate_outbound_headers=False,
+                normalize_outbound_headers=False,
+                validate_inbound_headers=client,
+            )
+        )
         self.opened, self.credit = opened, credit
         self.calls: dict[int, Call] = {}
         self.gone: tuple[int, int] | None = None  # GOAWAY: last stream and code
@@ -169,7 +191,7 @@
             return
         id = getattr(event, "stream_id", 0) or 0
         if isinstance(event, WindowUpdated):
-            for stream in ([id] if id else list(self._queues)):
+            for stream in [id] if id else list(self._queues):
                 self._pump(stream)
             return
         if isinstance(event, RequestReceived):
--- a/tests/peers/kills.py
+++ b/tests/peers/kills.py
@@ -57,8 +57,17 @@
         self.address = free_address()
         self.child: subprocess.Popen[bytes] | None = None
         self.operator = folder / "operator.yaml"
-        self.operator.write_text(json.dumps({"usage": {"promise": promise, "folder": str(folder / "usage"),
-                                                       "exports": {"every_s": 0.3, "rows": 200}}}))
+        self.operator.write_text(
+            json.dumps(
+                {
+                    "usage": {
+                        "promise": promise,
+                        "folder": str(folder / "usage"),
+                        "exports": {"every_s": 0.3, "rows": 200},
+                    }
+                }
+            )
+        )
 
     async def _bill(self, peer: Peer, asked: bytes, writer: asyncio.StreamWriter) -> None:
         account = re.search(rb"account: ([0-9a-f]{16})", asked, re.I)
@@ -68,9 +77,15 @@
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nBilled-Units: %d\r\n\r\ndone" % units)
 
     def start(self) -> None:
-        config = {"name": "n0", "listen": "{}:{}".format(*self.address), "discovery": "127.0.0.1:9", "seed": "07",
-                  "limits": {"sockets": 256}, "settings": SETTINGS,
-                  "known": {"rev": 5, "all": True, "targets": [target(self.node, "s-0")]}}
+        config = {
+            "name": "n0",
+            "listen": "{}:{}".format(*self.address),
+            "discovery": "127.0.0.1:9",
+            "seed": "07",
+            "limits": {"sockets": 256},
+            "settings": SETTINGS,
+            "known": {"rev": 5, "all": True, "targets": [target(self.node, "s-0")]},
+        }
         file = self.folder / "config.json"
         file.write_text(json.dumps(config))
         env = {**os.environ, "RELAY_CONFIG": str(file), "TROUTDOCK_OPERATOR": str(self.operator)}
@@ -86,7 +101,9 @@
             try:
                 if connection is None:
                     connection = Client(*await asyncio.open_connection(*self.address))
-                status, head, _ = await connection.ask(request("ledger-read", customer, Account=f"{customer:016x}"))
+                status, head, _ = await connection.ask(
+                    request("ledger-read", customer, Account=f"{customer:016x}")
+                )
                 if status == 200:
                     self.given.add(customer)
                 if b"connection: close" in head.lower():
@@ -101,7 +118,9 @@
         for _ in range(2000):
             if len(self.given) > before:
                 return
-            assert self.child is not None and self.child.poll() is None, (self.folder / "log").read_text()[-500:]
+            assert self.child is not None and self.child.poll() is None, (self.folder / "log").read_text()[
+                -500:
+            ]
             await asyncio.sleep(0.005)
         raise AssertionError("never up")
 
@@ -136,12 +155,23 @@
     Exporter("n0", store, files).run(1.0)
     store.close()
     verdict = verify(files)
-    rows = [r for name in files.names() if name.endswith(".parquet") for r in columns.read(files.read(name), name)]
+    rows = [
+        r for name in files.names() if name.endswith(".parquet") for r in columns.read(files.read(name), name)
+    ]
     exported = [r for r in rows if r.state in (State.GIVEN, State.UNCERTAIN)]
     by_customer = {r.use.customer: r.use.units for r in exported}
-    result = Result(f.clients, len(f.given), sum(r.state is State.UNCERTAIN for r in rows), verdict.unknown,
-                    len(f.given - by_customer.keys()), len(by_customer.keys() - f.given), faults=verdict.faults)
-    result.wrong = [f"{c}: {u:g}, and {f.billed.get(c)} were told" for c, u in by_customer.items() if f.billed.get(c) != u]
+    result = Result(
+        f.clients,
+        len(f.given),
+        sum(r.state is State.UNCERTAIN for r in rows),
+        verdict.unknown,
+        len(f.given - by_customer.keys()),
+        len(by_customer.keys() - f.given),
+        faults=verdict.faults,
+    )
+    result.wrong = [
+        f"{c}: {u:g}, and {f.billed.get(c)} were told" for c, u in by_customer.items() if f.billed.get(c) != u
+    ]
     if len(by_customer) != len(exported):
         result.wrong.append(f"{len(exported) - len(by_customer)} customers are exported twice")
     return result
--- a/tests/peers/loopback.py
+++ b/tests/peers/loopback.py
@@ -20,23 +20,87 @@
 from troutdock.platform.config import read_config
 
 SETTINGS: dict[str, Any] = {
-    "balancers": 3, "index": 0, "locality": 0, "quantum": 2.0, "zones": ["hall-a", "hall-b"], "machine_types": ["std-2c"],
+    "balancers": 3,
+    "index": 0,
+    "locality": 0,
+    "quantum": 2.0,
+    "zones": ["hall-a", "hall-b"],
+    "machine_types": ["std-2c"],
     "categories": [
-        {"name": "ledger-read", "aim": 1500.0, "hard_limit": 4000.0, "points": 2.0, "idempotency": "pure", "group": "all",
-         "dedup_window": 5000.0, "late_worth": 0.2, "streaming": False},
-        {"name": "payment-book", "aim": 1000.0, "hard_limit": 4000.0, "points": 5.0, "idempotency": "token", "group": "all",
-         "dedup_window": 3000.0, "late_worth": 0.0, "streaming": False},
-        {"name": "vat-filing", "aim": 750.0, "hard_limit": 1500.0, "points": 5.0, "idempotency": "side_effect",
-         "group": "all", "dedup_window": 5000.0, "late_worth": 0.0, "streaming": False}],
+        {
+            "name": "ledger-read",
+            "aim": 1500.0,
+            "hard_limit": 4000.0,
+            "points": 2.0,
+            "idempotency": "pure",
+            "group": "all",
+            "dedup_window": 5000.0,
+            "late_worth": 0.2,
+            "streaming": False,
+        },
+        {
+            "name": "payment-book",
+            "aim": 1000.0,
+            "hard_limit": 4000.0,
+            "points": 5.0,
+            "idempotency": "token",
+            "group": "all",
+            "dedup_window": 3000.0,
+            "late_worth": 0.0,
+            "streaming": False,
+        },
+        {
+            "name": "vat-filing",
+            "aim": 750.0,
+            "hard_limit": 1500.0,
+            "points": 5.0,
+            "idempotency": "side_effect",
+            "group": "all",
+            "dedup_window": 5000.0,
+            "late_worth": 0.0,
+            "streaming": False,
+        },
+    ],
     "plans": [
-        {"name": "basis", "per_second": 1.0, "peak_units": 8.0, "price": 0.72, "over_worth": 0.0, "excess_cost": 0.5},
-        {"name": "plus", "per_second": 100.0, "peak_units": 1000.0, "price": 1.6, "over_worth": 0.0, "excess_cost": 0.6}],
-    "permissions": {"most_tries": 3, "dial_timeout": 250.0, "conn_idle": 30000.0, "retry_after": True, "cancel": True,
-                    "max_retry_after": 500.0, "parallel_tries": True, "probes": False},
-    "safety": {"start_capacity": 0.2, "cold": 15000.0, "fall_multiple": 2.0, "overload_for": 3000.0,
-               "stop_sending_within": 500.0, "grace_to_answer": 8.0},
+        {
+            "name": "basis",
+            "per_second": 1.0,
+            "peak_units": 8.0,
+            "price": 0.72,
+            "over_worth": 0.0,
+            "excess_cost": 0.5,
+        },
+        {
+            "name": "plus",
+            "per_second": 100.0,
+            "peak_units": 1000.0,
+            "price": 1.6,
+            "over_worth": 0.0,
+            "excess_cost": 0.6,
+        },
+    ],
+    "permissions": {
+        "most_tries": 3,
+        "dial_timeout": 250.0,
+        "conn_idle": 30000.0,
+        "retry_after": True,
+        "cancel": True,
+        "max_retry_after": 500.0,
+        "parallel_tries": True,
+        "probes": False,
+    },
+    "safety": {
+        "start_capacity": 0.2,
+        "cold": 15000.0,
+        "fall_multiple": 2.0,
+        "overload_for": 3000.0,
+        "stop_sending_within": 500.0,
+        "grace_to_answer": 8.0,
+    },
     "extra": {"has_counter": False, "count_wait": 50.0, "units_top": 8, "cost_after": True},
-    "clients": {"marks_retry": True}, "telemetry": {"via": "off", "fields": []}, "tiers": ["ledger-fleet"],
+    "clients": {"marks_retry": True},
+    "telemetry": {"via": "off", "fields": []},
+    "tiers": ["ledger-fleet"],
 }
 
 Script = Callable[["Peer", bytes, asyncio.StreamWriter], Awaitable[None]]
@@ -61,17 +125,21 @@
 
 def answer(body: bytes = b"done", status: int = 200, head: bytes = b"") -> Script:
     """A script that answers every request alike."""
+
     async def script(peer: Peer, request: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n%b\r\n%b" % (status, len(body), head, body))
+
     return script
 
 
 def sends(data: bytes, close: bool = True) -> Script:
     """A script that writes just these bytes."""
+
     async def script(peer: Peer, request: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(data)
         if close:
             writer.close()
+
     return script
 
 
@@ -89,7 +157,9 @@
 class Peer:
     """A server that does with each request what its script says, and keeps what it was sent."""
 
-    def __init__(self, script: Script, read: Callable[[asyncio.StreamReader], Awaitable[bytes]] = read_message) -> None:
+    def __init__(
+        self, script: Script, read: Callable[[asyncio.StreamReader], Awaitable[bytes]] = read_message
+    ) -> None:
         self.script, self.read = script, read
         self.requests: list[bytes] = []
         self.connections = 0
@@ -151,22 +221,38 @@
     """A client's request; changes name headers with _ for -, None leaves one out."""
     method = "GET" if cls == "ledger-read" else "POST"
     headers: dict[str, str | None] = {
-        "Host": "service.internal", "Request-Id": f"{number:016x}", "Plan": "plus", "Account": "0000000000000009",
-        "Request-Timeout": "1.500", "Quota-Info": "units=2,spread=2,first=0"}
+        "Host": "service.internal",
+        "Request-Id": f"{number:016x}",
+        "Plan": "plus",
+        "Account": "0000000000000009",
+        "Request-Timeout": "1.500",
+        "Quota-Info": "units=2,spread=2,first=0",
+    }
     if cls == "payment-book":
         headers["Idempotency-Key"] = "ab" * 16
     body = changes.pop("body", "" if method == "GET" else "receipt") or ""
     if method == "POST":
         headers["Content-Length"] = str(len(body))
-    headers |= {name.replace("_", "-"): value for name, value in changes.items() if name not in ("method", "path")}
+    headers |= {
+        name.replace("_", "-"): value for name, value in changes.items() if name not in ("method", "path")
+    }
     lines = [f"{changes.get('method') or method} {changes.get('path') or '/' + cls + '/7?year=3'} HTTP/1.1"]
     lines += [f"{name}: {value}" for name, value in headers.items() if value is not None]
     return ("\r\n".join(lines) + "\r\n\r\n" + body).encode()
 
 
 def target(peer: Peer, uid: str, state: str = "active", **changes: Any) -> dict[str, Any]:
-    return {"uid": uid, "endpoint": peer.address, "az": "hall-a", "model": "std-2c", "pod_group": 0, "state": state,
-            "capacity_hint": 1.0, "boot_ms": 0, **changes}
+    return {
+        "uid": uid,
+        "endpoint": peer.address,
+        "az": "hall-a",
+        "model": "std-2c",
+        "pod_group": 0,
+        "state": state,
+        "capacity_hint": 1.0,
+        "boot_ms": 0,
+        **changes,
+    }
 
 
 class World:
@@ -192,8 +278,16 @@
 
 
 @asynccontextmanager
-async def world(*scripts: Script, counter: Script | None = None, read_counter: Any = None, sockets: int = 1024,
-                discovery: Script = silence, settings: dict[str, Any] | None = None, boots: Sequence[int] = (), management: str = "") -> Any:
+async def world(
+    *scripts: Script,
+    counter: Script | None = None,
+    read_counter: Any = None,
+    sockets: int = 1024,
+    discovery: Script = silence,
+    settings: dict[str, Any] | None = None,
+    boots: Sequence[int] = (),
+    management: str = "",
+) -> Any:
     """An ingress with a backend for each script, known to it from the start; boots: when each has started.
 
     management: the operators' address, where there is one.
@@ -206,9 +300,21 @@
             await peer.start()
             stack.callback(peer.stop)
         used = json.loads(json.dumps(SETTINGS)) | (settings or {})
-        config = {"name": "n0", "listen": "127.0.0.1:0", "discovery": w.discovery.address, "seed": "07",
-                  "limits": {"sockets": sockets}, "settings": used,
-                  "known": {"rev": 5, "all": True, "targets": [target(b, f"s-{n}", boot_ms=boots[n] if boots else 0) for n, b in enumerate(w.backends)]}}
+        config = {
+            "name": "n0",
+            "listen": "127.0.0.1:0",
+            "discovery": w.discovery.address,
+            "seed": "07",
+            "limits": {"sockets": sockets},
+            "settings": used,
+            "known": {
+                "rev": 5,
+                "all": True,
+                "targets": [
+                    target(b, f"s-{n}", boot_ms=boots[n] if boots else 0) for n, b in enumerate(w.backends)
+                ],
+            },
+        }
         if management:
             config["management"] = management
         if counter is not None:
@@ -249,8 +355,17 @@
 
     sock = socket.create_server(("127.0.0.1", 0))
     stack.callback(sock.close)
-    server = uvicorn.Server(uvicorn.Config(app, lifespan=lifespan, log_config=None, access_log=False,
-                                           http="httptools", ws="none", timeout_graceful_shutdown=1))
+    server = uvicorn.Server(
+        uvicorn.Config(
+            app,
+            lifespan=lifespan,
+            log_config=None,
+            access_log=False,
+            http="httptools",
+            ws="none",
+            timeout_graceful_shutdown=1,
+        )
+    )
     w.task = asyncio.create_task(server.serve(sockets=[sock]))
     w.address = sock.getsockname()
 
@@ -268,9 +383,12 @@
 
 
 Front = Callable[[World, AsyncExitStack, str], Coroutine[Any, Any, None]]
+
+
 async def grpc(w: World, stack: AsyncExitStack, config: str) -> None:
     """gRPC calls at the daemon's one address, and nodes that speak it."""
     from grpc_rules import grpc as over_grpc
+
     await over_grpc(w, stack, config)
 
 
@@ -278,6 +396,7 @@
     """What stands for a backend."""
     if front == "grpc":
         from grpc_rules import GrpcPeer
+
         return GrpcPeer
     return Peer
 
--- a/tests/peers/registries.py
+++ b/tests/peers/registries.py
@@ -15,7 +15,18 @@
 
 import msgspec
 
-from furrow.messages import DRAINING, GONE, READY, Config, Fresh, Instance, Instances, Member, Message, digest_of
+from furrow.messages import (
+    DRAINING,
+    GONE,
+    READY,
+    Config,
+    Fresh,
+    Instance,
+    Instances,
+    Member,
+    Message,
+    digest_of,
+)
 from hedgerow.registry import Borne, Confirmed, Registry, Tell
 from pollen.instances import Book, tombstone
 
@@ -62,11 +73,19 @@
 class Core:
     """Machines, ways between them, backends that call, and what must hold."""
 
-    def __init__(self, seed: int, machines: int = 3, zones: int = 3, borne: Borne | None = None,
-                 make: type[Registry] = Registry) -> None:
+    def __init__(
+        self,
+        seed: int,
+        machines: int = 3,
+        zones: int = 3,
+        borne: Borne | None = None,
+        make: type[Registry] = Registry,
+    ) -> None:
         self.random, self.now, self.make = Random(seed), 0.0, make
         self.borne = borne or Borne(1)
-        self.machines = {f"10.0.0.{n}": Machine(f"10.0.0.{n}", f"z{n % zones}") for n in range(1, machines + 1)}
+        self.machines = {
+            f"10.0.0.{n}": Machine(f"10.0.0.{n}", f"z{n % zones}") for n in range(1, machines + 1)
+        }
         self.cuts: dict[tuple[str, str], bool] = {}  # one way
         self.queue: list[tuple[float, int, Any]] = []
         self.number = 0
@@ -100,7 +119,9 @@
         machine.life += 1
         self.moved = True
         seeds = [other for other in list(self.machines)[:3] if other != ip]
-        registry = machine.registry = self.make(self.now, 1.5, machine.life, machine.zone, seeds, self.borne, ip=ip)
+        registry = machine.registry = self.make(
+            self.now, 1.5, machine.life, machine.zone, seeds, self.borne, ip=ip
+        )
         self.do(machine, registry.remembered(self.now, list(machine.disk.values())))
         member = Member(f"e-{ip}", ip, 1, machine.zone, machine.life)
         self.do(machine, registry.ingress_up(self.now, "ingress", member))
@@ -149,7 +170,9 @@
         self.moved = False
         for ip, machine in self.machines.items():
             apart = not self.majority(ip)
-            machine.apart_since = (self.now if machine.apart_since is None else machine.apart_since) if apart else None
+            machine.apart_since = (
+                (self.now if machine.apart_since is None else machine.apart_since) if apart else None
+            )
         if not self.majority(self.primary):
             able = [ip for ip in self.machines if self.majority(ip)]
             self.primary = able[0] if able else self.primary
@@ -167,7 +190,11 @@
 
     @property
     def fresh(self) -> Fresh:
-        return Fresh(True, self.config.version, self.config.digest) if self.config is not None else Fresh(True, 0)
+        return (
+            Fresh(True, self.config.version, self.config.digest)
+            if self.config is not None
+            else Fresh(True, 0)
+        )
 
     def order(self) -> None:
         """The operator's next configuration comes into force, if there is a primary."""
@@ -176,7 +203,11 @@
         version = self.config.version + 1 if self.config is not None else 1
         self.config = config(version, b'{"v":%d}' % version)
         for machine in self.machines.values():
-            if machine.registry is not None and machine.registry.contact and self.reach(machine.ip, self.primary):
+            if (
+                machine.registry is not None
+                and machine.registry.contact
+                and self.reach(machine.ip, self.primary)
+            ):
                 self.from_store(machine, self.config)
 
     def rumour(self) -> None:
@@ -184,13 +215,20 @@
         version = self.config.version + 1 if self.config is not None else 1
         for machine in self.machines.values():
             if machine.registry is not None and machine.apart_since is not None:
-                self.do(machine, machine.registry.take_config(config(version, b'{"rumour":%d}' % self.random.randint(0, 1))))
+                self.do(
+                    machine,
+                    machine.registry.take_config(
+                        config(version, b'{"rumour":%d}' % self.random.randint(0, 1))
+                    ),
+                )
 
     def from_store(self, machine: Machine, told: Config | None) -> None:
         if told is None:
             return
         life, key = machine.life, (machine.ip, -1)
-        when = self.way_free[key] = max(self.now + self.random.uniform(0.001, 0.05), self.way_free.get(key, 0.0))
+        when = self.way_free[key] = max(
+            self.now + self.random.uniform(0.001, 0.05), self.way_free.get(key, 0.0)
+        )
 
         def come() -> None:
             registry = machine.registry
@@ -208,7 +246,9 @@
         elif isinstance(message, Fresh) and message.fresh:
             shown = machine.shown
             if shown is not None and (shown.version, shown.digest) != (message.version, message.digest):
-                raise Violation(f"{machine.ip} tells r{message.version} as the newest, and its ingress was told r{shown.version}")
+                raise Violation(
+                    f"{machine.ip} tells r{message.version} as the newest, and its ingress was told r{shown.version}"
+                )
             assert machine.registry is not None and machine.registry._told is not None
             if message.version < machine.registry._told.version:
                 raise Violation(f"{machine.ip} tells an old configuration as the newest")
@@ -274,7 +314,9 @@
             self.held.append((machine, link, message))
             return
         key = machine.ip, link
-        when = self.way_free[key] = max(self.now + self.random.uniform(0.001, 0.01), self.way_free.get(key, 0.0))
+        when = self.way_free[key] = max(
+            self.now + self.random.uniform(0.001, 0.01), self.way_free.get(key, 0.0)
+        )
         other = self.machines[to]
 
         def come() -> None:
@@ -340,12 +382,16 @@
 
     def acknowledged(self, machine: Machine, call: Call) -> None:
         self.served += 1
-        have = [m for m in self.machines.values() if call.id in m.disk and m.disk[call.id].state >= call.state]
+        have = [
+            m for m in self.machines.values() if call.id in m.disk and m.disk[call.id].state >= call.state
+        ]
         if machine not in have:
             raise Violation(f"{call.id} is acknowledged before the own disk has it")
         if len(self.machines) > 1 and len(have) < 2:
             raise Violation(f"{call.id} is acknowledged before a second disk has it")
-        calm = not any(m.registry is None or len(m.links) < len(self.machines) - 1 for m in self.machines.values())
+        calm = not any(
+            m.registry is None or len(m.links) < len(self.machines) - 1 for m in self.machines.values()
+        )
         if calm and len(have) <= self.borne.machines:
             raise Violation(f"{call.id} is acknowledged on {len(have)} disks")
         if calm and self.borne.zones and len({m.zone for m in have}) <= self.borne.zones:
@@ -373,8 +419,16 @@
             for id, known in machine.registry.book.entries.items():
                 if known.state > self.states.get(id, 0):
                     raise Violation(f"{id} is {known.state} at {ip} and never said so")
-                if len({m.registry.book.entries[id].state for m in self.machines.values()  # type: ignore[union-attr]
-                        if id in m.registry.book.entries}) > 1:  # type: ignore[union-attr]
+                if (
+                    len(
+                        {
+                            m.registry.book.entries[id].state
+                            for m in self.machines.values()  # type: ignore[union-attr]
+                            if id in m.registry.book.entries
+                        }
+                    )
+                    > 1
+                ):  # type: ignore[union-attr]
                     raise Violation(f"{id} is told in two ways")
 
 
@@ -429,7 +483,11 @@
 def everything(core: Core, wiped: bool) -> None:
     """All processes end at once, by a kill or by a loss of power; one may lose its disk with it."""
     ips = list(core.machines)
-    lost = core.random.choice(ips) if wiped and all(core.now - m.back_at > SYNC_TIME_S for m in core.machines.values()) else ""
+    lost = (
+        core.random.choice(ips)
+        if wiped and all(core.now - m.back_at > SYNC_TIME_S for m in core.machines.values())
+        else ""
+    )
     edges_too = core.random.random() < 0.5
     for ip in ips:
         core.end(ip)
--- a/tests/peers/scripted.py
+++ b/tests/peers/scripted.py
@@ -40,10 +40,20 @@
         return self.headers.get("x-nonce", "")
 
 
-def answer(seen: Seen, status: int = 200, *headers: str, body: bytes | None = None, id: str | None = "own", stamp: bool = True,
-           length: int | None = -1, chunked: bool = False) -> bytes:
+def answer(
+    seen: Seen,
+    status: int = 200,
+    *headers: str,
+    body: bytes | None = None,
+    id: str | None = "own",
+    stamp: bool = True,
+    length: int | None = -1,
+    chunked: bool = False,
+) -> bytes:
     """An answer to this request. id: "own", None, or another; length: -1 the true one, None none."""
-    declines = status == 421 or (status >= 300 and any(header.startswith("Not-Executed") for header in headers))
+    declines = status == 421 or (
+        status >= 300 and any(header.startswith("Not-Executed") for header in headers)
+    )
     if id == "own":  # else it says nothing of this request; what was answered before is not taken back
         seen.declined = seen.declined or (declines and not seen.begun)
         seen.begun = seen.begun or not declines
@@ -56,7 +66,10 @@
         lines.append(f"Response-Signature: s-{seen.nonce}")
     if chunked:
         lines.append("Transfer-Encoding: chunked")
-        text = b"".join(b"%x\r\n%b\r\n" % (len(part), part) for part in (text[:3], text[3:]) if part) + b"0\r\n\r\n"
+        text = (
+            b"".join(b"%x\r\n%b\r\n" % (len(part), part) for part in (text[:3], text[3:]) if part)
+            + b"0\r\n\r\n"
+        )
     elif length is not None:
         lines.append(f"Content-Length: {len(text) if length == -1 else length}")
     return "\r\n".join([*lines, *headers, "", ""]).encode() + text
@@ -86,7 +99,9 @@
             await self._more()
         head, _, self.buffer = self.buffer.partition(b"\r\n\r\n")
         line, *lines = head.decode().split("\r\n")
-        seen = Seen(line, {name.lower(): value for name, _, value in (each.partition(": ") for each in lines)})
+        seen = Seen(
+            line, {name.lower(): value for name, _, value in (each.partition(": ") for each in lines)}
+        )
         self.backend.seen.append(seen)
         return seen
 
@@ -155,7 +170,9 @@
         self.script, self.small = script, small
         self.armed = False
         self.normal: Script = good
-        self.at_door: Callable[[Conn], Awaitable[None]] | None = None  # while armed, before any byte is awaited
+        self.at_door: Callable[[Conn], Awaitable[None]] | None = (
+            None  # while armed, before any byte is awaited
+        )
         self.seen: list[Seen] = []
         self.conns: list[Conn] = []
         self._tasks: list[asyncio.Task[None]] = []
@@ -164,7 +181,9 @@
         self._listener = socket.socket()
         if self.small:  # so that a long body can't lie in the kernel whole
             self._listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-            self._listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_MAXSEG, 1000)  # the sender's buffer is so many of these
+            self._listener.setsockopt(
+                socket.IPPROTO_TCP, socket.TCP_MAXSEG, 1000
+            )  # the sender's buffer is so many of these
         self._listener.bind(("127.0.0.1", 0))
         self._listener.listen(16)
         self._listener.setblocking(False)
--- a/tests/peers/simulated.py
+++ b/tests/peers/simulated.py
@@ -10,7 +10,15 @@
 from build import OPEN, settings
 
 from tamarindfold.interface import (
-    BackendEntry, BackendState, CountAnswered, Effect, FleetUpdate, ListKind, Outcome, Plan, RequestArrived,
+    BackendEntry,
+    BackendState,
+    CountAnswered,
+    Effect,
+    FleetUpdate,
+    ListKind,
+    Outcome,
+    Plan,
+    RequestArrived,
 )
 from troutdock.engine import Attempt, Engine, Request
 
@@ -191,7 +199,13 @@
     def __init__(self, make: type[Engine] = Engine, **changes: Any) -> None:
         FAULTS.clear()
         self.time = SimulatedTime()
-        changed = {"plans": PLANS, "counter": True, "counter_timeout_ms": 50.0, "second_copies": True, **changes}
+        changed = {
+            "plans": PLANS,
+            "counter": True,
+            "counter_timeout_ms": 50.0,
+            "second_copies": True,
+            **changes,
+        }
         self.settings = settings(**changed)
         self.engine = make(self.settings, 7, self.time, self.time)
         self.transports = [SimulatedTransport(self), SimulatedTransport(self)]
@@ -204,13 +218,26 @@
         self.fleet([1, 2, 3], pool=0)
         self.fleet([9], pool=1)
 
-    def fleet(self, ids: list[int], state: BackendState = BackendState.READY, kind: ListKind = ListKind.FULL,
-              pool: int = 0) -> None:
+    def fleet(
+        self,
+        ids: list[int],
+        state: BackendState = BackendState.READY,
+        kind: ListKind = ListKind.FULL,
+        pool: int = 0,
+    ) -> None:
         entries = [BackendEntry(i, state, cell=i % 2) for i in ids]
         self.engine.fleet(FleetUpdate(kind, entries, pool=pool), dict.fromkeys(ids))
 
-    def arrive(self, cls: int = 0, customer: int = 9, plan: int = 0, units: float = 1.0, timeout_ms: float = 1000.0,
-               pool: int = 0, most: int = 0) -> Told:
+    def arrive(
+        self,
+        cls: int = 0,
+        customer: int = 9,
+        plan: int = 0,
+        units: float = 1.0,
+        timeout_ms: float = 1000.0,
+        pool: int = 0,
+        most: int = 0,
+    ) -> Told:
         told = Told(self.time.now(), self.time.now() + timeout_ms, self.time)
         arrival = RequestArrived(0, customer, plan, cls, units, 0, 2, timeout_ms, False, pool, most)
         self.told.append(told)
--- a/tests/peers/upgrade.py
+++ b/tests/peers/upgrade.py
@@ -30,19 +30,37 @@
         """One more process; returns its number once it says that it takes clients. prelude: what it runs first."""
         number = len(self.children)
         management = free_address()
-        config = {"name": "n0", "listen": "{}:{}".format(*self.address), "discovery": "127.0.0.1:9", "seed": f"{number:x}",
-                  "limits": {"sockets": 256}, "settings": SETTINGS,
-                  "known": {"rev": 5, "all": True, "targets": [target(self.node, "s-0")]}, **self.extra}
+        config = {
+            "name": "n0",
+            "listen": "{}:{}".format(*self.address),
+            "discovery": "127.0.0.1:9",
+            "seed": f"{number:x}",
+            "limits": {"sockets": 256},
+            "settings": SETTINGS,
+            "known": {"rev": 5, "all": True, "targets": [target(self.node, "s-0")]},
+            **self.extra,
+        }
         file = self.where / f"{number}.json"
         file.write_text(json.dumps(config))
         fd = self.socket.fileno()
-        env = {**os.environ, "RELAY_CONFIG": str(file), "RELAY_SOCKET_FD": str(fd), "TMPDIR": str(self.where),
-               "RELAY_MANAGEMENT": "{}:{}".format(*management)}
+        env = {
+            **os.environ,
+            "RELAY_CONFIG": str(file),
+            "RELAY_SOCKET_FD": str(fd),
+            "TMPDIR": str(self.where),
+            "RELAY_MANAGEMENT": "{}:{}".format(*management),
+        }
         if self.operator is not None:
             env["TROUTDOCK_OPERATOR"] = str(self.operator)
         with (self.where / f"{number}.log").open("w") as log:
-            program = ["-c", f"{prelude}\nfrom troutdock.__main__ import main\nraise SystemExit(main())"] if prelude else ["-m", "troutdock"]
-            child = subprocess.Popen([sys.executable, *program], cwd=ROOT, pass_fds=(fd,), env=env, stderr=log)
+            program = (
+                ["-c", f"{prelude}\nfrom troutdock.__main__ import main\nraise SystemExit(main())"]
+                if prelude
+                else ["-m", "troutdock"]
+            )
+            child = subprocess.Popen(
+                [sys.executable, *program], cwd=ROOT, pass_fds=(fd,), env=env, stderr=log
+            )
         self.children.append((child, management))
         for _ in range(1000):
             if await self.call(number, "GET", "ready") == 200:
@@ -57,7 +75,11 @@
         except OSError:
             return 0
         try:
-            return (await Client(reader, writer).ask(f"{method} /control/{path} HTTP/1.1\r\nHost: x\r\n\r\n".encode()))[0]
+            return (
+                await Client(reader, writer).ask(
+                    f"{method} /control/{path} HTTP/1.1\r\nHost: x\r\n\r\n".encode()
+                )
+            )[0]
         finally:
             writer.close()
 
--- a/tests/peers/whole.py
+++ b/tests/peers/whole.py
@@ -35,10 +35,18 @@
     return value
 
 
-async def call(address: tuple[str, int], method: str, path: str, body: bytes = b"", *headers: str) -> tuple[int, dict, bytes]:
+async def call(
+    address: tuple[str, int], method: str, path: str, body: bytes = b"", *headers: str
+) -> tuple[int, dict, bytes]:
     """One request on a connection of its own: status, headers, body."""
     reader, writer = await asyncio.open_connection(*address)
-    lines = [f"{method} {path} HTTP/1.1", "Host: a.example", f"Content-Length: {len(body)}", "Connection: close", *headers]
+    lines = [
+        f"{method} {path} HTTP/1.1",
+        "Host: a.example",
+        f"Content-Length: {len(body)}",
+        "Connection: close",
+        *headers,
+    ]
     writer.write("\r\n".join([*lines, "", ""]).encode() + body)
     raw = await reader.read()
     writer.close()
@@ -50,7 +58,9 @@
 class Backend:
     """Answers what it is told to; seen holds each request's headers."""
 
-    def __init__(self, id: str, says: Callable[[dict[str, str]], tuple[int, dict[str, str], bytes] | None]) -> None:
+    def __init__(
+        self, id: str, says: Callable[[dict[str, str]], tuple[int, dict[str, str], bytes] | None]
+    ) -> None:
         self.id, self.says, self.seen = id, says, []  # type: ignore[var-annotated]
         self.address = ("", 0)
 
@@ -73,8 +83,12 @@
                     break
                 status, more, text = answer
                 more = {"Attempt-Id": headers.get("attempt-id", ""), "Content-Length": str(len(text)), **more}
-                writer.write(f"HTTP/1.1 {status} X\r\n".encode() + b"".join(f"{k}: {v}\r\n".encode() for k, v in more.items())
-                             + b"\r\n" + text)
+                writer.write(
+                    f"HTTP/1.1 {status} X\r\n".encode()
+                    + b"".join(f"{k}: {v}\r\n".encode() for k, v in more.items())
+                    + b"\r\n"
+                    + text
+                )
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
         finally:
@@ -87,12 +101,27 @@
 
 CONFIGURATION = {
     "revision": "r5",
-    "routes": {"columns": ["name", "hostname", "pathPrefix", "routeType", "timeoutS", "targetLatencyS", "maxAttempts", "public", "service"],
-               "rows": [["read", "a.example", "/read/", "read_only", 5, 1, 2, False, "s"],
-                        ["write", "a.example", "/write/", "mutating", 5, 1, 2, False, "s"],
-                        ["open", "a.example", "/open/", "read_only", 5, 1, 2, True, "s"]]},
+    "routes": {
+        "columns": [
+            "name",
+            "hostname",
+            "pathPrefix",
+            "routeType",
+            "timeoutS",
+            "targetLatencyS",
+            "maxAttempts",
+            "public",
+            "service",
+        ],
+        "rows": [
+            ["read", "a.example", "/read/", "read_only", 5, 1, 2, False, "s"],
+            ["write", "a.example", "/write/", "mutating", 5, 1, 2, False, "s"],
+            ["open", "a.example", "/open/", "read_only", 5, 1, 2, True, "s"],
+        ],
+    },
     "services": {"columns": ["name", "healthPath", "maxConnections"], "rows": [["s", "/health", 100]]},
-    "tenants": {"columns": ["name", "apiKeys", "ratePerS", "burst"], "rows": [["t", ["key"], 0, 0]]}}
+    "tenants": {"columns": ["name", "apiKeys", "ratePerS", "burst"], "rows": [["t", ["key"], 0, 0]]},
+}
 
 
 class Whole:
@@ -110,12 +139,24 @@
 
     def boot(self, ip: str, zone: str, first: bool, data: bool) -> Any:
         port = self.ports
-        return boot_of({
-            "nodeName": f"n-{ip}", "ipAddress": ip, "zone": zone, "internalPortRange": [port, port + 2],
-            "bindAddresses": {"http": f"{ip}:{port + 3}", "readiness": f"{ip}:{port + 4}", "controlPlane": f"{ip}:{port + 5}"},
-            # ingresses are told one of the core only: the others they learn of
-            "seedNodes": [f"{c}:{port + 5}" for c in (self.core if data else self.core[:1])], "bootstrap": first, "heartbeatS": 0.5,
-            "dataDirectory": str(self.folder / ip) if data else None})
+        return boot_of(
+            {
+                "nodeName": f"n-{ip}",
+                "ipAddress": ip,
+                "zone": zone,
+                "internalPortRange": [port, port + 2],
+                "bindAddresses": {
+                    "http": f"{ip}:{port + 3}",
+                    "readiness": f"{ip}:{port + 4}",
+                    "controlPlane": f"{ip}:{port + 5}",
+                },
+                # ingresses are told one of the core only: the others they learn of
+                "seedNodes": [f"{c}:{port + 5}" for c in (self.core if data else self.core[:1])],
+                "bootstrap": first,
+                "heartbeatS": 0.5,
+                "dataDirectory": str(self.folder / ip) if data else None,
+            }
+        )
 
     def control(self, ip: str) -> tuple[str, int]:
         return ip, self.ports + 5
@@ -164,15 +205,34 @@
         """Sent again as an operator does, until there is a clear answer."""
         async with asyncio.timeout(20):
             while True:
-                status, _, _ = await call(self.control(ip or self.core[1]), "POST", "/configuration/replace", json.dumps(configuration).encode())
+                status, _, _ = await call(
+                    self.control(ip or self.core[1]),
+                    "POST",
+                    "/configuration/replace",
+                    json.dumps(configuration).encode(),
+                )
                 if status < 500:
                     return status
                 await asyncio.sleep(0.02)
 
     async def beat(self, backend: Backend, state: str = "available", count: int = 1, ip: str = "") -> int:
-        body = {"service": "s", "address": "{}:{}".format(*backend.address), "zone": "z", "capacity": 2, "state": state,
-                "warmupLeftS": 0, "callCount": count}
-        return (await call(self.control(ip or self.core[0]), "POST", f"/instances/{backend.id}/heartbeat", json.dumps(body).encode()))[0]
+        body = {
+            "service": "s",
+            "address": "{}:{}".format(*backend.address),
+            "zone": "z",
+            "capacity": 2,
+            "state": state,
+            "warmupLeftS": 0,
+            "callCount": count,
+        }
+        return (
+            await call(
+                self.control(ip or self.core[0]),
+                "POST",
+                f"/instances/{backend.id}/heartbeat",
+                json.dumps(body).encode(),
+            )
+        )[0]
 
     async def ready(self) -> None:
         await until(lambda: all(i.ready for i in self.ingresses.values()))
--- a/tests/peers/worst_days.py
+++ b/tests/peers/worst_days.py
@@ -205,7 +205,9 @@
     primary = cluster.primary or names[0]
     who = {random.choice([primary, random.choice(names)])}
     how = random.choice(["cut", "cut", "out", "in", "freeze"])
-    cluster.links_end = random.random() < 0.5  # else the state machines alone meet a way that is cut in one direction
+    cluster.links_end = (
+        random.random() < 0.5
+    )  # else the state machines alone meet a way that is cut in one direction
     if machines > 3 and how == "cut" and random.random() < 0.5:
         who.add(random.choice([ip for ip in names if ip not in who]))
     pending: list[tuple[int, bytes]] = []
@@ -257,8 +259,15 @@
 
 APART_S = (0.0, 0.001, 0.004, 0.012, 0.5, 3.0)
 BETWEEN = (
-    "nothing", "the backup's disk waits", "the primary is lost", "the primary crashes", "the primary leaves",
-    "the primary is cut off", "all power is lost", "higher numbers wait", "the primary was cut off before",
+    "nothing",
+    "the backup's disk waits",
+    "the primary is lost",
+    "the primary crashes",
+    "the primary leaves",
+    "the primary is cut off",
+    "all power is lost",
+    "higher numbers wait",
+    "the primary was cut off before",
 )
 
 
@@ -284,7 +293,9 @@
                 cluster.machines[ip].hangs_until = cluster.now + random.uniform(0.1, 0.7)
     elif between == "higher numbers wait" and random.random() < 0.5:
         cluster.order(primary, 7, body_of(7), callers[0])
-    elif between == "the primary was cut off before":  # both lie on one disk at most; one is refused, the other lost
+    elif (
+        between == "the primary was cut off before"
+    ):  # both lie on one disk at most; one is refused, the other lost
         cluster.cut_off({primary})
         cluster.order(primary, 5, bodies[0])
         cluster.run(0.003)
@@ -330,13 +341,23 @@
 
 
 FIRST = (
-    "leaves for good", "replaced", "leaves and is replaced", "wiped and back", "killed and back", "leaves and is back",
-    "cut and back", "frozen and woken",
+    "leaves for good",
+    "replaced",
+    "leaves and is replaced",
+    "wiped and back",
+    "killed and back",
+    "leaves and is back",
+    "cut and back",
+    "frozen and woken",
 )
 
 
 def second_loss(
-    seed: int, machines: int = 4, first: str | None = None, gap_s: float | None = None, second: str | None = None
+    seed: int,
+    machines: int = 4,
+    first: str | None = None,
+    gap_s: float | None = None,
+    second: str | None = None,
 ) -> Cluster:
     """The next loss comes as soon as it may; changes are confirmed again in time.
 
@@ -512,7 +533,9 @@
         for machine in cluster.machines.values():
             machine.save_s = 0.14  # a slow sync
     cluster.run(4.0)
-    bound = CONFIRM_S + 4 * cluster.body_bytes / cluster.bandwidth  # to the backup, to the next one, and a spare
+    bound = (
+        CONFIRM_S + 4 * cluster.body_bytes / cluster.bandwidth
+    )  # to the backup, to the next one, and a spare
     what = f"{cluster.body_bytes} bytes, {cluster.bandwidth * 8 / 1e6:.0f} Mbit/s, ways of {cluster.latency[1]} s"
     what += ", slow disks" if cluster.machines[names[0]].save_s else ""
     must_confirm(cluster, f"{what}, the first", bound)
@@ -560,7 +583,11 @@
     for _ in range(2):
         must_confirm(cluster, f"{machines} machines")
         names = [ip for ip in cluster.machines if ip != cluster.primary]
-        lost = random.sample(names, 2) if random.random() < 0.3 else [cluster.primary or "10.0.0.1", random.choice(names)]
+        lost = (
+            random.sample(names, 2)
+            if random.random() < 0.3
+            else [cluster.primary or "10.0.0.1", random.choice(names)]
+        )
         how = random.choice(["kill", "wipe", "cut", "hang"])
         for ip in lost:
             if how == "hang":
--- a/tests/plans/test_change.py
+++ b/tests/plans/test_change.py
@@ -16,7 +16,9 @@
 BASE = Plan(8, 16, ceiling_rate=20, ceiling_burst=40, name="base")
 
 
-def changed(tokens: float, cap: float, plan: Plan, before: Plan = BASE, after_ms: float = 0.0) -> tuple[float, float, float]:
+def changed(
+    tokens: float, cap: float, plan: Plan, before: Plan = BASE, after_ms: float = 0.0
+) -> tuple[float, float, float]:
     """Bucket, ceiling's store and believed shared store, of a customer with the whole of a plan."""
     customer = Customer(before, 1, START)
     customer.tokens, customer.cap_tokens, customer.store = tokens, cap, 10.0
@@ -25,14 +27,26 @@
     return customer.tokens, customer.cap_tokens, customer.store
 
 
-@pytest.mark.parametrize(("change", "after_ms", "left"), [
-    ({}, 0, (9, 22, 10)),  # a second at the old rates
-    ({"rate": 80}, 0, (9, 22, 10)), ({"rate": 80}, 50, (13, 23, 10)), ({"rate": 0.8}, 1000, (9.8, 40, 10)),
-    ({"burst": 160}, 0, (9, 22, 10)), ({"burst": 160}, 4000, (41, 40, 10)), ({"burst": 4}, 0, (4, 22, 4)),
-    ({"ceiling_rate": 200}, 50, (9.4, 32, 10)), ({"ceiling_rate": 2}, 1000, (16, 24, 10)),
-    ({"ceiling_burst": 400}, 0, (9, 22, 10)), ({"ceiling_burst": 4}, 0, (9, 4, 10)),
-    ({"ceiling_rate": 0, "ceiling_burst": 0}, 0, (9, 0, 10))])
-def test_each_figure_up_and_down(change: dict[str, float], after_ms: float, left: tuple[float, float, float]) -> None:
+@pytest.mark.parametrize(
+    ("change", "after_ms", "left"),
+    [
+        ({}, 0, (9, 22, 10)),  # a second at the old rates
+        ({"rate": 80}, 0, (9, 22, 10)),
+        ({"rate": 80}, 50, (13, 23, 10)),
+        ({"rate": 0.8}, 1000, (9.8, 40, 10)),
+        ({"burst": 160}, 0, (9, 22, 10)),
+        ({"burst": 160}, 4000, (41, 40, 10)),
+        ({"burst": 4}, 0, (4, 22, 4)),
+        ({"ceiling_rate": 200}, 50, (9.4, 32, 10)),
+        ({"ceiling_rate": 2}, 1000, (16, 24, 10)),
+        ({"ceiling_burst": 400}, 0, (9, 22, 10)),
+        ({"ceiling_burst": 4}, 0, (9, 4, 10)),
+        ({"ceiling_rate": 0, "ceiling_burst": 0}, 0, (9, 0, 10)),
+    ],
+)
+def test_each_figure_up_and_down(
+    change: dict[str, float], after_ms: float, left: tuple[float, float, float]
+) -> None:
     assert changed(1.0, 2.0, replace(BASE, name="new", **change), after_ms=after_ms) == pytest.approx(left)
 
 
@@ -40,12 +54,21 @@
     assert changed(1.0, 0.0, BASE, before=Plan(8, 16, name="free"))[1] == pytest.approx(0.0)
 
 
-@given(st.lists(st.tuples(st.sampled_from(["up", "down", "ask", "wait"]), st.integers(0, 2), st.integers(1, 9)), max_size=40))
-def test_no_ceiling_is_passed_though_gateways_hear_of_changes_at_their_own_times(steps: list[tuple[str, int, int]]) -> None:
+@given(
+    st.lists(
+        st.tuples(st.sampled_from(["up", "down", "ask", "wait"]), st.integers(0, 2), st.integers(1, 9)),
+        max_size=40,
+    )
+)
+def test_no_ceiling_is_passed_though_gateways_hear_of_changes_at_their_own_times(
+    steps: list[tuple[str, int, int]],
+) -> None:
     """Three gateways with a third each; what they let in together stays under the higher ceiling's store throughout."""
     low = Plan(0, 0, ceiling_rate=3, ceiling_burst=12, name="low")
     high = Plan(0, 0, ceiling_rate=30, ceiling_burst=60, name="high")
-    gateways = [gateway(*range(1, 20), classes=(SAFE,), plans=(low, high), gateways=3, index=n) for n in range(3)]
+    gateways = [
+        gateway(*range(1, 20), classes=(SAFE,), plans=(low, high), gateways=3, index=n) for n in range(3)
+    ]
     now, number, store = START + 30_000.0, 0, 60.0
     for what, at, amount in steps:
         g = gateways[at]
--- a/tests/plans/test_history.py
+++ b/tests/plans/test_history.py
@@ -11,19 +11,30 @@
 from troutdock.plans.history import Assignment, Conflict, Histories
 
 ASSIGNMENTS = st.lists(
-    st.builds(Assignment, st.integers(0, 5).map(float), st.uuids().map(str), st.integers(1, 3),
-              st.sampled_from(["basis", "standard", "plus"]), st.just("back office"), st.text(max_size=20)),
-    max_size=12, unique_by=lambda a: a.id)
+    st.builds(
+        Assignment,
+        st.integers(0, 5).map(float),
+        st.uuids().map(str),
+        st.integers(1, 3),
+        st.sampled_from(["basis", "standard", "plus"]),
+        st.just("back office"),
+        st.text(max_size=20),
+    ),
+    max_size=12,
+    unique_by=lambda a: a.id,
+)
 
 
 @given(ASSIGNMENTS, st.randoms(), st.integers(1, 3), st.integers(-1, 6))
-def test_any_order_of_news_ends_in_the_same_history(news: list[Assignment], dice: Any, customer: int, time: int) -> None:
+def test_any_order_of_news_ends_in_the_same_history(
+    news: list[Assignment], dice: Any, customer: int, time: int
+) -> None:
     """Two gateways that hear it in orders of their own, some of it twice, and tell each other; the model is a sort."""
     first, second = Histories(), Histories()
     for gateway in range(2):
         heard = [*news, *dice.sample(news, len(news) // 2)]
         dice.shuffle(heard)
-        for assignment in heard[:len(heard) if gateway else len(heard) // 2]:
+        for assignment in heard[: len(heard) if gateway else len(heard) // 2]:
             if gateway:
                 second = second.assign([assignment])
             else:
@@ -41,7 +52,8 @@
 
 @given(ASSIGNMENTS, st.integers(0, 6), st.integers(0, 6), st.integers(1, 3))
 def test_folding_changes_nothing_from_its_time_on_and_comes_to_the_same_in_any_order(
-        news: list[Assignment], before: int, ask: int, customer: int) -> None:
+    news: list[Assignment], before: int, ask: int, customer: int
+) -> None:
     whole = Histories().assign(news)
     folded = whole.fold(before)
     time = float(max(before, ask))
@@ -53,11 +65,26 @@
 GOOD = Assignment(1000.0, "a-1", 7, "plus", "back office", "ticket 12")
 
 
-@pytest.mark.parametrize(("change", "named"), [
-    ({"plan": "basis"}, "a-1"), ({"id": "", }, "id is missing"), ({"id": "b", "plan": ""}, "plan is missing"),
-    ({"id": "b", "valid_from_ms": float("nan")}, "valid_from_ms"), ({"id": "b", "valid_from_ms": -1.0}, "valid_from_ms"),
-    ({"id": "b", "customer": 2**33}, "customer"), ({"id": "b", "why": "x" * 201}, "why")])
-def test_what_makes_no_sense_is_named_and_nothing_of_its_batch_is_taken(change: dict[str, Any], named: str) -> None:
+@pytest.mark.parametrize(
+    ("change", "named"),
+    [
+        ({"plan": "basis"}, "a-1"),
+        (
+            {
+                "id": "",
+            },
+            "id is missing",
+        ),
+        ({"id": "b", "plan": ""}, "plan is missing"),
+        ({"id": "b", "valid_from_ms": float("nan")}, "valid_from_ms"),
+        ({"id": "b", "valid_from_ms": -1.0}, "valid_from_ms"),
+        ({"id": "b", "customer": 2**33}, "customer"),
+        ({"id": "b", "why": "x" * 201}, "why"),
+    ],
+)
+def test_what_makes_no_sense_is_named_and_nothing_of_its_batch_is_taken(
+    change: dict[str, Any], named: str
+) -> None:
     known = Histories().assign([GOOD])
     with pytest.raises(ValueError, match=named) as raised:
         known.assign([GOOD._replace(id="c", customer=8), GOOD._replace(**change)])
--- a/tests/plans/test_plan_book.py
+++ b/tests/plans/test_plan_book.py
@@ -16,6 +16,7 @@
 from troutdock.plans.history import Assignment, Conflict, Histories
 from troutdock.plans.service import Plans
 
+
 class Gateways(RuleBasedStateMachine):
     """Gateways that hear of assignments late, in any order, twice or not yet, by clocks that differ, and start anew."""
 
@@ -55,7 +56,10 @@
     def what_was_told_is_what_holds_by_each_one_s_own_clock(self) -> None:
         for n, book in enumerate(self.books):
             now = max(0.0, self.now + self.off[n])
-            assert self.told[n] == {c: plan for c in (1, 2) if (plan := book.plan_of(c, now)) is not None} or book.next_at <= now
+            assert (
+                self.told[n] == {c: plan for c in (1, 2) if (plan := book.plan_of(c, now)) is not None}
+                or book.next_at <= now
+            )
 
     def teardown(self) -> None:
         """All have heard of all, and their clocks are right again: they agree."""
@@ -66,7 +70,9 @@
         assert self.told[0] == self.told[1] == self.told[2]
         late = Histories().assign(self.made).fold(end)  # gateways fold at their own times
         assert [book.history.fold(end) for book in self.books] == [late] * 3
-        assert self.told[0] == {c: held.plan for c in (1, 2) if (held := Histories().assign(self.made).at(c, end)) is not None}
+        assert self.told[0] == {
+            c: held.plan for c in (1, 2) if (held := Histories().assign(self.made).at(c, end)) is not None
+        }
 
 
 Gateways.TestCase.settings = settings(max_examples=60, stateful_step_count=40)
@@ -75,7 +81,9 @@
 
 def test_a_change_made_ahead_is_told_when_it_is_due_and_old_ones_are_folded() -> None:
     book = PlanBook()
-    assert book.learn(0.0, [Assignment(0.0, "a", 9, "basis"), Assignment(100.0, "b", 9, "plus")]) == [(9, "basis")]
+    assert book.learn(0.0, [Assignment(0.0, "a", 9, "basis"), Assignment(100.0, "b", 9, "plus")]) == [
+        (9, "basis")
+    ]
     assert (book.next_at, book.due(99.0), book.due(100.0), book.due(101.0)) == (100.0, [], [(9, "plus")], [])
     assert book.plan_of(9, 100.0) == "plus" and book.plan_of(8, 100.0) is None
     late = 100.0 + FOLD_MS + 1
@@ -92,7 +100,9 @@
     return w.gateway.customers[customer].plan.burst  # type: ignore[attr-defined]
 
 
-def test_an_assigned_plan_goes_before_what_requests_say_and_changes_in_service(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
+def test_an_assigned_plan_goes_before_what_requests_say_and_changes_in_service(
+    tmp_path: Path, caplog: pytest.LogCaptureFixture
+) -> None:
     file = tmp_path / "plans.jsonl"
     write(file, Histories().assign([Assignment(0.0, "a", 9, "basis")]))
 
@@ -107,12 +117,21 @@
             file.write_text(file.read_text() + "nonsense\n")
             await until(lambda: "stays as it was" in caplog.text)
             assert "plans.jsonl:3" in caplog.text and spent(w, 9) == 1000.0
-            write(file, Histories().assign([Assignment(0.0, "a", 9, "basis"), Assignment(2.0, "c", 9, "gold"),
-                                            Assignment(3.0, "d", 8, "basis")]))
+            write(
+                file,
+                Histories().assign(
+                    [
+                        Assignment(0.0, "a", 9, "basis"),
+                        Assignment(2.0, "c", 9, "gold"),
+                        Assignment(3.0, "d", 8, "basis"),
+                    ]
+                ),
+            )
             await until(lambda: "no 'gold'" in caplog.text)
             assert (await w.ask(request("ledger-read", 2, Client_Retry="1")))[0] == 200  # its own word counts
             assert spent(w, 9) == 1000.0
             await plans.close()
+
     with caplog.at_level(logging.INFO, "troutdock"):
         run(test())
 
@@ -132,6 +151,7 @@
             await until(lambda: spent(w, 9) == 8.0)
             assert w.engine.clock.now() >= now + 60
             await plans.close()
+
     run(test())
 
 
--- a/tests/reservations/test_reservations.py
+++ b/tests/reservations/test_reservations.py
@@ -14,12 +14,24 @@
 from troutdock.reservations import messages
 from troutdock.reservations.entries import Conflict, Entries, Entry, Kind, Reservation, checked
 from troutdock.reservations.escrow import (
-    AHEAD, ASK_MS, DRAWN, LEAST, MILLI, SOON_MS, Ask, Escrow, Give, Saved, even_part,
+    AHEAD,
+    ASK_MS,
+    DRAWN,
+    LEAST,
+    MILLI,
+    SOON_MS,
+    Ask,
+    Escrow,
+    Give,
+    Saved,
+    even_part,
 )
 from troutdock.reservations.promise import PROMISED, TIMES_RATE, Terms, may, pace, peak
 
 
-def made(id: str = "r", units: float = 10.0, begins: float = 0.0, ends: float = 100_000.0, **changes: Any) -> Entry:
+def made(
+    id: str = "r", units: float = 10.0, begins: float = 0.0, ends: float = 100_000.0, **changes: Any
+) -> Entry:
     return Entry(id, Kind.RESERVE, id, 9, units, begins, ends, **changes)
 
 
@@ -55,11 +67,17 @@
         self.lives += 1
         return Escrow(gateway, self.lives, self.lives * 10_000, self.disks[gateway])
 
-    @rule(units=st.floats(0.5, 400), lasts=st.floats(100, 5000), ahead=st.sampled_from([0.0, 0.0, 3000.0, 9000.0]))
+    @rule(
+        units=st.floats(0.5, 400),
+        lasts=st.floats(100, 5000),
+        ahead=st.sampled_from([0.0, 0.0, 3000.0, 9000.0]),
+    )
     def reserve(self, units: float, lasts: float, ahead: float) -> None:
         id, begins = f"r{len(self.entries)}", self.now + ahead
         first, width = self.set
-        self.entries.append(Entry(id, Kind.RESERVE, id, 9, units, begins, begins + lasts, (), first, width, self.GATEWAYS))
+        self.entries.append(
+            Entry(id, Kind.RESERVE, id, 9, units, begins, begins + lasts, (), first, width, self.GATEWAYS)
+        )
         self.made[id] = units
 
     @rule(data=st.data(), units=st.floats(0, 20), release=st.booleans())
@@ -67,7 +85,11 @@
         if self.made:
             of = data.draw(st.sampled_from(sorted(self.made)))
             kind = Kind.RELEASE if release else Kind.EXTEND
-            self.entries.append(Entry(f"e{len(self.entries)}", kind, of, 9, 0.0 if release else units, self.now, self.now + 3000))
+            self.entries.append(
+                Entry(
+                    f"e{len(self.entries)}", kind, of, 9, 0.0 if release else units, self.now, self.now + 3000
+                )
+            )
             self.made[of] += 0.0 if release else units
 
     @rule(gateway=st.integers(0, 3), data=st.data())
@@ -164,7 +186,9 @@
             self.paying(gateway, lambda: ended.drawn(True))
             self.fleet[gateway] = self.born(gateway)
             self.fleet[gateway].learn(ended.entries)
-            assert {k: p.left for k, p in self.fleet[gateway].parts.items()} == {k: p.left for k, p in ended.parts.items()}
+            assert {k: p.left for k, p in self.fleet[gateway].parts.items()} == {
+                k: p.left for k, p in ended.parts.items()
+            }
 
     @invariant()
     def nothing_is_honoured_twice(self) -> None:
@@ -200,7 +224,9 @@
 
 
 @given(st.floats(0.001, 1e6), st.integers(1, 50), st.integers(0, 60), st.integers(1, 60))
-def test_even_parts_are_all_of_it_and_within_a_thousandth_of_one_another(units: float, width: int, first: int, gateways: int) -> None:
+def test_even_parts_are_all_of_it_and_within_a_thousandth_of_one_another(
+    units: float, width: int, first: int, gateways: int
+) -> None:
     width, first = min(width, gateways), first % gateways
     entry = made(units=units, first=first, width=width, gateways=gateways)
     parts = [even_part(entry, n) for n in range(gateways + 3)]  # also of gateways that came later
@@ -210,9 +236,17 @@
 
 
 def test_what_ends_first_is_used_first_and_only_by_its_classes() -> None:
-    escrow = ready(0, made("late", 5.0, ends=900.0), made("soon", 2.0, ends=500.0), made("reads", 9.0, ends=100.0, classes=("ledger-read",)))
+    escrow = ready(
+        0,
+        made("late", 5.0, ends=900.0),
+        made("soon", 2.0, ends=500.0),
+        made("reads", 9.0, ends=100.0, classes=("ledger-read",)),
+    )
     assert [escrow.use(9, "vat-filing", 2.0, 50.0) for _ in range(4)] == ["soon", "late", "late", None]
-    assert escrow.use(9, "ledger-read", 9.0, 99.0) == "reads" and escrow.use(9, "ledger-read", 1.0, 101.0) == "late"
+    assert (
+        escrow.use(9, "ledger-read", 9.0, 99.0) == "reads"
+        and escrow.use(9, "ledger-read", 1.0, 101.0) == "late"
+    )
     assert escrow.use(8, "ledger-read", 1.0, 50.0) is None and escrow.use(9, "vat-filing", 0.5, 950.0) is None
     assert not escrow.concerns(9)  # all are over
     escrow.learn([Entry("more", Kind.EXTEND, "late", 9, 3.0, 0.0, 2000.0)])
@@ -226,7 +260,15 @@
     of = made(units=4.0, first=2, width=3, gateways=4)  # 2, 3 and 0
     escrow = ready(3, of, life=5)
     asks = [escrow.ask(9, "x", 3.0, at * ASK_MS) for at in (0, 0.5, 1, 2, 3, 4, 6)]
-    assert [a and (a.to, a.missing, a.life) for a in asks] == [(0, 1667, 5), None, (2, 1667, 5), (0, 1667, 5), None, (2, 1667, 5), (0, 1667, 5)]
+    assert [a and (a.to, a.missing, a.life) for a in asks] == [
+        (0, 1667, 5),
+        None,
+        (2, 1667, 5),
+        (0, 1667, 5),
+        None,
+        (2, 1667, 5),
+        (0, 1667, 5),
+    ]
     other = ready(0, of)
     assert other.asked(3, Ask(0, "r", 9000, 5), 0.0) is None  # it has not so much: it keeps what it has
     give = other.asked(3, Ask(0, "r", 500, 5), 0.0)
@@ -288,7 +330,9 @@
     assert LEAST // MILLI == 20  # smaller parts are free as a whole
 
 
-def test_learning_many_customers_looks_at_each_reservation_a_few_times(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_learning_many_customers_looks_at_each_reservation_a_few_times(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     looks, get = [], Entries.get
     monkeypatch.setattr(Entries, "get", lambda self, id: (looks.append(id), get(self, id))[1])
     Escrow(0).learn([made(f"r{n}")._replace(customer=n) for n in range(500)])
@@ -299,7 +343,9 @@
     escrow = ready(0, made("a", ends=10.0), made("b"))
     escrow.drop(["a"])
     assert list(escrow.parts) == ["b"] and len(escrow.entries) == 1 and list(escrow.draw(0.0)) == ["b"]
-    assert not escrow.learn([Entry("x", Kind.EXTEND, "a", 9, 2.0, 0.0, 200_000.0)])  # nothing comes back by it
+    assert not escrow.learn(
+        [Entry("x", Kind.EXTEND, "a", 9, 2.0, 0.0, 200_000.0)]
+    )  # nothing comes back by it
     assert escrow.use(9, "x", 1.0, 20.0) == "b"
 
 
@@ -310,25 +356,57 @@
 
 
 def test_messages_are_read_as_they_were_written() -> None:
-    assert messages.read(messages.ask("r", 7, 1 << 40, 1 << 50)) == (messages.ASK, messages.key_of("r"), 7, 0xFFFFFFFF, 1 << 50)
-    assert messages.read(messages.give("r", 7, 12, 1 << 50)) == (messages.GIVE, messages.key_of("r"), 7, 12, 1 << 50)
+    assert messages.read(messages.ask("r", 7, 1 << 40, 1 << 50)) == (
+        messages.ASK,
+        messages.key_of("r"),
+        7,
+        0xFFFFFFFF,
+        1 << 50,
+    )
+    assert messages.read(messages.give("r", 7, 12, 1 << 50)) == (
+        messages.GIVE,
+        messages.key_of("r"),
+        7,
+        12,
+        1 << 50,
+    )
 
 
 # ---- entries
 
 
-@given(st.permutations([made("a"), Entry("b", Kind.EXTEND, "a", 9, 5.0, 0.0, 200_000.0), Entry("c", Kind.RELEASE, "a", 9, 0.0, 700.0),
-                        Entry("d", Kind.RELEASE, "a", 9, 0.0, 600.0), made("e", 3.0)]))
+@given(
+    st.permutations(
+        [
+            made("a"),
+            Entry("b", Kind.EXTEND, "a", 9, 5.0, 0.0, 200_000.0),
+            Entry("c", Kind.RELEASE, "a", 9, 0.0, 700.0),
+            Entry("d", Kind.RELEASE, "a", 9, 0.0, 600.0),
+            made("e", 3.0),
+        ]
+    )
+)
 def test_any_order_of_entries_comes_to_the_same(order: list[Entry]) -> None:
     one, other = Entries().add(order), Entries().add(order[:2]).add(reversed(order))
     assert one == other and one.get("a") == Reservation("a", 9, 15.0, 0.0, 200_000.0, 600.0, (), 0, 1, 1)
     assert [r.id for r in one.reservations()] == ["a", "e"] and one.get("b") is None
 
 
-@pytest.mark.parametrize(("bad", "field"), [
-    (made(units=0.0), "units"), (made(units=float("nan")), "units"), (made(ends=0.0), "until_ms"), (made(id=""), "id"),
-    (made()._replace(of="x"), "id"), (made(width=0), "width"), (made()._replace(customer=2**33), "customer"),
-    (made(who="x" * 201), "who"), (Entry("e", Kind.EXTEND, "e"), "id"), (made(begins=float("inf"), ends=float("inf")), "from_ms")])
+@pytest.mark.parametrize(
+    ("bad", "field"),
+    [
+        (made(units=0.0), "units"),
+        (made(units=float("nan")), "units"),
+        (made(ends=0.0), "until_ms"),
+        (made(id=""), "id"),
+        (made()._replace(of="x"), "id"),
+        (made(width=0), "width"),
+        (made()._replace(customer=2**33), "customer"),
+        (made(who="x" * 201), "who"),
+        (Entry("e", Kind.EXTEND, "e"), "id"),
+        (made(begins=float("inf"), ends=float("inf")), "from_ms"),
+    ],
+)
 def test_a_bad_entry_names_its_field_and_changes_nothing(bad: Entry, field: str) -> None:
     with pytest.raises(ValueError, match=field):
         checked(bad)
@@ -353,18 +431,37 @@
 FLEET = Terms(fleet=100.0, rate=5.0)  # 30 units a second may be promised, 20 of them to one customer
 
 
-@pytest.mark.parametrize(("wanted", "others", "granted", "why", "units", "begins"), [
-    (held("w", 200, 0, 10_000), [], True, "", 200.0, 0.0),
-    (held("w", 201, 0, 10_000), [], False, "plan", 200.0, float("inf")),
-    (held("w", 200, 0, 1), [], True, "", 200.0, 0.0),  # a short window is paced over ten seconds
-    (held("w", 100, 0, 10_000), [held("o", 250, 0, 10_000, 8)], False, "fleet", 50.0, 10_000.0),
-    (held("w", 50, 0, 10_000), [held("o", 250, 0, 10_000, 8)], True, "", 50.0, 0.0),
-    (held("w", 100, 0, 10_000), [held("o", 250, 10_000, 20_000, 8)], True, "", 100.0, 0.0),  # one after the other
-    (held("w", 300, 0, 20_000), [held("w", 100, 0, 20_000)], True, "", 300.0, 0.0),  # its own earlier form
-    (held("w", 100, 0, 10_000), [held("o", 150, 0, 15_000)], True, "", 100.0, 0.0),
-    (held("w", 150, 0, 10_000), [held("o", 150, 0, 15_000)], False, "plan", 100.0, 15_000.0)])
-def test_what_may_be_promised_and_what_is_said_if_not(wanted: Reservation, others: list[Reservation], granted: bool, why: str,
-                                                       units: float, begins: float) -> None:
+@pytest.mark.parametrize(
+    ("wanted", "others", "granted", "why", "units", "begins"),
+    [
+        (held("w", 200, 0, 10_000), [], True, "", 200.0, 0.0),
+        (held("w", 201, 0, 10_000), [], False, "plan", 200.0, float("inf")),
+        (held("w", 200, 0, 1), [], True, "", 200.0, 0.0),  # a short window is paced over ten seconds
+        (held("w", 100, 0, 10_000), [held("o", 250, 0, 10_000, 8)], False, "fleet", 50.0, 10_000.0),
+        (held("w", 50, 0, 10_000), [held("o", 250, 0, 10_000, 8)], True, "", 50.0, 0.0),
+        (
+            held("w", 100, 0, 10_000),
+            [held("o", 250, 10_000, 20_000, 8)],
+            True,
+            "",
+            100.0,
+            0.0,
+        ),  # one after the other
+        (
+            held("w", 300, 0, 20_000),
+            [held("w", 100, 0, 20_000)],
+            True,
+            "",
+            300.0,
+            0.0,
+        ),  # its own earlier form
+        (held("w", 100, 0, 10_000), [held("o", 150, 0, 15_000)], True, "", 100.0, 0.0),
+        (held("w", 150, 0, 10_000), [held("o", 150, 0, 15_000)], False, "plan", 100.0, 15_000.0),
+    ],
+)
+def test_what_may_be_promised_and_what_is_said_if_not(
+    wanted: Reservation, others: list[Reservation], granted: bool, why: str, units: float, begins: float
+) -> None:
     verdict = may(wanted, others, FLEET)
     assert (verdict.granted, verdict.from_ms) == (granted, begins) and why in verdict.why
     assert verdict.units == pytest.approx(units)
@@ -375,7 +472,11 @@
     assert may(held("w", 150, 0, 10_000), [], Terms(100.0, 5.0, ceiling=15.0)).granted
 
 
-@given(st.lists(st.tuples(st.floats(1, 400), st.integers(0, 50), st.integers(1, 30), st.integers(1, 3)), max_size=20))
+@given(
+    st.lists(
+        st.tuples(st.floats(1, 400), st.integers(0, 50), st.integers(1, 30), st.integers(1, 3)), max_size=20
+    )
+)
 def test_promises_never_add_up_to_more_than_may_be(wanted: list[tuple[float, int, int, int]]) -> None:
     given_out: list[Reservation] = []
     for n, (units, begins, lasts, customer) in enumerate(wanted):
@@ -388,5 +489,8 @@
     for at in range(90):
         now = [r for r in given_out if r.from_ms <= at * 1000 < r.ends_ms]
         assert sum(map(pace, now)) <= PROMISED * FLEET.fleet + 1e-6
-        assert max([sum(pace(r) for r in now if r.customer == c) for c in (1, 2, 3)]) <= TIMES_RATE * FLEET.rate + 1e-6
+        assert (
+            max([sum(pace(r) for r in now if r.customer == c) for c in (1, 2, 3)])
+            <= TIMES_RATE * FLEET.rate + 1e-6
+        )
     assert peak(given_out, 0, 1e6) <= PROMISED * FLEET.fleet + 1e-6
--- a/tests/reservations/test_reserved_front.py
+++ b/tests/reservations/test_reserved_front.py
@@ -27,9 +27,13 @@
 COSTS = answer(head=b"Billed-Units: 3\r\n")
 
 
-def made(id: str = "r", units: float = 100.0, starts_s: float = 0.0, lasts_s: float = 600.0, **changes: Any) -> Entry:
+def made(
+    id: str = "r", units: float = 100.0, starts_s: float = 0.0, lasts_s: float = 600.0, **changes: Any
+) -> Entry:
     now = time.time() * 1000
-    return Entry(id, Kind.RESERVE, id, 9, units, now + starts_s * 1000, now + (starts_s + lasts_s) * 1000, **changes)
+    return Entry(
+        id, Kind.RESERVE, id, 9, units, now + starts_s * 1000, now + (starts_s + lasts_s) * 1000, **changes
+    )
 
 
 def lines(file: Path, *entries: Entry) -> Path:
@@ -49,7 +53,11 @@
 
 
 async def free(service: Reservations, id: str = "r") -> None:
-    await until(lambda: service.escrow is not None and id in service.escrow.parts and service.escrow.parts[id].free > 0)
+    await until(
+        lambda: (
+            service.escrow is not None and id in service.escrow.parts and service.escrow.parts[id].free > 0
+        )
+    )
 
 
 async def asks(w: Any, number: int, plan: str = "basis", **more: Any) -> int:
@@ -62,13 +70,16 @@
     async def test() -> None:
         async with world(COSTS) as w, kept(w, tmp_path) as service:
             await free(service)
-            assert [await asks(w, n) for n in range(1, 7)] == [200] * 6  # 8 units are a burst, 1 a second come
+            assert [await asks(w, n) for n in range(1, 7)] == [
+                200
+            ] * 6  # 8 units are a burst, 1 a second come
             part = service.escrow.parts["r"]
             assert (part.used, part.left) == (18_000, 0)  # true units, not the two that were announced
             assert w.gateway.customers[9].tokens == 4.0  # its share of the burst, untouched
             assert [await asks(w, n) for n in range(11, 15)].count(200) in (1, 2)  # then by its quota
             assert await asks(w, 20, Account="0000000000000008") == 200  # another one's is untouched
             assert [await asks(w, n, Account="0000000000000008") for n in range(21, 24)].count(200) <= 1
+
     run(test())
 
 
@@ -88,6 +99,7 @@
             assert 429 in got or 503 in got
             assert units <= plan.ceiling_burst + plan.ceiling_rate * 2 + 3  # and refusals took nothing of it
             assert service.escrow.parts["r"].used == 1000 * units
+
     run(test())
 
 
@@ -101,6 +113,7 @@
             await asyncio.sleep(0)
             assert await asks(w, 1, Request_Timeout="0.200") != 200
             assert service.escrow.parts["r"].used <= 2000
+
     run(test())
 
 
@@ -119,7 +132,9 @@
                 def tell(gateway: int, body: bytes) -> None:
                     sent.append(body)
                     asyncio.get_running_loop().call_later(0.005, services[gateway].heard, sender, body)
+
                 return tell
+
             a.engine.tell, b.engine.tell = carry(0), carry(1)
             await free(first)
             second.escrow._index = 1  # both worlds are gateway 0 of theirs
@@ -133,7 +148,10 @@
             assert {messages.read(body)[0] for body in sent} == {messages.ASK, messages.GIVE}
             total = sum(s.escrow.parts["r"].left + s.escrow.parts["r"].used for s in services)
             assert total <= 40_000
-            assert not second.heard(0, b"\x01abc") and second.heard(0, b"\x28bad")  # the decision module's; broken
+            assert not second.heard(0, b"\x01abc") and second.heard(
+                0, b"\x28bad"
+            )  # the decision module's; broken
+
     run(test())
 
 
@@ -156,10 +174,13 @@
             saved = files.PartsFolder(tmp_path / "own").load(0)
             assert saved["r"][0] == 7_997_000 - 7_997_000 // 8
             await second.close()
+
     run(test())
 
 
-def test_what_is_not_saved_is_not_used_and_a_bad_file_changes_nothing(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
+def test_what_is_not_saved_is_not_used_and_a_bad_file_changes_nothing(
+    tmp_path: Path, caplog: pytest.LogCaptureFixture
+) -> None:
     lines(tmp_path / "entries.jsonl", made(units=30.0))
 
     async def test() -> None:
@@ -168,9 +189,12 @@
 
             def full(index: int, parts: Any) -> None:
                 raise OSError("no space left")
+
             service._folder.save = full  # type: ignore[method-assign]
             await until(lambda: "can't be saved" in caplog.text)
-            assert [await asks(w, n) for n in range(1, 6)].count(200) <= 4 and service.escrow.parts["r"].used == 0
+            assert [await asks(w, n) for n in range(1, 6)].count(200) <= 4 and service.escrow.parts[
+                "r"
+            ].used == 0
             service._folder.save = whole  # type: ignore[method-assign]
             await free(service)
             (tmp_path / "entries.jsonl").write_bytes(b"[1]\n")
@@ -179,13 +203,17 @@
             lines(tmp_path / "entries.jsonl", made("other", 5.0))
             await free(service, "other")
             assert "r" in service.escrow.parts  # it holds: only what is over may vanish
+
     run(test())
 
 
-@pytest.mark.parametrize(("content", "said"), [
-    (b"what\n", "parts.json: no parts"), (b'{"version":1,"index":3,"parts":{}}', "gateway 3's")])
-def test_a_folder_that_is_not_this_gateways_is_named_and_nothing_is_honoured(tmp_path: Path, content: bytes, said: str,
-                                                                             caplog: pytest.LogCaptureFixture) -> None:
+@pytest.mark.parametrize(
+    ("content", "said"),
+    [(b"what\n", "parts.json: no parts"), (b'{"version":1,"index":3,"parts":{}}', "gateway 3's")],
+)
+def test_a_folder_that_is_not_this_gateways_is_named_and_nothing_is_honoured(
+    tmp_path: Path, content: bytes, said: str, caplog: pytest.LogCaptureFixture
+) -> None:
     lines(tmp_path / "entries.jsonl", made())
     (tmp_path / "own").mkdir()
     (tmp_path / "own" / "parts.json").write_bytes(content)
@@ -194,6 +222,7 @@
         async with world(COSTS) as w, kept(w, tmp_path) as service:
             await until(lambda: said in caplog.text)
             assert await asks(w, 1) == 200 and service.escrow is None
+
     run(test())
 
 
@@ -214,10 +243,19 @@
             folder = tmp_path / str(n)
             folder.mkdir()
             operator = folder / "operator.yaml"
-            operator.write_text(json.dumps({
-                "plans": {"file": str(folder / "plans.jsonl"), "reread_s": 0.05},
-                "reservations": {"file": str(folder / "entries.jsonl"), "folder": str(folder / "own"),
-                                 "fleet_units_per_s": 1000.0, "reread_s": 0.05}}))
+            operator.write_text(
+                json.dumps(
+                    {
+                        "plans": {"file": str(folder / "plans.jsonl"), "reread_s": 0.05},
+                        "reservations": {
+                            "file": str(folder / "entries.jsonl"),
+                            "folder": str(folder / "own"),
+                            "fleet_units_per_s": 1000.0,
+                            "reread_s": 0.05,
+                        },
+                    }
+                )
+            )
             parts = parts_of("n0", read_operator(operator), settings())
             w = await stack.enter_async_context(world(COSTS, management="127.0.0.1:0", settings={"index": n}))
             for part in parts:
@@ -232,12 +270,25 @@
 def test_reservations_are_promised_at_one_door_and_told_to_all(tmp_path: Path) -> None:
     async def test() -> None:
         async with doors(tmp_path, 2) as (a, b):
+
             async def said(*words: str, of: tuple[Any, ...] = (a, b)) -> tuple[int, str]:
                 more = [word for w in of for word in ("--door", w.door)]
                 return await asyncio.to_thread(cli, *words, *more)
 
             end = "2099-01-01T00:00:00Z"
-            got = await said("reserve", "0000000000000009", "500", "--until", end, "--id", "r1", "--width", "1", "--plan", "basis")
+            got = await said(
+                "reserve",
+                "0000000000000009",
+                "500",
+                "--until",
+                end,
+                "--id",
+                "r1",
+                "--width",
+                "1",
+                "--plan",
+                "basis",
+            )
             assert got[0] == 0 and "500 units" in got[1]
             for w in (a, b):
                 assert w.parts[1].escrow.entries.get("r1").units == 500
@@ -247,27 +298,90 @@
             code, out = await said("reservations", "0000000000000009")
             assert code == 0 and "500 units" in out and "479 left and 21 used at 1 of 1 gateways" in out
             # too much is not promised, and what would be is said
-            code, out = await said("reserve", "0000000000000009", "1e6", "--until", "2026-12-31T00:00:00Z", "--from", "2026-12-30T23:59:00Z", "--plan", "basis")
+            code, out = await said(
+                "reserve",
+                "0000000000000009",
+                "1e6",
+                "--until",
+                "2026-12-31T00:00:00Z",
+                "--from",
+                "2026-12-30T23:59:00Z",
+                "--plan",
+                "basis",
+            )
             assert code == 1 and "the customer's plan" in out and "units would be" in out
             assert (await said("reserve", "0000000000000009", "5", "--until", end, "--plan", "gold"))[0] == 2
-            assert "'mail' is none here" in (await said("reserve", "0000000000000009", "5", "--until", end, "--plan", "basis", "--class", "mail"))[1]
-            assert "is over" in (await said("reserve", "0000000000000009", "5", "--until", "2001-01-01", "--from", "2000-01-01", "--plan", "basis"))[1]
+            assert (
+                "'mail' is none here"
+                in (
+                    await said(
+                        "reserve",
+                        "0000000000000009",
+                        "5",
+                        "--until",
+                        end,
+                        "--plan",
+                        "basis",
+                        "--class",
+                        "mail",
+                    )
+                )[1]
+            )
+            assert (
+                "is over"
+                in (
+                    await said(
+                        "reserve",
+                        "0000000000000009",
+                        "5",
+                        "--until",
+                        "2001-01-01",
+                        "--from",
+                        "2000-01-01",
+                        "--plan",
+                        "basis",
+                    )
+                )[1]
+            )
             # one door that has not heard
             assert (await said("extend", "r1", "--units", "7", "--plan", "basis", of=(b,)))[0] == 0
             assert a.parts[1].escrow.entries.get("r1").units == 500
             code, out = await said("reservations")
-            assert code == 0 and "507 units" in out and f"told to those that had not heard of all: {a.door}" in out
+            assert (
+                code == 0
+                and "507 units" in out
+                and f"told to those that had not heard of all: {a.door}" in out
+            )
             assert a.parts[1].escrow.entries.get("r1").units == 507
             # a plan that bears less than is reserved: the caller is told
-            assert (await said("reserve", "0000000000000009", "500", "--until", "2099-01-01T00:00:10Z", "--from", end, "--id", "r2",
-                               "--plan", "plus"))[0] == 0
+            assert (
+                await said(
+                    "reserve",
+                    "0000000000000009",
+                    "500",
+                    "--until",
+                    "2099-01-01T00:00:10Z",
+                    "--from",
+                    end,
+                    "--id",
+                    "r2",
+                    "--plan",
+                    "plus",
+                )
+            )[0] == 0
             code, out = await said("plans", "assign", "0000000000000009", "basis", "--id", "p1")
             assert code == 0 and "beware" in out and "basis bears 4" in out
             await until(lambda: all(w.engine.plan_of(9) == "basis" for w in (a, b)))
             code, out = await said("plans", "assign", "0000000000000009", "gold")
             assert code == 2 and "no plan there" in out
-            assert (await said("plans", "show", "0000000000000009"))[1].strip().startswith("0000000000000009: basis")
-            assert (await said("plans", "assign", "0000000000000009", "plus", "--id", "p1"))[0] == 1  # known otherwise
+            assert (
+                (await said("plans", "show", "0000000000000009"))[1]
+                .strip()
+                .startswith("0000000000000009: basis")
+            )
+            assert (await said("plans", "assign", "0000000000000009", "plus", "--id", "p1"))[
+                0
+            ] == 1  # known otherwise
             assert "p1" in (await said("plans", "history", "0000000000000009"))[1]
             # released: the ordinary quota counts from now on
             code, out = await said("release", "r1")
@@ -276,19 +390,26 @@
             assert (await said("release", "nothing"))[0] == 2
             gone = b.door
             b.service._door.close()
-            code, out = await said("reserve", "0000000000000009", "5", "--until", end, "--plan", "basis", "--id", "r3")
+            code, out = await said(
+                "reserve", "0000000000000009", "5", "--until", end, "--plan", "basis", "--id", "r3"
+            )
             assert code == 1 and "1 ingresses have not heard" in out and "--id r3" in out and gone in out
+
     run(test())
 
 
-@pytest.mark.parametrize(("call", "status"), [
-    ("POST /control/reservations HTTP/1.1\r\nContent-Length: 6\r\n\r\n[1,2]\n", 400),
-    ("POST /control/plans HTTP/1.1\r\nContent-Length: 6\r\n\r\n[1,2]\n", 400),
-    ("POST /control/reservations/promise HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}", 400),
-    ("PUT /control/plans HTTP/1.1\r\nContent-Length: 0\r\n\r\n", 405),
-    ("GET /control/plans HTTP/1.1\r\n\r\n", 200),
-    ("POST /control/plans HTTP/1.1\r\nContent-Length: 300000\r\n\r\n" + "x" * 300_000, 413),
-    ("GET /control/usage HTTP/1.1\r\n\r\n", 404)])
+@pytest.mark.parametrize(
+    ("call", "status"),
+    [
+        ("POST /control/reservations HTTP/1.1\r\nContent-Length: 6\r\n\r\n[1,2]\n", 400),
+        ("POST /control/plans HTTP/1.1\r\nContent-Length: 6\r\n\r\n[1,2]\n", 400),
+        ("POST /control/reservations/promise HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}", 400),
+        ("PUT /control/plans HTTP/1.1\r\nContent-Length: 0\r\n\r\n", 405),
+        ("GET /control/plans HTTP/1.1\r\n\r\n", 200),
+        ("POST /control/plans HTTP/1.1\r\nContent-Length: 300000\r\n\r\n" + "x" * 300_000, 413),
+        ("GET /control/usage HTTP/1.1\r\n\r\n", 404),
+    ],
+)
 def test_what_a_book_can_t_take_is_said_and_changes_nothing(tmp_path: Path, call: str, status: int) -> None:
     async def test() -> None:
         async with doors(tmp_path, 1) as (w,):
@@ -296,29 +417,98 @@
             assert (await Client(reader, writer).ask(call.encode()))[0] == status
             writer.close()
             assert len(w.parts[0].book.history) == 0 and len(w.parts[1].escrow.entries) == 0
+
     run(test())
 
 
 def test_commands_on_a_file(tmp_path: Path) -> None:
     file = str(tmp_path / "entries.jsonl")
     bears = ("--file", file, "--fleet", "1000", "--rate", "10")
-    code, out = cli("reserve", "0000000000000009", "100", "--until", "2000-01-02", "--from", "2000-01-01", "--id", "old", *bears)
+    code, out = cli(
+        "reserve",
+        "0000000000000009",
+        "100",
+        "--until",
+        "2000-01-02",
+        "--from",
+        "2000-01-01",
+        "--id",
+        "old",
+        *bears,
+    )
     assert code == 0 and "2000-01-01" in out
-    assert cli("reserve", "0000000000000009", "100", "--until", "2099-01-02", "--id", "new", "--first", "2", "--width", "2", "--gateways", "3", *bears)[0] == 0
-    assert cli("reserve", "0000000000000009", "100", "--until", "2000-01-02", "--from", "2000-01-01", "--id", "old", *bears)[0] == 0  # again
-    assert cli("reserve", "0000000000000009", "101", "--until", "2000-01-02", "--from", "2000-01-01", "--id", "old", *bears)[0] == 2
+    assert (
+        cli(
+            "reserve",
+            "0000000000000009",
+            "100",
+            "--until",
+            "2099-01-02",
+            "--id",
+            "new",
+            "--first",
+            "2",
+            "--width",
+            "2",
+            "--gateways",
+            "3",
+            *bears,
+        )[0]
+        == 0
+    )
+    assert (
+        cli(
+            "reserve",
+            "0000000000000009",
+            "100",
+            "--until",
+            "2000-01-02",
+            "--from",
+            "2000-01-01",
+            "--id",
+            "old",
+            *bears,
+        )[0]
+        == 0
+    )  # again
+    assert (
+        cli(
+            "reserve",
+            "0000000000000009",
+            "101",
+            "--until",
+            "2000-01-02",
+            "--from",
+            "2000-01-01",
+            "--id",
+            "old",
+            *bears,
+        )[0]
+        == 2
+    )
     assert cli("extend", "new", "--units", "5", "--id", "x", *bears)[0] == 0
     held = files.read(Path(file)).get("new")
     assert held is not None and (held.units, held.first, held.width, held.gateways) == (105.0, 2, 2, 3)
-    assert "105 units" in cli("reservations", "--file", file)[1] and "old  " not in cli("reservations", "--file", file)[1]
-    assert "1 reservations are taken out" in cli("reservations", "--file", file, "--prune-before", "2001-01-01")[1]
+    assert (
+        "105 units" in cli("reservations", "--file", file)[1]
+        and "old  " not in cli("reservations", "--file", file)[1]
+    )
+    assert (
+        "1 reservations are taken out"
+        in cli("reservations", "--file", file, "--prune-before", "2001-01-01")[1]
+    )
     assert [r.id for r in files.read(Path(file)).reservations()] == ["new"]
-    assert cli("release", "new", "--file", file)[0] == 0 and "released" in cli("reservations", "--all", "--file", file)[1]
-    for words, said in ((("reserve", "9", "1", "--until", "2099-01-01", *bears), "16 hex digits"),
-                        (("reserve", "0000000000000009", "1", "--until", "soon", *bears), "soon"),
-                        (("reserve", "0000000000000009", "1", "--until", "2099-01-01", "--file", file), "--fleet and --rate"),
-                        (("reserve", "0000000000000009", "1", "--until", "2099-01-01"), "either --file or --door"),
-                        (("reservations", "--door", "nowhere"), "no host:port")):
+    assert (
+        cli("release", "new", "--file", file)[0] == 0
+        and "released" in cli("reservations", "--all", "--file", file)[1]
+    )
+    for words, said in (
+        (("reserve", "9", "1", "--until", "2099-01-01", *bears), "16 hex digits"),
+        (("reserve", "0000000000000009", "1", "--until", "soon", *bears), "soon"),
+        (("reserve", "0000000000000009", "1", "--until", "2099-01-01", "--file", file), "--fleet and --rate"),
+        (("reserve", "0000000000000009", "1", "--until", "2099-01-01"), "either --file or --door"),
+        (("reservations", "--door", "nowhere"), "no host:port"),
+    ):
         code, out = cli(*words)
         assert code == 2 and said in out
 
@@ -338,11 +528,15 @@
     from concurrent.futures import ThreadPoolExecutor
 
     from troutdock.reservations.promise import Terms as Bounds
+
     file = tmp_path / "entries.jsonl"
 
     def one(n: int) -> bool:
         entry = made(f"r{n}", 600.0, 1000.0, 60.0)._replace(customer=n)  # 10 units a second, of 30
-        return files.promise(file, entry._replace(from_ms=1e12, until_ms=1e12 + 60_000), Bounds(100.0, 10.0))[1].granted
+        return files.promise(file, entry._replace(from_ms=1e12, until_ms=1e12 + 60_000), Bounds(100.0, 10.0))[
+            1
+        ].granted
+
     with ThreadPoolExecutor(8) as pool:
         assert sum(pool.map(one, range(12))) == 3
     assert len(files.read(file)) == 3
--- a/tests/rules/test_decisions.py
+++ b/tests/rules/test_decisions.py
@@ -13,7 +13,16 @@
 
 from tamarindfold import Gateway
 from tamarindfold.interface import (
-    AttemptEnded, BackendState, Fail, ListKind, Outcome, Plan, Refuse, RequestWithdrawn, Send, TimerFired,
+    AttemptEnded,
+    BackendState,
+    Fail,
+    ListKind,
+    Outcome,
+    Plan,
+    Refuse,
+    RequestWithdrawn,
+    Send,
+    TimerFired,
 )
 
 SAFE, KEYED, KEYED_ALL, UNSAFE = range(4)
@@ -42,7 +51,9 @@
         assert action.backend != send.backend
 
 
-@pytest.mark.parametrize(("cls", "kind"), [(KEYED, Fail), (KEYED_ALL, Refuse), (UNSAFE, Fail), (SAFE, Refuse)])
+@pytest.mark.parametrize(
+    ("cls", "kind"), [(KEYED, Fail), (KEYED_ALL, Refuse), (UNSAFE, Fail), (SAFE, Refuse)]
+)
 def test_no_send_past_the_window_and_no_false_promise(cls: int, kind: type) -> None:
     g = gateway(max_attempts=3 if cls in (KEYED, KEYED_ALL) else 1)
     send = first_send(g, 1, cls)
@@ -66,8 +77,11 @@
         attempt = 0
         while todo:
             sends += 1
-            todo = [a for a in g.handle(now, ended(n, todo[0].backend, Outcome.ERROR, attempt, 1))
-                    if isinstance(a, Send)]
+            todo = [
+                a
+                for a in g.handle(now, ended(n, todo[0].backend, Outcome.ERROR, attempt, 1))
+                if isinstance(a, Send)
+            ]
             attempt += 1
     assert sends <= 500 * 1.1 + 10
 
@@ -192,13 +206,22 @@
         send = first_send(g, n, UNSAFE, now)
         bad = send.backend == 1
         tries += [now] * bad
-        g.handle(now + 5, ended(n, send.backend, Outcome.ERROR if bad else Outcome.OK, took=5 if bad else 150))
+        g.handle(
+            now + 5, ended(n, send.backend, Outcome.ERROR if bad else Outcome.OK, took=5 if bad else 150)
+        )
     assert len(tries) < 60
     assert tries[-1] > START + 5_000  # ever more rarely while it goes on failing
 
 
-STEPS = st.lists(st.tuples(st.sampled_from(["ask", "ask", "ask", "end", "end", "end", "leave", "fleet", "timer", "restart"]),
-                           st.integers(0, 10**6), st.integers(0, 400)), min_size=5, max_size=60)
+STEPS = st.lists(
+    st.tuples(
+        st.sampled_from(["ask", "ask", "ask", "end", "end", "end", "leave", "fleet", "timer", "restart"]),
+        st.integers(0, 10**6),
+        st.integers(0, 400),
+    ),
+    min_size=5,
+    max_size=60,
+)
 
 
 def play(handle, s, steps, restart=None) -> Checker:
@@ -226,7 +249,11 @@
                 now = late
         if what == "ask":
             number += 1
-            took(checker.feed(now, request(number, pick % 4, pick % 3, units=1 + pick % 4, left=500 + pick % 4000)))
+            took(
+                checker.feed(
+                    now, request(number, pick % 4, pick % 3, units=1 + pick % 4, left=500 + pick % 4000)
+                )
+            )
         elif what == "end" and out:
             end(pick % len(out), list(Outcome)[pick // 7 % 8])
         elif what == "leave" and checker.tries:
@@ -242,7 +269,9 @@
             for t in checker.tries.values():
                 t.closed = True
             checker.handle = restart()
-            checker.feed(now, fleet(*[i for i in checker.named if i not in checker.told], kind=ListKind.CACHED))
+            checker.feed(
+                now, fleet(*[i for i in checker.named if i not in checker.told], kind=ListKind.CACHED)
+            )
     for _ in range(20):
         now += 1
         for _ in range(len(out)):
@@ -255,7 +284,9 @@
 
 
 @given(STEPS, st.booleans())
-@example(steps=[("fleet", 3, 0), ("fleet", 622, 0), ("ask", 0, 251)], marks=False)  # a failed list with entries
+@example(
+    steps=[("fleet", 3, 0), ("fleet", 622, 0), ("ask", 0, 251)], marks=False
+)  # a failed list with entries
 @hypothesis_settings(derandomize=True, max_examples=300, deadline=None)
 def test_the_rules_hold_under_odd_legal_orders(steps: list, marks: bool) -> None:
     s = settings(plans=PLANS, marks_retry=marks, counter=True)
--- a/tests/rules/test_five_rules.py
+++ b/tests/rules/test_five_rules.py
@@ -8,7 +8,20 @@
 from typing import Any
 
 import pytest
-from loopback import SETTINGS, Client, Peer, Script, answer, request, run, sends, silence, target, until, world
+from loopback import (
+    SETTINGS,
+    Client,
+    Peer,
+    Script,
+    answer,
+    request,
+    run,
+    sends,
+    silence,
+    target,
+    until,
+    world,
+)
 from simulated import assert_settled
 
 CLASSES = ("ledger-read", "payment-book", "vat-filing")
@@ -33,6 +46,7 @@
     async def test() -> None:
         loop = asyncio.get_running_loop()
         async with world(silence, silence) as w:
+
             async def one(number: int) -> None:
                 client = await w.client()
                 began = loop.time()
@@ -44,6 +58,7 @@
             tally = w.engine.tally
             assert (tally.taken, tally.served, tally.refused + tally.failed) == (12, 0, 12)
             assert_settled(w.engine)
+
     run(test())
 
 
@@ -57,6 +72,7 @@
 
 def test_a_mixed_crowd_gets_one_answer_each() -> None:
     """Good, failing, idle and hanging nodes; every class, every plan; a third of the clients leave."""
+
     async def test() -> None:
         async def slow(peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
             await asyncio.sleep(0.02)
@@ -64,11 +80,18 @@
 
         scripts: list[Script] = [slow, slow, answer(b"", 500), answer(b"", 503, NOT_STARTED), sends(b"")]
         async with world(*scripts) as w:
+
             async def one(number: int) -> int:
                 client = await w.client()
                 plan = ("basis", "plus")[number % 2]
-                data = request(CLASSES[number % 3], number, Plan=plan, Request_Timeout="0.900",
-                               Account=f"{number:016x}", Quota_Info="units=0.1,spread=2,first=0")
+                data = request(
+                    CLASSES[number % 3],
+                    number,
+                    Plan=plan,
+                    Request_Timeout="0.900",
+                    Account=f"{number:016x}",
+                    Quota_Info="units=0.1,spread=2,first=0",
+                )
                 if number % 3 == 2 and number % 2:
                     client.writer.write(data)
                     await asyncio.sleep(0.001 * (number % 12))
@@ -89,12 +112,14 @@
                     if b"/vat-filing" in data:
                         by_id[id_of(data)] = by_id.get(id_of(data), 0) + 1
             assert max(by_id.values()) == 1
+
     run(test())
 
 
 @pytest.mark.parametrize("cls", CLASSES)
 def test_what_is_given_up_is_answered_at_once(cls: str) -> None:
     """No node at all: nothing is held back until near the deadline."""
+
     async def test() -> None:
         async with world() as w:
             began = time.monotonic()
@@ -102,6 +127,7 @@
             assert status == 429 and b"retry-after" in head.lower()
             assert time.monotonic() - began < 1.0
             assert_settled(w.engine)
+
     run(test())
 
 
@@ -117,15 +143,20 @@
             await asyncio.sleep(0.35)  # a further send could arrive after the window
             writer.transport.abort()
 
-        async with world(late_reset, late_reset, settings={
-                "categories": categories, **settings(permissions={"parallel_tries": False})}) as w:
+        async with world(
+            late_reset,
+            late_reset,
+            settings={"categories": categories, **settings(permissions={"parallel_tries": False})},
+        ) as w:
             assert (await w.ask(request("payment-book", Request_Timeout="3.000")))[0] == 429
             assert sum(len(b.requests) for b in w.backends) == 1
+
     run(test())
 
 
 def test_a_client_that_leaves_is_the_end_of_all_attempts() -> None:
     """Between two attempts, and with one out: nothing is sent for it any more."""
+
     async def test() -> None:
         async def late_reset(peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
             await asyncio.sleep(0.1)
@@ -141,6 +172,7 @@
             assert sum(len(b.requests) for b in w.backends) == 1
             assert w.engine.tally.withdrawn == 1
             assert_settled(w.engine)
+
     run(test())
 
 
@@ -155,7 +187,9 @@
         async def discovery(peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
             if not told.is_set():
                 await told.wait()
-                body = json.dumps({"rev": 9, "all": False, "targets": [target(nodes[0], "s-0", state)]}).encode()
+                body = json.dumps(
+                    {"rev": 9, "all": False, "targets": [target(nodes[0], "s-0", state)]}
+                ).encode()
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
 
         nodes: list[Peer] = []
@@ -172,6 +206,7 @@
             for number in range(20, 50):
                 assert (await w.ask(request(number=number)))[0] in (200, 429)
             assert len(nodes[0].requests) == before and len(nodes[1].requests) > 20
+
     run(test())
 
 
@@ -181,6 +216,7 @@
 @pytest.mark.parametrize("age_ms", [0, 10**9])
 def test_a_cold_node_gets_its_part_of_a_burst_and_no_more(age_ms: int) -> None:
     """20% of its capacity, twice that for 3 s, by three ingresses: 300 ms of work each, a request or two."""
+
     async def test() -> None:
         boot = int(time.time() * 1000) - age_ms
         async with world(answer(), boots=(boot,)) as w:
@@ -190,6 +226,7 @@
             assert served == len(w.backends[0].requests)
             # a window of 3 s may end within the burst; an old node gets nearly all of it
             assert (1 <= served <= 6) if age_ms == 0 else served > 20
+
     run(test())
 
 
@@ -198,8 +235,18 @@
 
 def test_a_ceiling_holds_over_connections_and_classes() -> None:
     """The plan's ceiling: 12 units at once and 20 a second; this ingress is one of the customer's two."""
-    plans = [{"name": "plus", "per_second": 1000.0, "peak_units": 10_000.0, "price": 1.6, "over_worth": 9.0,
-              "excess_cost": 0.6, "cap_rate": 20.0, "ceiling_burst": 12.0}]
+    plans = [
+        {
+            "name": "plus",
+            "per_second": 1000.0,
+            "peak_units": 10_000.0,
+            "price": 1.6,
+            "over_worth": 9.0,
+            "excess_cost": 0.6,
+            "cap_rate": 20.0,
+            "ceiling_burst": 12.0,
+        }
+    ]
 
     async def test() -> None:
         async with world(answer(), answer(), settings={"plans": plans}) as w:
@@ -215,12 +262,14 @@
                 await asyncio.sleep(0.3)
             units = 2 * sum(len(b.requests) for b in w.backends)
             assert 0 < units <= (12 + 20 * (time.monotonic() - began)) / 2 < 120
+
     run(test())
 
 
 def test_a_quota_holds_over_connections() -> None:
     async def test() -> None:
         async with world(answer(), answer()) as w:
+
             async def one(number: int) -> int:
                 return (await w.ask(request("ledger-read", number, Plan="basis")))[0]
 
@@ -228,4 +277,5 @@
             # a burst of 8 units split over two ingresses, and a second's 1 unit: two or three of 2 units
             assert 1 <= statuses.count(200) <= 3 and set(statuses) == {200, 429}
             assert sum(len(b.requests) for b in w.backends) == statuses.count(200)
+
     run(test())
