--- a/tests/rules/test_outcome_table.py
+++ b/tests/rules/test_outcome_table.py
@@ -10,6 +10,7 @@
 NOT_STARTED = b"Not-Started: 1\r\n"
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 
+
 def test_a_served_answer_is_passed_on_unchanged() -> None:
     async def test() -> None:
         body = bytes(range(256)) * 200
@@ -18,28 +19,40 @@
             assert (status, got) == (200, body)
             assert b"content-type: x/y" in head.lower()
             (sent,) = w.backends[0].requests
-            assert sent.startswith(b"POST /payment-book/7?year=3 HTTP/1.1\r\n") and sent.endswith(b"\r\n\r\nreceipt")
+            assert sent.startswith(b"POST /payment-book/7?year=3 HTTP/1.1\r\n") and sent.endswith(
+                b"\r\n\r\nreceipt"
+            )
             lines = sent.lower().split(b"\r\n")
             assert b"request-id: " + b"0" * 15 + b"1" in lines and b"idempotency-key: " + b"5c" * 16 in lines
             (left,) = [float(line[17:]) for line in lines if line.startswith(b"request-timeout: ")]
             assert 1.0 < left < 1.5
+
     run(test())
 
 
-@pytest.mark.parametrize(("cls", "script", "status", "sent"), [
-    ("vat-filing", answer(b"", 500), 502, 1), ("vat-filing", sends(b""), 502, 1), ("vat-filing", answer(b"", 503), 502, 1),
-    ("vat-filing", answer(b"", 503, NOT_STARTED), 429, 3), ("ledger-read", answer(b"", 500), 429, 3),
-    ("payment-book", sends(b""), 429, 3),
-])
+@pytest.mark.parametrize(
+    ("cls", "script", "status", "sent"),
+    [
+        ("vat-filing", answer(b"", 500), 502, 1),
+        ("vat-filing", sends(b""), 502, 1),
+        ("vat-filing", answer(b"", 503), 502, 1),
+        ("vat-filing", answer(b"", 503, NOT_STARTED), 429, 3),
+        ("ledger-read", answer(b"", 500), 429, 3),
+        ("payment-book", sends(b""), 429, 3),
+    ],
+)
 def test_attempts_go_as_far_as_the_class_allows(cls: str, script: Script, status: int, sent: int) -> None:
     async def test() -> None:
         async with world(script, script, script, script) as w:
             assert (await w.ask(request(cls)))[0] == status
             assert sum(len(b.requests) for b in w.backends) == sent
+
     run(test())
 
 
-@pytest.mark.parametrize(("cls", "status"), [("vat-filing", 502), ("ledger-read", 429), ("payment-book", 429)])
+@pytest.mark.parametrize(
+    ("cls", "status"), [("vat-filing", 502), ("ledger-read", 429), ("payment-book", 429)]
+)
 def test_silence_is_answered_before_the_client_gives_up(cls: str, status: int) -> None:
     async def test() -> None:
         loop = asyncio.get_running_loop()
@@ -49,6 +62,7 @@
             assert loop.time() - began < 0.4
             await until(lambda: w.backends[0].closed == 1)
             assert len(w.backends[0].requests) == 1  # nothing is tried in the last moment
+
     run(test())
 
 
@@ -60,6 +74,7 @@
             await until(lambda: bool(w.backends[0].requests))
             client.writer.close()
             await until(lambda: w.backends[0].closed == 1)
+
     run(test())
 
 
@@ -71,9 +86,8 @@
             refused = [head for status, head, _ in told if status == 429]
             assert refused and len(w.backends[0].requests) == len(told) - len(refused)
             assert all(float(h.lower().split(b"retry-after: ")[1].split(b"\r\n")[0]) > 0 for h in refused)
-    run(test())
-
 
+    run(test())
 
 
 async def hang_up(peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
@@ -90,15 +104,25 @@
     sends(b"HTTP/1.1 100 Continue\r\n\r\n" + OK),
 ]
 MAY_HAVE_RUN = {
-    "500": answer(b"", 500), "500 not started": answer(b"", 500, NOT_STARTED), "503": answer(b"", 503),
-    "504 started": answer(b"", 504, b"Not-Started: 0\r\n"), "404": answer(b"", 404), "302": answer(b"", 302),
-    "close": sends(b""), "reset": hang_up, "half": sends(OK[:-2]),
+    "500": answer(b"", 500),
+    "500 not started": answer(b"", 500, NOT_STARTED),
+    "503": answer(b"", 503),
+    "504 started": answer(b"", 504, b"Not-Started: 0\r\n"),
+    "404": answer(b"", 404),
+    "302": answer(b"", 302),
+    "close": sends(b""),
+    "reset": hang_up,
+    "half": sends(OK[:-2]),
     "half a chunk": sends(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndo"),
-    "no length": sends(b"HTTP/1.1 200 OK\r\n\r\ndone"), "nonsense": each(b"SSH-2.0-nonsense\r\n"),
+    "no length": sends(b"HTTP/1.1 200 OK\r\n\r\ndone"),
+    "nonsense": each(b"SSH-2.0-nonsense\r\n"),
     "endless head": each(b"HTTP/1.1 200 OK\r\nX: " + b"x" * 70_000),
     "switching": each(b"HTTP/1.1 101 X\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n"),
 }
-NEVER_RAN = {"503 not started": answer(b"", 503, NOT_STARTED), "504 not started": answer(b"", 504, NOT_STARTED)}
+NEVER_RAN = {
+    "503 not started": answer(b"", 503, NOT_STARTED),
+    "504 not started": answer(b"", 504, NOT_STARTED),
+}
 CLASSES = ("ledger-read", "payment-book", "vat-filing")
 
 
@@ -113,6 +137,7 @@
             assert sum(len(b.requests) for b in w.backends) == 1
             assert await nothing_more(client)
             assert (w.engine.tally.taken, w.engine.tally.served, w.engine.open) == (1, 1, 0)
+
     run(test())
 
 
@@ -129,6 +154,7 @@
 @pytest.mark.parametrize("row", MAY_HAVE_RUN)
 def test_what_may_have_run_is_repeated_as_far_as_its_class_allows(cls: str, row: str) -> None:
     """Safe and keyed go on to others; unsafe ends there, and as a failure, which promises nothing."""
+
     async def test() -> None:
         script = MAY_HAVE_RUN[row]
         async with world(script, script, script, script) as w:
@@ -144,6 +170,7 @@
             await asyncio.sleep(0.05)
             assert [len(b.requests) for b in w.backends] == sent  # nothing comes after the answer
             assert (w.engine.open, w.engine.tally.taken) == (0, 1)
+
     run(test())
 
 
@@ -156,6 +183,7 @@
             status, head, _ = await w.ask(request(cls))
             assert (status, sum(len(b.requests) for b in w.backends)) == (429, 3)
             assert b"retry-after" in head.lower()
+
     run(test())
 
 
@@ -168,6 +196,7 @@
             for number in range(6):
                 assert (await w.ask(request(cls, number)))[0] == 200
             assert (len(w.backends[0].requests), len(w.backends[1].requests)) == (0, 6)
+
     run(test())
 
 
@@ -187,7 +216,12 @@
                 assert (status, len(met)) == (502, 1)
             else:
                 assert (status, body, len(met)) == (200, b"done", 2)
-                ids = {line for m in met for line in m.lower().split(b"\r\n") if line.startswith(b"request-id")}
-                keys = {line for m in met for line in m.lower().split(b"\r\n") if line.startswith(b"idempotency")}
+                ids = {
+                    line for m in met for line in m.lower().split(b"\r\n") if line.startswith(b"request-id")
+                }
+                keys = {
+                    line for m in met for line in m.lower().split(b"\r\n") if line.startswith(b"idempotency")
+                }
                 assert len(ids) == 1 and len(keys) == (cls == "payment-book")  # the same request to both
+
     run(test())
--- a/tests/system/test_capacity.py
+++ b/tests/system/test_capacity.py
@@ -71,7 +71,11 @@
     assert law is not None and law.exponent == pytest.approx(1.5) and law.factor == pytest.approx(3)
     assert law.residual == pytest.approx(0, abs=1e-9) and law.error == pytest.approx(0, abs=1e-9)
     bow = curve(sizes, [5 + 2 * n + 0.01 * n * n for n in sizes])
-    assert bow is not None and (bow.a, bow.b, bow.c) == (pytest.approx(5), pytest.approx(2), pytest.approx(0.01))
+    assert bow is not None and (bow.a, bow.b, bow.c) == (
+        pytest.approx(5),
+        pytest.approx(2),
+        pytest.approx(0.01),
+    )
     assert power(sizes, [0, 1, 2, 3]) is None and curve(sizes[:3], [1, 2, 3]) is None
 
 
--- a/tests/system/test_disks_after_power.py
+++ b/tests/system/test_disks_after_power.py
@@ -29,7 +29,16 @@
 
 def kept(number: int, size: int = 300) -> Kept:
     """Two saves of each body: every other one changes only what was promised."""
-    return Kept(number, None, number // 2, b"%d:" % number + b"x" * size if number // 2 else b"", ("a", "b"), False, 1, ((number, "d"),))
+    return Kept(
+        number,
+        None,
+        number // 2,
+        b"%d:" % number + b"x" * size if number // 2 else b"",
+        ("a", "b"),
+        False,
+        1,
+        ((number, "d"),),
+    )
 
 
 def state(number: int, size: int = 300) -> Kept:
@@ -60,12 +69,14 @@
     if before[:32] != after[:32] and before:
         out[:32] = after[:32]
     if dice.random() < 0.3:
-        out = out[:max(32, min(len(out), dice.randrange(len(after) + 1)))] if len(before) > len(after) else out
+        out = (
+            out[: max(32, min(len(out), dice.randrange(len(after) + 1)))] if len(before) > len(after) else out
+        )
     for at in range(0, len(after), 512):
         if dice.random() < dice.choice((0.1, 0.5, 0.95)):
             if len(out) < at:
                 out += bytes(at - len(out))
-            out[at:at + 512] = after[at:at + 512]
+            out[at : at + 512] = after[at : at + 512]
     return bytes(out)
 
 
@@ -95,7 +106,10 @@
         changed = [name for name in after if before.get(name) != after[name]]
         assert len(changed) <= 1 and set(before) == set(after) == {FILE, WAL, LOGGED}, changed
         for _ in range(12):
-            cut = {name: torn(before[name], after[name], dice) if name in changed else after[name] for name in after}
+            cut = {
+                name: torn(before[name], after[name], dice) if name in changed else after[name]
+                for name in after
+            }
             found = opened(tmp_path / "cut", cut)
             assert found in (old, new)
             seen.add(found == new)
@@ -125,6 +139,7 @@
         true(which)
         if which == folder:
             found.append(files(folder))
+
     monkeypatch.setattr(disks, "_sync_folder", sync)
     return found
 
@@ -141,7 +156,9 @@
     return out
 
 
-def test_an_end_in_order_and_a_new_start_keep_the_state_through_any_loss_of_names(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_end_in_order_and_a_new_start_keep_the_state_through_any_loss_of_names(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     folder = tmp_path / "life"
     disk = Disk(folder)
     disk.open()
@@ -162,7 +179,9 @@
     assert tried > len(points)
 
 
-def test_a_set_aside_store_never_comes_back_as_an_older_one(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_set_aside_store_never_comes_back_as_an_older_one(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     folder = tmp_path / "life"
     steps = lived(tmp_path / "other")
     found, _ = steps[14]
@@ -193,8 +212,16 @@
     assert (tmp_path / "rootstock.damaged4").exists()
 
 
-@pytest.mark.parametrize("statements", [[], ["CREATE TABLE state (only INTEGER)"], ["PRAGMA user_version = 1"], ["PRAGMA user_version = 2"],
-                                        ["CREATE TABLE state (only INTEGER)", "PRAGMA user_version = 2"]])
+@pytest.mark.parametrize(
+    "statements",
+    [
+        [],
+        ["CREATE TABLE state (only INTEGER)"],
+        ["PRAGMA user_version = 1"],
+        ["PRAGMA user_version = 2"],
+        ["CREATE TABLE state (only INTEGER)", "PRAGMA user_version = 2"],
+    ],
+)
 def test_a_half_made_schema_or_an_empty_file_counts_as_lost(tmp_path: Path, statements: list[str]) -> None:
     base = sqlite3.connect(tmp_path / FILE)
     for statement in statements:
@@ -245,7 +272,10 @@
     disk.close()
     found = Disk(tmp_path)
     assert found.open() == Kept(6, None, 21, last.body, ("a",), False, 4)
-    assert found._base is not None and found._base.execute("SELECT count(*) FROM configurations").fetchone()[0] == 3
+    assert (
+        found._base is not None
+        and found._base.execute("SELECT count(*) FROM configurations").fetchone()[0] == 3
+    )
     found.close()
 
 
@@ -270,7 +300,8 @@
     "CREATE TABLE state (only INTEGER PRIMARY KEY CHECK (only = 1), promised INTEGER NOT NULL, record TEXT,"
     " version INTEGER NOT NULL, voters TEXT NOT NULL, blank INTEGER NOT NULL, given INTEGER NOT NULL, mark TEXT NOT NULL)",
     "CREATE TABLE configurations (version INTEGER PRIMARY KEY, body BLOB NOT NULL, epoch INTEGER NOT NULL, mark TEXT NOT NULL)",
-    "PRAGMA user_version = 1")
+    "PRAGMA user_version = 1",
+)
 
 
 def mark_1(*values: object) -> str:
@@ -284,15 +315,24 @@
         base.execute(statement)
     for version in (8, 9):
         body = b'{"v":%d}' % version
-        base.execute("INSERT INTO configurations VALUES (?, ?, 4, ?)", (version, body, mark_1(version, body + spoil.encode())))
+        base.execute(
+            "INSERT INTO configurations VALUES (?, ?, 4, ?)",
+            (version, body, mark_1(version, body + spoil.encode())),
+        )
     row = (5, record, 9, '["a","b"]', 0, 4)
     base.execute("INSERT INTO state VALUES (1, ?, ?, ?, ?, ?, ?, ?)", (*row, mark_1(*row)))
     base.close()
 
 
-@pytest.mark.parametrize(("before", "after"), [
-    ('[4,"a","b",["a"],[]]', [4, "a", ["b"], ["a"], []]), ('[4,"a","",[],["c"]]', [4, "a", [], [], ["c"]]),
-    ('[4,"a",["b","c"],[],[]]', [4, "a", ["b", "c"], [], []]), ('[4,"a","b"]', [4, "a", ["b"]])])
+@pytest.mark.parametrize(
+    ("before", "after"),
+    [
+        ('[4,"a","b",["a"],[]]', [4, "a", ["b"], ["a"], []]),
+        ('[4,"a","",[],["c"]]', [4, "a", [], [], ["c"]]),
+        ('[4,"a",["b","c"],[],[]]', [4, "a", ["b", "c"], [], []]),
+        ('[4,"a","b"]', [4, "a", ["b"]]),
+    ],
+)
 def test_a_record_of_schema_1_names_a_list_of_backups(tmp_path: Path, before: str, after: list) -> None:
     assert json.loads(record_of_1(before) or "") == after
     schema_1(tmp_path, before)
@@ -305,7 +345,11 @@
     assert disk.set_aside is None
     base = sqlite3.connect(tmp_path / FILE)
     record, taken = base.execute("SELECT record, taken FROM state").fetchone()
-    assert json.loads(record) == after and taken == "[]" and base.execute("PRAGMA user_version").fetchone() == (2,)
+    assert (
+        json.loads(record) == after
+        and taken == "[]"
+        and base.execute("PRAGMA user_version").fetchone() == (2,)
+    )
     base.close()
 
 
@@ -315,7 +359,9 @@
     for _ in range(2):
         disk = Disk(tmp_path)
         assert disk.open() == Kept(5, None, 9, b'{"v":9}', ("a", "b"), False, 4, ())
-        assert disk._base is not None and disk._base.execute("SELECT count(*) FROM configurations").fetchone() == (2,)
+        assert disk._base is not None and disk._base.execute(
+            "SELECT count(*) FROM configurations"
+        ).fetchone() == (2,)
         disk.close()
 
 
--- a/tests/system/test_fabric.py
+++ b/tests/system/test_fabric.py
@@ -7,8 +7,24 @@
 
 from tamarindfold.fabric import Fabric
 from tamarindfold.interface import (
-    AttemptEnded, BackendEntry, BackendState, Company, Effect, Fail, FleetUpdate, LeasesDue, ListKind, OthersLoad,
-    Outcome, Refuse, RequestWithdrawn, Send, SetTimer, SettingsChanged, Suspected, TimerFired,
+    AttemptEnded,
+    BackendEntry,
+    BackendState,
+    Company,
+    Effect,
+    Fail,
+    FleetUpdate,
+    LeasesDue,
+    ListKind,
+    OthersLoad,
+    Outcome,
+    Refuse,
+    RequestWithdrawn,
+    Send,
+    SetTimer,
+    SettingsChanged,
+    Suspected,
+    TimerFired,
 )
 from furrow.messages import QuotaGrant, QuotaRequest, QuotaSettlement, TokenDemand, TokenGrant
 from troutdock.quota.node import QuotaNode
@@ -46,8 +62,15 @@
     node = QuotaNode("asker", "zone", 1, 0.0)
     f = Fabric(terms(**more), 7, quotas=node)
     f.handle(0.0, ready(1, 2, 3, 4))
-    node.update_peers(0.0, Peers(near=frozenset(["owner"]), listed_near=frozenset(["owner"]), fleet_size=2,
-                                 busy=frozenset(["asker"])))
+    node.update_peers(
+        0.0,
+        Peers(
+            near=frozenset(["owner"]),
+            listed_near=frozenset(["owner"]),
+            fleet_size=2,
+            busy=frozenset(["asker"]),
+        ),
+    )
     list(node.take_messages())
     return f
 
@@ -104,7 +127,10 @@
         (send,) = of(Send, f.handle(number * 10.0, arrival(number)))
         second += len(of(Send, f.handle(number * 10.0 + 1, ended(send, Outcome.FULL))))
         for call in list(f.calls):
-            f.handle(number * 10.0 + 2, AttemptEnded(call, 1, f.calls[call].tried[1].entry.backend, Outcome.OK, 1, True))
+            f.handle(
+                number * 10.0 + 2,
+                AttemptEnded(call, 1, f.calls[call].tried[1].entry.backend, Outcome.OK, 1, True),
+            )
     assert 0.1 * number < second <= 0.2 * number
 
 
--- a/tests/system/test_following.py
+++ b/tests/system/test_following.py
@@ -138,9 +138,12 @@
 def world(zones: str, states: str = "", contacts: str = "") -> World:
     """Registries 1, 2 and so on, by zone; u, r, h: up, refuses, hangs; y, n: in contact or not."""
     named = {"u": "up", "r": "refuses", "h": "hangs"}
-    return World({
-        str(n + 1): Site(zone, named[(states or "u" * 9)[n]], (contacts or "y" * 9)[n] == "y") for n, zone in enumerate(zones)
-    })
+    return World(
+        {
+            str(n + 1): Site(zone, named[(states or "u" * 9)[n]], (contacts or "y" * 9)[n] == "y")
+            for n, zone in enumerate(zones)
+        }
+    )
 
 
 # ---- whom to follow
@@ -309,7 +312,9 @@
     assert w.place == "1"
 
 
-def test_a_near_standby_that_regains_contact_with_the_followed_one_is_not_followed_on_words_that_are_gone() -> None:
+def test_a_near_standby_that_regains_contact_with_the_followed_one_is_not_followed_on_words_that_are_gone() -> (
+    None
+):
     w = world("ab", "ru")
     w.run(1.0)
     w.sites["1"].state = "up"
@@ -502,7 +507,9 @@
     assert life.notes.count("warning") <= 1
 
 
-def test_the_same_version_and_digest_changes_nothing_and_another_digest_is_taken_once_and_in_contact_only() -> None:
+def test_the_same_version_and_digest_changes_nothing_and_another_digest_is_taken_once_and_in_contact_only() -> (
+    None
+):
     life = Life()
     life.config(0.1, 5, "x")
     life.fresh(0.1, True, 5, "x")
@@ -630,7 +637,11 @@
         assert ingress.feed._link is link and not ingress.feed._before
         # word of a newer order, by a registry that has lost the majority: it may never have been kept
         registry = w.registries[follows(ingress)]
-        registry._carry_out(registry.registry.take_config(Config(9, msgspec.Raw(json.dumps({**CONFIGURATION, "revision": "r9"}).encode()))))
+        registry._carry_out(
+            registry.registry.take_config(
+                Config(9, msgspec.Raw(json.dumps({**CONFIGURATION, "revision": "r9"}).encode()))
+            )
+        )
         await until(lambda: ingress.serving._held is not None, 3.0)
         assert ingress.reader.table is not None and ingress.reader.table.version == 5 and ingress.ready
         cut_off(w, follows(ingress), True)
@@ -639,7 +650,9 @@
     play(tmp_path, story)
 
 
-def test_a_new_life_in_a_cut_off_place_refuses_until_contact_s_is_over(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_new_life_in_a_cut_off_place_refuses_until_contact_s_is_over(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr("espalier.daemon.DOOR_S", 0.05)
 
     async def story(w: Whole) -> None:
@@ -684,18 +697,31 @@
     play(tmp_path, story)
 
 
-def test_two_bodies_of_one_version_are_mended_by_the_one_in_contact_and_told_apart_before_they_are_read(tmp_path: Path) -> None:
+def test_two_bodies_of_one_version_are_mended_by_the_one_in_contact_and_told_apart_before_they_are_read(
+    tmp_path: Path,
+) -> None:
     async def story(w: Whole) -> None:
         await backend_there(w)
         await whole_and_served(w)
         ingress = w.ingresses[w.edge[0]]
         ingress.serving.digest = "another"
-        body = msgspec.Raw(json.dumps({**CONFIGURATION, "routes": {**CONFIGURATION["routes"], "rows": CONFIGURATION["routes"]["rows"][:1]}}).encode())
+        body = msgspec.Raw(
+            json.dumps(
+                {
+                    **CONFIGURATION,
+                    "routes": {**CONFIGURATION["routes"], "rows": CONFIGURATION["routes"]["rows"][:1]},
+                }
+            ).encode()
+        )
         digest = digest_of(body)
         ingress._heard(Config(5, msgspec.Raw(b"not even JSON"), "another"))  # the same: not read at all
         ingress._heard(Fresh(True, 5, digest))
         ingress._heard(Config(5, body, digest))
-        assert ingress.reader.table is not None and len(ingress.reader.table.settings.classes) < 3 and ingress.serving.digest == digest
+        assert (
+            ingress.reader.table is not None
+            and len(ingress.reader.table.settings.classes) < 3
+            and ingress.serving.digest == digest
+        )
         ingress._heard(Config(5, msgspec.Raw(json.dumps(CONFIGURATION).encode()), "third"))
         assert ingress.serving.digest == digest and ingress.ready
 
--- a/tests/system/test_homes_of_services.py
+++ b/tests/system/test_homes_of_services.py
@@ -24,7 +24,11 @@
             at.pop(0)
             zone = random.choice("abc")
             there = [i for i in alive if i.zone == zone]
-            lost = next((i for i in there if town.speaks(i)), there[0]) if random.random() < 0.6 else random.choice(there)
+            lost = (
+                next((i for i in there if town.speaks(i)), there[0])
+                if random.random() < 0.6
+                else random.choice(there)
+            )
             if len(there) > 1:
                 town.kill(lost.name)
                 town.add(f"{zone}-{random.randint(20, 99)}", zone)
@@ -70,6 +74,7 @@
 
 # ---- one exchange, by hand
 
+
 def test_who_becomes_home_tells_all_of_its_duty_again() -> None:
     e = Exchange("a-1", "10.0.0.1", "a", 1, Two())
     e.load("1", 3)
--- a/tests/system/test_large_messages.py
+++ b/tests/system/test_large_messages.py
@@ -12,7 +12,18 @@
 from msgspec import Raw
 
 from furrow import link as links
-from furrow.link import GONE_S, MOST_UNSENT, PASSING, PING_S, SILENT_S, STRANGER_FRAME, UNSENT_PARTS, Dialer, Link, Listener
+from furrow.link import (
+    GONE_S,
+    MOST_UNSENT,
+    PASSING,
+    PING_S,
+    SILENT_S,
+    STRANGER_FRAME,
+    UNSENT_PARTS,
+    Dialer,
+    Link,
+    Listener,
+)
 from furrow.messages import (
     Accept,
     Config,
@@ -45,7 +56,12 @@
     return list(iter(outbox.take, None))  # type: ignore[arg-type]
 
 
-SIZES = st.one_of(st.integers(1, 60), st.integers(PART - 2, PART + 2), st.integers(2 * PART - 2, 2 * PART + 2), st.integers(1, 5 * PART))
+SIZES = st.one_of(
+    st.integers(1, 60),
+    st.integers(PART - 2, PART + 2),
+    st.integers(2 * PART - 2, 2 * PART + 2),
+    st.integers(1, 5 * PART),
+)
 
 
 FILL = b"".join(b"%d," % i for i in range(70_000))  # no two places of it are alike
@@ -79,8 +95,15 @@
     outbox.put(b"[" * size)
     parts = [framed for data_ in drained(outbox) for framed in Deframer().feed(data_)]
     at = data.draw(st.integers(0, len(parts) - 2))
-    harm: Callable[[list[bytes]], list[bytes]] = data.draw(st.sampled_from([
-        lambda p: p[:at] + p[at + 1:], lambda p: p[:at + 1] + p[at:], lambda p: [*p[:at], p[at + 1], p[at], *p[at + 2:]]]))
+    harm: Callable[[list[bytes]], list[bytes]] = data.draw(
+        st.sampled_from(
+            [
+                lambda p: p[:at] + p[at + 1 :],
+                lambda p: p[: at + 1] + p[at:],
+                lambda p: [*p[:at], p[at + 1], p[at], *p[at + 2 :]],
+            ]
+        )
+    )
     assembler, whole = Assembler(), []
     with pytest.raises(FrameError, match="a part at"):
         for part in harm(parts):
@@ -90,8 +113,27 @@
     assert all(found in (b"{" * size, b"[" * size) for found in whole)  # never a mixture
 
 
-@pytest.mark.parametrize("part", [b"+", b"+0/9", b"+0/9:", b"+0:x", b"+1/9:x", b"+0/1:xx", b"+00/9:x", b"+0/09:x", b"+-1/9:x", b"+0/x:x",
-                                  b"+0/0:", b"+0/1001:x", b"+0/99999999999999999999:x", b"+/9:x", b"+0/:x", b"+ 0/9:x"])
+@pytest.mark.parametrize(
+    "part",
+    [
+        b"+",
+        b"+0/9",
+        b"+0/9:",
+        b"+0:x",
+        b"+1/9:x",
+        b"+0/1:xx",
+        b"+00/9:x",
+        b"+0/09:x",
+        b"+-1/9:x",
+        b"+0/x:x",
+        b"+0/0:",
+        b"+0/1001:x",
+        b"+0/99999999999999999999:x",
+        b"+/9:x",
+        b"+0/:x",
+        b"+ 0/9:x",
+    ],
+)
 def test_what_is_no_part_is_refused(part: bytes) -> None:
     assembler = Assembler(1000)
     with pytest.raises(FrameError):
@@ -101,6 +143,7 @@
 
 def test_an_announced_length_takes_no_memory_before_its_bytes_come() -> None:
     import tracemalloc
+
     tracemalloc.start()
     assembler = Assembler()
     assert assembler.take(b"+0/80000000:x") is None
@@ -110,6 +153,7 @@
 
 def test_a_payload_that_waits_on_many_links_is_kept_once() -> None:
     import tracemalloc
+
     payload = b"{" + b"x" * 5_000_000
     tracemalloc.start()
     for outbox in [Outbox() for _ in range(20)]:
@@ -173,7 +217,9 @@
         self.now, self.timers = 100.0, []
         monkeypatch.setattr(links, "steady", lambda: self.now)
         loop = asyncio.get_running_loop()
-        monkeypatch.setattr(loop, "call_later", lambda s, f: self.timers.append(f) or asyncio.TimerHandle(0, f, (), loop))
+        monkeypatch.setattr(
+            loop, "call_later", lambda s, f: self.timers.append(f) or asyncio.TimerHandle(0, f, (), loop)
+        )
         self.heard: list[Message] = []
         self.ups = self.downs = 0
         self.link = Link(ME, lambda _, message: self.heard.append(message), self._up, self._down)
@@ -196,14 +242,20 @@
 
     def said(self) -> list[Message]:
         assembler = Assembler()
-        return [decode(whole) for framed in Deframer().feed(bytes(self.pipe.out)) if (whole := assembler.take(framed)) is not None]
+        return [
+            decode(whole)
+            for framed in Deframer().feed(bytes(self.pipe.out))
+            if (whole := assembler.take(framed)) is not None
+        ]
 
 
 def in_loop(test: Callable[..., object]) -> Callable[..., None]:
     async def run(*given: object) -> None:
         test(*given)
+
     import functools
     import inspect
+
     wrapped = functools.wraps(test)(lambda **given: asyncio.run(run(*given.values())))
     wrapped.__signature__ = inspect.signature(test)  # type: ignore[attr-defined]
     return wrapped
@@ -217,7 +269,14 @@
     world = World(monkeypatch, room=100_000)
     long = config(11_000_000)
     assert world.link.send(long)
-    order = [Write(1, 2, Raw(b"{}")), STATUS, Accept(Record(4, "a", ["b"])), Probe(4, 1), ProbeAck(4, 1, True), Fresh(True, 9)]
+    order = [
+        Write(1, 2, Raw(b"{}")),
+        STATUS,
+        Accept(Record(4, "a", ["b"])),
+        Probe(4, 1),
+        ProbeAck(4, 1, True),
+        Fresh(True, 9),
+    ]
     for message in order:
         assert world.link.send(message)
     world.pipe.read(2 * UNSENT_PARTS + 2 * PART)  # no more of the long one lies before them
@@ -229,13 +288,15 @@
 
 
 @in_loop
-def test_signs_of_life_go_on_and_a_link_that_brings_bytes_is_not_silent(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_signs_of_life_go_on_and_a_link_that_brings_bytes_is_not_silent(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     world = World(monkeypatch, room=0)
     world.link.send(config(11_000_000))
     body = frame(b"+0/200:" + b"x" * 100)
     for at in range(40):  # 12 s in which the peer takes 3 KB a beat and says nothing whole
         world.pipe.read(3000)
-        world.link.data_received(body[at:at + 1])
+        world.link.data_received(body[at : at + 1])
         world.beat()
         assert world.link.open
     world.pipe.read(UNSENT_PARTS + PART)
@@ -246,7 +307,9 @@
 
 
 @in_loop
-def test_a_slow_peer_is_given_parts_as_it_takes_them_and_cut_past_the_bound(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_slow_peer_is_given_parts_as_it_takes_them_and_cut_past_the_bound(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     world = World(monkeypatch, room=0)
     payload = encode(config(11_000_000))
     sent = 0
@@ -267,13 +330,24 @@
     assert not world.link._assembler.half and world.heard == [] and world.downs == 1
 
 
-@pytest.mark.parametrize(("wire", "why"), [
-    (b"x" * 20, "a frame without a length"), (b"999999999:", "a frame without a length"), (b"65600:", "65600 bytes, 65568 at most"),
-    (b"01:", "is no length of a frame"), (b"1000000:", "1000000 bytes, 65568 at most"),
-    (frame(b"+5/9:x"), "a part at 5 of 9 bytes, where 0 of 0"), (frame(b"+0/99999999:x"), "99999999 bytes in parts"),
-    (frame(b"garbage"), "JSON"), (frame(encode(YOU)), "a second Hello, of you, life 2"),
-    (frame(encode(Hello("r", "you", "10.0.0.2", "a", 3))), "a second Hello, of you, life 3")])
-def test_garbage_ends_the_link_with_a_line_that_names_who(monkeypatch: pytest.MonkeyPatch, wire: bytes, why: str) -> None:
+@pytest.mark.parametrize(
+    ("wire", "why"),
+    [
+        (b"x" * 20, "a frame without a length"),
+        (b"999999999:", "a frame without a length"),
+        (b"65600:", "65600 bytes, 65568 at most"),
+        (b"01:", "is no length of a frame"),
+        (b"1000000:", "1000000 bytes, 65568 at most"),
+        (frame(b"+5/9:x"), "a part at 5 of 9 bytes, where 0 of 0"),
+        (frame(b"+0/99999999:x"), "99999999 bytes in parts"),
+        (frame(b"garbage"), "JSON"),
+        (frame(encode(YOU)), "a second Hello, of you, life 2"),
+        (frame(encode(Hello("r", "you", "10.0.0.2", "a", 3))), "a second Hello, of you, life 3"),
+    ],
+)
+def test_garbage_ends_the_link_with_a_line_that_names_who(
+    monkeypatch: pytest.MonkeyPatch, wire: bytes, why: str
+) -> None:
     async def run() -> None:
         world = World(monkeypatch)
         with logbook.TestHandler() as handler:
@@ -281,10 +355,13 @@
         [record] = handler.records
         assert "Link cut: you" in record.message and why in record.message
         assert world.pipe.aborted and world.downs == 1 and world.heard == [] and world.ups == 1
+
     asyncio.run(run())
 
 
-@pytest.mark.parametrize("wire", [PING + frame(encode(Fresh(True, 1))), frame(b"+0/5000:" + b"x" * 100), b"4097:", frame(b"{}")])
+@pytest.mark.parametrize(
+    "wire", [PING + frame(encode(Fresh(True, 1))), frame(b"+0/5000:" + b"x" * 100), b"4097:", frame(b"{}")]
+)
 def test_a_stranger_is_cut_and_named_by_address(monkeypatch: pytest.MonkeyPatch, wire: bytes) -> None:
     async def run() -> None:
         world = World(monkeypatch, hello=False)
@@ -293,6 +370,7 @@
         [record] = handler.records
         assert "10.9.9.9" in record.message and not world.link.open and world.heard == [] and world.ups == 0
         assert STRANGER_FRAME == 4096
+
     asyncio.run(run())
 
 
@@ -300,7 +378,9 @@
 
 
 @in_loop
-def test_a_process_that_stood_short_reads_what_waits_before_it_judges(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_process_that_stood_short_reads_what_waits_before_it_judges(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     world = World(monkeypatch)
     world.beat(SILENT_S + 0.3)  # its timer fires first
     assert world.link.open
@@ -336,7 +416,9 @@
 def test_an_end_that_is_told_late_does_not_leave_two_links_alive() -> None:
     async def run() -> None:
         taken: list[Link] = []
-        listener = Listener(lambda: taken.append(Link(YOU, lambda *_: None, lambda _: None, lambda _: None)) or taken[-1])
+        listener = Listener(
+            lambda: taken.append(Link(YOU, lambda *_: None, lambda _: None, lambda _: None)) or taken[-1]
+        )
         address = await listener.listen(("127.0.0.1", 0))
         up = asyncio.Event()
         dialer = Dialer(address, ME, lambda *_: None, lambda _: up.set())
@@ -349,11 +431,14 @@
         assert dialer.link is current and dialer.up and len(taken) == 1
         dialer.close()
         listener.close()
+
     asyncio.run(run())
 
 
 @pytest.mark.parametrize("error", [TimeoutError, OSError])
-def test_a_connection_that_comes_up_as_its_try_ends_is_cut(monkeypatch: pytest.MonkeyPatch, error: type[OSError]) -> None:
+def test_a_connection_that_comes_up_as_its_try_ends_is_cut(
+    monkeypatch: pytest.MonkeyPatch, error: type[OSError]
+) -> None:
     async def run() -> None:
         loop, made = asyncio.get_running_loop(), []
 
@@ -361,12 +446,14 @@
             made.append(make())
             made[-1].connection_made(Pipe(made[-1]))
             raise error
+
         monkeypatch.setattr(loop, "create_connection", connect)
         dialer = Dialer(("10.0.0.9", 1), ME, lambda *_: None, lambda _: None)
         await asyncio.sleep(0)
         await asyncio.sleep(0)
         assert len(made) == 1 and not made[0].open and dialer.link is None
         dialer.close()
+
     asyncio.run(run())
 
 
@@ -377,21 +464,27 @@
         pipe = Pipe(link)
         link.connection_made(pipe)
         assert pipe.aborted and not pipe.out and not link.open
+
     asyncio.run(run())
 
 
 def test_eleven_megabytes_and_signs_of_life_cross_a_true_connection() -> None:
     async def run() -> None:
         heard: asyncio.Queue[Message] = asyncio.Queue()
-        listener = Listener(lambda: Link(YOU, lambda _, m: heard.put_nowait(m), lambda _: None, lambda _: None))
+        listener = Listener(
+            lambda: Link(YOU, lambda _, m: heard.put_nowait(m), lambda _: None, lambda _: None)
+        )
         address = await listener.listen(("127.0.0.1", 0))
         up = asyncio.Event()
         dialer = Dialer(address, ME, lambda *_: None, lambda _: up.set())
         await asyncio.wait_for(up.wait(), 5)
         long = config(11_000_000, 3)
-        assert dialer.send(long) and dialer.send(Fresh(True, 3)) and dialer.send(Accept(Record(1, "a", ["b"])))
+        assert (
+            dialer.send(long) and dialer.send(Fresh(True, 3)) and dialer.send(Accept(Record(1, "a", ["b"])))
+        )
         found = [await asyncio.wait_for(heard.get(), 10) for _ in range(3)]
         assert found == [Fresh(True, 3), long, Accept(Record(1, "a", ["b"]))]
         dialer.close()
         listener.close()
+
     asyncio.run(run())
--- a/tests/system/test_lives_of_ingresses.py
+++ b/tests/system/test_lives_of_ingresses.py
@@ -62,8 +62,17 @@
 
 def play(story: Callable[[Mesh, list[News]], None]) -> None:
     async def whole() -> None:
-        boot = boot_of({"nodeName": "a-1", "ipAddress": "10.0.0.1", "zone": "a", "internalPortRange": [7000, 7002],
-                        "bindAddresses": {}, "seedNodes": [], "bootstrap": False})
+        boot = boot_of(
+            {
+                "nodeName": "a-1",
+                "ipAddress": "10.0.0.1",
+                "zone": "a",
+                "internalPortRange": [7000, 7002],
+                "bindAddresses": {},
+                "seedNodes": [],
+                "bootstrap": False,
+            }
+        )
         heard: list[News] = []
         mesh = Mesh(boot, Hello(ROLE, "a-1", "10.0.0.1", "a", 50), heard.append, lambda *_: None, Two())
         mesh._closed = True  # nobody is dialled
@@ -195,7 +204,9 @@
     assert e.origins["a-2"].out == {"1": 1} and e.origins["a-2"].life == 2
 
 
-def test_second_hand_word_of_a_former_life_with_a_higher_number_does_not_displace_ones_own_neighbour() -> None:
+def test_second_hand_word_of_a_former_life_with_a_higher_number_does_not_displace_ones_own_neighbour() -> (
+    None
+):
     """a-2 has restarted with its clock set back; a-3 has not noticed, and links up with us."""
     e, before, now = exchange(), Other("a-2", 9_000, i1=7), Other("a-2", 4_000, i2=1)
     third = Exchange("a-3", "10.0.0.3", "a", 9, Two())
--- a/tests/system/test_proxy_outcomes.py
+++ b/tests/system/test_proxy_outcomes.py
@@ -73,48 +73,58 @@
 
 def after_whole(*acts: Act) -> Script:
     """The request is read whole, and runs; then these, one after the other."""
+
     async def script(conn: Conn) -> None:
         seen = await conn.whole()
         for act in acts:
             await act(conn, seen)
+
     return script
 
 
 def after_head(*acts: Act) -> Script:
     """The same before any of the body is read."""
+
     async def script(conn: Conn) -> None:
         seen = await conn.head()
         for act in acts:
             await act(conn, seen)
+
     return script
 
 
 def unread(*acts: Act) -> Script:
     """The same before any byte is read, once some are there."""
+
     async def script(conn: Conn) -> None:
         seen = Seen("", {})
         for act in acts:
             await act(conn, seen)
+
     return script
 
 
 def says(*args: Any, **more: Any) -> Act:
     async def act(conn: Conn, seen: Seen) -> None:
         await conn.send(answer(seen, *args, **more))
+
     return act
 
 
 def part(upto: int | bytes, *args: Any, **more: Any) -> Act:
     """The beginning of an answer: so many bytes of it, or up to these."""
+
     async def act(conn: Conn, seen: Seen) -> None:
         data = answer(seen, *args, **more)
-        await conn.send(data[:upto] if isinstance(upto, int) else data[:data.index(upto) + len(upto)])
+        await conn.send(data[:upto] if isinstance(upto, int) else data[: data.index(upto) + len(upto)])
+
     return act
 
 
 def raw(data: bytes) -> Act:
     async def act(conn: Conn, seen: Seen) -> None:
         await conn.send(data)
+
     return act
 
 
@@ -138,6 +148,7 @@
 
 def both(*acts: Act) -> Act:
     """Their bytes in one segment."""
+
     async def act(conn: Conn, seen: Seen) -> None:
         class Gather:
             data = b""
@@ -149,6 +160,7 @@
         for each in acts:
             await each(gather, seen)  # type: ignore[arg-type]
         await conn.send(gather.data)
+
     return act
 
 
@@ -187,7 +199,9 @@
     "good": Row(good, SERVED, moved=False),
     "good chunked": Row(after_whole(says(chunked=True)), SERVED),
     "good, and the connection closes": Row(after_whole(says(200, "Connection: close"), close), SERVED),
-    "good, without a length to the end": Row(after_whole(says(200, "Connection: close", length=None), close), SERVED),
+    "good, without a length to the end": Row(
+        after_whole(says(200, "Connection: close", length=None), close), SERVED
+    ),
     "good of another 2xx": Row(after_whole(says(201)), SERVED, 201),
     "good of an unknown 2xx": Row(after_whole(says(299)), SERVED, 299),
     "good and long": Row(after_whole(says(body=LONG_BODY)), SERVED, body=LONG_BODY),
@@ -197,32 +211,56 @@
     "204 with a length of nought": Row(after_whole(says(204, body=b"")), SERVED, 204, b""),
     "204 with a length": Row(after_whole(says(204, body=b"", length=5)), SERVED, 204, b""),
     "204 and a body behind it": Row(after_whole(says(204, body=b"hello", length=5)), SERVED, 204, b""),
-    "204 and a body behind it, later": Row(after_whole(says(204, body=b"", length=5), raw(b"hello")), SERVED, 204, b""),
-    "204 in chunks": Row(after_whole(says(204, "Transfer-Encoding: chunked", body=b"", length=None), raw(b"0\r\n\r\n")), SERVED, 204, b""),
+    "204 and a body behind it, later": Row(
+        after_whole(says(204, body=b"", length=5), raw(b"hello")), SERVED, 204, b""
+    ),
+    "204 in chunks": Row(
+        after_whole(says(204, "Transfer-Encoding: chunked", body=b"", length=None), raw(b"0\r\n\r\n")),
+        SERVED,
+        204,
+        b"",
+    ),
     "304": Row(after_whole(says(304, body=b"", length=None)), SERVED, 304, b""),
     "304 with a length": Row(after_whole(says(304, body=b"", length=7)), SERVED, 304, b""),
     "304 and a body behind it": Row(after_whole(says(304, body=b"hello")), SERVED, 304, b""),
     # interim answers
     "100 first": Row(after_whole(raw(b"HTTP/1.1 100 Continue\r\n\r\n"), says()), SERVED),
     "103 first": Row(after_whole(raw(b"HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n"), says()), SERVED),
-    "several interim": Row(after_whole(*[raw(b"HTTP/1.1 %d X\r\nX: y\r\n\r\n" % n) for n in (100, 102, 103, 103)], says()), SERVED),
+    "several interim": Row(
+        after_whole(*[raw(b"HTTP/1.1 %d X\r\nX: y\r\n\r\n" % n) for n in (100, 102, 103, 103)], says()),
+        SERVED,
+    ),
     "interim in one segment with it": Row(after_whole(both(raw(b"HTTP/1.1 103 X\r\n\r\n"), says())), SERVED),
-    "interim with a length": Row(after_whole(raw(b"HTTP/1.1 103 X\r\nContent-Length: 5\r\n\r\n"), says()), SERVED),
-    "interim that says Not-Executed": Row(after_whole(raw(b"HTTP/1.1 103 X\r\nNot-Executed: 1\r\n\r\n"), close), MAYBE),
+    "interim with a length": Row(
+        after_whole(raw(b"HTTP/1.1 103 X\r\nContent-Length: 5\r\n\r\n"), says()), SERVED
+    ),
+    "interim that says Not-Executed": Row(
+        after_whole(raw(b"HTTP/1.1 103 X\r\nNot-Executed: 1\r\n\r\n"), close), MAYBE
+    ),
     "interim and a close": Row(after_whole(raw(b"HTTP/1.1 100 Continue\r\n\r\n"), close), MAYBE),
     "interim and a reset": Row(after_whole(raw(b"HTTP/1.1 100 Continue\r\n\r\n"), reset), MAYBE),
-    "interim and silence": Row(after_whole(raw(b"HTTP/1.1 100 Continue\r\n\r\n"), silence), MAYBE, deadline_ms=SHORT_MS),
-    "interim without end": Row(after_whole(raw(b"HTTP/1.1 103 X\r\nX: y\r\n\r\n" * 2000), then_given_up), MAYBE),
+    "interim and silence": Row(
+        after_whole(raw(b"HTTP/1.1 100 Continue\r\n\r\n"), silence), MAYBE, deadline_ms=SHORT_MS
+    ),
+    "interim without end": Row(
+        after_whole(raw(b"HTTP/1.1 103 X\r\nX: y\r\n\r\n" * 2000), then_given_up), MAYBE
+    ),
     "interim ahead of the request": Row(good, SERVED, kept=(True,), before=interim),
-    "101": Row(after_whole(raw(b"HTTP/1.1 101 X\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n"), then_given_up), MAYBE),
-    "a status below 100": Row(after_whole(raw(b"HTTP/1.1 099 X\r\nContent-Length: 5\r\n\r\nhello"), says()), MAYBE),
+    "101": Row(
+        after_whole(raw(b"HTTP/1.1 101 X\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n"), then_given_up), MAYBE
+    ),
+    "a status below 100": Row(
+        after_whole(raw(b"HTTP/1.1 099 X\r\nContent-Length: 5\r\n\r\nhello"), says()), MAYBE
+    ),
     "a status of nought": Row(after_whole(raw(b"HTTP/1.1 000 X\r\n\r\n"), then_given_up), MAYBE),
     # missing
     "reset, no byte read": Row(unread(reset), MAYBE),
     "reset, the head read": Row(after_head(reset), MAYBE),
     "reset, the body half read": Row(after_head(reset), MAYBE, long=True),
     "close, the body half read": Row(after_head(close), MAYBE, long=True),
-    "silence, the body half read": Row(after_head(lambda conn, seen: asyncio.Event().wait()), MAYBE, long=True, deadline_ms=1500),  # type: ignore[arg-type,return-value]
+    "silence, the body half read": Row(
+        after_head(lambda conn, seen: asyncio.Event().wait()), MAYBE, long=True, deadline_ms=1500
+    ),  # type: ignore[arg-type,return-value]
     "reset at the door": Row(good, EITHER, kept=(False,), at_door=reset_at_door),
     "close at the door": Row(good, EITHER, kept=(False,), at_door=close_idle),
     "reset after the request": Row(after_whole(reset), MAYBE),
@@ -244,35 +282,82 @@
     "close between chunks": Row(after_whole(part(b"who\r\n", chunked=True), close), MAYBE),
     "close before the last chunk": Row(after_whole(part(b"\r\n0", chunked=True), close), MAYBE),
     "silence in a chunk": Row(after_whole(part(b"wh", chunked=True), silence), MAYBE, deadline_ms=SHORT_MS),
-    "reset of a body without a length": Row(after_whole(part(b"whole ", 200, "Connection: close", length=None), reset), MAYBE),
+    "reset of a body without a length": Row(
+        after_whole(part(b"whole ", 200, "Connection: close", length=None), reset), MAYBE
+    ),
     "no length and no close": Row(after_whole(says(length=None), close), MAYBE),
     "long, cut by a close": Row(after_whole(part(90_000, body=LONG_BODY), close), CUT),
     "long, cut by a reset": Row(after_whole(part(90_000, body=LONG_BODY), reset), CUT),
-    "long and chunked, cut by a close": Row(after_whole(part(90_000, body=LONG_BODY, chunked=True), close), CUT),
-    "long, without a length, cut by a reset": Row(after_whole(part(90_000, 200, "Connection: close", body=LONG_BODY, length=None), reset), CUT),
-    "long, with a spoilt chunk": Row(after_whole(part(HEAD_END, chunked=True), raw(b"30d40\r\n" + b"x" * 200_000 + b"\r\nzz\r\n"), then_given_up), CUT),
+    "long and chunked, cut by a close": Row(
+        after_whole(part(90_000, body=LONG_BODY, chunked=True), close), CUT
+    ),
+    "long, without a length, cut by a reset": Row(
+        after_whole(part(90_000, 200, "Connection: close", body=LONG_BODY, length=None), reset), CUT
+    ),
+    "long, with a spoilt chunk": Row(
+        after_whole(
+            part(HEAD_END, chunked=True), raw(b"30d40\r\n" + b"x" * 200_000 + b"\r\nzz\r\n"), then_given_up
+        ),
+        CUT,
+    ),
     "long, and silence": Row(after_whole(part(90_000, body=LONG_BODY), silence), CUT, deadline_ms=SHORT_MS),
     # no answers
     "garbage": Row(after_whole(raw(b"SSH-2.0-nonsense\r\n"), then_given_up), MAYBE),
-    "a request for an answer": Row(after_whole(raw(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"), then_given_up), MAYBE),
+    "a request for an answer": Row(
+        after_whole(raw(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"), then_given_up), MAYBE
+    ),
     "an endless head": Row(after_whole(raw(b"HTTP/1.1 200 OK\r\nX: " + b"x" * 70_000), then_given_up), MAYBE),
     "a status of two digits": Row(after_whole(raw(b"HTTP/1.1 20 X\r\n\r\n"), then_given_up), MAYBE),
-    "a space before the colon": Row(after_whole(raw(b"HTTP/1.1 200 X\r\nContent-Length : 0\r\n\r\n"), then_given_up), MAYBE),
+    "a space before the colon": Row(
+        after_whole(raw(b"HTTP/1.1 200 X\r\nContent-Length : 0\r\n\r\n"), then_given_up), MAYBE
+    ),
     # framing
-    "a length and chunks": Row(after_whole(says(200, "Content-Length: 5", chunked=True), then_given_up), MAYBE),
-    "two lengths, equal": Row(after_whole(says(200, "Content-Length: 5", body=b"hello"), then_given_up), MAYBE),
-    "two lengths, different": Row(after_whole(says(200, "Content-Length: 4", body=b"hello"), then_given_up), MAYBE),
-    "a list of lengths": Row(after_whole(says(200, "Content-Length: 5, 5", body=b"hello", length=None), then_given_up), MAYBE),
-    "a length that is no number": Row(after_whole(says(200, "Content-Length: +5", body=b"hello", length=None), then_given_up), MAYBE),
+    "a length and chunks": Row(
+        after_whole(says(200, "Content-Length: 5", chunked=True), then_given_up), MAYBE
+    ),
+    "two lengths, equal": Row(
+        after_whole(says(200, "Content-Length: 5", body=b"hello"), then_given_up), MAYBE
+    ),
+    "two lengths, different": Row(
+        after_whole(says(200, "Content-Length: 4", body=b"hello"), then_given_up), MAYBE
+    ),
+    "a list of lengths": Row(
+        after_whole(says(200, "Content-Length: 5, 5", body=b"hello", length=None), then_given_up), MAYBE
+    ),
+    "a length that is no number": Row(
+        after_whole(says(200, "Content-Length: +5", body=b"hello", length=None), then_given_up), MAYBE
+    ),
     "a length beyond the body": Row(after_whole(says(length=500), close), MAYBE),
     "a length short of the body": Row(after_whole(says(body=b"hello", length=4)), SERVED, body=b"hell"),
-    "another coding": Row(after_whole(says(200, "Transfer-Encoding: gzip, chunked", length=None), then_given_up), MAYBE),
-    "a chunk's size is no number": Row(after_whole(raw(b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"), then_given_up), MAYBE),
-    "a chunk longer than its size": Row(after_whole(raw(b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nokok\r\n0\r\n\r\n"), then_given_up), MAYBE),
-    "a trailer that says Not-Executed": Row(after_whole(both(part(b"\r\n0\r\n", chunked=True), raw(b"Not-Executed: 1\r\n\r\n"))), SERVED),
-    "a trailer that names another request": Row(after_whole(both(part(b"\r\n0\r\n", chunked=True), raw(b"Attempt-Id: x\r\n\r\n"))), SERVED),
-    "the stamp only in a trailer": Row(after_whole(both(part(b"\r\n0\r\n", stamp=False, chunked=True), raw(b"Response-Signature: s\r\n\r\n"))), MAYBE),
-    "long, and a trailer that names another": Row(after_whole(both(part(b"\r\n0\r\n", body=LONG_BODY, chunked=True), raw(b"Attempt-Id: x\r\n\r\n"))), SERVED, body=LONG_BODY),
+    "another coding": Row(
+        after_whole(says(200, "Transfer-Encoding: gzip, chunked", length=None), then_given_up), MAYBE
+    ),
+    "a chunk's size is no number": Row(
+        after_whole(raw(b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"), then_given_up), MAYBE
+    ),
+    "a chunk longer than its size": Row(
+        after_whole(
+            raw(b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nokok\r\n0\r\n\r\n"), then_given_up
+        ),
+        MAYBE,
+    ),
+    "a trailer that says Not-Executed": Row(
+        after_whole(both(part(b"\r\n0\r\n", chunked=True), raw(b"Not-Executed: 1\r\n\r\n"))), SERVED
+    ),
+    "a trailer that names another request": Row(
+        after_whole(both(part(b"\r\n0\r\n", chunked=True), raw(b"Attempt-Id: x\r\n\r\n"))), SERVED
+    ),
+    "the stamp only in a trailer": Row(
+        after_whole(
+            both(part(b"\r\n0\r\n", stamp=False, chunked=True), raw(b"Response-Signature: s\r\n\r\n"))
+        ),
+        MAYBE,
+    ),
+    "long, and a trailer that names another": Row(
+        after_whole(both(part(b"\r\n0\r\n", body=LONG_BODY, chunked=True), raw(b"Attempt-Id: x\r\n\r\n"))),
+        SERVED,
+        body=LONG_BODY,
+    ),
     # more than an answer
     "garbage behind it": Row(after_whole(both(says(), raw(b"garbage"))), SERVED),
     "garbage behind it, later": Row(after_whole(says(), raw(b"garbage")), SERVED),
@@ -281,12 +366,20 @@
     "a decline behind the answer": Row(after_whole(both(says(), says(503, NE))), SERVED),
     "an answer behind a decline": Row(after_whole(both(says(503, NE), says(body=b"other"))), NEVER),
     "close, and more": Row(after_whole(both(says(200, "Connection: close"), says(body=b"other"))), SERVED),
-    "close, and garbage later": Row(after_whole(says(200, "Connection: close"), raw(b"garbage"), close), SERVED),
+    "close, and garbage later": Row(
+        after_whole(says(200, "Connection: close"), raw(b"garbage"), close), SERVED
+    ),
     # another's answer
     "a stale answer, then its own": Row(after_whole(says(id=STALE, body=b"stale"), says()), SERVED),
-    "a stale answer and its own at once": Row(after_whole(both(says(id=STALE, body=b"stale"), says())), SERVED),
-    "a stale answer and garbage at once": Row(after_whole(both(says(id=STALE, body=b"stale"), raw(b"garbage")), then_given_up), MAYBE),
-    "a stale answer and half of its own at once": Row(after_whole(both(says(id=STALE, body=b"stale"), part(40)), close), MAYBE),
+    "a stale answer and its own at once": Row(
+        after_whole(both(says(id=STALE, body=b"stale"), says())), SERVED
+    ),
+    "a stale answer and garbage at once": Row(
+        after_whole(both(says(id=STALE, body=b"stale"), raw(b"garbage")), then_given_up), MAYBE
+    ),
+    "a stale answer and half of its own at once": Row(
+        after_whole(both(says(id=STALE, body=b"stale"), part(40)), close), MAYBE
+    ),
     "a stale decline, then its own": Row(after_whole(says(503, NE, id=STALE), says()), SERVED),
     "a stale 421, then its own": Row(after_whole(says(421, id=STALE), says()), SERVED),
     "a stale answer, then a close": Row(after_whole(says(id=STALE), close), MAYBE),
@@ -296,7 +389,9 @@
     "two stale answers, then its own": Row(after_whole(says(id=STALE), says(id=STALE + "0"), says()), SERVED),
     "the last request's answer again": Row(good, SERVED, kept=(True,), same_id=True, moved=True),
     "the wrong id alone": Row(after_whole(says(id=STALE), then_given_up), MAYBE, deadline_ms=SHORT_MS),
-    "two ids": Row(after_whole(says(200, "Attempt-Id: " + STALE), then_given_up), MAYBE, deadline_ms=SHORT_MS),
+    "two ids": Row(
+        after_whole(says(200, "Attempt-Id: " + STALE), then_given_up), MAYBE, deadline_ms=SHORT_MS
+    ),
     "no id": Row(after_whole(says(id=None)), MAYBE),
     "no id, declined": Row(after_whole(says(503, NE, id=None)), MAYBE),
     "no id, 421": Row(after_whole(says(421, id=None)), MAYBE),
@@ -307,36 +402,74 @@
     "404 ahead of the body": Row(after_head(says(404)), SERVED, 404, long=True),
     "500 ahead of the body": Row(after_head(says(500)), OWN, 500, long=True),
     "declined ahead of the body": Row(after_head(says(503, NE)), NEVER, long=True),
-    "declined ahead of the body, and a close": Row(after_head(says(503, NE, "Connection: close"), close), NEVER, long=True),
-    "half an answer ahead of the body, and a reset": Row(after_head(part(b"whole "), reset), MAYBE, long=True),
+    "declined ahead of the body, and a close": Row(
+        after_head(says(503, NE, "Connection: close"), close), NEVER, long=True
+    ),
+    "half an answer ahead of the body, and a reset": Row(
+        after_head(part(b"whole "), reset), MAYBE, long=True
+    ),
     "garbage ahead of the body": Row(after_head(raw(b"garbage\r\n"), then_given_up), MAYBE, long=True),
     "a stale answer ahead of the body, and a reset": Row(after_head(says(id=STALE), reset), MAYBE, long=True),
-    "an interim one ahead of the body, and a reset": Row(after_head(raw(b"HTTP/1.1 100 X\r\n\r\n"), reset), MAYBE, long=True),
+    "an interim one ahead of the body, and a reset": Row(
+        after_head(raw(b"HTTP/1.1 100 X\r\n\r\n"), reset), MAYBE, long=True
+    ),
     "an answer at the door": Row(good, EITHER, kept=(False,), at_door=unasked),
     "a decline at the door": Row(good, EITHER, kept=(False,), at_door=unasked_decline),
     "an answer on an idle connection": Row(good, SERVED, kept=(True,), before=unasked, moved=True),
     "a decline on an idle connection": Row(good, SERVED, kept=(True,), before=unasked_decline, moved=True),
     "an answer as the request comes": Row(unread(raw(answer(Seen("", {"attempt-id": STALE}))), reset), MAYBE),
-    "a decline without an id as the request comes": Row(unread(raw(answer(Seen("", {}), 503, NE, id=None)), silence), MAYBE, deadline_ms=SHORT_MS),
+    "a decline without an id as the request comes": Row(
+        unread(raw(answer(Seen("", {}), 503, NE, id=None)), silence), MAYBE, deadline_ms=SHORT_MS
+    ),
     # kept connections
     "forgotten by the backend": Row(unread(reset), MAYBE, kept=(True,), idle_s=0.5, moved=False),
     "closed just before": Row(good, SERVED, kept=(True,), before=close_idle, moved=True),
     "reset just before": Row(good, SERVED, kept=(True,), before=reset_idle, moved=True),
     "closes as the request comes": Row(unread(close), MAYBE, kept=(True,), moved=False),
-    "Keep-Alive has run out": Row(good, SERVED, kept=(True,), warm=after_whole(says(200, "Keep-Alive: timeout=1")), idle_s=1.2, moved=True),
-    "Keep-Alive of nought": Row(good, SERVED, kept=(True,), warm=after_whole(says(200, "Keep-Alive: timeout=0")), moved=True),
-    "Keep-Alive has not run out": Row(good, SERVED, kept=(True,), warm=after_whole(says(200, "Keep-Alive: timeout=10, max=5")), idle_s=1.2, moved=False),
-    "Connection: close before": Row(good, SERVED, kept=(True,), warm=after_whole(says(200, "Connection: close")), moved=True),
+    "Keep-Alive has run out": Row(
+        good,
+        SERVED,
+        kept=(True,),
+        warm=after_whole(says(200, "Keep-Alive: timeout=1")),
+        idle_s=1.2,
+        moved=True,
+    ),
+    "Keep-Alive of nought": Row(
+        good, SERVED, kept=(True,), warm=after_whole(says(200, "Keep-Alive: timeout=0")), moved=True
+    ),
+    "Keep-Alive has not run out": Row(
+        good,
+        SERVED,
+        kept=(True,),
+        warm=after_whole(says(200, "Keep-Alive: timeout=10, max=5")),
+        idle_s=1.2,
+        moved=False,
+    ),
+    "Connection: close before": Row(
+        good, SERVED, kept=(True,), warm=after_whole(says(200, "Connection: close")), moved=True
+    ),
     # declines
-    **{f"{status} Not-Executed": Row(after_whole(says(status, NE)), NEVER) for status in (503, 429, 421, 400, 500)},
+    **{
+        f"{status} Not-Executed": Row(after_whole(says(status, NE)), NEVER)
+        for status in (503, 429, 421, 400, 500)
+    },
     "503 Not-Executed, and a close": Row(after_whole(says(503, NE, "Connection: close"), close), NEVER),
     "200 Not-Executed": Row(after_whole(says(200, NE)), MAYBE),
     "421": Row(after_whole(says(421)), NEVER),
     "503 Not-Executed, cut": Row(after_whole(part(b"whole ", 503, NE), close), MAYBE),
     # the backend's own
-    **{f"{status} of the backend": Row(after_whole(says(status)), SERVED, status) for status in (301, 400, 404, 409, 499)},
-    **{f"{status} of the backend": Row(after_whole(says(status)), OWN, status) for status in (500, 502, 504, 599)},
-    **{f"{status} of the backend, which promises what it does not say": Row(after_whole(says(status)), MAYBE) for status in (503, 429, 408)},
+    **{
+        f"{status} of the backend": Row(after_whole(says(status)), SERVED, status)
+        for status in (301, 400, 404, 409, 499)
+    },
+    **{
+        f"{status} of the backend": Row(after_whole(says(status)), OWN, status)
+        for status in (500, 502, 504, 599)
+    },
+    **{
+        f"{status} of the backend, which promises what it does not say": Row(after_whole(says(status)), MAYBE)
+        for status in (503, 429, 408)
+    },
     "an unknown status beyond 599": Row(after_whole(says(799)), MAYBE),
     "200 without a stamp": Row(after_whole(says(stamp=False)), MAYBE),
     "200 in a coding": Row(after_whole(says(200, "Content-Encoding: gzip")), MAYBE),
@@ -363,8 +496,14 @@
 
     def request(self, nonce: str, *headers: str, id: str = "", body: bytes = b"") -> bytes:
         method = "POST" if self.mutating or body else "GET"
-        lines = [f"{method} /x?y=1 HTTP/1.1", f"Host: {self.host}", f"Attempt-Id: {id or nonce}", f"X-Nonce: {nonce}",
-                 f"Deadline-Ms: {self.row.deadline_ms}", *headers]
+        lines = [
+            f"{method} /x?y=1 HTTP/1.1",
+            f"Host: {self.host}",
+            f"Attempt-Id: {id or nonce}",
+            f"X-Nonce: {nonce}",
+            f"Deadline-Ms: {self.row.deadline_ms}",
+            *headers,
+        ]
         if method == "POST":
             lines.append(f"Content-Length: {len(body)}")
         return "\r\n".join([*lines, "", ""]).encode() + body
@@ -383,28 +522,72 @@
 
 
 def runs(names: Iterable[str] = ROWS) -> list[Run]:
-    found = [Run(name, ROWS[name], mutating, kept, alone)
-             for name in names for mutating, kept, alone in product((True, False), ROWS[name].kept, (False, True))]
+    found = [
+        Run(name, ROWS[name], mutating, kept, alone)
+        for name in names
+        for mutating, kept, alone in product((True, False), ROWS[name].kept, (False, True))
+    ]
     for number, run in enumerate(found):
         run.number = number
     return found
 
 
 def configuration(of: list[Run]) -> bytes:
-    routes = [[f"r{run.number}", run.host, "/", "mutating" if run.mutating else "read_only", 5,
-               4 if run.row.deadline_ms == 5000 else run.row.deadline_ms / 4000, 2, True, f"s{run.number}"] for run in of]
-    return json.dumps({
-        "revision": "r1", "routes": {"columns": ["name", "hostname", "pathPrefix", "routeType", "timeoutS", "targetLatencyS",
-                                                 "maxAttempts", "public", "service"], "rows": routes},
-        "services": {"columns": ["name", "healthPath", "maxConnections"], "rows": [[f"s{run.number}", "/health", 100] for run in of]},
-    }).encode()
+    routes = [
+        [
+            f"r{run.number}",
+            run.host,
+            "/",
+            "mutating" if run.mutating else "read_only",
+            5,
+            4 if run.row.deadline_ms == 5000 else run.row.deadline_ms / 4000,
+            2,
+            True,
+            f"s{run.number}",
+        ]
+        for run in of
+    ]
+    return json.dumps(
+        {
+            "revision": "r1",
+            "routes": {
+                "columns": [
+                    "name",
+                    "hostname",
+                    "pathPrefix",
+                    "routeType",
+                    "timeoutS",
+                    "targetLatencyS",
+                    "maxAttempts",
+                    "public",
+                    "service",
+                ],
+                "rows": routes,
+            },
+            "services": {
+                "columns": ["name", "healthPath", "maxConnections"],
+                "rows": [[f"s{run.number}", "/health", 100] for run in of],
+            },
+        }
+    ).encode()
 
 
 async def proxy(of: list[Run]) -> tuple[Ingress, tuple[str, int]]:
     """An ingress with these routes, without any other program."""
     ip = f"127.{20 + os.getpid() % 200}.7.1"
-    boot = boot_of({"nodeName": "n", "ipAddress": ip, "zone": "z", "internalPortRange": [1, 3], "bindAddresses": {}, "seedNodes": [],
-                    "bootstrap": True, "heartbeatS": 0.5, "dataDirectory": None})
+    boot = boot_of(
+        {
+            "nodeName": "n",
+            "ipAddress": ip,
+            "zone": "z",
+            "internalPortRange": [1, 3],
+            "bindAddresses": {},
+            "seedNodes": [],
+            "bootstrap": True,
+            "heartbeatS": 0.5,
+            "dataDirectory": None,
+        }
+    )
     ingress = Ingress(boot, "nowhere", 1)
     ingress._decides.mesh = None
     ingress.transport.stale = lambda idle_s: None  # type: ignore[method-assign]  # rows would teach each other to distrust connections
@@ -420,7 +603,9 @@
     """The ingress knows the backend, and how quick it is: the quicker one is asked first."""
     now = asyncio.get_running_loop().time()
     id = f"{name}{run.number}"
-    ingress._instances([Entry(id, f"s{run.number}", "{}:{}".format(*backend.address), "z", 2, 0, 0.0, now, now)])
+    ingress._instances(
+        [Entry(id, f"s{run.number}", "{}:{}".format(*backend.address), "z", 2, 0, 0.0, now, now)]
+    )
     number = ingress._numbers[id]
     ingress.fabric.backends[number].speed = speed
     return number
@@ -462,14 +647,25 @@
         if last is after:
             await after.open()
         follow = await last.ask(run.request("follow" + nonce, "Connection: close"))
-        if 200 <= follow.status < 300 and (follow.body != b"whole follow" + nonce.encode() or not follow.whole):
+        if 200 <= follow.status < 300 and (
+            follow.body != b"whole follow" + nonce.encode() or not follow.whole
+        ):
             broken.append(f"MIXED: the next request got {follow.body[:40]!r}")
-        elif follow.status in (0, 421, 408) or (not row.long and row.kind in (SERVED, OWN, NEVER) and follow.status == 0):
+        elif follow.status in (0, 421, 408) or (
+            not row.long and row.kind in (SERVED, OWN, NEVER) and follow.status == 0
+        ):
             broken.append(f"the next request got {follow.status}")
         if extra := await last.more():
             broken.append(f"MIXED: {extra[:60]!r} without a request")
         seen = [each for each in (*first.seen, *second.seen) if each.nonce == nonce]
-        return Result(run, got, len(seen), sum(each.ran for each in seen), sum(each.nonce == nonce for each in second.seen), broken)
+        return Result(
+            run,
+            got,
+            len(seen),
+            sum(each.ran for each in seen),
+            sum(each.nonce == nonce for each in second.seen),
+            broken,
+        )
     finally:
         for asker in (client, after):
             if hasattr(asker, "writer"):
@@ -482,18 +678,39 @@
     """The rules of the pages, and then what the row says."""
     row, nonce = run.row, f"n{run.number}"
     seen = [each for each in (*first.seen, *second.seen) if each.nonce == nonce]
-    ran, sent, elsewhere = sum(each.ran for each in seen), len(seen), sum(each.nonce == nonce for each in second.seen)
+    ran, sent, elsewhere = (
+        sum(each.ran for each in seen),
+        len(seen),
+        sum(each.nonce == nonce for each in second.seen),
+    )
     broken: list[str] = []
 
     def holds(rule: str, true: bool) -> None:
         if not true:
-            broken.append(f"{rule}: {got.status} {'whole' if got.whole else 'cut'} {got.body[:30]!r}, sent {sent}, ran {ran}, elsewhere {elsewhere}")
+            broken.append(
+                f"{rule}: {got.status} {'whole' if got.whole else 'cut'} {got.body[:30]!r}, sent {sent}, ran {ran}, elsewhere {elsewhere}"
+            )
 
     own = b"whole " + nonce.encode() if row.body is None else row.body
     success = 200 <= got.status < 300
-    holds("UNASKED", all(each.line.split(" ", 1)[1] == "/x?y=1 HTTP/1.1" and (not each.whole or each.body in (b"pay", LONG)) for each in seen))
-    holds("MIXED", not success or not got.whole or (got.body in (own, b"whole " + nonce.encode()) and got.headers.get("response-signature") == f"s-{nonce}"
-                                                    and got.headers.get("attempt-id") == nonce))
+    holds(
+        "UNASKED",
+        all(
+            each.line.split(" ", 1)[1] == "/x?y=1 HTTP/1.1"
+            and (not each.whole or each.body in (b"pay", LONG))
+            for each in seen
+        ),
+    )
+    holds(
+        "MIXED",
+        not success
+        or not got.whole
+        or (
+            got.body in (own, b"whole " + nonce.encode())
+            and got.headers.get("response-signature") == f"s-{nonce}"
+            and got.headers.get("attempt-id") == nonce
+        ),
+    )
     holds("no answer", got.status != 0)
     holds("a length with no body", got.status not in (204, 304) or "content-length" not in got.headers)
     if run.mutating:
@@ -502,24 +719,37 @@
     holds("sent too often", sent <= 2 and sent - elsewhere <= 1)
     beside = not run.alone
     if row.kind == SERVED:
-        holds("row", got.whole and got.status == row.status and got.body == own and (sent, elsewhere) == (1, 0))
+        holds(
+            "row", got.whole and got.status == row.status and got.body == own and (sent, elsewhere) == (1, 0)
+        )
     elif row.kind == CUT:
         holds("row", got.status == 200 and not got.whole and (sent, elsewhere) == (1, 0))
     elif row.kind == OWN and run.mutating:
-        holds("row", got.whole and got.status == row.status and got.body == own and (sent, elsewhere) == (1, 0))
+        holds(
+            "row", got.whole and got.status == row.status and got.body == own and (sent, elsewhere) == (1, 0)
+        )
     elif row.kind == NEVER and run.mutating and run.alone:
         holds("row", got.whole and got.status == 429 and (sent, elsewhere) == (2, 1) and not ran)
     elif row.kind == MAYBE and run.mutating:
         holds("row", got.whole and got.status in (502, 504) and elsewhere == 0)
     elif beside:  # repeated where that is harmless
-        holds("row", got.whole and got.status in ((200, 502) if row.kind == EITHER and run.mutating else (200,))
-              and (got.status != 200 or (got.body == b"whole " + nonce.encode() and (elsewhere == 1 or row.kind == EITHER))))
+        holds(
+            "row",
+            got.whole
+            and got.status in ((200, 502) if row.kind == EITHER and run.mutating else (200,))
+            and (
+                got.status != 200
+                or (got.body == b"whole " + nonce.encode() and (elsewhere == 1 or row.kind == EITHER))
+            ),
+        )
     else:
         holds("row", got.whole and not (success and row.kind != EITHER))
     if run.kept and row.moved is not None:
         taken = [conn.number for conn in first.conns]
-        holds("the kept connection is used again" if row.moved else "the kept connection is not used",
-              (len(taken) == 1) is not row.moved)
+        holds(
+            "the kept connection is used again" if row.moved else "the kept connection is not used",
+            (len(taken) == 1) is not row.moved,
+        )
     return broken
 
 
@@ -559,7 +789,12 @@
 
 def test_every_row_keeps_the_rules() -> None:
     results = table()
-    print(Counter((result.run.mutating, result.got.status, result.got.whole, result.sent, result.ran) for result in results))
+    print(
+        Counter(
+            (result.run.mutating, result.got.status, result.got.whole, result.sent, result.ran)
+            for result in results
+        )
+    )
     broken = broken_in(results)
     assert not broken, "\n".join([f"{len(broken)} in {len(results)} runs", *broken])
 
@@ -579,19 +814,25 @@
 
 def reads_answers(change: Callable[[Response], None]) -> Plant:
     """Each answer is changed before it is looked at."""
+
     def plant(patch: pytest.MonkeyPatch) -> None:
         def changed(attempt: Any, response: Response) -> Outcome | None:
             seen = Response(response.status, dict(response.headers), b"", True)
-            seen.headers[b":own"] = attempt.owner.request.id if attempt is not None and attempt.owner is not None else b""
+            seen.headers[b":own"] = (
+                attempt.owner.request.id if attempt is not None and attempt.owner is not None else b""
+            )
             change(seen)
             return reader_module.verdict(attempt, seen)
+
         patch.setattr(daemon_module, "verdict", changed)
+
     return plant
 
 
 def takes_trailers(patch: pytest.MonkeyPatch) -> None:
     def on_header(reader: Any, name: bytes, value: bytes) -> None:
         reader._headers[name.lower()] = value.strip()
+
     patch.setattr(response_module.ResponseReader, "on_header", on_header)
 
 
@@ -605,14 +846,18 @@
         exchange.call = None
         exchange._flows_no_more()
         exchange.connection.flush()
+
     patch.setattr(exchange_module.Exchange, "broken", broken)
 
 
 def skips_unasked(patch: pytest.MonkeyPatch) -> None:
     received = transport_module.Connection.data_received
     patch.setattr(transport_module.Connection, "usable", lambda connection: True)
-    patch.setattr(transport_module.Connection, "data_received",
-                  lambda connection, data: received(connection, data) if connection.attempt is not None else None)
+    patch.setattr(
+        transport_module.Connection,
+        "data_received",
+        lambda connection, data: received(connection, data) if connection.attempt is not None else None,
+    )
 
 
 def stamps(response: Response) -> None:
@@ -632,19 +877,55 @@
 
 
 PLANTED: dict[str, tuple[Plant, tuple[str, ...], str]] = {
-    "what may have run is sent again": (repeats_what_may_have_run, ("reset after the request", "close in the head", "garbage", "silence"), "TWICE"),
-    "what may have run is refused": (refuses_what_may_have_run, ("reset after the request", "silence"), "REFUSED"),
-    "what was written in part never ran": (sets(SystemRequest, "manners", Manners(True, True, False)), ("reset, the body half read",), "row"),
-    "a refusal that promises nothing is passed on": (sets(reader_module, "PROMISES", ()), ("503 of the backend, which promises what it does not say",), "REFUSED"),
-    "ids are not looked at": (reads_answers(owns), ("a stale answer, then its own", "a stale decline, then its own"), "MIXED"),
-    "no id is the request's own": (reads_answers(owns_where_there_is_none), ("no id, declined", "a decline without an id as the request comes"), "row"),
+    "what may have run is sent again": (
+        repeats_what_may_have_run,
+        ("reset after the request", "close in the head", "garbage", "silence"),
+        "TWICE",
+    ),
+    "what may have run is refused": (
+        refuses_what_may_have_run,
+        ("reset after the request", "silence"),
+        "REFUSED",
+    ),
+    "what was written in part never ran": (
+        sets(SystemRequest, "manners", Manners(True, True, False)),
+        ("reset, the body half read",),
+        "row",
+    ),
+    "a refusal that promises nothing is passed on": (
+        sets(reader_module, "PROMISES", ()),
+        ("503 of the backend, which promises what it does not say",),
+        "REFUSED",
+    ),
+    "ids are not looked at": (
+        reads_answers(owns),
+        ("a stale answer, then its own", "a stale decline, then its own"),
+        "MIXED",
+    ),
+    "no id is the request's own": (
+        reads_answers(owns_where_there_is_none),
+        ("no id, declined", "a decline without an id as the request comes"),
+        "row",
+    ),
     "no stamp is needed": (reads_answers(stamps), ("200 without a stamp",), "MIXED"),
     "a coding is let through": (reads_answers(forgives), ("200 in a coding",), "row"),
     "trailers are headers": (takes_trailers, ("a trailer that says Not-Executed",), "row"),
     "what is cut looks whole": (ends_what_is_cut, ("long and chunked, cut by a close",), "MIXED"),
-    "Keep-Alive is not read": (sets(transport_module, "_KEEP_ALIVE", re.compile(rb"(?!)")), ("Keep-Alive has run out",), "the kept connection is used again"),
-    "one id twice on a connection": (sets(transport_module.HttpAttempt, "name", b""), ("the last request's answer again",), "the kept connection is used again"),
-    "bytes that nobody asked for are skipped": (skips_unasked, ("an answer on an idle connection", "a decline on an idle connection"), "the kept connection is used again"),
+    "Keep-Alive is not read": (
+        sets(transport_module, "_KEEP_ALIVE", re.compile(rb"(?!)")),
+        ("Keep-Alive has run out",),
+        "the kept connection is used again",
+    ),
+    "one id twice on a connection": (
+        sets(transport_module.HttpAttempt, "name", b""),
+        ("the last request's answer again",),
+        "the kept connection is used again",
+    ),
+    "bytes that nobody asked for are skipped": (
+        skips_unasked,
+        ("an answer on an idle connection", "a decline on an idle connection"),
+        "the kept connection is used again",
+    ),
 }
 
 
@@ -660,7 +941,11 @@
 
 # ---- rows in any order, one after the other on the same connections
 
-QUICK = [name for name, row in ROWS.items() if not row.long and row.deadline_ms == 5000 and row.before is None and row.at_door is None]
+QUICK = [
+    name
+    for name, row in ROWS.items()
+    if not row.long and row.deadline_ms == 5000 and row.before is None and row.at_door is None
+]
 CLIENTS, EACH = 6, 60
 
 
@@ -685,14 +970,25 @@
         got, met = one.got, seen.pop(one.nonce, [])
         ran = sum(each.ran for each in met)
         said = [body for each in met for body in each.said]
-        if 200 <= got.status < 300 and got.whole and (
-                got.headers.get("response-signature") != f"s-{one.nonce}" or got.headers.get("attempt-id") != one.id or got.body not in (*said, b"hell", b"")):
+        if (
+            200 <= got.status < 300
+            and got.whole
+            and (
+                got.headers.get("response-signature") != f"s-{one.nonce}"
+                or got.headers.get("attempt-id") != one.id
+                or got.body not in (*said, b"hell", b"")
+            )
+        ):
             broken.append(f"MIXED: {one}")
         if one.mutating and ran > 1:
             broken.append(f"TWICE: {one}")
         if one.mutating and ran and got.status in (408, 421, 429, 503):
             broken.append(f"REFUSED: {one}")
-        if len(met) > 2 or got.status in (0, 405, 408, 431) or (got.status < 500 and got.status not in (409, 429) and "attempt-id" not in got.headers):
+        if (
+            len(met) > 2
+            or got.status in (0, 405, 408, 431)
+            or (got.status < 500 and got.status not in (409, 429) and "attempt-id" not in got.headers)
+        ):
             broken.append(f"no such end: {one}, sent {len(met)}")
         if any(each.whole and each.body != b"pay" for each in met):
             broken.append(f"UNASKED: {one}")
@@ -703,7 +999,10 @@
 async def course(seed: int) -> tuple[list[Asked], list[Scripted]]:
     """Clients that keep their connections and at times ask under the id they had last; backends in every kind of trouble."""
     random = Random(seed)
-    calls = [Run("good", ROWS["good"], mutating, False, True, number) for number, mutating in enumerate((True, False))]
+    calls = [
+        Run("good", ROWS["good"], mutating, False, True, number)
+        for number, mutating in enumerate((True, False))
+    ]
     ingress, address = await proxy(calls)
     del ingress.transport.stale  # as it is: connections that were reset under a request are distrusted
 
@@ -751,7 +1050,10 @@
 def course_of(seed: int) -> list[str]:
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         asked, backends = runner.run(asyncio.wait_for(course(seed), 60))
-    print(Counter((each.mutating, each.got.status, each.got.whole) for each in asked), sum(len(each.conns) for each in backends))
+    print(
+        Counter((each.mutating, each.got.status, each.got.whole) for each in asked),
+        sum(len(each.conns) for each in backends),
+    )
     assert len(asked) == CLIENTS * EACH
     return broken_in_course(asked, backends)
 
@@ -761,8 +1063,15 @@
     assert not course_of(seed)
 
 
-@pytest.mark.parametrize(("fault", "rule"), [("what may have run is sent again", "TWICE"), ("what may have run is refused", "REFUSED"), ("ids are not looked at", "MIXED"),
-                                             ("no stamp is needed", "MIXED")])
+@pytest.mark.parametrize(
+    ("fault", "rule"),
+    [
+        ("what may have run is sent again", "TWICE"),
+        ("what may have run is refused", "REFUSED"),
+        ("ids are not looked at", "MIXED"),
+        ("no stamp is needed", "MIXED"),
+    ],
+)
 def test_a_planted_fault_is_found_in_a_course(fault: str, rule: str, monkeypatch: pytest.MonkeyPatch) -> None:
     PLANTED[fault][0](monkeypatch)
     assert any(each.startswith(rule) for seed in range(3) for each in course_of(seed))
@@ -770,6 +1079,7 @@
 
 # ---- the client's side, and the end of the process
 
+
 async def alone(of: Run, backend: Scripted) -> tuple[Ingress, tuple[str, int]]:
     ingress, address = await proxy([of])
     await backend.start()
@@ -790,7 +1100,12 @@
 
 def test_what_an_answer_says_of_itself_comes_as_it_was_said() -> None:
     async def story(run: Run) -> None:
-        lines = ("Set-Cookie: a=1; Expires=Wed, 02 Dec 2026 00:00:00 GMT", "Set-Cookie: b=2", "X-One: 1", "X-One: 2")
+        lines = (
+            "Set-Cookie: a=1; Expires=Wed, 02 Dec 2026 00:00:00 GMT",
+            "Set-Cookie: b=2",
+            "X-One: 1",
+            "X-One: 2",
+        )
         backend = Scripted()
         backend.normal = after_whole(says(200, *lines))
         ingress, address = await alone(run, backend)
@@ -798,7 +1113,9 @@
             client = await Asker(address).open()
             client.writer.write(run.request("cookies"))
             head = (await client.reader.readuntil(HEAD_END)).decode().split("\r\n")
-            assert [line for line in head if line.lower().startswith("set-cookie")] == [line.replace("Set-Cookie", "set-cookie") for line in lines[:2]]
+            assert [line for line in head if line.lower().startswith("set-cookie")] == [
+                line.replace("Set-Cookie", "set-cookie") for line in lines[:2]
+            ]
             assert "x-one: 1, 2" in head  # which means the same
         finally:
             ingress.server.leave()
@@ -810,7 +1127,9 @@
     one(story, True)
 
 
-@pytest.mark.parametrize("trailer", ("Key: other", "X-More: smuggled", "Tenant-Name: other", "Attempt-Id: other", "Deadline-Ms: 1"))
+@pytest.mark.parametrize(
+    "trailer", ("Key: other", "X-More: smuggled", "Tenant-Name: other", "Attempt-Id: other", "Deadline-Ms: 1")
+)
 def test_what_stands_behind_a_requests_body_changes_nothing_of_it(trailer: str) -> None:
     async def story(run: Run) -> None:
         backend = Scripted()
@@ -822,7 +1141,10 @@
             assert (got.status, got.body) == (200, b"whole chunks")
             (seen,) = backend.seen
             assert (seen.body, seen.id, seen.headers["content-length"]) == (b"pay", "chunks", "3")
-            assert not {"key", "x-more", "tenant-name"} & seen.headers.keys() and int(seen.headers["deadline-ms"]) > 1000
+            assert (
+                not {"key", "x-more", "tenant-name"} & seen.headers.keys()
+                and int(seen.headers["deadline-ms"]) > 1000
+            )
             assert (await client.ask(run.request("next", body=b"pay"))).body == b"whole next"
         finally:
             ingress.server.leave()
@@ -836,7 +1158,9 @@
 
 @pytest.mark.parametrize("mutating", (True, False))
 @pytest.mark.parametrize("when", ("in the head", "in the body", "before the answer", "in the answer"))
-def test_a_client_that_leaves_has_its_request_sent_once_at_most_and_nobody_gets_its_answer(when: str, mutating: bool) -> None:
+def test_a_client_that_leaves_has_its_request_sent_once_at_most_and_nobody_gets_its_answer(
+    when: str, mutating: bool
+) -> None:
     async def story(run: Run) -> None:
         ended = asyncio.Event()
 
@@ -884,7 +1208,9 @@
 
 
 @pytest.mark.parametrize("mutating", (True, False))
-@pytest.mark.parametrize("when", ("in the head", "in the body", "at work", "in the answer", "to the end of the grace"))
+@pytest.mark.parametrize(
+    "when", ("in the head", "in the body", "at work", "in the answer", "to the end of the grace")
+)
 def test_a_sigterm_midway_ends_no_request_early_and_promises_nothing(when: str, mutating: bool) -> None:
     async def story(run: Run) -> None:
         go = asyncio.Event()
@@ -905,7 +1231,11 @@
             backend.armed = True
             cut = {"in the head": 40, "in the body": len(whole) - 1}.get(when, len(whole))
             client.writer.write(whole[:cut])
-            await until(lambda: backend.seen if cut == len(whole) else any(c._received for c in ingress.server._clients))
+            await until(
+                lambda: (
+                    backend.seen if cut == len(whole) else any(c._received for c in ingress.server._clients)
+                )
+            )
             if when == "in the answer":
                 await until(lambda: any(call.begun for call in ingress.engine._calls.values()))
             ending = asyncio.create_task(ingress.end(0.6 if when == "to the end of the grace" else 10.0))
--- a/tests/system/test_quota_leases.py
+++ b/tests/system/test_quota_leases.py
@@ -7,8 +7,19 @@
 import pytest
 
 from furrow.messages import (
-    ChargedRequests, Hello, Message, QuotaGrant, QuotaHandover, QuotaRequest, QuotaSettlement,
-    ReturnedTokens, ShardVote, TokenDemand, TokenGrant, decode, encode,
+    ChargedRequests,
+    Hello,
+    Message,
+    QuotaGrant,
+    QuotaHandover,
+    QuotaRequest,
+    QuotaSettlement,
+    ReturnedTokens,
+    ShardVote,
+    TokenDemand,
+    TokenGrant,
+    decode,
+    encode,
 )
 from troutdock.quota.bucket import FillingTime, QuotaLimit, TokenBucket
 from troutdock.quota.leases import LEASE_S, QuotaLeases, Verdict
@@ -17,7 +28,17 @@
 from troutdock.quota.owner import RETRY_LEAST_S, RETRY_MOST_S, VOTE_LIFETIME_S, ShardOwner
 from troutdock.quota.ownership import FOUNDING_S, HANDOVER_S
 from troutdock.quota.routes import (
-    SETTLE_S, SHARDS, ZONE_GRACE_S, Peers, Role, Route, ShardRoutes, in_aggregator_order, shard_duty, shard_of, zones_before,
+    SETTLE_S,
+    SHARDS,
+    ZONE_GRACE_S,
+    Peers,
+    Role,
+    Route,
+    ShardRoutes,
+    in_aggregator_order,
+    shard_duty,
+    shard_of,
+    zones_before,
 )
 
 LIMIT = QuotaLimit(10.0, 20.0)
@@ -28,7 +49,13 @@
 
 def peers(**more: object) -> Peers:
     """Those of a-1, in a zone of three; b is another zone."""
-    fields = {"near": NEAR, "away": {"b-1": "b"}, "listed_near": NEAR, "listed_zones": frozenset("b"), "fleet_size": 4}
+    fields = {
+        "near": NEAR,
+        "away": {"b-1": "b"},
+        "listed_near": NEAR,
+        "listed_zones": frozenset("b"),
+        "fleet_size": 4,
+    }
     return Peers(**{**fields, **more})  # type: ignore[arg-type]
 
 
@@ -47,7 +74,17 @@
     away = "b" if zone == "a" else "a"
     near = frozenset([f"{zone}-2", f"{zone}-3"])
     busy = frozenset([f"{zone}-1"]) if role is Role.MEMBER else near
-    node.update_peers(now, Peers(near, {f"{away}-1": away}, near, frozenset(away), 4, busy - ({f"{zone}-3"} if role is not Role.MEMBER else set())))
+    node.update_peers(
+        now,
+        Peers(
+            near,
+            {f"{away}-1": away},
+            near,
+            frozenset(away),
+            4,
+            busy - ({f"{zone}-3"} if role is not Role.MEMBER else set()),
+        ),
+    )
     return node
 
 
@@ -56,7 +93,10 @@
 
     def __init__(self, limit: QuotaLimit = LIMIT, bootstrap: bool = True) -> None:
         self.owner_zone, self.other_zone = ("a", "b") if zones_before(SHARD, "b", ["a"]) else ("b", "a")
-        self.owner, self.other = self._node(self.owner_zone, bootstrap), self._node(self.other_zone, bootstrap)
+        self.owner, self.other = (
+            self._node(self.owner_zone, bootstrap),
+            self._node(self.other_zone, bootstrap),
+        )
         for node in (self.owner, self.other):
             node.set_limits(0.0, {TENANT: limit})
             self.link(0.0, node)
@@ -141,7 +181,9 @@
     assert not routes.is_settled(1.0)
     routes.update(1.0 + SETTLE_S, listed)
     assert routes.is_settled(1.0 + SETTLE_S) and Role.OWNER in {r.role for r in routes.routes}
-    for shard, route in enumerate(routes.routes):  # the other zone is dialled from now on, where it is before this one
+    for shard, route in enumerate(
+        routes.routes
+    ):  # the other zone is dialled from now on, where it is before this one
         assert route.role is not Role.UNSETTLED or zones_before(shard, "a", ["b"])
     routes.update(1.0 + SETTLE_S + ZONE_GRACE_S, listed)
     assert Role.UNSETTLED not in {r.role for r in routes.routes}
@@ -150,7 +192,14 @@
 def test_who_becomes_aggregator_waits_for_its_links_before_it_owns() -> None:
     zone, other = ("b", "a") if zones_before(SHARD, "b", ["a"]) else ("a", "b")
     routes = ShardRoutes(f"{zone}-1", zone)
-    member = Peers(frozenset([f"{zone}-2"]), {}, frozenset([f"{zone}-2"]), frozenset([other]), 3, frozenset([f"{zone}-1"]))
+    member = Peers(
+        frozenset([f"{zone}-2"]),
+        {},
+        frozenset([f"{zone}-2"]),
+        frozenset([other]),
+        3,
+        frozenset([f"{zone}-1"]),
+    )
     routes.update(0.0, member)
     routes.update(50.0, member)
     assert routes.routes[SHARD].role is Role.MEMBER
@@ -178,7 +227,10 @@
                 owners[shard] += [name] if route.role is Role.OWNER else []
                 if route.role is Role.AGGREGATOR:
                     owner_zone = zones_before(shard, zone, zones)[0]
-                    assert route.upstream == in_aggregator_order(owner_zone, shard, zones[owner_zone], frozenset())[0]
+                    assert (
+                        route.upstream
+                        == in_aggregator_order(owner_zone, shard, zones[owner_zone], frozenset())[0]
+                    )
     assert all(len(names) == 1 for names in owners.values())
     assert len({names[0] for names in owners.values()}) > 2
 
@@ -227,9 +279,15 @@
     node.demand(0.1, TENANT, 3)
     sent = node._sent.by_tenant[TENANT]
     list(node.take_messages())
-    node.receive(0.11 + GRANT_LIFETIME_S, sent.upstream, QuotaGrant([TokenGrant(TENANT, sent.number, 3, 0.0, "term")]))
+    node.receive(
+        0.11 + GRANT_LIFETIME_S, sent.upstream, QuotaGrant([TokenGrant(TENANT, sent.number, 3, 0.0, "term")])
+    )
     (_, settlement), (_, request) = list(node.take_messages())
-    assert not node.take_grants() and isinstance(settlement, QuotaSettlement) and isinstance(request, QuotaRequest)
+    assert (
+        not node.take_grants()
+        and isinstance(settlement, QuotaSettlement)
+        and isinstance(request, QuotaRequest)
+    )
     assert [(r.tokens, r.term) for r in settlement.returned] == [(3, "term")]
     assert [demand.wanted for demand in request.demands] == [3]
 
@@ -281,7 +339,10 @@
     # fewer than wanted: those that return first, then in turn; all are told when to come again
     node.receive(0.3, upstream, QuotaGrant([TokenGrant(TENANT, again.demands[0].number, 4, 0.2, "term")]))
     grants = {peer: m.grants[0] for peer, m in node.take_messages() if isinstance(m, QuotaGrant)}
-    assert {peer: (g.granted, g.retry_after_s) for peer, g in grants.items()} == {"y": (3, 0.0), "z": (1, 0.2)}
+    assert {peer: (g.granted, g.retry_after_s) for peer, g in grants.items()} == {
+        "y": (3, 0.0),
+        "z": (1, 0.2),
+    }
     node.receive(0.4, "x", QuotaRequest([TokenDemand(TENANT, 6, 1)]))  # answered here until the time is over
     ((peer, refused),) = list(node.take_messages())
     assert peer == "x" and refused == QuotaGrant([TokenGrant(TENANT, 6, 0, 0.1)])
@@ -368,7 +429,9 @@
     ((first, _),) = [(p, m) for p, m in node.take_messages() if isinstance(m, QuotaRequest) and m.demands]
     left = NEAR - {first}
     node.update_peers(0.2, peers(near=left, busy=frozenset(["a-1"])))
-    ((second, message),) = [(p, m) for p, m in node.take_messages() if isinstance(m, QuotaRequest) and m.demands]
+    ((second, message),) = [
+        (p, m) for p, m in node.take_messages() if isinstance(m, QuotaRequest) and m.demands
+    ]
     assert {second} == set(left) and isinstance(message, QuotaRequest) and message.demands[0].wanted == 3
 
 
@@ -504,21 +567,24 @@
     assert fleet.demand(1.15, fleet.owner, 20, 20).granted == 1
 
 
-@pytest.mark.parametrize("message", [
-    QuotaGrant([TokenGrant(TENANT, 1, 99, 0.0, "term")]),
-    QuotaGrant([TokenGrant(TENANT, 1, -1, 0.0, "term")]),
-    QuotaGrant([TokenGrant(TENANT, 1, 1, -1.0, "term")]),
-    QuotaGrant([TokenGrant(TENANT, 77, 1, 0.0, "term")]),
-    QuotaGrant([TokenGrant("other", 1, 1, 0.0, "term")]),
-    QuotaRequest([TokenDemand(TENANT, 1, -1)]),
-    QuotaRequest([TokenDemand(TENANT, 1, 1, 2)]),
-    QuotaSettlement(charged=[ChargedRequests(TENANT, -3)]),
-    QuotaSettlement(returned=[ReturnedTokens(TENANT, -1, "term")]),
-    QuotaRequest(votes=[ShardVote(SHARDS, "c", 1)]),
-    QuotaRequest(votes=[ShardVote(SHARD, "c", -1)]),
-    QuotaHandover(-1, 0.0, {}),
-    Hello("proxy", "x", "10.0.0.1", "a", 1),
-])
+@pytest.mark.parametrize(
+    "message",
+    [
+        QuotaGrant([TokenGrant(TENANT, 1, 99, 0.0, "term")]),
+        QuotaGrant([TokenGrant(TENANT, 1, -1, 0.0, "term")]),
+        QuotaGrant([TokenGrant(TENANT, 1, 1, -1.0, "term")]),
+        QuotaGrant([TokenGrant(TENANT, 77, 1, 0.0, "term")]),
+        QuotaGrant([TokenGrant("other", 1, 1, 0.0, "term")]),
+        QuotaRequest([TokenDemand(TENANT, 1, -1)]),
+        QuotaRequest([TokenDemand(TENANT, 1, 1, 2)]),
+        QuotaSettlement(charged=[ChargedRequests(TENANT, -3)]),
+        QuotaSettlement(returned=[ReturnedTokens(TENANT, -1, "term")]),
+        QuotaRequest(votes=[ShardVote(SHARDS, "c", 1)]),
+        QuotaRequest(votes=[ShardVote(SHARD, "c", -1)]),
+        QuotaHandover(-1, 0.0, {}),
+        Hello("proxy", "x", "10.0.0.1", "a", 1),
+    ],
+)
 def test_messages_that_make_no_sense_are_dropped_and_counted(message: Message) -> None:
     node = node_with(Role.MEMBER)
     node.demand(0.1, TENANT, 3)
@@ -578,9 +644,11 @@
 
 def test_a_process_of_before_is_understood_and_understands() -> None:
     assert decode(b'{"t":"hello","role":"espalier","name":"x","ip":"10.0.0.1","zone":"a","life":3}') == Hello(
-        "espalier", "x", "10.0.0.1", "a", 3)
+        "espalier", "x", "10.0.0.1", "a", 3
+    )
     assert encode(Hello("hedgerow", "x", "10.0.0.1", "a", 3)) == (
-        b'{"t":"hello","role":"hedgerow","name":"x","ip":"10.0.0.1","zone":"a","life":3}')
+        b'{"t":"hello","role":"hedgerow","name":"x","ip":"10.0.0.1","zone":"a","life":3}'
+    )
 
 
 def test_shards_are_the_same_everywhere() -> None:
--- a/tests/system/test_quota_loop.py
+++ b/tests/system/test_quota_loop.py
@@ -7,7 +7,15 @@
 
 from espalier.quotas import BUSY_MS, MOST_DATAGRAM_BYTES, QuotaLoop
 from furrow.messages import (
-    LIFE_TAGS, Hello, Message, QuotaDatagram, QuotaGrant, QuotaRequest, QuotaSettlement, ShardVote, TokenDemand,
+    LIFE_TAGS,
+    Hello,
+    Message,
+    QuotaDatagram,
+    QuotaGrant,
+    QuotaRequest,
+    QuotaSettlement,
+    ShardVote,
+    TokenDemand,
     encode_datagram,
 )
 from furrow.netstring import frame
@@ -33,9 +41,17 @@
         self.events: list[Event] = []
         self.informed = asyncio.Event()
         self.statuses: list[bool] = []
-        self.loop = QuotaLoop(node=self.node, clock=clock, hello=me, peer=peers.get,
-                              send=lambda name, message: self.on_links.append((name, message)),
-                              inform=self._inform, lag_ms=lag_ms, set_busy=self.statuses.append, bootstrap=True)
+        self.loop = QuotaLoop(
+            node=self.node,
+            clock=clock,
+            hello=me,
+            peer=peers.get,
+            send=lambda name, message: self.on_links.append((name, message)),
+            inform=self._inform,
+            lag_ms=lag_ms,
+            set_busy=self.statuses.append,
+            bootstrap=True,
+        )
 
     def _inform(self, event: Event) -> None:
         self.events.append(event)
@@ -86,13 +102,26 @@
     async def story(owner: Side, asker: Side) -> None:
         owner.loop.update_peers(ALONE)
         demands = [TokenDemand(TENANT, 1, 5)]
-        for sender, life, ip in (("asker", 23, ASKER.ip), ("asker", 22, "127.0.0.9"), ("nobody", 22, ASKER.ip)):
+        for sender, life, ip in (
+            ("asker", 23, ASKER.ip),
+            ("asker", 22, "127.0.0.9"),
+            ("nobody", 22, ASKER.ip),
+        ):
             payload = encode_datagram(QuotaDatagram(sender, life % LIFE_TAGS, demands))
             owner.loop._receive_datagram(frame(payload), (ip, 7000))
-        for data in (b"", b"junk", b"3:{}x", frame(b"{}"), frame(b'["asker",22,[["t","one",5]]]'), b"9" * 3000):
+        for data in (
+            b"",
+            b"junk",
+            b"3:{}x",
+            frame(b"{}"),
+            frame(b'["asker",22,[["t","one",5]]]'),
+            b"9" * 3000,
+        ):
             owner.loop._receive_datagram(data, (ASKER.ip, 7000))
         assert owner.node.rejected == 9 and not owner.node.has_output
-        owner.loop._receive_datagram(frame(encode_datagram(QuotaDatagram("asker", 22, demands))), (ASKER.ip, 7000))
+        owner.loop._receive_datagram(
+            frame(encode_datagram(QuotaDatagram("asker", 22, demands))), (ASKER.ip, 7000)
+        )
         assert owner.node.has_output and owner.node.rejected == 9
 
     play(story)
--- a/tests/system/test_quotas_in_company.py
+++ b/tests/system/test_quotas_in_company.py
@@ -66,7 +66,9 @@
 
 def owner(town: Town) -> str:
     """Who leases the tenant's tokens."""
-    (name,) = [i.name for i in town.ingresses.values() if i.alive and shard_of("tenant") in i.node.owned_shards()]
+    (name,) = [
+        i.name for i in town.ingresses.values() if i.alive and shard_of("tenant") in i.node.owned_shards()
+    ]
     return name
 
 
@@ -81,7 +83,9 @@
     t.kill(owner(t))
     press(t, 10_000, 300)
     assert most_in(t.admitted, WINDOW_S * 1000) <= ALLOWED
-    left = sum(i.alive for i in t.ingresses.values()) / len(t.ingresses)  # the lost ones' part may still be in use
+    left = sum(i.alive for i in t.ingresses.values()) / len(
+        t.ingresses
+    )  # the lost ones' part may still be in use
     assert sum(at >= 6000 for at in t.admitted) >= 0.95 * RATE * 4 * left
 
 
@@ -109,14 +113,26 @@
 def test_whom_an_ingress_dials() -> None:
     """In the zone the lower address; other zones by the home of a duty or the owner of a shard, once its own zone is linked."""
     e = Exchange("a-1", "10.0.0.2", "a", 1, Two())
-    e.listed(0.0, [Member("a-0", "10.0.0.1", 1, "a", 1), Member("a-2", "10.0.0.3", 1, "a", 1),
-                   Member("b-0", "10.0.1.1", 1, "b", 1), Member("b-1", "10.0.1.2", 1, "b", 1)], (), True)
+    e.listed(
+        0.0,
+        [
+            Member("a-0", "10.0.0.1", 1, "a", 1),
+            Member("a-2", "10.0.0.3", 1, "a", 1),
+            Member("b-0", "10.0.1.1", 1, "b", 1),
+            Member("b-1", "10.0.1.2", 1, "b", 1),
+        ],
+        (),
+        True,
+    )
     near = [("a-0", "a"), ("a-2", "a")]
     assert [m.name for m in e.wanted(0.0, [], ())] == ["a-2"]  # who is unmet may be the speaker
     names = ["a-0", "a-1", "a-2"]
     homes = [duty for duty in e.duties() if e.home(duty, ["a-0", "a-2"])]
-    asked = [shard for shard in range(SHARDS)
-             if in_order(zone_duty("a", shard), names)[0] == "a-1" and zones_before(shard, "a", ["b"])]
+    asked = [
+        shard
+        for shard in range(SHARDS)
+        if in_order(zone_duty("a", shard), names)[0] == "a-1" and zones_before(shard, "a", ["b"])
+    ]
     away = {m.name for m in e.wanted(0.1, near, ()) if m.zone == "b"}
     expected = {in_order(f"b/{duty}", ["b-0", "b-1"])[0] for duty in homes}
     for shard in asked:
@@ -126,7 +142,9 @@
 
 def test_of_owners_that_cannot_be_reached_the_next_is_dialled() -> None:
     e = Exchange("a-1", "10.0.0.2", "a", 1, NoServices())
-    members = [Member(f"{zone}-{n}", f"10.0.{z}.{n}", 1, zone, 1) for z, zone in enumerate("bc", 1) for n in range(3)]
+    members = [
+        Member(f"{zone}-{n}", f"10.0.{z}.{n}", 1, zone, 1) for z, zone in enumerate("bc", 1) for n in range(3)
+    ]
     e.listed(0.0, members, (), True)
     wanted = {m.name for m in e.wanted(0.0, [], ())}
     for shard in range(SHARDS):  # alone in its zone, it asks for every shard
@@ -140,11 +158,15 @@
     # a zone behind one that is linked is left alone, where it is home for nothing else there
     behind = {zone for shard in range(SHARDS) for zone in zones_before(shard, "a", ["b", "c"])[:1]}
     linked_zones = [(f"{zone}-0", zone) for zone in sorted(behind)]
-    dialled = e._wanted_for_quotas([], {zone: {m.name: m for m in members if m.zone == zone} for zone in "bc"}, linked_zones, ())
+    dialled = e._wanted_for_quotas(
+        [], {zone: {m.name: m for m in members if m.zone == zone} for zone in "bc"}, linked_zones, ()
+    )
     expected = set()
     for shard in range(SHARDS):
         for zone in zones_before(shard, "a", ["b", "c"])[:1]:
-            expected.update(in_order(zone_duty(zone, shard), [f"{zone}-{n}" for n in range(3)])[:LINKS_TO_OWNERS])
+            expected.update(
+                in_order(zone_duty(zone, shard), [f"{zone}-{n}" for n in range(3)])[:LINKS_TO_OWNERS]
+            )
     assert set(dialled) == expected
 
 
--- a/tests/system/test_registry.py
+++ b/tests/system/test_registry.py
@@ -95,8 +95,12 @@
             if self.alive[to] and self.alive[sender]:
                 self.do(to, self.books[to].hear(self.now, sender, message))
 
-    @rule(n=st.integers(0, 2), id=st.sampled_from(IDS), state=st.sampled_from([READY, DRAINING, GONE]),
-          count=st.integers(-1, 9))
+    @rule(
+        n=st.integers(0, 2),
+        id=st.sampled_from(IDS),
+        state=st.sampled_from([READY, DRAINING, GONE]),
+        count=st.integers(-1, 9),
+    )
     def call(self, n: int, id: str, state: int, count: int) -> None:
         if self.alive[n]:
             number, actions = self.books[n].beat(self.now, instance(id, state), count)
@@ -155,8 +159,11 @@
     @invariant()
     def an_acknowledged_state_is_known_to_two(self) -> None:
         for id, state in getattr(self, "acknowledged", {}).items():
-            knowing = [n for n in range(3) if id in self.books[n].book.entries
-                       and self.books[n].book.entries[id].state >= state]
+            knowing = [
+                n
+                for n in range(3)
+                if id in self.books[n].book.entries and self.books[n].book.entries[id].state >= state
+            ]
             assert len(knowing) >= 2 or not all(self.alive.values())
 
 
@@ -176,8 +183,12 @@
     registry = Registry(0.0, 1.5)
     registry.registry_up(0.0, "r", "10.0.0.2", "b")
     registry.beat(0.0, instance("i-1"), 1)
-    told = [a.message for s in range(1, 12) for a in registry.tick(s * 0.5) if isinstance(a, Tell)
-            and isinstance(a.message, Silence)]
+    told = [
+        a.message
+        for s in range(1, 12)
+        for a in registry.tick(s * 0.5)
+        if isinstance(a, Tell) and isinstance(a.message, Silence)
+    ]
     assert told == [Silence(["i-1"], [])]
     assert Tell(None, Silence([], ["i-1"])) in registry.hear(6.0, "r", Beats(["i-1"]))
 
@@ -187,8 +198,12 @@
     registry.registry_up(0.0, "r", "10.0.0.2", "b")
     registry.beat(0.0, instance("i-1"), 1)
     registry.registry_down(0.5, "r")
-    assert not [a for s in range(1, 12) for a in registry.tick(s * 0.5) if isinstance(a, Tell)
-                and isinstance(a.message, Silence)]
+    assert not [
+        a
+        for s in range(1, 12)
+        for a in registry.tick(s * 0.5)
+        if isinstance(a, Tell) and isinstance(a.message, Silence)
+    ]
 
 
 def test_a_late_call_changes_nothing() -> None:
@@ -203,7 +218,9 @@
     new, old = Config(9, msgspec.Raw(b"{}")), Config(7, msgspec.Raw(b"{}"))
     assert registry.take_config(new)
     assert registry.take_config(old) == []
-    told = [a.message for a in registry.ingress_up(0.0, "e", Member("e", "10.1.0.1", 1, "a", 1)) if a.to == "e"]
+    told = [
+        a.message for a in registry.ingress_up(0.0, "e", Member("e", "10.1.0.1", 1, "a", 1)) if a.to == "e"
+    ]
     digest = digest_of(b"{}")
     assert told[0] == Config(9, msgspec.Raw(b"{}"), digest) and told[-1] == Fresh(False, 9, digest)
 
@@ -225,7 +242,11 @@
     registry.registry_up(0.0, "r", "10.0.0.2", "b")
     registry.beat(0.0, instance("i-1"), 1)
     _, actions = registry.beat(5.0, instance("i-2"), 1)
-    told = next(a.message for a in actions if isinstance(a, Tell) and a.to is None and isinstance(a.message, Instances))
+    told = next(
+        a.message
+        for a in actions
+        if isinstance(a, Tell) and a.to is None and isinstance(a.message, Instances)
+    )
     assert {(e.id, e.state) for e in told.entries} == {("i-1", GONE), ("i-2", READY)}
     registry.hear(6.0, "r", Instances([instance("i-1")]))  # late word changes nothing
     assert registry.book.entries["i-1"].state == GONE
@@ -242,7 +263,11 @@
             if isinstance(action, Tell) and isinstance(action.message, Members):
                 for link in [action.to] if action.to is not None else list(registry.ingresses):
                     names = {m.name for m in action.message.entries}
-                    known[str(link)] = names if action.message.full else (known.get(str(link), set()) | names) - set(action.message.gone)
+                    known[str(link)] = (
+                        names
+                        if action.message.full
+                        else (known.get(str(link), set()) | names) - set(action.message.gone)
+                    )
                     sent += len(action.message.entries)
 
     count, now = 200, 0.0
@@ -252,7 +277,9 @@
         do(registry.tick(now))
     do(registry.tick(now + 0.2))
     assert all(names == {f"e{n}" for n in range(count)} for names in known.values()) and len(known) == count
-    assert sent < count * count * 1.2  # the list once to each, whole or in parts: not a message for each start
+    assert (
+        sent < count * count * 1.2
+    )  # the list once to each, whole or in parts: not a message for each start
     do(registry.ingress_down(now + 1, "l7"))
     assert "e7" not in known["l3"]  # one alone is told at once
 
@@ -273,15 +300,20 @@
     return registry.saved(now, True) if registry.take_save(now) is not None else []
 
 
-@pytest.mark.parametrize(("link", "ack", "counts", "dropped"), [
-    ("r1", InstancesAck(1, 7, True), True, 0),
-    ("r1", InstancesAck(1, 7, False), False, 0),  # the other one is out of contact
-    ("r1", InstancesAck(1, 6, True), False, 1),  # this process's life before asked that
-    ("r1", InstancesAck(1, 0, True), False, 1),
-    ("r1", InstancesAck(2, 7, True), False, 1),  # never asked
-    ("r9", InstancesAck(1, 7, True), False, 1),  # not on the link that the question went out on
-])
-def test_a_confirmation_counts_for_the_question_that_it_answers(link: str, ack: InstancesAck, counts: bool, dropped: int) -> None:
+@pytest.mark.parametrize(
+    ("link", "ack", "counts", "dropped"),
+    [
+        ("r1", InstancesAck(1, 7, True), True, 0),
+        ("r1", InstancesAck(1, 7, False), False, 0),  # the other one is out of contact
+        ("r1", InstancesAck(1, 6, True), False, 1),  # this process's life before asked that
+        ("r1", InstancesAck(1, 0, True), False, 1),
+        ("r1", InstancesAck(2, 7, True), False, 1),  # never asked
+        ("r9", InstancesAck(1, 7, True), False, 1),  # not on the link that the question went out on
+    ],
+)
+def test_a_confirmation_counts_for_the_question_that_it_answers(
+    link: str, ack: InstancesAck, counts: bool, dropped: int
+) -> None:
     registry = in_contact()
     number, actions = registry.beat(0.0, instance("i-1", DRAINING), 3)
     assert number == 1 and Tell("r1", Instances([instance("i-1", DRAINING)], 1, 7)) in actions
@@ -291,10 +323,21 @@
     assert registry.dropped == dropped
 
 
-@pytest.mark.parametrize(("borne", "zones", "enough"), [
-    (Borne(1), "b", True), (Borne(0), "b", True), (Borne(2), "b", False), (Borne(2), "bc", True),
-    (Borne(1, 1), "a", False), (Borne(1, 1), "ab", True), (Borne(1, 2), "bb", False), (Borne(1, 2), "bc", True),
-    (Borne(0, 0, 1, {"a": "x", "b": "x", "c": "y"}), "b", False), (Borne(0, 0, 1, {"a": "x", "b": "x", "c": "y"}), "c", True)])
+@pytest.mark.parametrize(
+    ("borne", "zones", "enough"),
+    [
+        (Borne(1), "b", True),
+        (Borne(0), "b", True),
+        (Borne(2), "b", False),
+        (Borne(2), "bc", True),
+        (Borne(1, 1), "a", False),
+        (Borne(1, 1), "ab", True),
+        (Borne(1, 2), "bb", False),
+        (Borne(1, 2), "bc", True),
+        (Borne(0, 0, 1, {"a": "x", "b": "x", "c": "y"}), "b", False),
+        (Borne(0, 0, 1, {"a": "x", "b": "x", "c": "y"}), "c", True),
+    ],
+)
 def test_copies_lie_in_so_many_places_as_losses_ask_for(borne: Borne, zones: str, enough: bool) -> None:
     registry = in_contact(borne=borne, others=0)
     for n, zone in enumerate("abbc"):
@@ -326,9 +369,15 @@
         if not contact:
             registry.primary(0.0, None)
         asked = Instances([instance("i-1", DRAINING)], 5, 99)
-        assert not any(isinstance(a.message, InstancesAck) for a in registry.hear(0.0, "r1", asked) if isinstance(a, Tell))
+        assert not any(
+            isinstance(a.message, InstancesAck)
+            for a in registry.hear(0.0, "r1", asked)
+            if isinstance(a, Tell)
+        )
         assert synced(registry) == [Tell("r1", InstancesAck(5, 99, contact))]
-        assert Tell("r1", InstancesAck(6, 99, contact)) in registry.hear(0.1, "r1", Instances(asked.entries, 6, 99))  # known by now
+        assert Tell("r1", InstancesAck(6, 99, contact)) in registry.hear(
+            0.1, "r1", Instances(asked.entries, 6, 99)
+        )  # known by now
 
 
 def test_a_disk_that_is_slow_or_refuses_ends_the_call_and_the_next_save_has_all() -> None:
@@ -342,7 +391,11 @@
     assert registry.take_save(0.95) is None  # a moment's rest
     registry.beat(1.0, instance("i-2", at="10.0.0.8:80"), 1)
     batch = registry.take_save(1.3)
-    assert batch is not None and batch.whole and {(e.id, e.state) for e in batch.entries} == {("i-1", DRAINING), ("i-2", READY)}
+    assert (
+        batch is not None
+        and batch.whole
+        and {(e.id, e.state) for e in batch.entries} == {("i-1", DRAINING), ("i-2", READY)}
+    )
 
 
 def test_the_same_draining_again_is_not_taken_for_known_elsewhere() -> None:
@@ -357,7 +410,11 @@
 def test_one_that_was_never_heard_of_is_gone_for_good_once_others_have_it() -> None:
     registry = in_contact()
     number, actions = registry.beat(0.0, tombstone("i-9"), -1)
-    assert number and Tell("r1", Instances([tombstone("i-9")], number, 7)) in actions and Tell(None, Instances([tombstone("i-9")])) in actions
+    assert (
+        number
+        and Tell("r1", Instances([tombstone("i-9")], number, 7)) in actions
+        and Tell(None, Instances([tombstone("i-9")])) in actions
+    )
     batch = registry.take_save(0.0)
     assert batch is not None and batch.entries == [tombstone("i-9")]
     registry.saved(0.0, True)
@@ -365,8 +422,14 @@
     for state, count in ((READY, 8), (DRAINING, 9)):
         registry.beat(0.2, instance("i-9", state), count)
         # a peer that was away says what it knows, and is told the rest
-        assert Tell("r2", Instances([tombstone("i-9")])) in registry.hear(0.3, "r2", Instances([instance("i-9", state)]))
-    assert registry.book.entries["i-9"].state == GONE and registry.book.services() == [] and registry.status()["services"] == {}
+        assert Tell("r2", Instances([tombstone("i-9")])) in registry.hear(
+            0.3, "r2", Instances([instance("i-9", state)])
+        )
+    assert (
+        registry.book.entries["i-9"].state == GONE
+        and registry.book.services() == []
+        and registry.status()["services"] == {}
+    )
     again = Registry(0.0, 1.5)
     again.remembered(0.0, batch.entries)
     again.hear(1.0, "r", Instances([instance("i-9")]))
@@ -378,7 +441,9 @@
     registry.beat(0.0, instance("i-1"), 1)
     registry.beat(0.1, instance("i-1", GONE), -1)
     registry.ingress_up(1.0, "e", Member("e", "10.1.0.1", 1, "a", 1))
-    assert Tell("e", Instances([instance("i-1", GONE)])) in registry.hear(1.0, "e", Instances([instance("i-1")]))
+    assert Tell("e", Instances([instance("i-1", GONE)])) in registry.hear(
+        1.0, "e", Instances([instance("i-1")])
+    )
 
 
 def test_saves_go_one_at_a_time_each_with_all_that_has_changed_by_then() -> None:
@@ -406,26 +471,38 @@
     registry = in_contact()
     waits, _ = registry.beat(0.0, instance("i-1", DRAINING), 3)
     lost = registry.primary(1.0, None)
-    assert Confirmed(waits, False) in lost and Tell(None, Fresh(False, 0)) in lost and Tell("r1", Fresh(False, 0)) in lost
+    assert (
+        Confirmed(waits, False) in lost
+        and Tell(None, Fresh(False, 0)) in lost
+        and Tell("r1", Fresh(False, 0)) in lost
+    )
     number, actions = registry.beat(1.1, instance("i-2", GONE), -1)
     assert Confirmed(number, False) in actions and registry.book.entries["i-2"].state == GONE
-    assert {a.to for a in actions if isinstance(a, Tell) and isinstance(a.message, Instances)} == {"r1", "r2", None}
+    assert {a.to for a in actions if isinstance(a, Tell) and isinstance(a.message, Instances)} == {
+        "r1",
+        "r2",
+        None,
+    }
     found = registry.status()
     assert (found["contact"], found["fresh"], registry.contact_at) == (False, False, 1.0)
 
 
-@pytest.mark.parametrize(("contact", "linked", "others_contact", "after", "away", "target"), [
-    (True, 2, (), 9.0, False, ""),
-    (False, 2, (), 9.0, False, ""),  # nobody leads anywhere: word reaches all from here
-    (False, 0, (), 0.5, False, ""),  # an election, or all have just started
-    (False, 0, (), 1.5, True, ""),  # cut off: the other side hears of it only there
-    (False, 1, ("r1",), 9.0, False, "10.0.0.2"),  # one way is left
-    (False, 2, ("r2",), 9.0, False, "10.0.0.3"),
-    (False, 2, ("r2",), 0.5, False, ""),  # an election
-    (True, 2, ("r1", "r2"), 9.0, False, ""),
-])
+@pytest.mark.parametrize(
+    ("contact", "linked", "others_contact", "after", "away", "target"),
+    [
+        (True, 2, (), 9.0, False, ""),
+        (False, 2, (), 9.0, False, ""),  # nobody leads anywhere: word reaches all from here
+        (False, 0, (), 0.5, False, ""),  # an election, or all have just started
+        (False, 0, (), 1.5, True, ""),  # cut off: the other side hears of it only there
+        (False, 1, ("r1",), 9.0, False, "10.0.0.2"),  # one way is left
+        (False, 2, ("r2",), 9.0, False, "10.0.0.3"),
+        (False, 2, ("r2",), 0.5, False, ""),  # an election
+        (True, 2, ("r1", "r2"), 9.0, False, ""),
+    ],
+)
 def test_beats_are_made_where_a_majority_hears_of_them(
-        contact: bool, linked: int, others_contact: tuple[str, ...], after: float, away: bool, target: str) -> None:
+    contact: bool, linked: int, others_contact: tuple[str, ...], after: float, away: bool, target: str
+) -> None:
     registry = in_contact()
     for link in others_contact:
         registry.hear(0.0, link, Fresh(True, 0))
@@ -442,7 +519,9 @@
     registry = Registry(0.0, 1.5, seeds=["10.0.0.2"])
     registry.remembered(0.0, [instance("i-1")])
     assert not [a for s in range(1, 200) for a in registry.tick(s * 0.5) if isinstance(a, Tell)]
-    registry.primary(100.0, Fresh(True, 0))  # its own store has found the others, and it has not: they may hear i-1
+    registry.primary(
+        100.0, Fresh(True, 0)
+    )  # its own store has found the others, and it has not: they may hear i-1
     assert not [a for s in range(202, 400) for a in registry.tick(s * 0.5) if isinstance(a, Tell)]
     registry.registry_up(200.0, "r", "10.0.0.2", "b")
     assert Tell(None, Silence(["i-1"], [])) in registry.tick(200.5)
@@ -455,28 +534,45 @@
     return Config(version, msgspec.Raw(body), digest_of(body) if digest is None else digest)
 
 
-@pytest.mark.parametrize(("told", "primary", "held", "says"), [
-    (config(6), False, config(7), ""),
-    (config(6, b"{}"), True, config(7), ""),
-    (config(7), False, config(7), ""),
-    (config(7, digest=""), True, config(7), ""),  # of a store of before
-    (config(7, b"{}"), False, config(7), "Two bodies under r7"),
-    (config(7, b"{}"), True, config(7, b"{}"), "Two bodies under r7"),
-    (config(8, b"{}"), False, config(8, b"{}"), ""),
-    (config(8, b"{}", "0" * 24), False, config(7), "does not fit its digest"),
-])
-def test_a_configuration_is_its_number_and_its_digest(told: Config, primary: bool, held: Config, says: str) -> None:
+@pytest.mark.parametrize(
+    ("told", "primary", "held", "says"),
+    [
+        (config(6), False, config(7), ""),
+        (config(6, b"{}"), True, config(7), ""),
+        (config(7), False, config(7), ""),
+        (config(7, digest=""), True, config(7), ""),  # of a store of before
+        (config(7, b"{}"), False, config(7), "Two bodies under r7"),
+        (config(7, b"{}"), True, config(7, b"{}"), "Two bodies under r7"),
+        (config(8, b"{}"), False, config(8, b"{}"), ""),
+        (config(8, b"{}", "0" * 24), False, config(7), "does not fit its digest"),
+    ],
+)
+def test_a_configuration_is_its_number_and_its_digest(
+    told: Config, primary: bool, held: Config, says: str
+) -> None:
     registry = in_contact()
     registry.take_config(config(7))
     actions = registry.take_config(told, primary)
     assert registry.config == held
-    assert [a.text for a in actions if isinstance(a, Log)] == [] if not says else says in next(a.text for a in actions if isinstance(a, Log))
+    assert (
+        [a.text for a in actions if isinstance(a, Log)] == []
+        if not says
+        else says in next(a.text for a in actions if isinstance(a, Log))
+    )
     assert (Tell(None, held) in actions) == (held != config(7))
 
 
-@pytest.mark.parametrize(("told", "fresh"), [
-    (None, False), (Fresh(True, 7), True), (Fresh(True, 6), True), (Fresh(True, 8), False),
-    (Fresh(True, 7, digest_of(b'{"a":1}')), True), (Fresh(True, 7, digest_of(b"{}")), False)])
+@pytest.mark.parametrize(
+    ("told", "fresh"),
+    [
+        (None, False),
+        (Fresh(True, 7), True),
+        (Fresh(True, 6), True),
+        (Fresh(True, 8), False),
+        (Fresh(True, 7, digest_of(b'{"a":1}')), True),
+        (Fresh(True, 7, digest_of(b"{}")), False),
+    ],
+)
 def test_a_registry_is_fresh_once_it_has_what_the_primary_told(told: Fresh | None, fresh: bool) -> None:
     registry = in_contact()
     registry.take_config(config(7))
@@ -489,7 +585,9 @@
 # ---- nothing grows
 
 
-def test_nothing_grows_with_instances_configurations_or_ingresses_that_come_and_go(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_nothing_grows_with_instances_configurations_or_ingresses_that_come_and_go(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     most = 1000  # tombstones
     monkeypatch.setattr("pollen.instances.MOST_GONE", most)
     registry, disk, now = in_contact(), {}, 0.0  # type: ignore[var-annotated]
@@ -517,7 +615,11 @@
             save()
             registry.tick(now)
             assert len(registry.book.entries) <= most + 60 and len(registry.counts) <= most + 60
-            assert len(registry._questions) + len(registry._owed) <= 200 and len(registry._told_members) <= 260 and len(disk) <= most + 80
+            assert (
+                len(registry._questions) + len(registry._owed) <= 200
+                and len(registry._told_members) <= 260
+                and len(disk) <= most + 80
+            )
     assert len(registry.book.entries) > most
     for link in list(registry.ingresses):
         registry.ingress_down(now, link)
@@ -529,8 +631,12 @@
     assert not registry.book._at and not registry.book._of
 
 
-@pytest.mark.parametrize(("contact", "elsewhere", "left"), [(True, {}, 1), (True, {"10.0.0.3": "c"}, 2), (False, {}, 3)])
-def test_a_registry_that_was_removed_is_forgotten_by_one_in_contact_only(contact: bool, elsewhere: dict[str, str], left: int) -> None:
+@pytest.mark.parametrize(
+    ("contact", "elsewhere", "left"), [(True, {}, 1), (True, {"10.0.0.3": "c"}, 2), (False, {}, 3)]
+)
+def test_a_registry_that_was_removed_is_forgotten_by_one_in_contact_only(
+    contact: bool, elsewhere: dict[str, str], left: int
+) -> None:
     registry, said = in_contact(others=3), []
     registry.hear(0.0, "r1", Registries(elsewhere))  # one that is linked elsewhere is cut off from here only
     for link in ("r2", "r3"):
@@ -550,7 +656,10 @@
     registry.ip = "10.0.0.1"
     registry.registry_down(1.0, "r2")
     ticks = [a for s in range(4, 200) for a in registry.tick(s * 0.5) if isinstance(a, Tell)]
-    assert not any(isinstance(a.message, Silence | Instances) for a in ticks) and registry.book.entries["i-1"].state == READY
+    assert (
+        not any(isinstance(a.message, Silence | Instances) for a in ticks)
+        and registry.book.entries["i-1"].state == READY
+    )
     registry.hear(100.0, "r1", Registries({"10.0.0.1": "a"}))  # it has gone there too
     assert Tell(None, Instances([instance("i-1", GONE)])) in registry.tick(100.5)
 
@@ -566,7 +675,9 @@
     assert registry.registry_down(1.0, "r1") == [Tell("r2", Registries({"10.0.0.3": "c"}))]
 
 
-def test_the_daemon_dials_whom_it_is_told_of_and_drops_whom_nobody_knows(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_daemon_dials_whom_it_is_told_of_and_drops_whom_nobody_knows(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     dialled: dict[tuple[str, int], bool] = {}
 
     class Dialed:
@@ -581,9 +692,13 @@
 
     async def story(daemon: Daemon, store: Stub) -> None:
         daemon._carry_out([Meet(["10.0.0.4", "10.0.0.2"])])
-        assert {address for address, up in dialled.items() if up} == {(f"10.0.0.{n}", port) for n in (2, 4) for port in (7000, 7001)}
+        assert {address for address, up in dialled.items() if up} == {
+            (f"10.0.0.{n}", port) for n in (2, 4) for port in (7000, 7001)
+        }
         daemon._carry_out([Forget("10.0.0.4"), Forget("10.0.0.2")])  # a seed may come back at its address
-        assert {address[0] for address, up in dialled.items() if up} == {"10.0.0.2"} and set(daemon._stores) == {"10.0.0.2"}
+        assert {address[0] for address, up in dialled.items() if up} == {"10.0.0.2"} and set(
+            daemon._stores
+        ) == {"10.0.0.2"}
         lower = Stub()
         lower.peer = Hello("hedgerow", "lower", "10.0.0.0", "c", 4)
         daemon._up(lower)
@@ -601,7 +716,9 @@
     memory = Memory(tmp_path)
     assert memory.open() == []
     one, gone = instance("i-1"), tombstone("i-2")
-    assert memory.save([one, gone, instance("i-3")], [], False) and memory.save([instance("i-1", DRAINING)], ["i-3"], False)
+    assert memory.save([one, gone, instance("i-3")], [], False) and memory.save(
+        [instance("i-1", DRAINING)], ["i-3"], False
+    )
     memory.close()
     again = Memory(tmp_path)
     assert again.open() == [gone, instance("i-1", DRAINING)]
@@ -638,8 +755,16 @@
 
 
 def with_daemon(story: Callable[[Daemon, Stub], Awaitable[None]], **changes: Any) -> None:
-    boot = boot_of({"nodeName": "n", "ipAddress": "10.0.0.1", "zone": "a", "internalPortRange": [7000, 7002],
-                    "faultTolerance": {"machines": 1}, **changes})
+    boot = boot_of(
+        {
+            "nodeName": "n",
+            "ipAddress": "10.0.0.1",
+            "zone": "a",
+            "internalPortRange": [7000, 7002],
+            "faultTolerance": {"machines": 1},
+            **changes,
+        }
+    )
 
     async def whole() -> None:
         daemon, store = Daemon(boot, 7), Stub()
@@ -662,7 +787,13 @@
     return await daemon._outside.handler(Call(method.encode(), path.encode(), body))
 
 
-ORDER = json.dumps({"revision": "r9", "routes": {"columns": ["name"], "rows": []}, "services": {"columns": ["name"], "rows": []}}).encode()
+ORDER = json.dumps(
+    {
+        "revision": "r9",
+        "routes": {"columns": ["name"], "rows": []},
+        "services": {"columns": ["name"], "rows": []},
+    }
+).encode()
 
 
 def test_an_answer_of_the_store_is_taken_by_the_call_that_it_belongs_to() -> None:
@@ -672,26 +803,48 @@
         (write,) = store.said
         assert write == Write(1, 9, msgspec.Raw(ORDER), 7, digest_of(ORDER))
         other = Stub("other")
-        for link, answer in ((other, WriteAck(1, True, life=7)), (store, WriteAck(1, True, life=6)), (store, WriteAck(2, True, life=7)),
-                             (other, ReadAck(1, 9, life=7)), (store, WriteAck(1, True))):
+        for link, answer in (
+            (other, WriteAck(1, True, life=7)),
+            (store, WriteAck(1, True, life=6)),
+            (store, WriteAck(2, True, life=7)),
+            (other, ReadAck(1, 9, life=7)),
+            (store, WriteAck(1, True)),
+        ):
             daemon._store_says(link, answer)
             await turns()
             assert not call.done()
         status = json.loads((await asked(daemon, "GET", "/system/status")).body)
-        assert status["droppedAnswers"] == {"store": 5, "registries": 0} and status["contact"] is True and status["contactSinceS"] < 20 and status["primary"] == "store"
+        assert (
+            status["droppedAnswers"] == {"store": 5, "registries": 0}
+            and status["contact"] is True
+            and status["contactSinceS"] < 20
+            and status["primary"] == "store"
+        )
         daemon._store_says(store, WriteAck(1, True, life=7))
         assert (await call).status == 200
 
     with_daemon(story)
 
 
-@pytest.mark.parametrize("body", [ORDER + b" \r\n", b"\n\t" + ORDER, ORDER.replace(b", ", b" ,\n "), ORDER.replace(b"name", "n\u00e4me".encode())])
+@pytest.mark.parametrize(
+    "body",
+    [
+        ORDER + b" \r\n",
+        b"\n\t" + ORDER,
+        ORDER.replace(b", ", b" ,\n "),
+        ORDER.replace(b"name", "n\u00e4me".encode()),
+    ],
+)
 def test_the_digest_is_that_of_the_bytes_that_the_store_reads_off_the_wire(body: bytes) -> None:
     async def story(daemon: Daemon, store: Stub) -> None:
         call = asyncio.create_task(daemon.put(9, body))
         await turns()
         read = decode(encode(store.said[0]))
-        assert isinstance(read, Write) and read.digest == digest_of(read.body) and json.loads(bytes(read.body)) == json.loads(body)
+        assert (
+            isinstance(read, Write)
+            and read.digest == digest_of(read.body)
+            and json.loads(bytes(read.body)) == json.loads(body)
+        )
         daemon._store_says(store, WriteAck(1, True, life=7))
         assert await call is None
 
@@ -704,7 +857,9 @@
         calls = [("POST", "/configuration/replace", ORDER), ("GET", "/configuration/describe", b"")]
         waiting = [asyncio.create_task(asked(daemon, *call)) for call in calls]
         await turns()
-        assert [type(message) for message in store.said] == [Write, Read] and not any(call.done() for call in waiting)
+        assert [type(message) for message in store.said] == [Write, Read] and not any(
+            call.done() for call in waiting
+        )
         if ends == "link":
             store.open = False
             daemon._store_down(store)
@@ -715,7 +870,10 @@
             daemon._store_says(store, WriteAck(1, False, "not the primary any more", 7))
             daemon._store_says(store, ReadAck(2, 9, msgspec.Raw(ORDER), life=7))
         await turns()
-        assert [call.done() and call.result().status for call in waiting] == [503, 503 if ends == "link" else 200]
+        assert [call.done() and call.result().status for call in waiting] == [
+            503,
+            503 if ends == "link" else 200,
+        ]
         calls.append(("POST", "/instances/i-1/deregister", b""))
         again = [asyncio.create_task(asked(daemon, *call)) for call in calls]
         await turns()
@@ -725,11 +883,14 @@
     with_daemon(story)
 
 
-@pytest.mark.parametrize(("answer", "status", "held"), [
-    (WriteAck(1, True, life=7), 200, None),
-    (WriteAck(1, False, "the backup was lost", life=7), 503, None),
-    (WriteAck(1, False, "", 7, True, "abc"), 409, {"revision": "r9", "digest": "abc"}),
-])
+@pytest.mark.parametrize(
+    ("answer", "status", "held"),
+    [
+        (WriteAck(1, True, life=7), 200, None),
+        (WriteAck(1, False, "the backup was lost", life=7), 503, None),
+        (WriteAck(1, False, "", 7, True, "abc"), 409, {"revision": "r9", "digest": "abc"}),
+    ],
+)
 def test_what_the_store_answers_is_told_as_it_is(answer: WriteAck, status: int, held: dict | None) -> None:
     async def story(daemon: Daemon, store: Stub) -> None:
         call = asyncio.create_task(asked(daemon, "POST", "/configuration/replace", ORDER))
@@ -797,33 +958,46 @@
 GOOD = {"service": "s", "address": "10.0.0.9:80"}
 
 
-@pytest.mark.parametrize(("method", "path", "body", "status", "place"), [
-    ("POST", "/instances/i-1/heartbeat", b'{"service": "s", "addr', 400, "body"),
-    ("POST", "/instances/i-1/heartbeat", b'[]', 400, "not a mapping"),
-    ("POST", "/instances/i-1/heartbeat", b'\xff', 400, "body"),
-    ("POST", "/instances/i-1/heartbeat", {**GOOD, "callCount": -1}, 400, "callCount"),
-    ("POST", "/instances/i-1/heartbeat", {**GOOD, "callCount": 10**30}, 400, "callCount"),
-    ("POST", "/instances/i-1/heartbeat", {**GOOD, "callCount": "4"}, 400, "callCount"),
-    ("POST", "/instances/i-1/heartbeat", {**GOOD, "capacity": 10**30}, 400, "capacity"),
-    ("POST", "/instances/i-1/heartbeat", {**GOOD, "capacity": 0}, 400, "capacity"),
-    ("POST", "/instances/i-1/heartbeat", {**GOOD, "warmupLeftS": 1e300}, 400, "warmupLeftS"),
-    ("POST", "/instances/i-1/heartbeat", {**GOOD, "state": "gone"}, 400, "state"),
-    ("POST", "/instances/i-1/heartbeat", {**GOOD, "address": "10.0.0.9:99999"}, 400, "address"),
-    ("POST", "/instances/i-1/heartbeat", {**GOOD, "service": "x" * 5000}, 413, "4096"),
-    ("POST", f"/instances/{'i' * 129}/heartbeat", GOOD, 400, "id"),
-    ("POST", "/instances//deregister", b"", 400, "id"),
-    ("POST", "/instances/i\x7f/deregister", b"", 400, "id"),
-    ("GET", "/instances/i-1/deregister", b"", 405, "POST"),
-    ("POST", "/instances/i-1/nothing", b"", 404, "call"),
-    ("POST", "/configuration/replace", b'{"revision": "r9", "rou', 400, "body"),
-    ("POST", "/configuration/replace", b'[1]', 400, "body"),
-    ("POST", "/configuration/replace", ORDER.replace(b"r9", b"r-9"), 400, "revision"),
-    ("POST", "/configuration/replace", ORDER.replace(b"r9", b"r0"), 400, "revision"),  # it could not be told from none
-    ("POST", "/configuration/replace", ORDER.replace(b"r9", b"r99999999999999999999"), 400, "revision"),
-])
-def test_bad_calls_are_refused_with_the_place_and_change_nothing(method: str, path: str, body: Any, status: int, place: str) -> None:
+@pytest.mark.parametrize(
+    ("method", "path", "body", "status", "place"),
+    [
+        ("POST", "/instances/i-1/heartbeat", b'{"service": "s", "addr', 400, "body"),
+        ("POST", "/instances/i-1/heartbeat", b"[]", 400, "not a mapping"),
+        ("POST", "/instances/i-1/heartbeat", b"\xff", 400, "body"),
+        ("POST", "/instances/i-1/heartbeat", {**GOOD, "callCount": -1}, 400, "callCount"),
+        ("POST", "/instances/i-1/heartbeat", {**GOOD, "callCount": 10**30}, 400, "callCount"),
+        ("POST", "/instances/i-1/heartbeat", {**GOOD, "callCount": "4"}, 400, "callCount"),
+        ("POST", "/instances/i-1/heartbeat", {**GOOD, "capacity": 10**30}, 400, "capacity"),
+        ("POST", "/instances/i-1/heartbeat", {**GOOD, "capacity": 0}, 400, "capacity"),
+        ("POST", "/instances/i-1/heartbeat", {**GOOD, "warmupLeftS": 1e300}, 400, "warmupLeftS"),
+        ("POST", "/instances/i-1/heartbeat", {**GOOD, "state": "gone"}, 400, "state"),
+        ("POST", "/instances/i-1/heartbeat", {**GOOD, "address": "10.0.0.9:99999"}, 400, "address"),
+        ("POST", "/instances/i-1/heartbeat", {**GOOD, "service": "x" * 5000}, 413, "4096"),
+        ("POST", f"/instances/{'i' * 129}/heartbeat", GOOD, 400, "id"),
+        ("POST", "/instances//deregister", b"", 400, "id"),
+        ("POST", "/instances/i\x7f/deregister", b"", 400, "id"),
+        ("GET", "/instances/i-1/deregister", b"", 405, "POST"),
+        ("POST", "/instances/i-1/nothing", b"", 404, "call"),
+        ("POST", "/configuration/replace", b'{"revision": "r9", "rou', 400, "body"),
+        ("POST", "/configuration/replace", b"[1]", 400, "body"),
+        ("POST", "/configuration/replace", ORDER.replace(b"r9", b"r-9"), 400, "revision"),
+        (
+            "POST",
+            "/configuration/replace",
+            ORDER.replace(b"r9", b"r0"),
+            400,
+            "revision",
+        ),  # it could not be told from none
+        ("POST", "/configuration/replace", ORDER.replace(b"r9", b"r99999999999999999999"), 400, "revision"),
+    ],
+)
+def test_bad_calls_are_refused_with_the_place_and_change_nothing(
+    method: str, path: str, body: Any, status: int, place: str
+) -> None:
     async def story(daemon: Daemon, store: Stub) -> None:
-        reply = await asked(daemon, method, path, body if isinstance(body, bytes) else json.dumps(body).encode())
+        reply = await asked(
+            daemon, method, path, body if isinstance(body, bytes) else json.dumps(body).encode()
+        )
         assert reply.status == status and place in json.loads(reply.body)["error"]
         assert not daemon.registry.book.entries and not store.said
 
--- a/tests/system/test_registry_worst_days.py
+++ b/tests/system/test_registry_worst_days.py
@@ -16,7 +16,12 @@
 
 SCHEDULES = int(os.environ.get("REGISTRY_SCHEDULES", "600"))  # in all; more by hand
 PARTS = 4
-SITES = [(3, 3, Borne(1)), (4, 2, Borne(1, 1)), (5, 5, Borne(2)), (4, 4, Borne(0, 0, 1, {"z0": "a", "z1": "a", "z2": "b", "z3": "b"}))]
+SITES = [
+    (3, 3, Borne(1)),
+    (4, 2, Borne(1, 1)),
+    (5, 5, Borne(2)),
+    (4, 4, Borne(0, 0, 1, {"z0": "a", "z1": "a", "z2": "b", "z3": "b"})),
+]
 
 
 def site(seed: int, make: type[Registry] = Registry) -> Core:
@@ -73,7 +78,11 @@
 
 class AStrangerIsGoneOutOfHand(Registry):
     def beat(self, now, said, count):
-        return (0, []) if said.state == GONE and said.id not in self.book.entries else super().beat(now, said, count)
+        return (
+            (0, [])
+            if said.state == GONE and said.id not in self.book.entries
+            else super().beat(now, said, count)
+        )
 
 
 class NoTombstoneIsReadBack(Registry):
@@ -95,8 +104,19 @@
     fresh = property(lambda self: self.contact)  # type: ignore[assignment]
 
 
-PLANTED = [(TheFirstBodyStays, 200), (FreshByContact, 40), (BeforeTheSecondDisk, 40), (BeforeTheOwnDisk, 120), (BeforeThePeersDisk, 40), (OutOfContact, 200), (InOnePlace, 80),
-           (ARepeatIsTakenForKnown, 120), (AStrangerIsGoneOutOfHand, 40), (NoTombstoneIsReadBack, 200), (AFailedSaveCounts, 200)]
+PLANTED = [
+    (TheFirstBodyStays, 200),
+    (FreshByContact, 40),
+    (BeforeTheSecondDisk, 40),
+    (BeforeTheOwnDisk, 120),
+    (BeforeThePeersDisk, 40),
+    (OutOfContact, 200),
+    (InOnePlace, 80),
+    (ARepeatIsTakenForKnown, 120),
+    (AStrangerIsGoneOutOfHand, 40),
+    (NoTombstoneIsReadBack, 200),
+    (AFailedSaveCounts, 200),
+]
 
 
 @pytest.mark.parametrize(("fault", "within"), PLANTED, ids=lambda value: getattr(value, "__name__", ""))
@@ -106,7 +126,9 @@
             play(site(seed, fault))
 
 
-def test_what_the_real_programs_acknowledged_lies_on_two_disks_and_nobody_is_brought_back(tmp_path: Path) -> None:
+def test_what_the_real_programs_acknowledged_lies_on_two_disks_and_nobody_is_brought_back(
+    tmp_path: Path,
+) -> None:
     async def story() -> None:
         w = Whole(tmp_path)
         try:
@@ -114,7 +136,12 @@
             assert await w.put() == 200
             backend = Backend("i-1", good)
             await backend.start()
-            await until(lambda: all(sum(o.link is not None for o in r.registry.others.values()) == 2 for r in w.registries.values()))
+            await until(
+                lambda: all(
+                    sum(o.link is not None for o in r.registry.others.values()) == 2
+                    for r in w.registries.values()
+                )
+            )
             assert await w.beat(backend) == 200
             assert await w.beat(backend, "draining", 2, w.core[1]) == 200
             for id in ("i-1", "i-never"):
@@ -132,8 +159,13 @@
             for ip in w.core:
                 await w.start_registry(ip)
             await w.beat(backend, "available", 1)
-            await until(lambda: all({e.state for e in r.registry.book.entries.values()} == {GONE} and len(r.registry.book.entries) == 2
-                                    for r in w.registries.values()))
+            await until(
+                lambda: all(
+                    {e.state for e in r.registry.book.entries.values()} == {GONE}
+                    and len(r.registry.book.entries) == 2
+                    for r in w.registries.values()
+                )
+            )
         finally:
             await w.close()
 
--- a/tests/system/test_rooms.py
+++ b/tests/system/test_rooms.py
@@ -37,8 +37,19 @@
         list(Deframer(1000).feed(wire))
 
 
-@pytest.mark.parametrize("payload", [b"", b"{}", b"[1]", b'{"t":"nobody"}', b'{"t":"beats","ids":[1]}', b'{"t":"inst"',
-                                     b"\xff", b'{"t":"put","number":1,"version":"x","body":{}}'])
+@pytest.mark.parametrize(
+    "payload",
+    [
+        b"",
+        b"{}",
+        b"[1]",
+        b'{"t":"nobody"}',
+        b'{"t":"beats","ids":[1]}',
+        b'{"t":"inst"',
+        b"\xff",
+        b'{"t":"put","number":1,"version":"x","body":{}}',
+    ],
+)
 def test_what_is_no_message_is_refused(payload: bytes) -> None:
     with pytest.raises(MessageError):
         decode(payload)
@@ -52,8 +63,15 @@
 
 # ---- settings
 
-BOOT = {"nodeName": "n", "ipAddress": "10.0.0.1", "zone": "a", "internalPortRange": [7000, 7003],
-        "bindAddresses": {"http": "10.0.0.1:80"}, "seedNodes": ["10.0.0.2:81"], "unknown": {"x": 1}}
+BOOT = {
+    "nodeName": "n",
+    "ipAddress": "10.0.0.1",
+    "zone": "a",
+    "internalPortRange": [7000, 7003],
+    "bindAddresses": {"http": "10.0.0.1:80"},
+    "seedNodes": ["10.0.0.2:81"],
+    "unknown": {"x": 1},
+}
 
 
 def test_boot_settings_take_defaults_and_leave_the_unknown_alone() -> None:
@@ -61,10 +79,19 @@
     assert boot.values["bounds.graceS"] == 6.0 and boot.seeds == (("10.0.0.2", 81),) and boot.port(9) == 7003
 
 
-@pytest.mark.parametrize(("change", "place"), [
-    ({"nodeName": None}, "nodeName"), ({"seedNodes": ["nowhere"]}, "seedNodes"), ({"internalPortRange": [9]}, "internalPort"),
-    ({"internalPortRange": [9, 8]}, "internalPort"), ({"bounds": {"graceS": "six"}}, "bounds.graceS"),
-    ({"bootstrap": "yes"}, "bootstrap"), ({"configMode": "lowest"}, "configMode"), ({"heartbeatS": float("nan")}, "heartbeatS")])
+@pytest.mark.parametrize(
+    ("change", "place"),
+    [
+        ({"nodeName": None}, "nodeName"),
+        ({"seedNodes": ["nowhere"]}, "seedNodes"),
+        ({"internalPortRange": [9]}, "internalPort"),
+        ({"internalPortRange": [9, 8]}, "internalPort"),
+        ({"bounds": {"graceS": "six"}}, "bounds.graceS"),
+        ({"bootstrap": "yes"}, "bootstrap"),
+        ({"configMode": "lowest"}, "configMode"),
+        ({"heartbeatS": float("nan")}, "heartbeatS"),
+    ],
+)
 def test_bad_boot_settings_name_the_place(change: dict, place: str) -> None:
     with pytest.raises(SettingsError, match=place):
         boot_of({**BOOT, **change})
@@ -84,31 +111,69 @@
 def configuration() -> dict:
     return {
         "revision": "r7",
-        "routes": {"columns": ["name", "hostname", "pathPrefix", "routeType", "timeoutS", "trafficSplit", "service"], "rows": [
-            ["one", "a.example", "/x/", "read_only", 5, [{"service": "s", "weight": 1}, {"service": "t", "weight": 0}], None],
-            ["two", "a.example", "/x/y/", "mutating", 6, None, "t"]]},
-        "services": {"columns": ["name", "healthPath", "maxConnections", "protocol", "tls"], "rows": [
-            ["s", "/health", 130, "h1", False], ["t", "/health", None, "h1", False]]},
-        "tenants": {"columns": ["name", "apiKeys", "ratePerS", "burst"], "rows": [["a", ["k1", "k2"], 5, None], ["b", ["k3"], 0, 0]]}}
+        "routes": {
+            "columns": ["name", "hostname", "pathPrefix", "routeType", "timeoutS", "trafficSplit", "service"],
+            "rows": [
+                [
+                    "one",
+                    "a.example",
+                    "/x/",
+                    "read_only",
+                    5,
+                    [{"service": "s", "weight": 1}, {"service": "t", "weight": 0}],
+                    None,
+                ],
+                ["two", "a.example", "/x/y/", "mutating", 6, None, "t"],
+            ],
+        },
+        "services": {
+            "columns": ["name", "healthPath", "maxConnections", "protocol", "tls"],
+            "rows": [["s", "/health", 130, "h1", False], ["t", "/health", None, "h1", False]],
+        },
+        "tenants": {
+            "columns": ["name", "apiKeys", "ratePerS", "burst"],
+            "rows": [["a", ["k1", "k2"], 5, None], ["b", ["k3"], 0, 0]],
+        },
+    }
 
 
 def test_a_proper_configuration_is_read_whole() -> None:
     found = read_configuration(json.dumps(configuration()).encode())
     assert isinstance(found, Configuration)
-    assert found.version == 7 and found.routes[0].to == (("s", 1.0), ("t", 0.0)) and not found.routes[1].read_only
+    assert (
+        found.version == 7
+        and found.routes[0].to == (("s", 1.0), ("t", 0.0))
+        and not found.routes[1].read_only
+    )
     assert [t.rate for t in found.tenants or ()] == [5.0, 0.0] and found.limits.idle_ms == 15_000
 
 
-@pytest.mark.parametrize(("where", "value", "place"), [
-    (("revision",), 7, "revision"), (("revision",), "r", "revision"), (("revision",), "r-1", "revision"),
-    (("routes", "rows", 1, 6), "nobody", r"routes\.rows\[1\]"), (("routes", "rows", 1, 2), "/x/", r"routes\.rows\[1\]"),
-    (("routes", "rows", 0, 5), [{"service": "s", "weight": 0}], "add up"), (("routes", "rows", 0, 3), "odd", "routeType"),
-    (("routes", "rows", 0, 4), None, "timeoutS"), (("routes", "rows", 0, 4), 0, "timeoutS"),
-    (("routes", "rows", 0, 2), "x", "pathPrefix"), (("routes", "rows", 0), ["short"], r"routes\.rows\[0\]"),
-    (("routes", "rows", 1, 6), None, "neither"), (("routes", "columns", 0), "hostname", "columns"), (("routes",), 5, "routes"),
-    (("services", "rows", 1, 0), "s", "twice"), (("services", "rows", 0, 4), True, "tls"),
-    (("tenants", "rows", 1, 1), ["k1"], "key"), (("tenants", "rows", 1, 0), "a", "name"), (("tenants", "rows", 0, 2), -1, "ratePerS"),
-    (("limits",), {"maxBodyBytes": -1}, "maxBodyBytes"), (("tenants", "rows", 0, 1), "k1", "apiKeys")])
+@pytest.mark.parametrize(
+    ("where", "value", "place"),
+    [
+        (("revision",), 7, "revision"),
+        (("revision",), "r", "revision"),
+        (("revision",), "r-1", "revision"),
+        (("routes", "rows", 1, 6), "nobody", r"routes\.rows\[1\]"),
+        (("routes", "rows", 1, 2), "/x/", r"routes\.rows\[1\]"),
+        (("routes", "rows", 0, 5), [{"service": "s", "weight": 0}], "add up"),
+        (("routes", "rows", 0, 3), "odd", "routeType"),
+        (("routes", "rows", 0, 4), None, "timeoutS"),
+        (("routes", "rows", 0, 4), 0, "timeoutS"),
+        (("routes", "rows", 0, 2), "x", "pathPrefix"),
+        (("routes", "rows", 0), ["short"], r"routes\.rows\[0\]"),
+        (("routes", "rows", 1, 6), None, "neither"),
+        (("routes", "columns", 0), "hostname", "columns"),
+        (("routes",), 5, "routes"),
+        (("services", "rows", 1, 0), "s", "twice"),
+        (("services", "rows", 0, 4), True, "tls"),
+        (("tenants", "rows", 1, 1), ["k1"], "key"),
+        (("tenants", "rows", 1, 0), "a", "name"),
+        (("tenants", "rows", 0, 2), -1, "ratePerS"),
+        (("limits",), {"maxBodyBytes": -1}, "maxBodyBytes"),
+        (("tenants", "rows", 0, 1), "k1", "apiKeys"),
+    ],
+)
 def test_a_bad_configuration_names_the_place(where: tuple, value: object, place: str) -> None:
     given = configuration()
     at: object = given
@@ -118,6 +183,7 @@
     found = read_configuration(json.dumps(given).encode())
     assert isinstance(found, Refused)
     import re
+
     assert re.search(place, str(found))
 
 
@@ -128,7 +194,9 @@
 
 # ---- the disk
 
-KEPT = Kept(5, Record(4, "10.0.0.1", ["10.0.0.2"]), 9, b'{"v":9}' * 40, ("10.0.0.1", "10.0.0.2", "10.0.0.3"), False, 4)
+KEPT = Kept(
+    5, Record(4, "10.0.0.1", ["10.0.0.2"]), 9, b'{"v":9}' * 40, ("10.0.0.1", "10.0.0.2", "10.0.0.3"), False, 4
+)
 
 
 def store(folder: Path) -> None:
@@ -156,7 +224,10 @@
     whole = path.read_bytes()
     outcomes = set()
     for at in range(0, len(whole), 512):
-        for spoilt in (whole[:at], whole[:at] + bytes(b ^ 0x5A for b in whole[at:at + 64]) + whole[at + 64:]):
+        for spoilt in (
+            whole[:at],
+            whole[:at] + bytes(b ^ 0x5A for b in whole[at : at + 64]) + whole[at + 64 :],
+        ):
             folder = tmp_path / "bad"
             folder.mkdir()
             (folder / FILE).write_bytes(spoilt)
--- a/tests/system/test_store_bounds.py
+++ b/tests/system/test_store_bounds.py
@@ -11,26 +11,47 @@
 from furrow.messages import ReadAck, Record, Status
 
 
-@pytest.mark.parametrize(("bounds", "copies", "voters", "apart"), [
-    (Bounds(0), 2, 3, False), (Bounds(1), 2, 3, False), (Bounds(2), 3, 5, False), (Bounds(0, zones=1), 2, 3, True),
-    (Bounds(2, zones=1), 3, 5, True), (Bounds(1, regions=2), 3, 5, True)])
-def test_copies_and_voters_follow_what_is_to_be_borne(bounds: Bounds, copies: int, voters: int, apart: bool) -> None:
+@pytest.mark.parametrize(
+    ("bounds", "copies", "voters", "apart"),
+    [
+        (Bounds(0), 2, 3, False),
+        (Bounds(1), 2, 3, False),
+        (Bounds(2), 3, 5, False),
+        (Bounds(0, zones=1), 2, 3, True),
+        (Bounds(2, zones=1), 3, 5, True),
+        (Bounds(1, regions=2), 3, 5, True),
+    ],
+)
+def test_copies_and_voters_follow_what_is_to_be_borne(
+    bounds: Bounds, copies: int, voters: int, apart: bool
+) -> None:
     assert (bounds.copies, bounds.voters, bounds.apart) == (copies, voters, apart)
 
 
 def state_of(bounds: Bounds, voters: list[str], places: list[str], copies: list[str]) -> State:
-    state = State(voters[0], bounds, 1, Kept(blank=False, record=Record(2, copies[0], copies[1:], voters), given=2), 0.0)
+    state = State(
+        voters[0], bounds, 1, Kept(blank=False, record=Record(2, copies[0], copies[1:], voters), given=2), 0.0
+    )
     state.places = dict(zip(voters, places, strict=False))
     for ip in voters[1:]:
         state.peers[ip] = Peer(Status(2, state.kept.record, 0, False, False, True, voters), 0.0, 0.0, 0.0)
     return state
 
 
-@pytest.mark.parametrize(("bounds", "places", "copies", "said"), [
-    (Bounds(1), "abc", 2, ""), (Bounds(1), "ab", 2, "2 voters: changes stop with the loss of 1"), (Bounds(1), "a", 1, "1 of 2 copies"),
-    (Bounds(2), "abc", 3, "3 voters: changes stop with the loss of 2"), (Bounds(2), "abcde", 3, ""), (Bounds(2), "abcde", 2, "2 of 3 copies"),
-    (Bounds(1, zones=1), "aab", 2, "more than half of the voters stand in one place"), (Bounds(1, zones=1), "aab", 2, "copies lie in 1 place"),
-    (Bounds(1, zones=1), "abc", 2, "")])
+@pytest.mark.parametrize(
+    ("bounds", "places", "copies", "said"),
+    [
+        (Bounds(1), "abc", 2, ""),
+        (Bounds(1), "ab", 2, "2 voters: changes stop with the loss of 1"),
+        (Bounds(1), "a", 1, "1 of 2 copies"),
+        (Bounds(2), "abc", 3, "3 voters: changes stop with the loss of 2"),
+        (Bounds(2), "abcde", 3, ""),
+        (Bounds(2), "abcde", 2, "2 of 3 copies"),
+        (Bounds(1, zones=1), "aab", 2, "more than half of the voters stand in one place"),
+        (Bounds(1, zones=1), "aab", 2, "copies lie in 1 place"),
+        (Bounds(1, zones=1), "abc", 2, ""),
+    ],
+)
 def test_what_is_not_borne_is_said(bounds: Bounds, places: str, copies: int, said: str) -> None:
     voters = [f"10.0.0.{n}" for n in range(1, len(places) + 1)]
     state = state_of(bounds, voters, list(places), voters[:copies])
@@ -38,9 +59,12 @@
     assert (said in "; ".join(found)) if said else not found, found
 
 
-@pytest.mark.parametrize(("machines", "losses"), [(n, f) for n, f in itertools.product(range(1, 10), (0, 1, 2)) if n >= 2 * f + 1])
+@pytest.mark.parametrize(
+    ("machines", "losses"), [(n, f) for n, f in itertools.product(range(1, 10), (0, 1, 2)) if n >= 2 * f + 1]
+)
 def test_so_many_are_lost_at_once_and_nothing_is_lost(machines: int, losses: int) -> None:
     from cluster import Cluster
+
     for seed in range(3):
         cluster = Cluster(seed, machines, lost_at_once=losses)
         cluster.run(12.0)
@@ -59,4 +83,6 @@
         cluster.run(0.5)
         number = cluster.read(cluster.primary)
         cluster.run(0.5)
-        assert cluster.acknowledged == 2 and any(isinstance(a, ReadAck) and (a.number, a.version) == (number, 2) for a in cluster.answers)
+        assert cluster.acknowledged == 2 and any(
+            isinstance(a, ReadAck) and (a.number, a.version) == (number, 2) for a in cluster.answers
+        )
--- a/tests/system/test_store_exhaustive.py
+++ b/tests/system/test_store_exhaustive.py
@@ -64,7 +64,10 @@
         self.shown: dict[str, int] = {}
         self.read: list[int] = []
         self.lives = {"a": 1, "b": 1}
-        self.calls: dict[str, list[tuple[int, bytes]]] = {"a": [], "b": []}  # of this life; a call's number is its place
+        self.calls: dict[str, list[tuple[int, bytes]]] = {
+            "a": [],
+            "b": [],
+        }  # of this life; a call's number is its place
         self.bodies: dict[int, bytes] = {}  # confirmed, read or in force
         self.refused: list[tuple[int, bytes]] = []
         for ip in IPS:
@@ -123,7 +126,9 @@
 
     def order(self, ip: str, caller: str, version: int, body: bytes) -> None:
         self.calls[caller].append((version, body))
-        message = Write(len(self.calls[caller]), version, msgspec.Raw(body), self.lives[caller], digest_of(body))
+        message = Write(
+            len(self.calls[caller]), version, msgspec.Raw(body), self.lives[caller], digest_of(body)
+        )
         self.do(ip, self.replicas[ip].hear(self.now, self.name(caller), message))
         self.end_if_left()
 
@@ -229,7 +234,9 @@
     assert world.primary is not None, "nobody leads"
     world.ask(world.primary)
     world.settle(1.0)
-    assert world.read and world.read[-1] >= world.acknowledged, f"{world.read}, {world.acknowledged} was acknowledged"
+    assert world.read and world.read[-1] >= world.acknowledged, (
+        f"{world.read}, {world.acknowledged} was acknowledged"
+    )
     acknowledged, world.acknowledged = world.acknowledged, 0
     if world.read[-1] == acknowledged:
         world.order(world.primary, "b", acknowledged, world.bodies[acknowledged])
@@ -258,11 +265,14 @@
 
 
 # depth, and at least so many states, of those that hold; two bodies stand in test_store_worst_days.py
-@pytest.mark.parametrize(("play", "depth", "least"), [
-    ("a change and a loss", DEPTH, 1000),
-    ("a change and a leaving member", DEPTH, 300),
-    ("a caller that dies", DEPTH + 1, 100),
-])
+@pytest.mark.parametrize(
+    ("play", "depth", "least"),
+    [
+        ("a change and a loss", DEPTH, 1000),
+        ("a change and a leaving member", DEPTH, 300),
+        ("a caller that dies", DEPTH + 1, 100),
+    ],
+)
 def test_every_order(play: str, depth: int, least: int) -> None:
     assert search(depth, 400_000, PLAYS[play]) > least
 
@@ -271,10 +281,17 @@
     """A planted fault: an order is in force, and acknowledged, before the backup has it."""
 
     def hear(self, now: float, sender: str, message: Any) -> list[Any]:
-        newer = isinstance(message, Write) and self.stage is Stage.ACTIVE and message.version > self.status.version
+        newer = (
+            isinstance(message, Write)
+            and self.stage is Stage.ACTIVE
+            and message.version > self.status.version
+        )
         actions = super().hear(now, sender, message)
         if newer:
-            actions += [InForce(message.version, bytes(message.body)), Send(sender, WriteAck(message.number, True))]
+            actions += [
+                InForce(message.version, bytes(message.body)),
+                Send(sender, WriteAck(message.number, True)),
+            ]
         return actions
 
 
--- a/tests/system/test_store_machine.py
+++ b/tests/system/test_store_machine.py
@@ -53,7 +53,9 @@
         if self.cluster.primary is not None:
             self.cluster.ask(self.cluster.primary, self.callers[which])
 
-    @precondition(lambda self: not self.down and len(self.cluster.machines) < 7 and self.cluster.now >= self.whole_at)
+    @precondition(
+        lambda self: not self.down and len(self.cluster.machines) < 7 and self.cluster.now >= self.whole_at
+    )
     @rule(leaves=st.booleans())
     def grow(self, leaves: bool) -> None:
         """A machine is added, or takes the place of one that leaves in order."""
--- a/tests/system/test_store_schedules.py
+++ b/tests/system/test_store_schedules.py
@@ -65,7 +65,9 @@
         if not cluster.up(ip):
             cluster.start(ip)
     cluster.run(6.0)
-    if random.random() < 0.5:  # everything loses power, and one machine its disk, once the others have caught up
+    if (
+        random.random() < 0.5
+    ):  # everything loses power, and one machine its disk, once the others have caught up
         cluster.put(cluster.primary or names[0], version + 1)
         cluster.run(random.choice([0.02, 0.2]))
         for ip in names:
@@ -241,7 +243,11 @@
     cluster.run(8.0)
     cluster.put(cluster.primary or "", 1)
     cluster.run(0.5)
-    kept = {places[ip] for ip, machine in cluster.machines.items() if machine.disk is not None and machine.disk.version}
+    kept = {
+        places[ip]
+        for ip, machine in cluster.machines.items()
+        if machine.disk is not None and machine.disk.version
+    }
     assert cluster.acknowledged == 1 and kept == {"a", "b"}
 
 
--- a/tests/system/test_store_worst_days.py
+++ b/tests/system/test_store_worst_days.py
@@ -65,7 +65,9 @@
 
 @pytest.mark.parametrize("apart_s", worst_days.APART_S)
 @pytest.mark.parametrize("between", BETWEEN)
-def test_of_two_orders_under_one_number_one_is_confirmed_and_one_refused(between: str, apart_s: float) -> None:
+def test_of_two_orders_under_one_number_one_is_confirmed_and_one_refused(
+    between: str, apart_s: float
+) -> None:
     for seed in range(4):
         rivals(seed, 3 + seed % 2, between, apart_s)
 
@@ -154,7 +156,9 @@
 
     def spoil(replica: Replica) -> None:
         hear = replica.hear
-        replica.hear = lambda now, sender, message: change(replica, sender, message, hear(now, sender, message))  # type: ignore[method-assign]
+        replica.hear = lambda now, sender, message: change(
+            replica, sender, message, hear(now, sender, message)
+        )  # type: ignore[method-assign]
 
     return spoil
 
@@ -164,7 +168,9 @@
 
     def changed(replica: Replica, sender: str, message: Any, actions: list[Any]) -> list[Any]:
         return [
-            Send(a.to, change(replica, message, a.message)) if isinstance(a, Send) and a.to.startswith("@") else a
+            Send(a.to, change(replica, message, a.message))
+            if isinstance(a, Send) and a.to.startswith("@")
+            else a
             for a in actions
         ]
 
@@ -176,7 +182,12 @@
 
 
 def refuses_what_it_has(replica: Replica, asked: Any, answer: Any) -> Any:
-    if isinstance(asked, Write) and isinstance(answer, WriteAck) and answer.ok and asked.version <= replica.status.version:
+    if (
+        isinstance(asked, Write)
+        and isinstance(answer, WriteAck)
+        and answer.ok
+        and asked.version <= replica.status.version
+    ):
         return WriteAck(answer.number, False, conflict=True)
     return answer
 
@@ -188,7 +199,11 @@
 
 
 def refuses_and_keeps(replica: Replica, sender: str, message: Any, actions: list[Any]) -> list[Any]:
-    if isinstance(message, Write) and replica.stage is Stage.ACTIVE and message.version > replica.status.version:
+    if (
+        isinstance(message, Write)
+        and replica.stage is Stage.ACTIVE
+        and message.version > replica.status.version
+    ):
         return [Send(sender, WriteAck(message.number, False, conflict=True)), *actions]
     return actions
 
@@ -237,7 +252,11 @@
 
 
 def forgets_the_copy(_: Replica, sender: str, message: Any, actions: list[Any]) -> list[Any]:
-    return [a for a in actions if not (isinstance(a, Send) and isinstance(a.message, ReplicateAck) and a.message.version > 1)]
+    return [
+        a
+        for a in actions
+        if not (isinstance(a, Send) and isinstance(a.message, ReplicateAck) and a.message.version > 1)
+    ]
 
 
 def denies_what_it_holds(replica: Replica) -> None:
@@ -247,7 +266,8 @@
     def denied(actions: list[Any]) -> list[Any]:
         return [
             Send(a.to, msgspec.structs.replace(a.message, holds=False))
-            if isinstance(a, Send) and isinstance(a.message, Status) and not a.message.active else a
+            if isinstance(a, Send) and isinstance(a.message, Status) and not a.message.active
+            else a
             for a in actions
         ]
 
@@ -293,7 +313,12 @@
 
     def ticked(now: float) -> list[Any]:
         actions = tick(now)
-        if replica.kept.record is not None and now > 6.0 and replica.stage is Stage.IDLE and not replica.kept.blank:
+        if (
+            replica.kept.record is not None
+            and now > 6.0
+            and replica.stage is Stage.IDLE
+            and not replica.kept.blank
+        ):
             replica.stage, replica._state.epoch = Stage.ACTIVE, replica.kept.record.epoch
             replica._contact.begin(now)
         return actions
@@ -326,8 +351,12 @@
 ]
 
 
-@pytest.mark.parametrize(("kind", "schedule", "spoil"), PLANTED, ids=[f"{k}-{i}" for i, (k, _, _) in enumerate(PLANTED)])
-def test_each_invariant_finds_a_planted_fault(kind: str, schedule: str, spoil: Spoil, monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize(
+    ("kind", "schedule", "spoil"), PLANTED, ids=[f"{k}-{i}" for i, (k, _, _) in enumerate(PLANTED)]
+)
+def test_each_invariant_finds_a_planted_fault(
+    kind: str, schedule: str, spoil: Spoil, monkeypatch: pytest.MonkeyPatch
+) -> None:
     make = simulated.make_replica
 
     def made(*args: Any) -> Replica:
--- a/tests/system/test_system_command.py
+++ b/tests/system/test_system_command.py
@@ -33,7 +33,12 @@
             registry = w.registries[w.core[0]].registry
             await until(lambda: len(registry.status()["members"]) == 2)  # type: ignore[arg-type]
             code, text = await asyncio.to_thread(run, "status", "--at", at)
-            assert code == 0 and "in force   r5" in text and "s: 1 available" in text and "none is known" not in text
+            assert (
+                code == 0
+                and "in force   r5" in text
+                and "s: 1 available" in text
+                and "none is known" not in text
+            )
             newer = tmp_path / "newer.json"
             newer.write_text(json.dumps({**CONFIGURATION, "revision": "r6"}))
             code, text = await asyncio.to_thread(run, "put", str(newer), "--at", "127.0.0.1:1", "--at", at)
@@ -45,23 +50,39 @@
             await w.close()
 
     asyncio.run(asyncio.wait_for(story(), 50))
-    (folder,) = [f for f in tmp_path.iterdir() if (f / FILE).exists() and "primary" in run("history", "--data", str(f))[1]
-                 and "r5" in run("history", "--data", str(f))[1]][:1]
+    (folder,) = [
+        f
+        for f in tmp_path.iterdir()
+        if (f / FILE).exists()
+        and "primary" in run("history", "--data", str(f))[1]
+        and "r5" in run("history", "--data", str(f))[1]
+    ][:1]
     code, text = run("history", "--data", str(folder), "--json")
     assert code == 0 and json.loads(text)["newest"] == 6
     code, text = run("export", "--data", str(folder), "--version", "5")
     assert code == 0 and json.loads(text) == CONFIGURATION
 
 
-@pytest.mark.parametrize("words", [("status", "--at", "127.0.0.1:1"), ("status", "--at", "nowhere"), ("history", "--data", "/nowhere"),
-                                   ("export", "--data", "/nowhere")])
+@pytest.mark.parametrize(
+    "words",
+    [
+        ("status", "--at", "127.0.0.1:1"),
+        ("status", "--at", "nowhere"),
+        ("history", "--data", "/nowhere"),
+        ("export", "--data", "/nowhere"),
+    ],
+)
 def test_what_can_not_be_reached_or_read_is_one_line_and_exit_2(words: tuple[str, ...]) -> None:
     code, text = run(*words)
     assert code == 2 and text.count("\n") == 1
 
 
-CASES = [("a.example/read/x?y=1", "key", 0, "tenant      t"), ("A.example:80/open/", "", 0, "route       open"),
-         ("a.example/read/", "other", 1, "the key is nobody's"), ("b.example/read/", "key", 1, "no route")]
+CASES = [
+    ("a.example/read/x?y=1", "key", 0, "tenant      t"),
+    ("A.example:80/open/", "", 0, "route       open"),
+    ("a.example/read/", "other", 1, "the key is nobody's"),
+    ("b.example/read/", "key", 1, "no route"),
+]
 
 
 @pytest.mark.parametrize(("url", "key", "code", "says"), CASES)
@@ -70,14 +91,19 @@
     file.write_text(json.dumps(CONFIGURATION))
     found, text = run("explain", str(file), url, "--key", key)
     assert found == code and says in text
-    assert json.loads(run("explain", str(file), url, "--key", key, "--json")[1])["status"] == {0: 0, 1: 401 if "key" in says else 404}[code]
+    assert (
+        json.loads(run("explain", str(file), url, "--key", key, "--json")[1])["status"]
+        == {0: 0, 1: 401 if "key" in says else 404}[code]
+    )
 
 
 def test_check_and_settings(tmp_path: Path) -> None:
     file, boot = tmp_path / "c.json", tmp_path / "boot.yaml"
     file.write_text(json.dumps(CONFIGURATION))
     assert run("check", str(file)) == (0, f"{file}: r5, 3 routes, 1 services, 1 tenants\n")
-    file.write_text(json.dumps({**CONFIGURATION, "tenants": {"columns": ["name", "apiKeys"], "rows": [["t", "k"]]}}))
+    file.write_text(
+        json.dumps({**CONFIGURATION, "tenants": {"columns": ["name", "apiKeys"], "rows": [["t", "k"]]}})
+    )
     code, text = run("check", str(file))
     assert code == 2 and "tenants.rows[0]: apiKeys" in text
     file.write_text(json.dumps({**CONFIGURATION, "filler": "x" * (5 << 20)}))
@@ -88,5 +114,9 @@
     code, text = run("check", str(boot))
     assert code == 2 and "internalPortRange" in text
     rows = {row["name"]: row for row in json.loads(run("settings", "--json")[1])}
-    assert rows["nodeName"]["required"] and rows["heartbeatS"]["default"] == 1.5 and all(row["about"] for row in rows.values())
+    assert (
+        rows["nodeName"]["required"]
+        and rows["heartbeatS"]["default"] == 1.5
+        and all(row["about"] for row in rows.values())
+    )
     assert "must be set" in run("settings")[1]
--- a/tests/system/test_three_programs.py
+++ b/tests/system/test_three_programs.py
@@ -28,7 +28,11 @@
 async def served(w: Whole, *backends: Backend) -> None:
     """A configuration in force, and backends known."""
     assert await w.put() == 200
-    await until(lambda: all(sum(o.link is not None for o in r.registry.others.values()) == 2 for r in w.registries.values()))
+    await until(
+        lambda: all(
+            sum(o.link is not None for o in r.registry.others.values()) == 2 for r in w.registries.values()
+        )
+    )
     for backend in backends:
         await backend.start()
         assert await w.beat(backend) == 200
@@ -42,32 +46,57 @@
         backend = Backend("i-1", good)
         await served(w, backend)
         http = w.http(w.edge[0])
-        status, headers, body = await call(http, "POST", "/write/x?y=1", b"payload", *KEY, "Attempt-Id: a1", "Tenant-Name: other",
-                                           "X-More: kept")
-        assert (status, body) == (200, b"whole") and headers["response-signature"] == "s" and headers["attempt-id"] == "a1"
-        await until(lambda: set(w.ingresses[w.edge[0]].feed.registries) == set(w.core))  # also those that are no seeds
+        status, headers, body = await call(
+            http,
+            "POST",
+            "/write/x?y=1",
+            b"payload",
+            *KEY,
+            "Attempt-Id: a1",
+            "Tenant-Name: other",
+            "X-More: kept",
+        )
+        assert (
+            (status, body) == (200, b"whole")
+            and headers["response-signature"] == "s"
+            and headers["attempt-id"] == "a1"
+        )
+        await until(
+            lambda: set(w.ingresses[w.edge[0]].feed.registries) == set(w.core)
+        )  # also those that are no seeds
         (seen,) = backend.seen
-        assert seen[":first"] == "POST /write/x?y=1 HTTP/1.1" and seen[":body"] == "payload" and seen["x-more"] == "kept"
+        assert (
+            seen[":first"] == "POST /write/x?y=1 HTTP/1.1"
+            and seen[":body"] == "payload"
+            and seen["x-more"] == "kept"
+        )
         assert seen["tenant-name"] == "t" and seen["expected-instance"] == "i-1" and "key" not in seen
         assert 0 < int(seen["deadline-ms"]) < 4000
-        for path, key, expected in (("/read/", "nobody", 401), ("/nowhere/", "key", 404), ("/open/", "nobody", 200)):
+        for path, key, expected in (
+            ("/read/", "nobody", 401),
+            ("/nowhere/", "key", 404),
+            ("/open/", "nobody", 200),
+        ):
             assert (await call(http, "GET", path, b"", f"Key: {key}", "Attempt-Id: a2"))[0] == expected
         assert backend.seen[-1].get("tenant-name") is None
 
     play(tmp_path, story)
 
 
-@pytest.mark.parametrize(("says", "path", "status"), [
-    (lambda _: (503, {"Not-Executed": "1"}, b""), "/write/", 200),  # declined: the other one runs it
-    (lambda _: (421, {}, b""), "/write/", 200),
-    (lambda _: None, "/write/", 502),  # it may have run: nothing is promised
-    (lambda _: None, "/read/", 200),
-    (lambda _: (200, {}, b"no stamp"), "/read/", 200),
-    (lambda _: (200, {}, b"no stamp"), "/write/", 502),
-    (lambda _: (200, {"Response-Signature": "s", "Content-Encoding": "gzip"}, b"x"), "/write/", 502),
-    (lambda _: (500, {"Response-Signature": "s"}, b"its own"), "/write/", 500),  # as it came
-    (lambda h: (200, {"Response-Signature": "s", "Attempt-Id": "stale"}, b"late") , "/read/", 200),
-])
+@pytest.mark.parametrize(
+    ("says", "path", "status"),
+    [
+        (lambda _: (503, {"Not-Executed": "1"}, b""), "/write/", 200),  # declined: the other one runs it
+        (lambda _: (421, {}, b""), "/write/", 200),
+        (lambda _: None, "/write/", 502),  # it may have run: nothing is promised
+        (lambda _: None, "/read/", 200),
+        (lambda _: (200, {}, b"no stamp"), "/read/", 200),
+        (lambda _: (200, {}, b"no stamp"), "/write/", 502),
+        (lambda _: (200, {"Response-Signature": "s", "Content-Encoding": "gzip"}, b"x"), "/write/", 502),
+        (lambda _: (500, {"Response-Signature": "s"}, b"its own"), "/write/", 500),  # as it came
+        (lambda h: (200, {"Response-Signature": "s", "Attempt-Id": "stale"}, b"late"), "/read/", 200),
+    ],
+)
 def test_outcomes_over_two_backends(tmp_path: Path, says: Callable, path: str, status: int) -> None:
     async def story(w: Whole) -> None:
         bad, fine = Backend("i-bad", says), Backend("i-fine", good)
@@ -77,7 +106,9 @@
         ingress.fabric.backends[number[b"i-fine"]].speed = 3.0  # so that the bad one is asked first
         for pool in ingress.fabric.pools.values():
             pool.further = 5.0
-        found, _, body = await call(w.http(w.edge[0]), "POST" if path == "/write/" else "GET", path, b"", *KEY, "Attempt-Id: a1")
+        found, _, body = await call(
+            w.http(w.edge[0]), "POST" if path == "/write/" else "GET", path, b"", *KEY, "Attempt-Id: a1"
+        )
         assert len(bad.seen) == 1
         assert found == status
         if status == 200:
@@ -96,7 +127,9 @@
         w.registries[w.core[0]].close()  # it dies at once
         await until(lambda: all(e.book.entries["i-1"].state == 1 for e in w.ingresses.values()))
         for n in range(6):
-            assert (await call(w.http(w.edge[n % 2]), "GET", "/read/", b"", *KEY, f"Attempt-Id: b{n}"))[0] == 200
+            assert (await call(w.http(w.edge[n % 2]), "GET", "/read/", b"", *KEY, f"Attempt-Id: b{n}"))[
+                0
+            ] == 200
         assert not one.seen
 
     play(tmp_path, story)
@@ -145,12 +178,17 @@
         for ip in w.core:
             await w.start_store(ip, seeds=("127.9.9.9",))
         await until(lambda: any(s._fresh for s in w.stores.values()))
-        assert json.loads((await call(w.control(w.core[0]), "GET", "/configuration/describe"))[2]) == CONFIGURATION
+        assert (
+            json.loads((await call(w.control(w.core[0]), "GET", "/configuration/describe"))[2])
+            == CONFIGURATION
+        )
 
     play(tmp_path, story)
 
 
-@pytest.mark.parametrize("garbage", [b"5:hello,", b"GET / HTTP/1.1\r\n\r\n", b"99999999:", b'14:{"t":"ping","x"},'])
+@pytest.mark.parametrize(
+    "garbage", [b"5:hello,", b"GET / HTTP/1.1\r\n\r\n", b"99999999:", b'14:{"t":"ping","x"},']
+)
 def test_garbage_on_an_inner_port_ends_that_connection_only(tmp_path: Path, garbage: bytes) -> None:
     async def story(w: Whole) -> None:
         backend = Backend("i-1", good)
@@ -167,7 +205,9 @@
     play(tmp_path, story)
 
 
-def test_bodies_beyond_what_a_registry_may_hold_are_turned_away_and_it_serves_on(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_bodies_beyond_what_a_registry_may_hold_are_turned_away_and_it_serves_on(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     async def story(w: Whole) -> None:
         control = w.control(w.core[0])
         server = w.registries[w.core[0]]._outside
@@ -186,14 +226,22 @@
     play(tmp_path, story)
 
 
-def test_a_settings_file_that_changes_in_service_is_read_again_and_a_bad_one_changes_nothing(tmp_path: Path) -> None:
+def test_a_settings_file_that_changes_in_service_is_read_again_and_a_bad_one_changes_nothing(
+    tmp_path: Path,
+) -> None:
     async def story(w: Whole) -> None:
         await served(w, Backend("i-1", good))
         ingress = w.ingresses[w.edge[0]]
         file = tmp_path / "boot.yaml"
         ingress._path = str(file)
-        base = {"nodeName": "n", "ipAddress": w.edge[0], "zone": "a", "internalPortRange": [w.ports, w.ports + 2],
-                "bindAddresses": {}, "bootstrap": False}
+        base = {
+            "nodeName": "n",
+            "ipAddress": w.edge[0],
+            "zone": "a",
+            "internalPortRange": [w.ports, w.ports + 2],
+            "bindAddresses": {},
+            "bootstrap": False,
+        }
 
         def change(text: str) -> None:
             file.write_text(text)
@@ -246,8 +294,16 @@
         await until(lambda: all(i.reader.table and i.reader.table.version == 6 for i in w.ingresses.values()))
         for size, status in ((17_000, b"200"), (21_000, b"431")):
             reader, writer = await asyncio.open_connection(*w.http(w.edge[0]))
-            writer.write(b"GET /read/ HTTP/1.1\r\nHost: a.example\r\nKey: key\r\nAttempt-Id: f1\r\nX-Long: " + b"x" * size)
-            await until(lambda: any(c._received > size for c in w.ingresses[w.edge[0]].server._clients) or status == b"431")
+            writer.write(
+                b"GET /read/ HTTP/1.1\r\nHost: a.example\r\nKey: key\r\nAttempt-Id: f1\r\nX-Long: "
+                + b"x" * size
+            )
+            await until(
+                lambda: (
+                    any(c._received > size for c in w.ingresses[w.edge[0]].server._clients)
+                    or status == b"431"
+                )
+            )
             if status == b"200":
                 writer.write(b"\r\n\r\n")
             assert status in await reader.readline()
--- a/tests/test_begun.py
+++ b/tests/test_begun.py
@@ -50,7 +50,10 @@
         g.handle(START + 1000, AnswerBegan(1, 0, send.backend, 1000, True, lag))
     assert slow.pools[0].slowness.now(START + 1000) > prompt.pools[0].slowness.now(START + 1000)
     # where that part can't be told its time is no sign, good or bad, but the backend has been heard of
-    assert untold.pools[0].slowness.at == -inf and {b.heard_at for b in untold.backends.values()} == {-inf, START + 1000}
+    assert untold.pools[0].slowness.at == -inf and {b.heard_at for b in untold.backends.values()} == {
+        -inf,
+        START + 1000,
+    }
 
 
 def test_an_answer_that_breaks_off_after_it_began_is_not_tried_again() -> None:
@@ -69,11 +72,13 @@
                 await client.reader.readexactly(1_000_000)
             await asyncio.sleep(0.05)
             assert sum(len(b.requests) for b in w.backends) == 1 and not w.gateway.calls
+
     run(test())
 
 
 def test_the_way_of_long_messages_is_not_taken_for_their_backends_work() -> None:
     """A backend that answers at once and writes slowly stays in favour."""
+
     async def test() -> None:
         async def slowly(peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n")
@@ -88,6 +93,7 @@
             await until(lambda: not w.gateway.calls)
             assert backend.slowness[0].now(w.engine.clock.now()) < 1.5
             assert backend.load == 0
+
     run(test())
 
 
@@ -104,4 +110,5 @@
             assert (await w.ask(message("ledger-read")))[2] == b"done"
             backend = next(iter(w.gateway.backends.values()))
             assert backend.slowness[0].now(w.engine.clock.now()) < 1.2
+
     run(test())
--- a/tests/test_circuit.py
+++ b/tests/test_circuit.py
@@ -27,16 +27,36 @@
     return w
 
 
-@pytest.mark.parametrize(("dead", "answer_ms", "most_of_each", "refused", "served"), [
-    (DEAD, 100.0, 3, 1, 199),  # the first request meets three of them, the most attempts
-    (DEAD, 600.0, 7, 200, 0),  # pressed: tried at once and after 0.25, 0.5 ... 4 s; 12 of each without circuits
-    (ALL, 100.0, 600, 200, 0),  # the last ways there are stay open: the list may be right, and all back in a moment
-])
+@pytest.mark.parametrize(
+    ("dead", "answer_ms", "most_of_each", "refused", "served"),
+    [
+        (DEAD, 100.0, 3, 1, 199),  # the first request meets three of them, the most attempts
+        (
+            DEAD,
+            600.0,
+            7,
+            200,
+            0,
+        ),  # pressed: tried at once and after 0.25, 0.5 ... 4 s; 12 of each without circuits
+        (
+            ALL,
+            100.0,
+            600,
+            200,
+            0,
+        ),  # the last ways there are stay open: the list may be right, and all back in a moment
+    ],
+)
 def test_dead_addresses_are_tried_a_few_times_and_the_last_ones_all_the_same(
-        dead: tuple[int, ...], answer_ms: float, most_of_each: int, refused: int, served: int) -> None:
+    dead: tuple[int, ...], answer_ms: float, most_of_each: int, refused: int, served: int
+) -> None:
     w = play(10, dict.fromkeys(dead, Outcome.CONNECT_FAILED), answer_ms=answer_ms)
     failed = Counter(backend for _, _, backend in w.sends if backend in dead)
-    assert max(failed.values()) <= most_of_each and w.refused <= refused and len(w.sends) - failed.total() >= served
+    assert (
+        max(failed.values()) <= most_of_each
+        and w.refused <= refused
+        and len(w.sends) - failed.total() >= served
+    )
     assert dead != ALL or failed.total() >= 200
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -15,11 +15,15 @@
     return [a for a in g.handle(now, request(number, cls, left=left)) if isinstance(a, Send)]
 
 
-def cold_work(gateways: int, warm: int, cold: int, seconds: int, kind: type[Gateway] = Gateway) -> list[list[float]]:
+def cold_work(
+    gateways: int, warm: int, cold: int, seconds: int, kind: type[Gateway] = Gateway
+) -> list[list[float]]:
     """When each cold backend got work, all starting at once under a flood of tries through every gateway."""
     got: list[list[float]] = [[] for _ in range(cold)]
     for index in range(gateways):
-        base = gateway(gateways=gateways, index=index, classes=(SAFE,), start_capacity=0.2, cold_ms=1e6).settings
+        base = gateway(
+            gateways=gateways, index=index, classes=(SAFE,), start_capacity=0.2, cold_ms=1e6
+        ).settings
         g = kind(base, index)
         g.handle(START, fleet(*range(1, warm + 1)))
         g.handle(START, fleet(*range(1000, 1000 + cold), kind=ListKind.CHANGES, up=START))
@@ -36,10 +40,14 @@
 
 
 @pytest.mark.parametrize(("gateways", "warm", "cold"), [(2, 6, 3), (60, 20, 10), (200, 2, 30)])
-def test_all_gateways_together_keep_within_a_cold_backends_budget(gateways: int, warm: int, cold: int) -> None:
+def test_all_gateways_together_keep_within_a_cold_backends_budget(
+    gateways: int, warm: int, cold: int
+) -> None:
     """A part of a 300th of a request is rounded by chance: not everybody sends, and not nobody."""
     got = cold_work(gateways, warm, cold, 9)
-    limit = 2 * 0.2 * 3000 * 3  # fall multiple x capacity x window, on three cores as the bench's servers have
+    limit = (
+        2 * 0.2 * 3000 * 3
+    )  # fall multiple x capacity x window, on three cores as the bench's servers have
     for when in got:
         for begin in when:
             assert sum(begin <= t < begin + 3000 for t in when) * WORK_MS < limit
@@ -69,19 +77,26 @@
     assert max(met.values()) <= 1.5 * min(met.values())
 
 
-@pytest.mark.parametrize(("gateways", "backends", "least"), [(40, 60, 24), (40, 40, 16), (100, 60, 16), (8, 20, 18)])
+@pytest.mark.parametrize(
+    ("gateways", "backends", "least"), [(40, 60, 24), (40, 40, 16), (100, 60, 16), (8, 20, 18)]
+)
 def test_gateways_in_a_row_keep_to_different_backends(gateways: int, backends: int, least: int) -> None:
     """A customer comes through some gateways in a row; with parts in the same row four of forty met 13 of 60."""
-    all_of_them = [gateway(*range(1, backends + 1), gateways=gateways, index=index) for index in range(gateways)]
+    all_of_them = [
+        gateway(*range(1, backends + 1), gateways=gateways, index=index) for index in range(gateways)
+    ]
     sent = [g.handle(START, request(1)) and g for g in all_of_them]
     parts = [{b.entry.backend for b in g.near(g.calls[1])} for g in sent]
-    assert min(len(set.union(*(parts[(n + i) % gateways] for i in range(4)))) for n in range(gateways)) >= least
+    assert (
+        min(len(set.union(*(parts[(n + i) % gateways] for i in range(4)))) for n in range(gateways)) >= least
+    )
 
 
 def test_the_work_of_an_event_does_not_grow_with_the_fleet() -> None:
     """Counted in backends looked at, not in seconds."""
     looked = {}
     for backends in (10, 1000):
+
         class Counting(Gateway):
             seen = 0
 
@@ -108,7 +123,9 @@
         for send in sends(g, now, n, cls):
             bad = send.backend == 1 and cls == 1
             got[cls] += send.backend == 1 and n > 100
-            g.handle(now, ended(n, send.backend, Outcome.ERROR if bad else Outcome.OK, took=150.0 + 150.0 * cls))
+            g.handle(
+                now, ended(n, send.backend, Outcome.ERROR if bad else Outcome.OK, took=150.0 + 150.0 * cls)
+            )
     assert got[1] < 40  # of 550, a fifth of which would be 110
     assert got[0] > 60
 
@@ -125,7 +142,7 @@
     g = gateway(1, 2, 3, 4)
     (send,) = sends(g, START, 1, cls=1)
     g.handle(START + 1, fleet(*[n for n in (1, 2, 3, 4) if n != send.backend]))
-    again = [a for a in g.handle(START + 50, ended(1, send.backend, Outcome.RESET, took=50)) if isinstance(a, Send)]
+    again = [
+        a for a in g.handle(START + 50, ended(1, send.backend, Outcome.RESET, took=50)) if isinstance(a, Send)
+    ]
     assert again and again[0].backend % 2 == send.backend % 2  # its cell
-
-
--- a/tests/test_hold.py
+++ b/tests/test_hold.py
@@ -35,24 +35,44 @@
 # ---- clients
 
 
-@pytest.mark.parametrize("head", [
-    "Content-Length: 5\r\nTransfer-Encoding: chunked", "Transfer-Encoding: chunked\r\nContent-Length: 5",
-    "Content-Length: 5\r\nContent-Length: 5", "Content-Length: 5\r\nContent-Length: 6", "Content-Length: 5, 5",
-    "Content-Length: +5", "Content-Length: -5", "Content-Length: 0x5", "Transfer-Encoding: gzip, chunked",
-    "Transfer-Encoding: chunked, chunked", "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked",
-    "Transfer-Encoding: identity", "Transfer-Encoding: xchunked", "Transfer-Encoding : chunked",
-    "Transfer-Encoding:\x0bchunked", "Transfer-Encoding: chunked;q=1",
-])
+@pytest.mark.parametrize(
+    "head",
+    [
+        "Content-Length: 5\r\nTransfer-Encoding: chunked",
+        "Transfer-Encoding: chunked\r\nContent-Length: 5",
+        "Content-Length: 5\r\nContent-Length: 5",
+        "Content-Length: 5\r\nContent-Length: 6",
+        "Content-Length: 5, 5",
+        "Content-Length: +5",
+        "Content-Length: -5",
+        "Content-Length: 0x5",
+        "Transfer-Encoding: gzip, chunked",
+        "Transfer-Encoding: chunked, chunked",
+        "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked",
+        "Transfer-Encoding: identity",
+        "Transfer-Encoding: xchunked",
+        "Transfer-Encoding : chunked",
+        "Transfer-Encoding:\x0bchunked",
+        "Transfer-Encoding: chunked;q=1",
+    ],
+)
 def test_a_request_whose_end_cannot_be_told_hides_none(head: str) -> None:
     """Guards against a second request in the body of the first: 400, and nothing behind it is read."""
+
     async def test() -> None:
         async with world(answer()) as w:
             hidden = request(number=2).decode()
-            data = request(body="", Content_Length=None).decode().removesuffix("\r\n") + head + "\r\n\r\n0\r\n\r\n" + hidden
+            data = (
+                request(body="", Content_Length=None).decode().removesuffix("\r\n")
+                + head
+                + "\r\n\r\n0\r\n\r\n"
+                + hidden
+            )
             client = await w.client()
             assert (await client.ask(data.encode()))[0] == 400
             assert await client.reader.read() == b""
             assert w.backends[0].requests == []
+
     run(test())
 
 
@@ -61,25 +81,34 @@
     async def test() -> None:
         async with world(answer()) as w:
             client = await w.client()
-            assert (await client.ask(request(body="", Content_Length=str(length))))[0] == status  # no byte of it has come
+            assert (await client.ask(request(body="", Content_Length=str(length))))[
+                0
+            ] == status  # no byte of it has come
             assert await client.reader.read() == b""
+
     run(test())
 
 
 def test_an_error_arrives_though_the_client_sends_on() -> None:
     """What is only drained is not read as a request, and no reset takes the error away."""
+
     async def test() -> None:
         async with world(answer()) as w:
             client = await w.client()
-            client.writer.write(request(body="", Content_Length="60000000") + request(number=2) + b"x" * 3_000_000)
+            client.writer.write(
+                request(body="", Content_Length="60000000") + request(number=2) + b"x" * 3_000_000
+            )
             assert (await client.answer())[0] == 413
             await client.writer.drain()
             assert w.backends[0].requests == []
+
     run(test())
 
 
 @pytest.mark.parametrize("begin", [b"", b"\r\n", b"POST /vat-fi", request()[:-3]])
-def test_a_message_has_its_time_from_the_connections_start(begin: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_message_has_its_time_from_the_connections_start(
+    begin: bytes, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Drip-fed bytes win no time: the client gets an error or a close."""
     for limit in ("HEAD_S", "SILENT_S", "GRACE_S"):
         monkeypatch.setattr(bodies, limit, 0.2)
@@ -100,10 +129,13 @@
             dripping.cancel()
             assert got.startswith(b"HTTP/1.1 408 ") if begin.strip() else got == b""
             assert (await w.ask(request(number=2)))[0] == 200
+
     run(test())
 
 
-def test_a_message_on_a_used_connection_has_its_time_from_its_first_byte(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_message_on_a_used_connection_has_its_time_from_its_first_byte(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     for limit in ("HEAD_S", "SILENT_S", "GRACE_S"):
         monkeypatch.setattr(bodies, limit, 0.2)
     monkeypatch.setattr("troutdock.daemon.SWEEP_S", 0.05)
@@ -117,11 +149,13 @@
             client.writer.write(request(number=3)[:-1])
             assert (await client.answer())[0] == 408
             assert await client.reader.read() == b""
+
     run(test())
 
 
 def test_silent_and_half_sent_connections_do_not_keep_others_out() -> None:
     """64 descriptors leave eight for clients; none of the forty has sent a whole request."""
+
     async def test() -> None:
         async with world(answer(), sockets=64) as w:
             used = await w.client()
@@ -132,6 +166,7 @@
                     client.writer.write(request()[:30])
             assert (await asyncio.wait_for(w.ask(request(number=2)), 1.0))[0] == 200
             assert (await used.ask(request(number=3)))[0] == 200  # they went before it
+
     run(test())
 
 
@@ -140,6 +175,7 @@
 
     80 descriptors leave 16 places for clients. The one that asks again and again is never the longest idle.
     """
+
     async def test() -> None:
         async with world(answer(), sockets=80) as w:
             server, used = w.service._server, await w.client()
@@ -153,6 +189,7 @@
             await until(lambda: len(server.idle) == len(server._clients) == 4)
             assert (await once[-1].ask(request(number=50)))[0] == 200
             assert (await used.ask(request(number=51)))[0] == 200
+
     run(test())
 
 
@@ -169,26 +206,50 @@
             w.backends[0].script = answer()
             assert (await w.ask(request()))[0] == 200  # it is open no more
             assert len(w.backends[0].requests) == 2
+
     run(test())
 
 
-@pytest.mark.parametrize("quota", ["units=8.1,spread=2,first=0", "units=999999,spread=2,first=0",
-                                   "units=2,spread=9,first=0", "units=2,spread=2,first=7"])
+@pytest.mark.parametrize(
+    "quota",
+    [
+        "units=8.1,spread=2,first=0",
+        "units=999999,spread=2,first=0",
+        "units=2,spread=9,first=0",
+        "units=2,spread=2,first=7",
+    ],
+)
 def test_a_figure_that_no_request_has_moves_nothing(quota: str) -> None:
     async def test() -> None:
-        async with world(answer(), settings={"plans": [
-                {"name": "plus", "per_second": 0.01, "peak_units": 64.0, "price": 1, "over_worth": 0, "excess_cost": 0}]}) as w:
+        async with world(
+            answer(),
+            settings={
+                "plans": [
+                    {
+                        "name": "plus",
+                        "per_second": 0.01,
+                        "peak_units": 64.0,
+                        "price": 1,
+                        "over_worth": 0,
+                        "excess_cost": 0,
+                    }
+                ]
+            },
+        ) as w:
             gateway = w.service.ingress.engine._gateway
             before = gateway.pools[0].mean_work
             assert (await w.ask(request(Quota_Info=quota)))[0] == 400
             assert gateway.pools[0].mean_work == before and not gateway.customers
+
     run(test())
 
 
 # ---- answers of backends
 
 
-@pytest.mark.parametrize("behind", [OK, b"noise", b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong", b"\x00\xff"])
+@pytest.mark.parametrize(
+    "behind", [OK, b"noise", b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong", b"\x00\xff"]
+)
 @pytest.mark.parametrize("together", [True, False])
 def test_what_stands_behind_a_good_answer_is_nobodys_answer(behind: bytes, together: bool) -> None:
     async def test() -> None:
@@ -204,19 +265,28 @@
                 status, _, body = await client.ask(request(number=number))
                 assert (status, body) == (200, b"done")
             assert w.backends[0].connections == 3  # each was closed after its answer
+
     run(test())
 
 
-@pytest.mark.parametrize("spoilt", [
-    b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nmore", b"HTTP/1.1 200 OK\r\n\r\nmore",
-    b"HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\ndone", b"HTTP/1.1 200 OK\r\nContent-Length: 4, 4\r\n\r\ndone",
-    b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 4\r\n\r\ndone",
-    b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n",
-    b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip, chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n",
-    b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ndone", b"HTTP/1.1 200 O", b"HTTP/1.1 100 Continue\r\n\r\n" * 700,
-])
+@pytest.mark.parametrize(
+    "spoilt",
+    [
+        b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nmore",
+        b"HTTP/1.1 200 OK\r\n\r\nmore",
+        b"HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\ndone",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 4, 4\r\n\r\ndone",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 4\r\n\r\ndone",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip, chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ndone",
+        b"HTTP/1.1 200 O",
+        b"HTTP/1.1 100 Continue\r\n\r\n" * 700,
+    ],
+)
 def test_a_spoilt_answer_is_a_reset_at_once_though_the_connection_stays_open(spoilt: bytes) -> None:
     """An unsafe request fails early, not when its time is up; its connection is used no more."""
+
     async def test() -> None:
         async with world(sends(spoilt, close=False)) as w:
             client = await w.client()
@@ -226,22 +296,37 @@
             w.backends[0].script = answer()
             assert (await client.ask(request(number=2)))[0] == 200
             assert w.backends[0].connections == 2
+
     run(test())
 
 
-@pytest.mark.parametrize(("billed", "believed"), [("5", 5.0), ("8", 8.0), ("9", 2.0), ("999999", 2.0), ("nan", 2.0), ("-3", 2.0),
-                                                  ("5\r\nBilled-Units: 6", 2.0), ("1_0", 2.0), ("", 2.0)])
+@pytest.mark.parametrize(
+    ("billed", "believed"),
+    [
+        ("5", 5.0),
+        ("8", 8.0),
+        ("9", 2.0),
+        ("999999", 2.0),
+        ("nan", 2.0),
+        ("-3", 2.0),
+        ("5\r\nBilled-Units: 6", 2.0),
+        ("1_0", 2.0),
+        ("", 2.0),
+    ],
+)
 def test_billed_units_beyond_what_a_request_has_are_not_believed(billed: str, believed: float) -> None:
     async def test() -> None:
         async with world(answer(head=f"Billed-Units: {billed}\r\n".encode())) as w:
             assert (await w.ask(request()))[0] == 200
             (customer,) = w.service.ingress.engine._gateway.customers.values()
             assert customer.unit_sum == believed
+
     run(test())
 
 
 def test_an_attempt_given_up_after_its_backend_moved_is_never_written() -> None:
     """Found by reading: it waited on in the pool that had been replaced, and was sent after its end."""
+
     async def test() -> None:
         from outcomes import Outcomes
 
@@ -259,6 +344,7 @@
         await until(lambda: first.over and outcomes.backends.open == 0)
         assert len(peer.requests) == 1
         peer.stop()
+
     run(test())
 
 
@@ -274,6 +360,7 @@
         assert outcomes.backends.open == 0
         assert (await outcomes.outcome())[0] is Outcome.OK and peer.connections == 2
         peer.stop()
+
     run(test())
 
 
@@ -304,7 +391,9 @@
             w.service.ingress.counter._answered = told.append
             w.service.ingress.counter.call(7, 1.0, 1000.0)
             await until(lambda: len(w.counter.requests) == 1)
-            w.service.reload(read_config(json.dumps(w.config | {"discovery": agent.address, "counter": counter.address})))
+            w.service.reload(
+                read_config(json.dumps(w.config | {"discovery": agent.address, "counter": counter.address}))
+            )
             await until(lambda: len(agent.requests) == 2 and counter.connections == 1)
             assert b"from=" not in agent.requests[0] and b"from=2&" in agent.requests[1]
             await until(lambda: w.discovery.closed == 1)
@@ -318,6 +407,7 @@
             assert (await w.ask(request()))[2] == b"new"
             for peer in (agent, counter, new_backend):
                 peer.stop()
+
     run(test())
 
 
@@ -328,11 +418,22 @@
             await peer.start()
         path = tmp_path / "config.json"
         config: dict[str, Any] = {
-            "name": "n0", "listen": "127.0.0.1:0", "discovery": first.address, "seed": "07", "settings": SETTINGS,
-            "known": {"rev": 5, "all": True, "targets": [target(backend, "s-0")]}}
+            "name": "n0",
+            "listen": "127.0.0.1:0",
+            "discovery": first.address,
+            "seed": "07",
+            "settings": SETTINGS,
+            "known": {"rev": 5, "all": True, "targets": [target(backend, "s-0")]},
+        }
         path.write_text(json.dumps(config))
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "troutdock", cwd=ROOT, stderr=subprocess.PIPE, env={**os.environ, "RELAY_CONFIG": str(path)})
+            sys.executable,
+            "-m",
+            "troutdock",
+            cwd=ROOT,
+            stderr=subprocess.PIPE,
+            env={**os.environ, "RELAY_CONFIG": str(path)},
+        )
         assert process.stderr is not None
         while b"serving on" not in await process.stderr.readline():
             pass
@@ -347,6 +448,7 @@
         assert await process.wait() == 0
         for peer in (backend, first, second):
             peer.stop()
+
     run(test())
 
 
@@ -366,6 +468,7 @@
         async def test() -> None:
             monkeypatch.setattr("troutdock.__main__.load_config", lambda path: path)
             reloads.follow(Service(), "the file")  # type: ignore[arg-type]
+
         run(test())
     finally:
         signal.signal(signal.SIGHUP, before)
@@ -375,7 +478,9 @@
 def test_deep_json_and_failing_work_do_not_end_the_watch(caplog: Any) -> None:
     async def test() -> None:
         deep = b"[" * 100_000
-        served = Peer(sends(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(deep), deep), close=False))
+        served = Peer(
+            sends(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(deep), deep), close=False)
+        )
         await served.start()
         told: list[Any] = []
 
@@ -384,12 +489,16 @@
             if len(told) == 1:
                 raise RuntimeError("the listener failed")
 
-        watch = Background("the watch", Discovery(("127.0.0.1", served.port), ListReader((), ()), Watch(1, 0, Random(1)), listen).run)
+        watch = Background(
+            "the watch",
+            Discovery(("127.0.0.1", served.port), ListReader((), ()), Watch(1, 0, Random(1)), listen).run,
+        )
         await until(lambda: len(served.requests) == 1)
         served.script = sends(one_line(served, "s-1", 3), close=False)
         await until(lambda: len(told) >= 2)
         await watch.stop()
         served.stop()
+
     run(test())
     assert "the watch has ended and is started anew" in caplog.text
 
@@ -397,9 +506,21 @@
 # ---- the counter
 
 
-@pytest.mark.parametrize("spoilt", [b"-OOPS later\r\n", b"-BUSYBODY\r\n", b"-\xff\xfe\r\n", b"$999999999\r\n", b"*2000000000\r\n",
-                                    b"$3\r\n1_0\r\n", b"$2\r\n5\r\n"])
-def test_after_a_spoilt_reply_the_amount_may_be_there_and_a_new_connection_comes_at_once(spoilt: bytes) -> None:
+@pytest.mark.parametrize(
+    "spoilt",
+    [
+        b"-OOPS later\r\n",
+        b"-BUSYBODY\r\n",
+        b"-\xff\xfe\r\n",
+        b"$999999999\r\n",
+        b"*2000000000\r\n",
+        b"$3\r\n1_0\r\n",
+        b"$2\r\n5\r\n",
+    ],
+)
+def test_after_a_spoilt_reply_the_amount_may_be_there_and_a_new_connection_comes_at_once(
+    spoilt: bytes,
+) -> None:
     async def test() -> None:
         peer = Peer(sends(spoilt, close=False), read_call)
         await peer.start()
@@ -414,6 +535,7 @@
         c.counter.call(8, 1.0, 1000.0)
         assert (await c.outcomes(2))[1][1] is Outcome.FULL
         peer.stop()
+
     run(test())
 
 
@@ -430,8 +552,13 @@
         c.task.cancel()
         c.task = asyncio.create_task(c.counter.run(asyncio.Event()))
         await until(lambda: new.connections == 1)
-        await until(lambda: c.counter._connection is not None and c.counter._connection._calls == c.counter._connection._waiting
-                    and not c.counter._connection._calls)
+        await until(
+            lambda: (
+                c.counter._connection is not None
+                and c.counter._connection._calls == c.counter._connection._waiting
+                and not c.counter._connection._calls
+            )
+        )
         c.counter.call(7, 1.0, 1000.0)
         c.counter.call(8, 1.0, 1000.0)
         await until(lambda: len(c.answers) == 1)
@@ -441,6 +568,7 @@
         assert [(a.name, a.total) for a in c.answers[1:]] == [(7, 1.0), (7, 2.0)]
         old.stop()
         new.stop()
+
     run(test())
 
 
@@ -484,7 +612,10 @@
     assert 1 < signs[0] <= 3 and signs[1:] == [1.0] * (len(signs) - 1)
 
 
-@pytest.mark.parametrize("framed", [b"Content-Length: 400000\r\n\r\n%b", b"Transfer-Encoding: chunked\r\n\r\n61a80\r\n%b\r\n0\r\n\r\n"])
+@pytest.mark.parametrize(
+    "framed",
+    [b"Content-Length: 400000\r\n\r\n%b", b"Transfer-Encoding: chunked\r\n\r\n61a80\r\n%b\r\n0\r\n\r\n"],
+)
 def test_an_answer_larger_than_a_requests_body_may_be_is_served_whole(framed: bytes) -> None:
     """Found in logs: thousands of good answers of 128 to 400 KB were taken for spoilt ones."""
     body = bytes(range(250)) * 1600
@@ -492,17 +623,21 @@
     async def test() -> None:
         async with world(sends(b"HTTP/1.1 200 OK\r\n" + framed % body, close=False)) as w:
             assert (await w.ask(request()))[2] == body
+
     run(test())
 
 
 def test_the_bound_on_an_answer_follows_the_memory() -> None:
     config = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": SETTINGS}
-    small, large = (read_config(json.dumps(config | {"limits": {"memory_mb": mb}})).max_answer for mb in (32, 128))
+    small, large = (
+        read_config(json.dumps(config | {"limits": {"memory_mb": mb}})).max_answer for mb in (32, 128)
+    )
     assert small > 600_000 and 4 * small == pytest.approx(large, abs=4) and large < 3_000_000
 
 
 def test_an_unsafe_request_is_not_risked_on_a_connection_of_an_age_that_was_reset() -> None:
     """Found by a trace: of those idle for over 0.1 s a third were reset at the next request, of new ones none for that."""
+
     async def test() -> None:
         used: set[asyncio.StreamWriter] = set()
 
@@ -519,6 +654,7 @@
                 assert (await client.ask(request(cls, number)))[0] == 200
                 await asyncio.sleep(0.05)
             assert w.backends[0].connections == 4 and len(w.backends[0].requests) == 5
+
     run(test())
 
 
@@ -536,18 +672,22 @@
     g = Gateway(settings(plans=(Plan(rate=0, burst=0),)), 1)
     g.handle(START, fleet(1, 2, 3, 4))
     g.pools[0].slowness.sign(START, 50.0, 1.0)
-    sent = [any(isinstance(a, Send) for a in g.handle(START + 50 + n, arrival(n + 1))) for n in (0, 1, 60, 61)]
+    sent = [
+        any(isinstance(a, Send) for a in g.handle(START + 50 + n, arrival(n + 1))) for n in (0, 1, 60, 61)
+    ]
     assert sent[:2] == [False, False] and sent[2]
 
 
 def test_a_watch_whose_connection_fell_silent_is_begun_anew_within_two_seconds() -> None:
     """Found on the incident re163d6: the list stood still for 11 s while every backend was replaced."""
+
     async def test() -> None:
         async with world(answer()) as w:  # the agent never answers
             await until(lambda: len(w.discovery.requests) == 1)
             began = asyncio.get_running_loop().time()
             await until(lambda: w.discovery.connections == 2)
             assert asyncio.get_running_loop().time() - began < 5
+
     run(test())
 
 
@@ -561,4 +701,5 @@
         assert await c.outcomes(1) == [(7, Outcome.TIMEOUT, 0.0)]
         await until(lambda: peer.connections == 2)
         peer.stop()
+
     run(test())
