--- a/tamarindfold/choice.py
+++ b/tamarindfold/choice.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from bisect import bisect_left
 from collections import deque
 from collections.abc import Callable, Iterable, Iterator
 from functools import partial
@@ -16,43 +15,18 @@
 from tamarindfold.digest import mark_of
 from tamarindfold.health import BLAME, RETRY_MOST, Backend, Pool, Sent
 from tamarindfold.homes import Homes
-from tamarindfold.interface import (
-    Actions,
-    AnswerBegan,
-    AttemptEnded,
-    BackendState,
-    Cancel,
-    Count,
-    CountAnswered,
-    Effect,
-    Event,
-    Fail,
-    FleetUpdate,
-    Group,
-    ListKind,
-    ListWatched,
-    Log,
-    Outcome,
-    PeerMessage,
-    PlanAssigned,
-    Refuse,
-    RequestArrived,
-    RequestClass,
-    RequestWaited,
-    RequestWithdrawn,
-    Send,
-    SetTimer,
-    Settings,
-    SettingsChanged,
-    Settled,
-    Tell,
-    TimerFired,
-)
+from tamarindfold.interface import Actions, AnswerBegan, AttemptEnded, BackendState, Cancel, Count
+from tamarindfold.interface import CountAnswered, Effect, Event, Fail, FleetUpdate, Group, ListWatched, Log
+from tamarindfold.interface import Outcome, PeerMessage, PlanAssigned, Refuse, RequestArrived, RequestClass
+from tamarindfold.interface import RequestWaited, RequestWithdrawn, Send, SetTimer, Settings
+from tamarindfold.interface import SettingsChanged, Settled, Tell, TimerFired
+from tamarindfold.listed import followed
 from tamarindfold.naming import NAME_TTL_MS, counter_name
 from tamarindfold.news import News
 from tamarindfold.newswire import KINDS, low
 from tamarindfold.questions import Questions
 from tamarindfold.quota import Customer
+from tamarindfold.requests import Booked, Call
 from tamarindfold.succession import configured, settled, settlement
 from tamarindfold.word import Word
 
@@ -61,7 +35,6 @@
 TARDY = 0.6  # of it: what a marked retry that is past its aim leaves to those that can still be in time
 UNHEARD = 0.1  # of the burst, and of the shared store: what others may have sent and could not tell yet
 FIRST = 0.05  # of the burst: what new tries leave of the shared store to marked retries
-WHOLE = 0.95  # of the usual time-out: a retry with less of it has begun to run out of its deadline
 NO_SHOW_MS = 2000.0  # a marked retry this late has given up; it would hold its place in the queue for ever
 FORGET_MS = 20_000.0  # a customer unseen for so long is forgotten, or later if its stores take longer to fill
 DRIFT = 0.5  # of the burst: a count this far from the store is put right by a call of its own
@@ -86,90 +59,10 @@
 SPARE_PATIENCE = 0.5  # of that: what requests beyond their quota may meet
 WAIT_PART, WAIT_LEAST = 0.25, 0.4  # of the aim: the wait for this process that work of most worth may have
 BEYOND = 0.3  # had, and of none; of that: for a customer beyond its bucket, or a marked retry before its time
-KEYS, KEY_MS = 20_000, 600_000.0  # keyed requests that are remembered: at most, and for how long
 LABELS = 256  # timers of one request: more than it can have attempts
 RESOLVE, REACH_MS = 16.0, 300.0  # how sharply sends thin out past the patience; a send arrives by then
 
 
-class Call:
-    """A request not yet answered: what has been tried and what may have run."""
-
-    def __init__(
-        self,
-        event: RequestArrived,
-        cls: RequestClass,
-        customer: Customer,
-        now: float,
-        pool: Pool,
-        most: int,
-        usual_ms: float,
-    ) -> None:
-        self.event, self.cls, self.customer, self.pool, self.most = event, cls, customer, pool, most
-        self.usual_ms = usual_ms  # the time-out that first tries of its class have here
-        self.work = pool.unit_ms[event.cls] * max(event.units, 0.01)
-        self.give_up, self.aim = now + event.time_left_ms, now + min(cls.aim_ms, event.time_left_ms)
-        self.tried: list[Backend] = []
-        self.out: list[int] = []  # the attempts that have not ended
-        self.may_have_run = self.begun = False  # begun: the answer is on its way to the client
-        self.ran_group: tuple[Group, int] | None = None
-        self.ran_until = inf
-
-    @property
-    def age_ms(self) -> float:
-        """As a retry: how long ago its first try came, at most. Clients wait no longer than the deadline."""
-        return self.cls.deadline_ms - self.event.time_left_ms
-
-    @property
-    def tardy(self) -> bool:
-        """As a retry: too late for its aim.
-
-        A time-out as long as a first try's tells no age: clients may give each try a part of the deadline.
-        """
-        told = self.event.time_left_ms < WHOLE * self.usual_ms
-        return told and self.age_ms + self.work > self.cls.aim_ms
-
-
-class Booked:
-    """Which keyed requests were sent and may have run: a client's retry must not run them a second time.
-
-    One whose first try was refused is remembered too: its retry is known to be harmless. Nodes drop repeats
-    within the class's window, counted from the first send. What is forgotten, by age or for want of room, is
-    the oldest; a retry of it counts as a first try.
-    """
-
-    def __init__(self) -> None:
-        # when it was sent first, whose backends know it (None: it was refused unsent), by how many requests
-        self.first: dict[int, tuple[float, tuple[Group, int] | None, int]] = {}
-
-    def note(self, now: float, key: int, group: tuple[Group, int] | None) -> None:
-        """An attempt goes out, or a first try is refused (None); only the first send of a key counts."""
-        known = self.first.get(key)
-        if key and (known is None or (known[1] is None and group is not None)):
-            self.first.pop(key, None)
-            self.first[key] = now, group, 1
-            oldest = next(iter(self.first))
-            if len(self.first) > KEYS or now - self.first[oldest][0] > KEY_MS:
-                del self.first[oldest]
-
-    def recall(self, now: float, call: Call) -> bool:
-        """What an earlier try of the request has left is true of this one; false: none is known."""
-        known = self.first.get(call.event.key)
-        if known is None or now - known[0] >= KEY_MS:
-            return False
-        sent_at, group, requests = known
-        if group is not None:
-            self.first[call.event.key] = sent_at, group, requests + 1
-            call.may_have_run, call.ran_group = True, group
-            call.ran_until = sent_at + call.cls.window_ms
-        return True
-
-    def never_ran(self, now: float, key: int) -> None:
-        """A request is refused, and none of its own attempts has run; another one's of its key may have."""
-        if key and self.first.get(key, (0.0, None, 1))[2] == 1:
-            self.first.pop(key, None)
-            self.note(now, key, None)
-
-
 class Gateway:
     """Decides for one gateway; hand it every event and carry out the actions it gives back."""
 
@@ -561,28 +454,7 @@
 
     def fleet(self, now: float, event: FleetUpdate) -> None:
         """Follow the list; what it does not name as ready gets nothing new from this moment on."""
-        pool = self.pool(event.pool)
-        if event.kind is ListKind.FAILED:
-            return  # it tells nothing, whatever entries it brings
-        if event.kind in (ListKind.FULL, ListKind.CACHED):
-            named = {entry.backend: entry for entry in event.entries}
-            for gone in [n for n, b in self.backends.items() if b.pool is pool and n not in named]:
-                self.place(self.backends.pop(gone), False)
-                self.news.left(now, gone)
-        if pool is self.pools[0]:  # whose list it is that peers tell of
-            self.news.version = event.version
-        for entry in event.entries:
-            if (known := self.backends.pop(entry.backend, None)) is not None:
-                self.place(known, False)
-            if known is None or entry.up_since_ms > known.entry.up_since_ms:
-                known = Backend(entry, pool)
-            known.entry = entry
-            if entry.state is BackendState.GONE:
-                self.news.left(now, entry.backend)
-            else:
-                self.news.there(entry.backend)
-                self.backends[entry.backend] = known
-                self.place(known, entry.state is BackendState.READY)
+        followed(self, now, event)
 
     def pool(self, number: int) -> Pool:
         """The pool of that number, made when it is first heard of."""
@@ -590,17 +462,6 @@
             known = self.pools[number] = Pool(self.settings.classes)
         return known
 
-    def place(self, backend: Backend, ready: bool) -> None:
-        """Keep the rings of ready backends, for each group that drops its repeats."""
-        entry, rings = backend.entry, backend.pool.rings
-        for key in ((Group.ALL, 0), (Group.ZONE, entry.zone), (Group.CELL, entry.cell)):
-            ring = rings.setdefault(key, [])
-            at = bisect_left(ring, entry.backend)
-            there = ring[at : at + 1] == [entry.backend]
-            ring[at : at + there] = [entry.backend] * ready
-            if not ring and key[0] is not Group.ALL:
-                del rings[key]
-
     def patience(self, call: Call) -> float:
         """The wait that its class may meet: long-aimed cheap work must not fill a pressed fleet."""
         pool = call.pool
--- a/tamarindfold/snapshot.py
+++ b/tamarindfold/snapshot.py
@@ -25,10 +25,11 @@
 from math import inf
 from typing import Any
 
-from tamarindfold.choice import KEYS, Gateway
+from tamarindfold.choice import Gateway
 from tamarindfold.health import Sent, Slowness
 from tamarindfold.interface import Group
 from tamarindfold.quota import Customer
+from tamarindfold.requests import KEYS
 from tamarindfold.succession import adopt
 
 VERSION = 2
--- a/tamarindfold/succession.py
+++ b/tamarindfold/succession.py
@@ -15,7 +15,8 @@
 from tamarindfold.interface import AttemptEnded, Outcome, Settled, SettingsChanged, renumbered
 
 if TYPE_CHECKING:
-    from tamarindfold.choice import Call, Gateway
+    from tamarindfold.choice import Gateway
+    from tamarindfold.requests import Call
 
 
 def settlement(
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -13,7 +13,7 @@
 from loopback import request as message
 
 from tamarindfold import Gateway
-from tamarindfold.choice import KEY_MS, KEYS
+from tamarindfold.requests import KEY_MS, KEYS
 from tamarindfold.interface import (
     Effect,
     Fail,
