--- a/benchmarks/control_plane.py
+++ b/benchmarks/control_plane.py
@@ -20,8 +20,8 @@
 
 sys.path[:0] = [str(Path(__file__).parent.parent)]
 
-from furrow.messages import Config, Instance, Instances, Member, encode  # noqa: E402
-from hedgerow.registry import Registry, Tell  # noqa: E402
+from troutdock.rpc.messages import Config, Instance, Instances, Member, encode  # noqa: E402
+from troutdock.registry.registry import Registry, Tell  # noqa: E402
 
 ZONES, BEAT_S, BODY = 4, 1.5, b'{"revision":"r1","filler":"' + b"x" * 5000 + b'"}'
 START_S, CALM_S, END_S = 3.0, 10.0, 12.0
--- a/benchmarks/hollow/core.py
+++ b/benchmarks/hollow/core.py
@@ -1,7 +1,7 @@
 """The core in simulated time: registries and stores whole, ingresses as their followers, one of them in full.
 
 What goes to all followers of a registry is the same bytes: encoded once, as by the real program
-(furrow.link.send_all), counted for each of them and decoded by one.
+(troutdock.rpc.connection.send_all), counted for each of them and decoded by one.
 Messages wait for the sender's link (1,000 Mbit/s) and the slowest follower's (2 Mbit/s). Sockets, HTTP and
 the disk's work are not in processor times; a sync takes 5 ms.
 """
@@ -30,7 +30,7 @@
     way_s,
     zone_of,
 )
-from furrow.messages import (
+from troutdock.rpc.messages import (
     Config,
     Fresh,
     Hello,
@@ -43,15 +43,15 @@
     decode,
     encode,
 )
-from furrow.netstring import frame
-from hedgerow.daemon import TICK_S
-from hedgerow.registry import Registry, Tell
+from troutdock.rpc.netstring import frame
+from troutdock.registry.daemon import TICK_S
+from troutdock.registry.registry import Registry, Tell
 from lab.timeline import Timeline
-from pollen.order import in_order
-from rootstock.daemon import TICK_S as STORE_TICK_S
-from rootstock.replica import Replica
-from rootstock.state import InForce, Save
-from rootstock.state import Send as StoreSend
+from troutdock.endpoints.rendezvous import in_order
+from troutdock.config_store.daemon import TICK_S as STORE_TICK_S
+from troutdock.config_store.replica import Replica
+from troutdock.config_store.replica_state import InForce, Save
+from troutdock.config_store.replica_state import Send as StoreSend
 
 SYNC_S = 0.005
 AT_ONCE = 20  # one ingress in so many restarts in the same second
@@ -268,7 +268,10 @@
     # ---- the story
 
     def follows(self, member: Member) -> int:
-        """The registry that an ingress follows: its zone's, else by its own order, as espalier.news."""
+        """The registry that an ingress follows: its zone's, else by its own order.
+
+        As troutdock.proxy.registry_connections.
+        """
         zones = {ip: zone_of(n) for n, ip in enumerate(self.ips) if n not in self.down}
         order = sorted(in_order(member.name, zones), key=lambda ip: zones[ip] != member.zone)
         return self.ips.index(order[0])
--- a/benchmarks/hollow/ingress.py
+++ b/benchmarks/hollow/ingress.py
@@ -1,17 +1,17 @@
-"""One ingress in full, without sockets: what espalier.daemon.Ingress holds and does for control."""
+"""One ingress in full, without sockets: what troutdock.proxy.daemon.Ingress holds and does for control."""
 
 from __future__ import annotations
 
 from typing import Any
 
-from almanac.configuration import Refused, read_configuration
-from espalier.daemon import NOTHING, STATES
-from espalier.routes import Table
-from espalier.shares import Exchange
-from furrow.messages import GONE, Config, Instances, Members, Silence
-from pollen.instances import Book
-from tamarindfold.fabric import Fabric
-from tamarindfold.interface import (
+from troutdock.settings.configuration import Refused, read_configuration
+from troutdock.proxy.daemon import NOTHING, STATES
+from troutdock.proxy.route_table import Table
+from troutdock.proxy.load_exchange import Exchange
+from troutdock.rpc.messages import GONE, Config, Instances, Members, Silence
+from troutdock.endpoints.endpoint_table import Book
+from troutdock.admission.proxy_admission import Fabric
+from troutdock.admission.interface import (
     BackendEntry,
     Company,
     FleetUpdate,
--- a/benchmarks/hollow/measures.py
+++ b/benchmarks/hollow/measures.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from benchmarks.hollow.town import CHANGES_A_DAY, CORE, DAY_S, RESTARTS_A_DAY
-from furrow.link import SILENT_S  # of a process that works on in one piece: its links are cut
+from troutdock.rpc.connection import SILENT_S  # of a process that works on in one piece: its links are cut
 
 CPU, KEEP_MB, KB_S, IN_FORCE_S = (
     0.033,
--- a/benchmarks/hollow/real.py
+++ b/benchmarks/hollow/real.py
@@ -23,6 +23,11 @@
 
 CORE, NET = 3, 10 + os.getpid() % 200
 SETTLE_S, CALM_S = 3.0, 6.0
+MODULES = {
+    "espalier": "troutdock.proxy",
+    "hedgerow": "troutdock.registry",
+    "rootstock": "troutdock.config_store",
+}
 
 
 class Machines:
@@ -69,7 +74,7 @@
         path.write_bytes(msgspec.json.encode(boot))  # JSON is YAML
         self.children[role].append(
             subprocess.Popen(
-                [sys.executable, "-m", role],
+                [sys.executable, "-m", MODULES[role]],
                 cwd=ROOT,
                 env={**os.environ, "TROUTDOCK_BOOT": str(path)},
                 stdout=subprocess.DEVNULL,
--- a/benchmarks/hollow/zone.py
+++ b/benchmarks/hollow/zone.py
@@ -17,14 +17,14 @@
 from typing import Any
 
 from benchmarks.hollow.town import INGRESSES, PEAK_PER_S, Size, state_bytes, zone_of
-from espalier.mesh import AWAY_S, LOOK_S, ZONE_S
-from espalier.shares import ZONE, Exchange
-from furrow.link import PING_S
-from furrow.messages import Instance, Member, Ping, Shares, decode, encode
-from furrow.netstring import frame
+from troutdock.proxy.peer_connections import AWAY_S, LOOK_S, ZONE_S
+from troutdock.proxy.load_exchange import ZONE, Exchange
+from troutdock.rpc.connection import PING_S
+from troutdock.rpc.messages import Instance, Member, Ping, Shares, decode, encode
+from troutdock.rpc.netstring import frame
 from lab.timeline import Timeline
-from pollen.instances import Book
-from pollen.order import in_order
+from troutdock.endpoints.endpoint_table import Book
+from troutdock.endpoints.rendezvous import in_order
 
 HERE = zone_of(0)
 WORK_S = 0.1  # of a request
--- a/benchmarks/routed_cost.py
+++ b/benchmarks/routed_cost.py
@@ -15,10 +15,10 @@
 
 from benchmarks.library_cpu import compare
 from benchmarks.processes import daemon, free_port, node, process
-from troutdock.operator.apart import read_apart
+from troutdock.operator.subprocess_reader import read_apart
 from troutdock.operator.compiled import Compiled
-from troutdock.routed.run import take_over
-from troutdock.routed.service import Routed, Terms
+from troutdock.routing_service.run import take_over
+from troutdock.routing_service.service import Routed, Terms
 
 FILE = """version: 1
 listen: 127.0.0.1:{port}
--- a/benchmarks/usage_cost.py
+++ b/benchmarks/usage_cost.py
@@ -21,7 +21,7 @@
 from benchmarks.library_cpu import compare
 from benchmarks.processes import daemon, free_port, load, memory_mb, node
 from troutdock.usage import columns
-from troutdock.usage.book import RESERVE
+from troutdock.usage.ledger import RESERVE
 from troutdock.usage.record import Record, State, Use
 
 
--- a/examples/guard_app.py
+++ b/examples/guard_app.py
@@ -8,7 +8,7 @@
 
 from fastapi import FastAPI, Request
 
-from tamarindfold.interface import Effect, Plan, RequestClass
+from troutdock.admission.interface import Effect, Plan, RequestClass
 from troutdock.asgi import GuardMiddleware
 from troutdock.asgi.types import Scope
 from troutdock.library import Deployment, Facts
--- a/lab/gateways.py
+++ b/lab/gateways.py
@@ -10,8 +10,8 @@
 from random import Random
 
 from lab.timeline import Timeline
-from tamarindfold import Gateway
-from tamarindfold.interface import (
+from troutdock.admission import Gateway
+from troutdock.admission.interface import (
     AttemptEnded,
     Count,
     CountAnswered,
--- a/lab/quotas.py
+++ b/lab/quotas.py
@@ -13,8 +13,8 @@
 from random import Random
 
 from lab.gateways import Counter, Gateways
-from tamarindfold import Gateway
-from tamarindfold.interface import (
+from troutdock.admission import Gateway
+from troutdock.admission.interface import (
     BackendEntry,
     Effect,
     FleetUpdate,
--- a/tests/asgi/test_hosts.py
+++ b/tests/asgi/test_hosts.py
@@ -433,7 +433,7 @@
 
 def test_a_start_that_fails_stops_the_server(tmp_path: Path) -> None:
     (tmp_path / "two.py").write_text(TWO_OF_A_NAME)
-    paths = [str(tmp_path), *(str(ROOT / part) for part in ("tests/peers", "."))]
+    paths = [str(tmp_path), *(str(ROOT / part) for part in ("tests/support", "."))]
     done = subprocess.run(
         [sys.executable, "-m", "uvicorn", "--port", "0", "two:app"],
         timeout=60,
--- a/tests/engine/test_engine.py
+++ b/tests/engine/test_engine.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 from simulated import SimulatedWorld, Told
 
-from tamarindfold.interface import BackendState, ListKind, Outcome
+from troutdock.admission.interface import BackendState, ListKind, Outcome
 from troutdock.engine import BadRequest, Call, Engine
 
 SAFE, KEYED, KEYED_ALL, UNSAFE = range(4)
--- a/tests/engine/test_engine_fabric.py
+++ b/tests/engine/test_engine_fabric.py
@@ -13,8 +13,8 @@
 from hypothesis import strategies as st
 from simulated import SimulatedTime, SimulatedTransport, SimulatedWorld, Told, need
 
-from tamarindfold.fabric import Call, Fabric
-from tamarindfold.interface import BackendState, Effect, ListKind, Outcome, RequestArrived
+from troutdock.admission.proxy_admission import Call, Fabric
+from troutdock.admission.interface import BackendState, Effect, ListKind, Outcome, RequestArrived
 from troutdock.engine import Engine, Request
 
 OUTCOMES = (Outcome.OK, Outcome.ERROR, Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.MOOT)
--- a/tests/grpc_front/test_grpc_front.py
+++ b/tests/grpc_front/test_grpc_front.py
@@ -15,7 +15,7 @@
 from h2_peers import Call, H2Node, Headers, Wire, connect, message
 from loopback import SETTINGS, World, free_address, request, run, until
 
-from tamarindfold.interface import BackendEntry, BackendState, FleetUpdate, ListKind
+from troutdock.admission.interface import BackendEntry, BackendState, FleetUpdate, ListKind
 from troutdock.address import parse_address
 from troutdock.engine import Call as EngineCall
 from troutdock.grpc import front as front_module
@@ -534,9 +534,9 @@
     monkeypatch: pytest.MonkeyPatch, data: bytes, answer: bytes
 ) -> None:
     monkeypatch.setattr(front_module, "FIRST_S", 0.1)
-    from troutdock.http import bodies
+    from troutdock.http import body_limits
 
-    monkeypatch.setattr(bodies, "SILENT_S", 0.1)
+    monkeypatch.setattr(body_limits, "SILENT_S", 0.1)
 
     @playing(served)
     async def course(s: Setup) -> None:
--- a/tests/grpc_front/test_grpc_protocol.py
+++ b/tests/grpc_front/test_grpc_protocol.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tamarindfold.interface import Effect, Group, Outcome, Plan, RequestClass
+from troutdock.admission.interface import Effect, Group, Outcome, Plan, RequestClass
 from troutdock.engine import BadRequest
 from troutdock.grpc import protocol
 from troutdock.grpc.methods import Kind, Methods, Row
--- a/tests/handover/test_handover.py
+++ b/tests/handover/test_handover.py
@@ -297,7 +297,7 @@
 
 # a program of the next version: it speaks one more, and its state holds more of each customer
 NEWER = """
-from tamarindfold import snapshot
+from troutdock.admission import snapshot
 from troutdock.handover import protocol, roles
 take = snapshot.take
 def more(gateway):
--- a/tests/handover/test_link.py
+++ b/tests/handover/test_link.py
@@ -13,7 +13,7 @@
 import pytest
 from loopback import run, until
 
-from tamarindfold.interface import Outcome, Settled
+from troutdock.admission.interface import Outcome, Settled
 from troutdock.handover import link
 from troutdock.handover.link import NAME, PredecessorLink, SuccessorLink
 from troutdock.handover.protocol import (
--- a/tests/handover/test_roles.py
+++ b/tests/handover/test_roles.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from tamarindfold.interface import Outcome, Settled
+from troutdock.admission.interface import Outcome, Settled
 from troutdock.handover import roles
 from troutdock.handover.protocol import (
     MAX_STATE,
--- a/tests/handover/test_snapshot.py
+++ b/tests/handover/test_snapshot.py
@@ -12,8 +12,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tamarindfold import Gateway, snapshot
-from tamarindfold.interface import (
+from troutdock.admission import Gateway, snapshot
+from troutdock.admission.interface import (
     Count,
     CountAnswered,
     Effect,
--- a/tests/http/test_age.py
+++ b/tests/http/test_age.py
@@ -10,8 +10,8 @@
 
 from loopback import answer, request, run, until, world
 
-from tamarindfold.interface import AttemptEnded, RequestArrived
-from troutdock.http.age import received_ago_ms
+from troutdock.admission.interface import AttemptEnded, RequestArrived
+from troutdock.http.socket_info import received_ago_ms
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 BUSY_S = 0.2  # how long the loop is kept from listening
--- a/tests/http/test_bodies.py
+++ b/tests/http/test_bodies.py
@@ -11,8 +11,8 @@
 from hypothesis import strategies as st
 from loopback import Peer, answer, read_message, request, run, until, world
 
-from troutdock.http import bodies
-from troutdock.http.bodies import GRACE_S, HEAD_S, PACE, SILENT_S, Budget, Pace, budget_for
+from troutdock.http import body_limits
+from troutdock.http.body_limits import GRACE_S, HEAD_S, PACE, SILENT_S, Budget, Pace, budget_for
 from troutdock.http.connection import path_of
 from troutdock.platform.config import read_config
 
@@ -79,7 +79,7 @@
 
 def test_a_message_behind_a_slow_one_has_its_own_time(monkeypatch: pytest.MonkeyPatch) -> None:
     """Both begin in one read; the time of the first one's body used to be held against the second's head."""
-    monkeypatch.setattr(bodies, "GRACE_S", 0.1)
+    monkeypatch.setattr(body_limits, "GRACE_S", 0.1)
     monkeypatch.setattr("troutdock.daemon.SWEEP_S", 0.02)
 
     async def test() -> None:
@@ -219,7 +219,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     for limit, value in (("HEAD_S", 0.2), ("SILENT_S", 0.2), ("GRACE_S", 0.1), ("PACE", 20_000)):
-        monkeypatch.setattr(bodies, limit, value)
+        monkeypatch.setattr(body_limits, limit, value)
     monkeypatch.setattr("troutdock.daemon.SWEEP_S", 0.02)
 
     async def test() -> None:
--- a/tests/http/test_closing_requests.py
+++ b/tests/http/test_closing_requests.py
@@ -7,7 +7,7 @@
 import pytest
 from build import settings
 
-from tamarindfold.interface import Actions, Event
+from troutdock.admission.interface import Actions, Event
 from troutdock.engine import Engine
 from troutdock.http.listener import Server
 from troutdock.http.request import Reader
--- a/tests/http/test_long_answers.py
+++ b/tests/http/test_long_answers.py
@@ -13,7 +13,7 @@
 
 from troutdock.http.exchange import Exchange
 from troutdock.http import transport as transport_module
-from troutdock.http.bodies import streams_for
+from troutdock.http.body_limits import streams_for
 from troutdock.http.response import MAX_STREAMED, STREAM_FROM
 
 PIECE = bytes(range(256)) * 256  # 64 KiB
--- a/tests/http/test_places.py
+++ b/tests/http/test_places.py
@@ -11,7 +11,7 @@
 import pytest
 from loopback import SETTINGS, answer, request, run, until, world
 
-from troutdock.http import bodies
+from troutdock.http import body_limits
 from troutdock.http import listener as server_module
 
 
@@ -68,7 +68,7 @@
 ) -> None:
     """All others are in use; without a look of its own the door stayed shut until the message's time was over."""
     monkeypatch.setattr(server_module, "USED_S", 60.0)
-    monkeypatch.setattr(bodies, "SILENT_S", 60.0)
+    monkeypatch.setattr(body_limits, "SILENT_S", 60.0)
 
     async def test() -> None:
         async with places(80) as w:
--- a/tests/http/test_taking_in.py
+++ b/tests/http/test_taking_in.py
@@ -8,7 +8,7 @@
 from loopback import answer, request, run, world
 from simulated import SimulatedWorld, Told
 
-from tamarindfold.interface import RequestWaited
+from troutdock.admission.interface import RequestWaited
 
 
 def test_what_is_due_to_peers_goes_out_with_a_late_request_and_does_not_decide_it() -> None:
--- a/tests/http/test_transport.py
+++ b/tests/http/test_transport.py
@@ -14,7 +14,7 @@
 from outcomes import PAYLOAD, Outcomes
 from loopback import Peer, Script, answer, run, sends, silence, until
 
-from tamarindfold.interface import Outcome
+from troutdock.admission.interface import Outcome
 from troutdock.engine import Manners
 from troutdock.http.transport import REST_S, STREAM_STALL_S, HttpTransport, Pool
 from troutdock.http.transport import HttpAttempt as Attempt
--- a/tests/http2/test_h2_connection.py
+++ b/tests/http2/test_h2_connection.py
@@ -24,7 +24,7 @@
 from troutdock.http2 import frames as f
 from troutdock.http2.connection import LOW, MOST_BLOCK, Connection, Stream
 from troutdock.http2.frames import Code, ConnectionError, StreamError
-from troutdock.http2.guard import CHEAP, RESETS, YOUNG_S
+from troutdock.http2.abuse_limits import CHEAP, RESETS, YOUNG_S
 from troutdock.http2.headers import MOST_LIST, Headers, encode, split
 
 HEAD: Headers = [
--- a/tests/library/test_local.py
+++ b/tests/library/test_local.py
@@ -16,7 +16,7 @@
 from loopback import run as run_on_uvloop
 from simulated import assert_settled
 
-from tamarindfold.interface import Effect, Plan, RequestClass
+from troutdock.admission.interface import Effect, Plan, RequestClass
 from troutdock.library import (
     BadRequest,
     ConfigError,
--- a/tests/management/test_door.py
+++ b/tests/management/test_door.py
@@ -9,8 +9,8 @@
 import pytest
 from loopback import Client, answer, request, run, silence, until, world
 
-from troutdock.management import door as door_module
-from troutdock.management.door import CALLERS
+from troutdock.management import api
+from troutdock.management.api import CALLERS
 
 HEALTH = b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
 
@@ -136,7 +136,7 @@
 def test_a_caller_that_never_ends_its_call_is_told_so(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         async with managed(answer()) as w:
-            monkeypatch.setattr(door_module, "CALL_S", 0.02)
+            monkeypatch.setattr(api, "CALL_S", 0.02)
             reader, writer = await asyncio.open_connection(*w.service.management)
             assert (await Client(reader, writer).ask(b"GET /control/ready HTTP/1.1\r\n"))[0] == 408
             writer.close()
--- a/tests/overload/test_waited.py
+++ b/tests/overload/test_waited.py
@@ -9,8 +9,8 @@
 import pytest
 from build import START, gateway, request
 
-from tamarindfold import Gateway
-from tamarindfold.interface import Effect, Plan, Refuse, RequestClass, RequestWaited
+from troutdock.admission import Gateway
+from troutdock.admission.interface import Effect, Plan, Refuse, RequestClass, RequestWaited
 
 READ = RequestClass(1500, 4000, 2, Effect.SAFE)
 FILE = RequestClass(750, 1500, 5, Effect.UNSAFE)
--- a/tests/plans/test_change.py
+++ b/tests/plans/test_change.py
@@ -10,8 +10,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tamarindfold.choice import Customer
-from tamarindfold.interface import Count, CountAnswered, Outcome, Plan, PlanAssigned, Refuse, Send
+from troutdock.admission.gateway import Customer
+from troutdock.admission.interface import Count, CountAnswered, Outcome, Plan, PlanAssigned, Refuse, Send
 
 BASE = Plan(8, 16, ceiling_rate=20, ceiling_burst=40, name="base")
 
--- a/tests/plans/test_plan_book.py
+++ b/tests/plans/test_plan_book.py
@@ -11,7 +11,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 from loopback import answer, request, run, until, world
 
-from troutdock.plans.book import FOLD_MS, PlanBook
+from troutdock.plans.schedule import FOLD_MS, PlanBook
 from troutdock.plans.files import read, write
 from troutdock.plans.history import Assignment, Conflict, Histories
 from troutdock.plans.service import Plans
--- a/tests/reservations/test_reservations.py
+++ b/tests/reservations/test_reservations.py
@@ -26,7 +26,7 @@
     Saved,
     even_part,
 )
-from troutdock.reservations.promise import PROMISED, TIMES_RATE, Terms, may, pace, peak
+from troutdock.reservations.commitment_limit import PROMISED, TIMES_RATE, Terms, may, pace, peak
 
 
 def made(
--- a/tests/reservations/test_reserved_front.py
+++ b/tests/reservations/test_reserved_front.py
@@ -18,8 +18,8 @@
 
 from troutdock import jsonlines
 from troutdock.cli.app import app
-from troutdock.operator.parts import parts_of
-from troutdock.operator.read import OperatorError, read_operator
+from troutdock.operator.components import parts_of
+from troutdock.operator.reader import OperatorError, read_operator
 from troutdock.reservations import files, messages
 from troutdock.reservations.entries import Entry, Kind
 from troutdock.reservations.service import Reservations, Terms
@@ -527,7 +527,7 @@
 def test_promises_of_two_doors_on_one_file_stay_within_the_bound(tmp_path: Path) -> None:
     from concurrent.futures import ThreadPoolExecutor
 
-    from troutdock.reservations.promise import Terms as Bounds
+    from troutdock.reservations.commitment_limit import Terms as Bounds
 
     file = tmp_path / "entries.jsonl"
 
--- a/tests/routed/test_deployment.py
+++ b/tests/routing_service/test_deployment.py
@@ -24,11 +24,11 @@
 from troutdock.cli.app import app
 from troutdock.daemon import Service, serve
 from troutdock.operator.compiled import Compiled, differences, read_deployment
-from troutdock.operator.tree import MOST_NODES, load
-from troutdock.routed import service as routed_service
-from troutdock.routed.reader import customer_number
-from troutdock.routed.run import take_over
-from troutdock.routed.service import Routed
+from troutdock.operator.yaml_tree import MOST_NODES, load
+from troutdock.routing_service import service as routed_service
+from troutdock.routing_service.reader import customer_number
+from troutdock.routing_service.run import take_over
+from troutdock.routing_service.service import Routed
 
 ROOT = Path(__file__).parent.parent.parent
 GOOD = """version: 1
--- a/tests/rules/test_decisions.py
+++ b/tests/rules/test_decisions.py
@@ -11,8 +11,8 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from tamarindfold import Gateway
-from tamarindfold.interface import (
+from troutdock.admission import Gateway
+from troutdock.admission.interface import (
     AttemptEnded,
     BackendState,
     Fail,
--- a/tests/peers/asgi_host.py
+++ b/tests/support/asgi_host.py
@@ -10,7 +10,7 @@
 
 from loopback import Peer, Script
 
-from tamarindfold.interface import Effect, Plan, RequestClass
+from troutdock.admission.interface import Effect, Plan, RequestClass
 from troutdock.library import Deployment
 
 CLASSES = (
--- a/tests/peers/build.py
+++ b/tests/support/build.py
@@ -5,8 +5,8 @@
 from dataclasses import replace
 from typing import Any
 
-from tamarindfold import Gateway
-from tamarindfold.interface import (
+from troutdock.admission import Gateway
+from troutdock.admission.interface import (
     AttemptEnded,
     BackendEntry,
     BackendState,
--- a/tests/peers/checker.py
+++ b/tests/support/checker.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from tamarindfold.interface import (
+from troutdock.admission.interface import (
     Action,
     AttemptEnded,
     BackendState,
--- a/tests/peers/cluster.py
+++ b/tests/support/cluster.py
@@ -27,7 +27,7 @@
 
 import msgspec
 
-from furrow.messages import (
+from troutdock.rpc.messages import (
     NOTHING,
     Message,
     Probe,
@@ -39,8 +39,8 @@
     WriteAck,
     digest_of,
 )
-from rootstock.replica import Replica, Stage
-from rootstock.state import Bounds, InForce, Kept, Save, Send
+from troutdock.config_store.replica import Replica, Stage
+from troutdock.config_store.replica_state import Bounds, InForce, Kept, Save, Send
 
 TICK_S = 0.05
 CALL_S = 0.002  # of a call, and of its answer, on the way
@@ -48,9 +48,9 @@
 CONTACT_S = 2.0  # the bound: longer than this without a majority, nothing is claimed
 GRACE_S = 6.0  # for a machine that leaves in order
 HERE = "here"  # a caller that reaches every machine and never dies
-LINK_SILENT_S = 1.2  # of one direction, until the connection ends: furrow.link.SILENT_S, and its beat
-PASSING = (Status, Probe, ProbeAck)  # go between the parts of large messages, as on furrow.link
-PAUSES_S = 0.05, 0.5  # between two tries to connect, as furrow.link.Dialer makes them
+LINK_SILENT_S = 1.2  # of one direction, until the connection ends: rpc.connection.SILENT_S, and its beat
+PASSING = (Status, Probe, ProbeAck)  # go between the parts of large messages, as on troutdock.rpc.connection
+PAUSES_S = 0.05, 0.5  # between two tries to connect, as troutdock.rpc.connection.Dialer makes them
 OVERHEAD = 300  # bytes of a message beside its body
 
 
@@ -145,7 +145,7 @@
     ) -> None:
         """lost_at_once: so many machines may be, as faultTolerance.machines says.
 
-        dialled: machines know each other as rootstock/daemon.py does, by their seeds, by who has called them and by
+        dialled: machines know each other as config_store/daemon.py does, by their seeds, by who has called them and by
         whom the newest record names; else each knows all.
         """
         self.apart, self.lost_at_once, self.dialled = apart, lost_at_once, dialled
@@ -314,7 +314,7 @@
         caller.last, caller.waiting = 0, {}
 
     def name_of(self, caller: Caller) -> str:
-        """By which the replicas know this life, as in rootstock/daemon.py."""
+        """By which the replicas know this life, as in troutdock/config_store/daemon.py."""
         return f"@{caller.name}#{caller.life}"
 
     def life_of(self, caller: Caller) -> int:
--- a/tests/peers/company.py
+++ b/tests/support/company.py
@@ -1,7 +1,7 @@
 """Ingresses of the whole gateway in simulated time: their decisions and what they tell each other, no sockets.
 
 Each has a Fabric and an Exchange; messages go within a zone in a few milliseconds and between homes in some
-tens, as mesh.py does it. Its quotas go by a Process of quota_network, over links that are dialled and end.
+tens, as peer_connections.py does it. Its quotas go by a Process of quota_network, over links that are dialled and end.
 """
 
 from __future__ import annotations
@@ -12,10 +12,10 @@
 
 from quota_network import Network, Process
 
-from espalier.shares import ALIVE
-from furrow.messages import encode
-from tamarindfold.fabric import LABELS, QUOTA_LABEL, Fabric
-from tamarindfold.interface import (
+from troutdock.proxy.load_exchange import ALIVE
+from troutdock.rpc.messages import encode
+from troutdock.admission.proxy_admission import LABELS, QUOTA_LABEL, Fabric
+from troutdock.admission.interface import (
     Actions,
     BackendEntry,
     BackendState,
--- a/tests/peers/counting.py
+++ b/tests/support/counting.py
@@ -6,7 +6,7 @@
 
 from loopback import Peer, until
 
-from tamarindfold.interface import CountAnswered, Outcome
+from troutdock.admission.interface import CountAnswered, Outcome
 from troutdock.platform.counter import Counter
 
 
--- a/tests/peers/loopback.py
+++ b/tests/support/loopback.py
@@ -13,7 +13,7 @@
 
 import uvloop
 
-from tamarindfold import Gateway
+from troutdock.admission import Gateway
 from troutdock.daemon import Service, serve
 from troutdock.engine import Engine
 from troutdock.library import Deployment, shared
--- a/tests/peers/outcomes.py
+++ b/tests/support/outcomes.py
@@ -4,7 +4,7 @@
 
 from loopback import until
 
-from tamarindfold.interface import Outcome
+from troutdock.admission.interface import Outcome
 from troutdock.http.response import Response
 from troutdock.http.transport import HttpAttempt as Attempt
 from troutdock.http.transport import HttpTransport
--- a/tests/peers/planted.py
+++ b/tests/support/planted.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from rootstock.contact import Contact
-from rootstock.replica import Replica
-from rootstock.state import State
+from troutdock.config_store.quorum_contact import Contact
+from troutdock.config_store.replica import Replica
+from troutdock.config_store.replica_state import State
 
 
 def forgets(patch: pytest.MonkeyPatch) -> None:
--- a/tests/peers/quota_network.py
+++ b/tests/support/quota_network.py
@@ -1,8 +1,8 @@
 """Processes that share quotas, and the links between them, in simulated time: no sockets.
 
-A process has a QuotaNode and an Exchange, and does with them what espalier.quotas and espalier.mesh do: it ticks,
-dials whom the exchange wants, and ends a link that has been silent. A link keeps the order of its messages. What
-is sent into a cut waits, as in a socket, and arrives when the cut is healed, if the link is still up there. Demands,
+A process has a QuotaNode and an Exchange, and does with them what proxy.quota_loop and proxy.peer_connections
+do: it ticks, dials whom the exchange wants, and ends a link that has been silent. A link keeps the order of its
+messages. What is sent into a cut waits, as in a socket, and arrives when the cut is healed, if the link is still up there. Demands,
 grants and votes go as datagrams: some are lost, some come twice or late, and those sent into a cut are gone.
 """
 
@@ -13,9 +13,9 @@
 from math import inf
 from random import Random
 
-from espalier.mesh import BUSY_MEMORY_S
-from espalier.shares import Exchange, Services
-from furrow.messages import Member, Message, QuotaGrant, QuotaRequest, QuotaStatus
+from troutdock.proxy.peer_connections import BUSY_MEMORY_S
+from troutdock.proxy.load_exchange import Exchange, Services
+from troutdock.rpc.messages import Member, Message, QuotaGrant, QuotaRequest, QuotaStatus
 from troutdock.quota.node import QuotaNode
 from troutdock.quota.routes import Peers
 
@@ -83,7 +83,7 @@
 
 
 class Dialer:
-    """Keeps a link up to a process by name, as furrow.link does."""
+    """Keeps a link up to a process by name, as troutdock.rpc.connection does."""
 
     def __init__(self, process: Process, member: Member) -> None:
         self.process, self.name, self.ip = process, member.name, member.ip
--- a/tests/peers/registries.py
+++ b/tests/support/registries.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from furrow.messages import (
+from troutdock.rpc.messages import (
     DRAINING,
     GONE,
     READY,
@@ -27,8 +27,8 @@
     Message,
     digest_of,
 )
-from hedgerow.registry import Borne, Confirmed, Registry, Tell
-from pollen.instances import Book, tombstone
+from troutdock.registry.registry import Borne, Confirmed, Registry, Tell
+from troutdock.endpoints.endpoint_table import Book, tombstone
 
 TICK_S = 0.2
 SILENT_S = 1.0  # until a link that says nothing ends, or a primary that reaches too few says so
--- a/tests/peers/simulated.py
+++ b/tests/support/simulated.py
@@ -9,7 +9,7 @@
 
 from build import OPEN, settings
 
-from tamarindfold.interface import (
+from troutdock.admission.interface import (
     BackendEntry,
     BackendState,
     CountAnswered,
--- a/tests/peers/whole.py
+++ b/tests/support/whole.py
@@ -11,10 +11,10 @@
 from pathlib import Path
 from typing import Any
 
-from almanac.boot import boot_of
-from espalier.daemon import Ingress
-from hedgerow.daemon import Daemon
-from rootstock.daemon import Store
+from troutdock.settings.boot import boot_of
+from troutdock.proxy.daemon import Ingress
+from troutdock.registry.daemon import Daemon
+from troutdock.config_store.daemon import Store
 
 
 def free_ports(count: int) -> int:
--- a/tests/peers/worst_days.py
+++ b/tests/support/worst_days.py
@@ -11,7 +11,7 @@
 
 from cluster import Call, Cluster
 
-from furrow.messages import ReadAck, WriteAck
+from troutdock.rpc.messages import ReadAck, WriteAck
 
 SYNC_S = 4.0  # the small sites'; 6 s on the grown
 CONFIRM_S = 5.0  # from a loss until changes are confirmed again
--- a/tests/system/test_disks_after_power.py
+++ b/tests/system/test_disks_after_power.py
@@ -18,10 +18,18 @@
 import pytest
 from msgspec.structs import fields
 
-from furrow.messages import Record
-from rootstock import disk as disks
-from rootstock.disk import FILE, HISTORY_BYTES, LOG_BYTES, LOGGED, Disk, DiskError, record_of_1
-from rootstock.replica import Kept
+from troutdock.rpc.messages import Record
+from troutdock.config_store import storage
+from troutdock.config_store.storage import (
+    FILE,
+    HISTORY_BYTES,
+    LOG_BYTES,
+    LOGGED,
+    Disk,
+    DiskError,
+    record_of_1,
+)
+from troutdock.config_store.replica import Kept
 
 WAL = FILE + "-wal"
 Files = dict[str, bytes]
@@ -133,14 +141,14 @@
 def watched(folder: Path, monkeypatch: pytest.MonkeyPatch) -> list[Files]:
     """The folder at each of its syncs."""
     found: list[Files] = []
-    true = disks._sync_folder
+    true = storage._sync_folder
 
     def sync(which: Path) -> None:
         true(which)
         if which == folder:
             found.append(files(folder))
 
-    monkeypatch.setattr(disks, "_sync_folder", sync)
+    monkeypatch.setattr(storage, "_sync_folder", sync)
     return found
 
 
--- a/tests/system/test_fabric.py
+++ b/tests/system/test_fabric.py
@@ -5,8 +5,8 @@
 import pytest
 from company import arrival, ready, terms
 
-from tamarindfold.fabric import Fabric
-from tamarindfold.interface import (
+from troutdock.admission.proxy_admission import Fabric
+from troutdock.admission.interface import (
     AttemptEnded,
     BackendEntry,
     BackendState,
@@ -26,7 +26,7 @@
     Suspected,
     TimerFired,
 )
-from furrow.messages import QuotaGrant, QuotaRequest, QuotaSettlement, TokenDemand, TokenGrant
+from troutdock.rpc.messages import QuotaGrant, QuotaRequest, QuotaSettlement, TokenDemand, TokenGrant
 from troutdock.quota.node import QuotaNode
 from troutdock.quota.routes import Peers, shard_of
 
--- a/tests/system/test_following.py
+++ b/tests/system/test_following.py
@@ -13,8 +13,8 @@
 from test_three_programs import play
 from whole import CONFIGURATION, Backend, Whole, call, good, until
 
-from espalier.daemon import Ingress
-from espalier.following import (
+from troutdock.proxy.daemon import Ingress
+from troutdock.proxy.registry_watch import (
     AGAIN_S,
     BETTER_S,
     OTHERS_MOST,
@@ -34,9 +34,9 @@
     Shed,
     Step,
 )
-from espalier.news import BEFORE_MOST, _Before
-from furrow.link import CONNECT_S
-from furrow.messages import Config, Fresh, Silence, digest_of
+from troutdock.proxy.registry_connections import BEFORE_MOST, _Before
+from troutdock.rpc.connection import CONNECT_S
+from troutdock.rpc.messages import Config, Fresh, Silence, digest_of
 
 WAY_S = 0.01  # a message's time, in the test's world
 TICK_S = 0.05
@@ -653,7 +653,7 @@
 def test_a_new_life_in_a_cut_off_place_refuses_until_contact_s_is_over(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("espalier.daemon.DOOR_S", 0.05)
+    monkeypatch.setattr("troutdock.proxy.daemon.DOOR_S", 0.05)
 
     async def story(w: Whole) -> None:
         await backend_there(w)
--- a/tests/system/test_homes_of_services.py
+++ b/tests/system/test_homes_of_services.py
@@ -7,7 +7,7 @@
 import pytest
 from company import Town, Two, terms
 
-from espalier.shares import Exchange
+from troutdock.proxy.load_exchange import Exchange
 
 ZONES = {"a": 4, "b": 3, "c": 3}
 
--- a/tests/system/test_large_messages.py
+++ b/tests/system/test_large_messages.py
@@ -11,8 +11,8 @@
 from hypothesis import strategies as st
 from msgspec import Raw
 
-from furrow import link as links
-from furrow.link import (
+from troutdock.rpc import connection
+from troutdock.rpc.connection import (
     GONE_S,
     MOST_UNSENT,
     PASSING,
@@ -24,7 +24,7 @@
     Link,
     Listener,
 )
-from furrow.messages import (
+from troutdock.rpc.messages import (
     Accept,
     Config,
     Fresh,
@@ -39,7 +39,7 @@
     decode,
     encode,
 )
-from furrow.netstring import MAX_FRAME, PART, Assembler, Deframer, FrameError, Outbox, frame
+from troutdock.rpc.netstring import MAX_FRAME, PART, Assembler, Deframer, FrameError, Outbox, frame
 
 ME, YOU = Hello("r", "me", "10.0.0.1", "a", 1), Hello("r", "you", "10.0.0.2", "a", 2)
 PING = frame(encode(Ping()))
@@ -215,7 +215,7 @@
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, room: float = 1e12, hello: bool = True) -> None:
         self.now, self.timers = 100.0, []
-        monkeypatch.setattr(links, "steady", lambda: self.now)
+        monkeypatch.setattr(connection, "steady", lambda: self.now)
         loop = asyncio.get_running_loop()
         monkeypatch.setattr(
             loop, "call_later", lambda s, f: self.timers.append(f) or asyncio.TimerHandle(0, f, (), loop)
--- a/tests/system/test_lives_of_ingresses.py
+++ b/tests/system/test_lives_of_ingresses.py
@@ -7,10 +7,10 @@
 
 from company import Two
 
-from almanac.boot import boot_of
-from espalier.mesh import ROLE, Mesh
-from espalier.shares import Exchange, News
-from furrow.messages import Hello, Member, Members, Message, QuotaStatus, Share, Shares, decode
+from troutdock.settings.boot import boot_of
+from troutdock.proxy.peer_connections import ROLE, Mesh
+from troutdock.proxy.load_exchange import Exchange, News
+from troutdock.rpc.messages import Hello, Member, Members, Message, QuotaStatus, Share, Shares, decode
 from troutdock.quota.routes import Peers
 
 
--- a/tests/system/test_proxy_outcomes.py
+++ b/tests/system/test_proxy_outcomes.py
@@ -22,14 +22,14 @@
 import uvloop
 from scripted import Asker, Conn, Got, Script, Scripted, Seen, answer, good
 
-from almanac.boot import boot_of
-from espalier import daemon as daemon_module
-from espalier import reader as reader_module
-from espalier.daemon import Ingress
-from espalier.reader import SystemRequest
-from pollen.instances import Entry
-from tamarindfold import fabric as fabric_module
-from tamarindfold.interface import Outcome
+from troutdock.settings.boot import boot_of
+from troutdock.proxy import daemon as daemon_module
+from troutdock.proxy import request_reader
+from troutdock.proxy.daemon import Ingress
+from troutdock.proxy.request_reader import SystemRequest
+from troutdock.endpoints.endpoint_table import Entry
+from troutdock.admission import proxy_admission
+from troutdock.admission.interface import Outcome
 from troutdock.engine import Manners
 from troutdock.http import exchange as exchange_module
 from troutdock.http import response as response_module
@@ -805,11 +805,13 @@
 
 
 def repeats_what_may_have_run(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(fabric_module.Call, "may_have_run", property(lambda call: False, lambda call, value: None))
+    patch.setattr(
+        proxy_admission.Call, "may_have_run", property(lambda call: False, lambda call, value: None)
+    )
 
 
 def refuses_what_may_have_run(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(fabric_module.Fabric, "_fail", lambda fabric, call: fabric._refuse(0.0, call))
+    patch.setattr(proxy_admission.Fabric, "_fail", lambda fabric, call: fabric._refuse(0.0, call))
 
 
 def reads_answers(change: Callable[[Response], None]) -> Plant:
@@ -822,7 +824,7 @@
                 attempt.owner.request.id if attempt is not None and attempt.owner is not None else b""
             )
             change(seen)
-            return reader_module.verdict(attempt, seen)
+            return request_reader.verdict(attempt, seen)
 
         patch.setattr(daemon_module, "verdict", changed)
 
@@ -893,7 +895,7 @@
         "row",
     ),
     "a refusal that promises nothing is passed on": (
-        sets(reader_module, "PROMISES", ()),
+        sets(request_reader, "PROMISES", ()),
         ("503 of the backend, which promises what it does not say",),
         "REFUSED",
     ),
--- a/tests/system/test_quota_leases.py
+++ b/tests/system/test_quota_leases.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from furrow.messages import (
+from troutdock.rpc.messages import (
     ChargedRequests,
     Hello,
     Message,
--- a/tests/system/test_quota_loop.py
+++ b/tests/system/test_quota_loop.py
@@ -5,8 +5,8 @@
 import asyncio
 from collections.abc import Callable
 
-from espalier.quotas import BUSY_MS, MOST_DATAGRAM_BYTES, QuotaLoop
-from furrow.messages import (
+from troutdock.proxy.quota_loop import BUSY_MS, MOST_DATAGRAM_BYTES, QuotaLoop
+from troutdock.rpc.messages import (
     LIFE_TAGS,
     Hello,
     Message,
@@ -18,8 +18,8 @@
     TokenDemand,
     encode_datagram,
 )
-from furrow.netstring import frame
-from tamarindfold.interface import Event
+from troutdock.rpc.netstring import frame
+from troutdock.admission.interface import Event
 from troutdock.platform.clock import SystemClock
 from troutdock.quota.bucket import QuotaLimit
 from troutdock.quota.node import QuotaNode
--- a/tests/system/test_quotas_in_company.py
+++ b/tests/system/test_quotas_in_company.py
@@ -5,9 +5,9 @@
 import pytest
 from company import Town, Two, most_in, terms
 
-from espalier.shares import ALIVE, LINKS_TO_OWNERS, Exchange
-from furrow.messages import Member
-from pollen.order import in_order
+from troutdock.proxy.load_exchange import ALIVE, LINKS_TO_OWNERS, Exchange
+from troutdock.rpc.messages import Member
+from troutdock.endpoints.rendezvous import in_order
 from troutdock.quota.routes import SHARDS, in_aggregator_order, shard_of, zone_duty, zones_before
 
 RATE, BURST, WINDOW_S = 40.0, 40.0, 5.0
--- a/tests/system/test_registry.py
+++ b/tests/system/test_registry.py
@@ -15,10 +15,10 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from almanac.boot import boot_of
-from furrow.calls import Call, Reply
-from furrow.link import Link
-from furrow.messages import (
+from troutdock.settings.boot import boot_of
+from troutdock.rpc.http_calls import Call, Reply
+from troutdock.rpc.connection import Link
+from troutdock.rpc.messages import (
     DRAINING,
     GONE,
     READY,
@@ -42,10 +42,10 @@
     digest_of,
     encode,
 )
-from hedgerow.daemon import Daemon
-from hedgerow.disk import Memory
-from hedgerow.registry import Borne, Confirmed, Forget, Log, Meet, Registry, Tell
-from pollen.instances import GONE_S, Book, tombstone
+from troutdock.registry.daemon import Daemon
+from troutdock.registry.storage import Memory
+from troutdock.registry.registry import Borne, Confirmed, Forget, Log, Meet, Registry, Tell
+from troutdock.endpoints.endpoint_table import GONE_S, Book, tombstone
 
 IDS = ["i-1", "i-2", "i-3"]
 
@@ -589,7 +589,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     most = 1000  # tombstones
-    monkeypatch.setattr("pollen.instances.MOST_GONE", most)
+    monkeypatch.setattr("troutdock.endpoints.endpoint_table.MOST_GONE", most)
     registry, disk, now = in_contact(), {}, 0.0  # type: ignore[var-annotated]
 
     def save() -> None:
@@ -688,7 +688,7 @@
         def close(self) -> None:
             dialled[self.address] = False
 
-    monkeypatch.setattr("hedgerow.daemon.Dialer", Dialed)
+    monkeypatch.setattr("troutdock.registry.daemon.Dialer", Dialed)
 
     async def story(daemon: Daemon, store: Stub) -> None:
         daemon._carry_out([Meet(["10.0.0.4", "10.0.0.2"])])
@@ -934,7 +934,7 @@
 
 def test_others_are_met_while_the_disk_is_still_read(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     dialled: list[tuple[str, int]] = []
-    monkeypatch.setattr("hedgerow.daemon.Dialer", lambda address, *_: dialled.append(address))
+    monkeypatch.setattr("troutdock.registry.daemon.Dialer", lambda address, *_: dialled.append(address))
 
     async def story(daemon: Daemon, store: Stub) -> None:
         go = threading.Event()
--- a/tests/system/test_registry_worst_days.py
+++ b/tests/system/test_registry_worst_days.py
@@ -10,9 +10,9 @@
 from registries import Core, Violation, play
 from whole import Backend, Whole, call, good, until
 
-from furrow.messages import GONE, InstancesAck
-from hedgerow.disk import Memory
-from hedgerow.registry import Borne, Confirmed, Registry, Tell
+from troutdock.rpc.messages import GONE, InstancesAck
+from troutdock.registry.storage import Memory
+from troutdock.registry.registry import Borne, Confirmed, Registry, Tell
 
 SCHEDULES = int(os.environ.get("REGISTRY_SCHEDULES", "600"))  # in all; more by hand
 PARTS = 4
--- a/tests/system/test_rooms.py
+++ b/tests/system/test_rooms.py
@@ -10,13 +10,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from almanac.boot import boot_of, load_boot
-from almanac.configuration import Configuration, Refused, read_configuration
-from almanac.settings import SettingsError
-from furrow.messages import Beats, Instance, Instances, MessageError, Record, decode, encode
-from furrow.netstring import Deframer, FrameError, frame
-from rootstock.disk import FILE, Disk, DiskError
-from rootstock.state import Kept
+from troutdock.settings.boot import boot_of, load_boot
+from troutdock.settings.configuration import Configuration, Refused, read_configuration
+from troutdock.settings.table import SettingsError
+from troutdock.rpc.messages import Beats, Instance, Instances, MessageError, Record, decode, encode
+from troutdock.rpc.netstring import Deframer, FrameError, frame
+from troutdock.config_store.storage import FILE, Disk, DiskError
+from troutdock.config_store.replica_state import Kept
 
 # ---- netstrings
 
--- a/tests/system/test_store_bounds.py
+++ b/tests/system/test_store_bounds.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from rootstock.members import not_borne
-from rootstock.state import Bounds, Kept, Peer, State
-from furrow.messages import ReadAck, Record, Status
+from troutdock.config_store.voter_changes import not_borne
+from troutdock.config_store.replica_state import Bounds, Kept, Peer, State
+from troutdock.rpc.messages import ReadAck, Record, Status
 
 
 @pytest.mark.parametrize(
--- a/tests/system/test_store_exhaustive.py
+++ b/tests/system/test_store_exhaustive.py
@@ -17,9 +17,9 @@
 import pytest
 from cluster import make_replica
 
-from furrow.messages import Read, ReadAck, Write, WriteAck, digest_of
-from rootstock.replica import Replica, Stage
-from rootstock.state import InForce, Kept, Save, Send
+from troutdock.rpc.messages import Read, ReadAck, Write, WriteAck, digest_of
+from troutdock.config_store.replica import Replica, Stage
+from troutdock.config_store.replica_state import InForce, Kept, Save, Send
 
 IPS = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
 STEP_S = 1.1  # longer than silence
--- a/tests/system/test_store_schedules.py
+++ b/tests/system/test_store_schedules.py
@@ -12,7 +12,7 @@
 from cluster import Cluster, Violation
 from test_store_exhaustive import Hasty
 
-from rootstock.replica import Replica, Stage
+from troutdock.config_store.replica import Replica, Stage
 
 SCHEDULES = int(os.environ.get("SCHEDULES", "1500"))  # 3,500 in all; 4300 are 10,000
 
--- a/tests/system/test_store_worst_days.py
+++ b/tests/system/test_store_worst_days.py
@@ -23,9 +23,9 @@
 from test_store_machine import Store
 from worst_days import BETWEEN, KINDS, must_confirm, rivals, second_loss, sizes, slow
 
-from furrow.messages import Read, ReadAck, ReplicateAck, Status, Write, WriteAck
-from rootstock.replica import Replica, Stage
-from rootstock.state import InForce, Save, Send
+from troutdock.rpc.messages import Read, ReadAck, ReplicateAck, Status, Write, WriteAck
+from troutdock.config_store.replica import Replica, Stage
+from troutdock.config_store.replica_state import InForce, Save, Send
 
 WORST_DAYS = int(os.environ.get("WORST_DAYS", "60"))  # schedules of each kind
 
--- a/tests/system/test_system_command.py
+++ b/tests/system/test_system_command.py
@@ -10,7 +10,7 @@
 from typer.testing import CliRunner
 from whole import CONFIGURATION, Backend, Whole, good, until
 
-from rootstock.disk import FILE
+from troutdock.config_store.storage import FILE
 from troutdock.cli.app import app
 
 
--- a/tests/system/test_traces.py
+++ b/tests/system/test_traces.py
@@ -8,10 +8,10 @@
 import pytest
 from typer.testing import CliRunner
 
-from furrow.messages import Status
-from furrow.trace import read_trace
-from rootstock.replica import EVENTS, again
-from rootstock.state import InForce, Log, Save, Send
+from troutdock.rpc.messages import Status
+from troutdock.rpc.event_trace import read_trace
+from troutdock.config_store.replica import EVENTS, again
+from troutdock.config_store.replica_state import InForce, Log, Save, Send
 from troutdock.cli.app import app
 
 TRACES = Path(__file__).parent / "traces"
--- a/tests/test_begun.py
+++ b/tests/test_begun.py
@@ -11,7 +11,7 @@
 from loopback import Peer, run, until, world
 from loopback import request as message
 
-from tamarindfold.interface import AnswerBegan, Outcome, Send, SetTimer, TimerFired
+from troutdock.admission.interface import AnswerBegan, Outcome, Send, SetTimer, TimerFired
 
 
 def sent(g: Any, number: int = 1) -> tuple[Any, Any]:
--- a/tests/test_circuit.py
+++ b/tests/test_circuit.py
@@ -11,8 +11,8 @@
 from hypothesis import strategies as st
 
 from lab.gateways import Gateways
-from tamarindfold.circuit import LEAST_MS, MOST_MS, Circuit
-from tamarindfold.interface import ListKind, Outcome, Send
+from troutdock.admission.circuit_breaker import LEAST_MS, MOST_MS, Circuit
+from troutdock.admission.interface import ListKind, Outcome, Send
 
 DEAD, ALL = (1, 2, 3, 4, 5), tuple(range(1, 9))
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -5,8 +5,8 @@
 import pytest
 from build import SAFE, START, UNSAFE, ended, fleet, gateway, request
 
-from tamarindfold.choice import Gateway
-from tamarindfold.interface import ListKind, Outcome, Plan, Send
+from troutdock.admission.gateway import Gateway
+from troutdock.admission.interface import ListKind, Outcome, Plan, Send
 
 WORK_MS = 150.0  # what the requests here are first believed to take
 
--- a/tests/test_hold.py
+++ b/tests/test_hold.py
@@ -19,11 +19,11 @@
 from loopback import SETTINGS, Peer, answer, request, run, sends, silence, target, until, world
 from test_service import ROOT
 
-from tamarindfold import Gateway
-from tamarindfold.choice import Customer
-from tamarindfold.interface import Outcome, Plan, Refuse, Send
-from troutdock.http import bodies
-from troutdock.http.bodies import budget_for
+from troutdock.admission import Gateway
+from troutdock.admission.gateway import Customer
+from troutdock.admission.interface import Outcome, Plan, Refuse, Send
+from troutdock.http import body_limits
+from troutdock.http.body_limits import budget_for
 from troutdock.membership.watch import Watch
 from troutdock.platform.background import Background
 from troutdock.platform.config import read_config
@@ -111,7 +111,7 @@
 ) -> None:
     """Drip-fed bytes win no time: the client gets an error or a close."""
     for limit in ("HEAD_S", "SILENT_S", "GRACE_S"):
-        monkeypatch.setattr(bodies, limit, 0.2)
+        monkeypatch.setattr(body_limits, limit, 0.2)
     monkeypatch.setattr("troutdock.daemon.SWEEP_S", 0.05)
 
     async def test() -> None:
@@ -137,7 +137,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     for limit in ("HEAD_S", "SILENT_S", "GRACE_S"):
-        monkeypatch.setattr(bodies, limit, 0.2)
+        monkeypatch.setattr(body_limits, limit, 0.2)
     monkeypatch.setattr("troutdock.daemon.SWEEP_S", 0.05)
 
     async def test() -> None:
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -13,12 +13,12 @@
 
 from lab.gateways import Counter
 from lab.quotas import PLANS, Account, Quotas, customers
-from tamarindfold import Gateway, snapshot
-from tamarindfold.asks import PARTS, STEPS, Answer, Question, read_answer, read_question
-from tamarindfold.copies import COPY_MS, FRESH, NOBODY, Copies
-from tamarindfold.digest import write
-from tamarindfold.homes import CROWD, REPEAT_MS, Homes
-from tamarindfold.interface import (
+from troutdock.admission import Gateway, snapshot
+from troutdock.admission.owner_query_codec import PARTS, STEPS, Answer, Question, read_answer, read_question
+from troutdock.admission.bucket_replication import COPY_MS, FRESH, NOBODY, Copies
+from troutdock.admission.usage_digest_codec import write
+from troutdock.admission.bucket_owner import CROWD, REPEAT_MS, Homes
+from troutdock.admission.interface import (
     Count,
     PeerMessage,
     Plan,
@@ -29,7 +29,7 @@
     Settled,
     Tell,
 )
-from tamarindfold.questions import DEAF, PROBE_MS, RANKS, TRIES, Questions
+from troutdock.admission.owner_queries import DEAF, PROBE_MS, RANKS, TRIES, Questions
 
 PLAN = Plan(1.6, 16.0, name="basis")
 FILL = PLAN.rate / PLAN.burst
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -12,10 +12,10 @@
 from hypothesis import strategies as st
 
 from lab.gateways import Gateways
-from tamarindfold.interface import BackendState, ListKind, ListWatched
-from tamarindfold.digest import MOST
-from tamarindfold.news import ASK_MS, ASKED, GONE_MS, SUSPECT_MS, News
-from tamarindfold.newswire import ANSWER, ASK, HEAD, ROW
+from troutdock.admission.interface import BackendState, ListKind, ListWatched
+from troutdock.admission.usage_digest_codec import MOST
+from troutdock.admission.backend_gossip import ASK_MS, ASKED, GONE_MS, SUSPECT_MS, News
+from troutdock.admission.backend_gossip_codec import ANSWER, ASK, HEAD, ROW
 
 GATEWAYS, BACKENDS = 40, tuple(range(1, 61))
 LEFT, DRAINING = tuple(range(1, 10)), tuple(range(10, 19))
--- a/tests/test_ordinary_path.py
+++ b/tests/test_ordinary_path.py
@@ -5,8 +5,8 @@
 import pytest
 from build import SAFE, START, ended, gateway, request
 
-from tamarindfold.choice import Customer
-from tamarindfold.interface import (
+from troutdock.admission.gateway import Customer
+from troutdock.admission.interface import (
     Count,
     CountAnswered,
     Outcome,
@@ -16,7 +16,7 @@
     Send,
     SetTimer,
 )
-from tamarindfold.naming import counter_name
+from troutdock.admission.counter_names import counter_name
 
 PLAN = Plan(rate=8, burst=16)
 
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -12,9 +12,9 @@
 from loopback import SETTINGS, Peer, run, silence, world
 from loopback import request as message
 
-from tamarindfold import Gateway
-from tamarindfold.requests import KEY_MS, KEYS
-from tamarindfold.interface import (
+from troutdock.admission import Gateway
+from troutdock.admission.request_records import KEY_MS, KEYS
+from troutdock.admission.interface import (
     Effect,
     Fail,
     Group,
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -28,8 +28,8 @@
     world,
 )
 
-from tamarindfold import wire
-from tamarindfold.interface import BackendState, CountAnswered, ListKind, Outcome
+from troutdock.admission import simulator_wire
+from troutdock.admission.interface import BackendState, CountAnswered, ListKind, Outcome
 from troutdock.platform.config import ConfigError, flatten, read_config
 from troutdock.platform.discovery import ListReader, backend_id
 
@@ -129,7 +129,7 @@
 def test_an_exception_fails_its_own_request_only(monkeypatch: pytest.MonkeyPatch, caplog: Any) -> None:
     async def test() -> None:
         async with world(answer()) as w:
-            from tamarindfold import Gateway
+            from troutdock.admission import Gateway
 
             with monkeypatch.context() as patched:
                 patched.setattr(Gateway, "choose", lambda *_: 1 / 0)
@@ -145,8 +145,8 @@
 ) -> None:
     async def test() -> None:
         async with world(answer()) as w:
-            from tamarindfold import Gateway
-            from tamarindfold.interface import Probe
+            from troutdock.admission import Gateway
+            from troutdock.admission.interface import Probe
 
             monkeypatch.setattr(Gateway, "handle", lambda *_: [Probe(7)])
             assert (await w.ask(request()))[0] == 500
@@ -181,7 +181,7 @@
         "g=",
         "plans.count=0",
     ]
-    settings = wire.parse_settings("\n".join(flatten(SETTINGS)))
+    settings = simulator_wire.parse_settings("\n".join(flatten(SETTINGS)))
     assert [c.name for c in settings.classes] == ["ledger-read", "payment-book", "vat-filing"]
     assert settings.marks_retry and settings.plans[1].rate == 100
 
@@ -654,8 +654,8 @@
 
     async def test() -> None:
         async with world(answer(), counter=sends(b"$1\r\n0\r\n", close=False), read_counter=read_call) as w:
-            from tamarindfold import Gateway
-            from tamarindfold.interface import Count, Send
+            from troutdock.admission import Gateway
+            from troutdock.admission.interface import Count, Send
 
             def to_nowhere(gateway: Gateway, now: float, event: Any) -> list[Any]:
                 return [Send(1, 404)] if isinstance(event, CountAnswered) else [Count(7, 1.0, 1000.0)]
--- a/tests/test_settings_change.py
+++ b/tests/test_settings_change.py
@@ -14,8 +14,8 @@
 from loopback import Peer, answer, run, silence, until, world
 from loopback import request as message
 
-from tamarindfold import Gateway
-from tamarindfold.interface import (
+from troutdock.admission import Gateway
+from troutdock.admission.interface import (
     RETIRED_MOST,
     Effect,
     Fail,
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import ast
 import re
 import subprocess
 import sys
@@ -11,7 +12,7 @@
 import pytest
 from build import settings
 
-from tamarindfold.interface import Plan
+from troutdock.admission.interface import Plan
 
 ROOT = Path(__file__).parent.parent
 POLICY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
@@ -24,7 +25,7 @@
     for name in POLICY:
         assert sum(bool(line.strip()) for line in (ROOT / name).read_text().splitlines()) <= 800
     assert max(map(len, MODULE)) <= 110
-    assert "tamarindfold/interface.py" in MODULE[0]
+    assert "troutdock/admission/interface.py" in MODULE[0]
 
 
 def test_the_module_has_no_clock_io_or_sets() -> None:
@@ -68,7 +69,16 @@
     "reservations": {"reservations", "jsonlines"},
     "http2": {"http2"},
     "routing": {"routing"},
-    "routed": {"routed", "routing", "http", "engine", "overload", "address", "platform", "daemon"},
+    "routing_service": {
+        "routing_service",
+        "routing",
+        "http",
+        "engine",
+        "overload",
+        "address",
+        "platform",
+        "daemon",
+    },
     "grpc": {"grpc", "http2", "engine", "http", "overload", "address"},
     "operator": {
         "operator",
@@ -78,7 +88,7 @@
         "grpc",
         "address",
         "routing",
-        "routed",
+        "routing_service",
         "http",
         "library",
         "platform",
@@ -91,9 +101,13 @@
         "jsonlines",
         "operator",
         "routing",
-        "routed",
+        "routing_service",
         "daemon",
         "platform",
+        "settings",
+        "rpc",
+        "proxy",
+        "config_store",
     },
     "http": {"http", "engine", "overload", "address", "management", "handover"},
     "membership": {"membership", "address"},
@@ -106,13 +120,29 @@
 }
 
 
+def imported_parts(file: Path) -> set[str]:
+    """What a module imports of troutdock, by the name below it; "" for the package itself."""
+    found: set[str] = set()
+    for node in ast.walk(ast.parse(file.read_text())):
+        if isinstance(node, ast.Import):
+            names = [alias.name for alias in node.names]
+        elif isinstance(node, ast.ImportFrom):
+            assert not node.level, f"{file}: a relative import"
+            names = [f"{node.module}.{alias.name}" for alias in node.names]
+        else:
+            continue
+        found |= {[*name.split("."), ""][1] for name in names if name.split(".")[0] == "troutdock"}
+    return found
+
+
 @pytest.mark.parametrize("part", MAY_IMPORT)
 def test_arrows_go_one_way(part: str) -> None:
     where = PACKAGE / part
     files = sorted(where.glob("*.py")) if where.is_dir() else [where.with_suffix(".py")]
+    assert files
     for file in files:
-        found = set(re.findall(r"^\s*(?:from|import) troutdock\.(\w+)", file.read_text(), re.M))
-        assert found <= MAY_IMPORT[part], file
+        found = imported_parts(file) - {"__version__"}
+        assert found <= MAY_IMPORT[part] | {"admission"}, file
 
 
 def test_the_engine_knows_neither_loop_nor_socket_nor_clock() -> None:
@@ -135,7 +165,7 @@
         "troutdock.grpc",
         "troutdock.http2",
         "troutdock.routing",
-        "troutdock.routed",
+        "troutdock.routing_service",
         "troutdock.operator",
         "troutdock.cli",
         "starlette",
@@ -145,29 +175,30 @@
 
 # the whole gateway: the files that decide on servers, repeats and refusals there, held to the same limits
 SYSTEM_POLICY = [
-    "tamarindfold/fabric.py",
-    "tamarindfold/tenant.py",
-    "tamarindfold/placement.py",
-    "tamarindfold/diba.py",
-    "tamarindfold/circuit.py",
+    "troutdock/admission/proxy_admission.py",
+    "troutdock/admission/tenant.py",
+    "troutdock/admission/backend_selection.py",
+    "troutdock/admission/diba.py",
+    "troutdock/admission/circuit_breaker.py",
 ]
+PARTS = {path.stem for path in PACKAGE.iterdir() if path.suffix == ".py" or path.is_dir()}
 SYSTEM_MAY_IMPORT = {
-    "almanac": {"almanac"},
-    "furrow": {"furrow"},
-    "pollen": {"pollen", "furrow"},
-    "rootstock": {"rootstock", "furrow", "almanac", "pollen"},
-    "hedgerow": {"hedgerow", "furrow", "almanac", "pollen"},
-    "espalier": {"espalier", "furrow", "almanac", "pollen", "troutdock", "tamarindfold"},
+    "settings": {"settings"},
+    "rpc": {"rpc"},
+    "endpoints": {"endpoints", "rpc"},
+    "config_store": {"config_store", "rpc", "settings", "endpoints"},
+    "registry": {"registry", "rpc", "settings", "endpoints"},
+    "proxy": PARTS - {"registry", "config_store"},
 }
 PURE = [
-    "rootstock/replica.py",
-    "hedgerow/registry.py",
-    "pollen/instances.py",
-    "pollen/order.py",
-    "espalier/shares.py",
-    "espalier/routes.py",
-    "furrow/netstring.py",
-    "almanac/configuration.py",
+    "troutdock/config_store/replica.py",
+    "troutdock/registry/registry.py",
+    "troutdock/endpoints/endpoint_table.py",
+    "troutdock/endpoints/rendezvous.py",
+    "troutdock/proxy/load_exchange.py",
+    "troutdock/proxy/route_table.py",
+    "troutdock/rpc/netstring.py",
+    "troutdock/settings/configuration.py",
     *SYSTEM_POLICY,
 ]
 
@@ -181,10 +212,10 @@
 
 @pytest.mark.parametrize("part", SYSTEM_MAY_IMPORT)
 def test_programs_import_rooms_and_never_one_another(part: str) -> None:
-    ours = {*SYSTEM_MAY_IMPORT, "troutdock", "tamarindfold"}
-    for file in sorted((ROOT / part).glob("*.py")):
-        found = set(re.findall(r"^\s*(?:from|import) (\w+)", file.read_text(), re.M)) & ours
-        assert found <= SYSTEM_MAY_IMPORT[part], file
+    files = sorted((PACKAGE / part).glob("*.py"))
+    assert files
+    for file in files:
+        assert imported_parts(file) <= SYSTEM_MAY_IMPORT[part], file
 
 
 @pytest.mark.parametrize("name", PURE)
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -11,7 +11,7 @@
 from counting import Counting, read_call
 from loopback import SETTINGS, Peer, answer, request, run, silence, until, world
 
-from tamarindfold.interface import (
+from troutdock.admission.interface import (
     Cancel,
     Count,
     CountAnswered,
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -10,8 +10,8 @@
 import pytest
 from build import settings
 
-from tamarindfold import wire
-from tamarindfold.interface import (
+from troutdock.admission import simulator_wire
+from troutdock.admission.interface import (
     Cancel,
     Count,
     CountAnswered,
@@ -54,12 +54,12 @@
 
 
 def record(code: int, body: bytes) -> bytes:
-    return wire.RECORD.pack(code, len(body)) + body
+    return simulator_wire.RECORD.pack(code, len(body)) + body
 
 
 def batch(*records: bytes, now: float = 1000.0) -> bytes:
     body = b"".join(records)
-    return wire.BATCH_HEAD.pack(len(body), now, len(records)) + body
+    return simulator_wire.BATCH_HEAD.pack(len(body), now, len(records)) + body
 
 
 def provision(instance: int = 3, text: str = TEXT) -> bytes:
@@ -77,7 +77,7 @@
 
 def run(data: bytes) -> subprocess.CompletedProcess[bytes]:
     return subprocess.run(
-        [sys.executable, "-m", "tamarindfold.benchlink"],
+        [sys.executable, "-m", "troutdock.admission.simulator_adapter"],
         input=data,
         capture_output=True,
         cwd=ROOT,
@@ -87,7 +87,7 @@
 
 
 def test_settings_are_read_and_unknown_keys_ignored() -> None:
-    s = wire.parse_settings(TEXT)
+    s = simulator_wire.parse_settings(TEXT)
     assert (s.gateways, s.index, s.drain_grace_ms) == (3, 2, 500)
     assert s.classes[0].effect is Effect.KEYED
     assert s.report_fields == ("backlog", "utilization")
@@ -103,8 +103,8 @@
 )
 def test_a_missing_required_key_is_named(key: str) -> None:
     text = "\n".join(line for line in TEXT.splitlines() if not line.startswith(key + "="))
-    with pytest.raises(wire.WireError, match=key.replace(".", r"\.")):
-        wire.parse_settings(text)
+    with pytest.raises(simulator_wire.WireError, match=key.replace(".", r"\.")):
+        simulator_wire.parse_settings(text)
 
 
 @pytest.mark.parametrize(
@@ -122,14 +122,14 @@
 )
 def test_a_bad_value_is_named(old: str, new: str, named: str) -> None:
     with pytest.raises(ValueError, match=named):
-        wire.parse_settings(TEXT.replace(old, new))
+        simulator_wire.parse_settings(TEXT.replace(old, new))
 
 
 def test_the_documented_records_are_read() -> None:
     body = bytes.fromhex(
         "03000000c4913a5d28800f00000000400000803f00004040000000000000006e40640ad2557c3bf091000001"
     )
-    event = wire.read_event(1060, body, settings())
+    event = simulator_wire.read_event(1060, body, settings())
     assert isinstance(event, RequestArrived)
     assert (event.units, event.first_gateway, event.width, event.time_left_ms) == (2, 1, 3, 240)
     assert not event.retry
@@ -137,12 +137,12 @@
         "03000000022900000000000000020000000a124a075b1b000000000000010000803f0000000000000000"
         "0a9011f2841b000000000000010000c03f0000000000d4b740"
     )
-    event = wire.read_event(1050, body, settings())
+    event = simulator_wire.read_event(1050, body, settings())
     assert isinstance(event, FleetUpdate)
     assert event.kind is ListKind.CACHED
     assert [(e.size, e.up_since_ms) for e in event.entries] == [(1.0, 0.0), (1.5, 6100.0)]
     body = bytes.fromhex("0300000090f689000000000001333333333333014000001842")
-    event = wire.read_event(1100, body, settings())
+    event = simulator_wire.read_event(1100, body, settings())
     assert isinstance(event, CountAnswered)
     assert (event.name, event.outcome, event.total) == (9041552, Outcome.OK, 38.0)
 
@@ -151,23 +151,23 @@
     backend = struct.unpack("<IH", bytes.fromhex("0a124a075b1b"))
     dispatch = "2e041a00000003000000c4913a5d28800f0000000000000054400a124a075b1b"
     call = 0x000F80285D3A91C4
-    assert wire.write_action(3, Send(call, backend[0] << 16 | backend[1], 80.0)).hex() == dispatch
+    assert simulator_wire.write_action(3, Send(call, backend[0] << 16 | backend[1], 80.0)).hex() == dispatch
     bump = "fc03180000000300000090f689000000000000008040000000000070a740"
-    assert wire.write_action(3, Count(9041552, 4.0, 3000.0)).hex() == bump
+    assert simulator_wire.write_action(3, Count(9041552, 4.0, 3000.0)).hex() == bump
     wake = "1a0414000000030000000000000000407f404d00000000000000"
-    assert wire.write_action(3, SetTimer(500.0, 77)).hex() == wake
+    assert simulator_wire.write_action(3, SetTimer(500.0, 77)).hex() == wake
     share = "60040e00000003000000ffffffff040068692037"
-    assert wire.write_action(3, Tell(None, b"hi 7")).hex() == share
+    assert simulator_wire.write_action(3, Tell(None, b"hi 7")).hex() == share
     debug = "06041700000003000000110074776f2073657276657273206b6e6f776e"
-    assert wire.write_action(3, Log("two servers known")).hex() == debug
+    assert simulator_wire.write_action(3, Log("two servers known")).hex() == debug
 
 
 @pytest.mark.parametrize(
     "action", [Refuse(7, 20.0), Fail(7), Cancel(7, 1), Probe(1 << 16 | 2), Tell(2, b"x")]
 )
 def test_every_action_says_its_length(action) -> None:
-    data = wire.write_action(1, action)
-    assert wire.RECORD.unpack_from(data)[1] == len(data) - wire.RECORD.size
+    data = simulator_wire.write_action(1, action)
+    assert simulator_wire.RECORD.unpack_from(data)[1] == len(data) - simulator_wire.RECORD.size
 
 
 def test_a_whole_exchange() -> None:
@@ -177,7 +177,7 @@
     reply = done.stdout[4:]
     (length,) = struct.unpack_from("<I", reply)
     assert length == len(reply) - 4
-    (code, _) = wire.RECORD.unpack_from(reply, 4)
+    (code, _) = simulator_wire.RECORD.unpack_from(reply, 4)
     assert code == 1070
     assert reply[-6:] == bytes([10, 18, 74, 7]) + struct.pack("<H", 7003)
 
@@ -192,8 +192,8 @@
         (batch(provision(), record(1060, bytes([3, 0, 0, 0, 1]))), "ACCEPT: 5 bytes of fields, 44 expected"),
         (batch(provision(), accept(cls=9)), "ACCEPT band: 9"),
         (batch(provision(text="x=1")), "categories.count is missing"),
-        (wire.BATCH_HEAD.pack(9, 1.0, 1) + bytes(9), "truncated"),
-        (wire.BATCH_HEAD.pack(2, 1.0, 0) + bytes(2), "after the last record"),
+        (simulator_wire.BATCH_HEAD.pack(9, 1.0, 1) + bytes(9), "truncated"),
+        (simulator_wire.BATCH_HEAD.pack(2, 1.0, 0) + bytes(2), "after the last record"),
         (batch(provision(), record(1020, bytes([3, 0, 0, 0]) + bytes(9))), "WITHDRAWN"),
     ],
 )
--- a/tests/test_word.py
+++ b/tests/test_word.py
@@ -10,8 +10,8 @@
 from hypothesis import strategies as st
 
 from lab.gateways import Gateways
-from tamarindfold import Gateway
-from tamarindfold.interface import (
+from troutdock.admission import Gateway
+from troutdock.admission.interface import (
     Log,
     PeerMessage,
     Plan,
@@ -20,8 +20,8 @@
     SettingsChanged,
     Tell,
 )
-from tamarindfold.digest import ENTRY, HEAD, MOST, UNSURE, VERSION, mark_of
-from tamarindfold.word import DEAF_MS, INTAKE, MARKS, Word
+from troutdock.admission.usage_digest_codec import ENTRY, HEAD, MOST, UNSURE, VERSION, mark_of
+from troutdock.admission.usage_gossip import DEAF_MS, INTAKE, MARKS, Word
 
 GATEWAYS = 14  # the most that digests are told among
 PLAN = Plan(1.2, 16, name="basis")  # each gateway's even part of it is less than a request
--- a/tests/usage/test_book.py
+++ b/tests/usage/test_book.py
@@ -9,9 +9,9 @@
 from hypothesis import settings as examples
 from hypothesis import strategies as st
 
-from troutdock.usage.book import MARK_MS, MOST_WAITING, RESERVE, RETRY_MS, Book, Promise
+from troutdock.usage.ledger import MARK_MS, MOST_WAITING, RESERVE, RETRY_MS, Book, Promise
 from troutdock.usage.memory import MemoryStore
-from troutdock.usage.port import Noted, Store, StoreError
+from troutdock.usage.store import Noted, Store, StoreError
 from troutdock.usage.record import Batch, Record, State, Unknown, Use
 from troutdock.usage.sqlite import SqliteStore
 
--- a/tests/usage/test_exports.py
+++ b/tests/usage/test_exports.py
@@ -22,7 +22,7 @@
 from troutdock.usage.exporter import Exporter
 from troutdock.usage.files import Files
 from troutdock.usage.memory import MemoryStore
-from troutdock.usage.port import Store, StoreError
+from troutdock.usage.store import Store, StoreError
 from troutdock.usage.record import Batch, Record, State, Use
 from troutdock.usage.sqlite import SqliteStore
 from troutdock.usage.verify import reconcile, verify
--- a/tests/usage/test_kills.py
+++ b/tests/usage/test_kills.py
@@ -12,7 +12,7 @@
 from loopback import run
 from upgrade import Upgrade
 
-from troutdock.usage.book import RESERVE
+from troutdock.usage.ledger import RESERVE
 
 
 @pytest.mark.parametrize("promise", ["sync", "bounded"])
--- a/tests/usage/test_ledger_front.py
+++ b/tests/usage/test_ledger_front.py
@@ -13,11 +13,11 @@
 import pytest
 from loopback import Peer, World, answer, request, run, until, world
 
-from troutdock.operator.read import OperatorError, read_operator
+from troutdock.operator.reader import OperatorError, read_operator
 from troutdock.operator.usage import terms_of
-from troutdock.usage.book import Promise
+from troutdock.usage.ledger import Promise
 from troutdock.usage.memory import MemoryStore
-from troutdock.usage.port import StoreError
+from troutdock.usage.store import StoreError
 from troutdock.usage.record import Batch, State
 from troutdock.usage.service import Terms, Usage
 
--- a/troutdock/__main__.py
+++ b/troutdock/__main__.py
@@ -66,8 +66,8 @@
     if not path:
         return []
     try:
-        from troutdock.operator.parts import parts_of
-        from troutdock.operator.read import OperatorError, read_operator
+        from troutdock.operator.components import parts_of
+        from troutdock.operator.reader import OperatorError, read_operator
     except ImportError as error:
         raise ConfigError(f"TROUTDOCK_OPERATOR needs the extra operator: no {error.name} here") from error
     try:
--- a/tamarindfold/news.py
+++ b/troutdock/admission/backend_gossip.py
@@ -18,7 +18,7 @@
 from collections.abc import Iterable
 from random import Random
 
-from tamarindfold.newswire import ANSWER, ASK, ROWS, read, write
+from troutdock.admission.backend_gossip_codec import ANSWER, ASK, ROWS, read, write
 
 ASKED, ASK_MS = 4, 500.0  # peers at a time, and how often: if a third are current two answers come in 1 s
 SENDERS = 2  # that have to say the same: one alone may be wrong
--- a/tamarindfold/newswire.py
+++ b/troutdock/admission/backend_gossip_codec.py
@@ -1,4 +1,4 @@
-"""The bytes by which gateways ask one another for news of the list; news.py says what they mean (no I/O).
+"""The bytes by which gateways ask one another for news of the list; see backend_gossip.py (no I/O).
 
 A datagram: kind (u8), the version of the sender's list (u32); in an answer, for each backend that drains or
 is gone, the low 32 bits of its id.
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from struct import Struct
 
-from tamarindfold.digest import MOST
+from troutdock.admission.usage_digest_codec import MOST
 
 ASK, ANSWER = 16, 17  # kinds; a digest's version stands in their place
 KINDS = (bytes([ASK]), bytes([ANSWER]))
--- a/tamarindfold/health.py
+++ b/troutdock/admission/backend_health.py
@@ -4,8 +4,8 @@
 
 from math import inf
 
-from tamarindfold.circuit import Circuit
-from tamarindfold.interface import BackendEntry, Group, RequestClass, Settings, renumbered
+from troutdock.admission.circuit_breaker import Circuit
+from troutdock.admission.interface import BackendEntry, Group, RequestClass, Settings, renumbered
 
 BLAME = 0.3  # how far a bad or a rare sign moves what it tells of
 FORGIVE_MS, TOUCHES = 3000.0, 2.0  # a sign fades to a third in this time, or in so many times between signs
--- a/tamarindfold/listed.py
+++ b/troutdock/admission/backend_list.py
@@ -5,11 +5,11 @@
 from bisect import bisect_left
 from typing import TYPE_CHECKING
 
-from tamarindfold.health import Backend
-from tamarindfold.interface import BackendState, FleetUpdate, Group, ListKind
+from troutdock.admission.backend_health import Backend
+from troutdock.admission.interface import BackendState, FleetUpdate, Group, ListKind
 
 if TYPE_CHECKING:
-    from tamarindfold.choice import Gateway
+    from troutdock.admission.gateway import Gateway
 
 
 def followed(gateway: Gateway, now: float, event: FleetUpdate) -> None:
--- a/tamarindfold/placement.py
+++ b/troutdock/admission/backend_selection.py
@@ -13,8 +13,8 @@
 from math import inf
 from random import Random
 
-from tamarindfold.circuit import Circuit
-from tamarindfold.interface import BackendEntry
+from troutdock.admission.circuit_breaker import Circuit
+from troutdock.admission.interface import BackendEntry
 
 SLOPE = 4.0  # how steeply the loss rises with the expected part of the aim: half of it 0.06, all of it 1
 AWAY = 0.04  # of a request's worth: its bytes to another zone and back, some kilobytes
--- a/tamarindfold/homes.py
+++ b/troutdock/admission/bucket_owner.py
@@ -1,9 +1,10 @@
 """What a customer's home decides: stores of quotas in a large fleet, each at one gateway (no I/O, no clock).
 
 Theory of operation. Digests to all grow with gateways times tries, and come seconds apart where a gateway
-takes in but so many a second. Where they would be late each customer has a home (questions.py says which). A
-gateway tells it what it sent on from its slice, and asks before it sends on what its slice lacks. The level
-in an answer, and what fills since, bound the store from above: until there can be room nothing is asked.
+takes in but so many a second. Where they would be late each customer has a home (owner_queries.py says
+which). A gateway tells it what it sent on from its slice, and asks before it sends on what its slice lacks.
+The level in an answer, and what fills since, bound the store from above: until there can be room nothing is
+asked.
 
 Rules. A question that comes twice counts once. A store heard of for the first time is believed to be full,
 but as long as that takes no fuller than askers were told: so much passes at each move of a home, and no less.
@@ -13,10 +14,10 @@
 
 from collections import deque
 
-from tamarindfold.asks import Answer, Question, read_question
-from tamarindfold.copies import Copies
-from tamarindfold.store import Store
-from tamarindfold.word import MARKS
+from troutdock.admission.owner_query_codec import Answer, Question, read_question
+from troutdock.admission.bucket_replication import Copies
+from troutdock.admission.shared_bucket import Store
+from troutdock.admission.usage_gossip import MARKS
 
 REPEAT_MS = 2000.0  # a question is known for so long: longer than it is repeated
 CROWD, CROWD_MS = 0.4, 1000.0  # of the intake: beyond it those refused are told to stay away; counted over
--- a/tamarindfold/copies.py
+++ b/troutdock/admission/bucket_replication.py
@@ -14,9 +14,9 @@
 from collections.abc import Iterator
 from struct import Struct
 
-from tamarindfold.digest import MOST
+from troutdock.admission.usage_digest_codec import MOST
 
-COPY, FRESH = b"\x15", b"\x16"  # kinds, beside those of asks.py
+COPY, FRESH = b"\x15", b"\x16"  # kinds, beside those of owner_query_codec.py
 KINDS = (COPY, FRESH)
 COPY_MS = 1000.0  # a request's worth fills in that time, and 6 bytes a second for each store are cheap
 BELOW = 0.8  # of the burst: a fuller store that is taken for full lets one request more pass, at most
--- a/tamarindfold/quota.py
+++ b/troutdock/admission/customer_quota.py
@@ -4,8 +4,8 @@
 
 from math import inf
 
-from tamarindfold.diba import VirtualQueue, spread_of
-from tamarindfold.interface import Plan
+from troutdock.admission.diba import VirtualQueue, spread_of
+from troutdock.admission.interface import Plan
 
 RAISE, FALL = 1.5, 0.5  # a dry slice grows by half (design page); an over-used one loses half of its growth
 ROOM, SPENT = 0.9, 0.25  # of the burst: a fuller shared store has room for all; an emptier one is over-used
--- a/tamarindfold/choice.py
+++ b/troutdock/admission/gateway.py
@@ -1,4 +1,4 @@
-"""Every decision of the gateway; its settings, events and actions are in tamarindfold/interface.py."""
+"""Every decision of the gateway; its settings, events and actions are in troutdock/admission/interface.py."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 from random import Random
 from typing import Any
 
-from tamarindfold.asks import ASK, KINDS as ASKING, PARTS, Answer, Question, read_answer
-from tamarindfold.copies import KINDS as COPIES
-from tamarindfold.digest import mark_of
-from tamarindfold.health import BLAME, RETRY_MOST, Backend, Pool, Sent
-from tamarindfold.homes import Homes
-from tamarindfold.interface import Actions, AnswerBegan, AttemptEnded, BackendState, Cancel, Count
-from tamarindfold.interface import CountAnswered, Effect, Event, Fail, FleetUpdate, Group, ListWatched, Log
-from tamarindfold.interface import Outcome, PeerMessage, PlanAssigned, Refuse, RequestArrived, RequestClass
-from tamarindfold.interface import RequestWaited, RequestWithdrawn, Send, SetTimer, Settings
-from tamarindfold.interface import SettingsChanged, Settled, Tell, TimerFired
-from tamarindfold.listed import followed
-from tamarindfold.naming import NAME_TTL_MS, counter_name
-from tamarindfold.news import News
-from tamarindfold.newswire import KINDS, low
-from tamarindfold.questions import Questions
-from tamarindfold.quota import Customer
-from tamarindfold.requests import Booked, Call
-from tamarindfold.succession import configured, settled, settlement
-from tamarindfold.word import Word
+from troutdock.admission.owner_query_codec import ASK, KINDS as ASKING, PARTS, Answer, Question, read_answer
+from troutdock.admission.bucket_replication import KINDS as COPIES
+from troutdock.admission.usage_digest_codec import mark_of
+from troutdock.admission.backend_health import BLAME, RETRY_MOST, Backend, Pool, Sent
+from troutdock.admission.bucket_owner import Homes
+from troutdock.admission.interface import Actions, AnswerBegan, AttemptEnded, BackendState, Cancel, Count
+from troutdock.admission.interface import CountAnswered, Effect, Event, Fail, FleetUpdate, Group, ListWatched
+from troutdock.admission.interface import Log, Outcome, PeerMessage, PlanAssigned, Refuse, RequestArrived
+from troutdock.admission.interface import RequestClass, RequestWaited, RequestWithdrawn, Send, SetTimer
+from troutdock.admission.interface import Settings, SettingsChanged, Settled, Tell, TimerFired
+from troutdock.admission.backend_list import followed
+from troutdock.admission.counter_names import NAME_TTL_MS, counter_name
+from troutdock.admission.backend_gossip import News
+from troutdock.admission.backend_gossip_codec import KINDS, low
+from troutdock.admission.owner_queries import Questions
+from troutdock.admission.customer_quota import Customer
+from troutdock.admission.request_records import Booked, Call
+from troutdock.admission.state_handover import configured, settled, settlement
+from troutdock.admission.usage_gossip import Word
 
 # ---- tuned constants
 RESERVE = 0.02  # of the slice's burst: what only marked retries may take that can still be in time
--- a/tamarindfold/questions.py
+++ b/troutdock/admission/owner_queries.py
@@ -1,7 +1,7 @@
 """What a gateway asks customers' homes: whom, how long it waits, and when again (no I/O, no clock).
 
-Theory of operation. Each customer has an order of homes: gateways of its set, by its mark. homes.py says what
-a home does; here is how it is reached over datagrams that are late or lost:
+Theory of operation. Each customer has an order of homes: gateways of its set, by its mark. bucket_owner.py
+says what a home does; here is how it is reached over datagrams that are late or lost:
 
     answering  a question goes to the first home of the order that is not silent
     late       no answer within PATIENCE of what answers take: the same question again, which counts once
@@ -21,10 +21,10 @@
 from random import Random
 from typing import Generic, TypeVar
 
-from tamarindfold.asks import Question
-from tamarindfold.copies import NOBODY
-from tamarindfold.digest import mark_of
-from tamarindfold.word import INTAKE, LEAST_MS
+from troutdock.admission.owner_query_codec import Question
+from troutdock.admission.bucket_replication import NOBODY
+from troutdock.admission.usage_digest_codec import mark_of
+from troutdock.admission.usage_gossip import INTAKE, LEAST_MS
 
 RANKS, STEP = 3, 0.382  # homes in a customer's order, and how far apart they stand, as a part of its set
 PATIENCE, SOONEST_MS, LATEST_MS = 4.0, 30.0, 300.0  # deviations over the mean; bounds of what is waited
--- a/tamarindfold/asks.py
+++ b/troutdock/admission/owner_query_codec.py
@@ -1,4 +1,4 @@
-"""The bytes of questions to a customer's home and of its answers; homes.py says what they mean (no I/O).
+"""The bytes of questions to a customer's home and of its answers; see bucket_owner.py (no I/O).
 
 A question: kind (u8), number (u16, one more each time), the customer's mark (3 bytes), what its burst fills
 in a second (f16, parts of the burst), what was used and not told before (i16, thousandths of the burst),
@@ -14,9 +14,13 @@
 from math import isfinite
 from struct import Struct
 
-from tamarindfold.copies import NOBODY
+from troutdock.admission.bucket_replication import NOBODY
 
-ASK, GRANTED, REFUSED = 18, 19, 20  # kinds, beside those of news.py; a digest's version stands in their place
+ASK, GRANTED, REFUSED = (
+    18,
+    19,
+    20,
+)  # kinds, beside those of backend_gossip.py; a digest's version stands in their place
 PARTS = 1000  # of the burst: what uses and levels are told in
 HOLD_MS = 20.0  # the unit of how long not to ask again; 5.1 s at most
 STEPS = 250  # of the burst: what bounds are told in
--- a/tamarindfold/fabric.py
+++ b/troutdock/admission/proxy_admission.py
@@ -1,9 +1,9 @@
 """The decisions of one ingress of the whole gateway: its way through the events (no I/O, no clock).
 
-What choice.Gateway is for one site, with a list of servers and a counter given, this is where ingresses
+What gateway.Gateway is for one site, with a list of servers and a counter given, this is where ingresses
 know each other only by what they tell: the engine hands either its events and carries out the actions.
 Tenants' quotas are leased from their owners (troutdock.quota), return times are tenant.py's, backends
-placement.py's; here are attempts, the budget of second sendings,
+backend_selection.py's; here are attempts, the budget of second sendings,
 and refusals.
 
     waits             for a token of its tenant's quota, a part of its aim at most; nothing of it has run
@@ -22,7 +22,7 @@
 from random import Random
 from typing import Any
 
-from tamarindfold.interface import (
+from troutdock.admission.interface import (
     Actions,
     AnswerBegan,
     AttemptEnded,
@@ -49,8 +49,18 @@
     Suspected,
     TimerFired,
 )
-from tamarindfold.placement import DOUBT, LEARN_SPEED, QUICKEST, SLOWEST, Backend, Choice, Pool, Work, choose
-from tamarindfold.tenant import Tenant
+from troutdock.admission.backend_selection import (
+    DOUBT,
+    LEARN_SPEED,
+    QUICKEST,
+    SLOWEST,
+    Backend,
+    Choice,
+    Pool,
+    Work,
+    choose,
+)
+from troutdock.admission.tenant import Tenant
 from troutdock.quota.bucket import QuotaLimit
 from troutdock.quota.leases import QuotaLeases, Verdict
 from troutdock.quota.node import QuotaNode
--- a/tamarindfold/requests.py
+++ b/troutdock/admission/request_records.py
@@ -4,9 +4,9 @@
 
 from math import inf
 
-from tamarindfold.health import Backend, Pool
-from tamarindfold.interface import Group, RequestArrived, RequestClass
-from tamarindfold.quota import Customer
+from troutdock.admission.backend_health import Backend, Pool
+from troutdock.admission.interface import Group, RequestArrived, RequestClass
+from troutdock.admission.customer_quota import Customer
 
 WHOLE = 0.95  # of the usual time-out: a retry with less of it has begun to run out of its deadline
 KEYS, KEY_MS = 20_000, 600_000.0  # keyed requests that are remembered: at most, and for how long
--- a/tamarindfold/wire.py
+++ b/troutdock/admission/simulator_wire.py
@@ -7,7 +7,7 @@
 from struct import Struct
 from typing import Any
 
-from tamarindfold.interface import (
+from troutdock.admission.interface import (
     Action,
     AnswerBegan,
     AttemptEnded,
--- a/tamarindfold/snapshot.py
+++ b/troutdock/admission/snapshot.py
@@ -25,12 +25,12 @@
 from math import inf
 from typing import Any
 
-from tamarindfold.choice import Gateway
-from tamarindfold.health import Sent, Slowness
-from tamarindfold.interface import Group
-from tamarindfold.quota import Customer
-from tamarindfold.requests import KEYS
-from tamarindfold.succession import adopt
+from troutdock.admission.gateway import Gateway
+from troutdock.admission.backend_health import Sent, Slowness
+from troutdock.admission.interface import Group
+from troutdock.admission.customer_quota import Customer
+from troutdock.admission.request_records import KEYS
+from troutdock.admission.state_handover import adopt
 
 VERSION = 2
 OLDEST = 2  # that can be read: rows without heads came before
--- a/tamarindfold/succession.py
+++ b/troutdock/admission/state_handover.py
@@ -11,12 +11,12 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from tamarindfold.health import Backend, Sent, Slowness
-from tamarindfold.interface import AttemptEnded, Outcome, Settled, SettingsChanged, renumbered
+from troutdock.admission.backend_health import Backend, Sent, Slowness
+from troutdock.admission.interface import AttemptEnded, Outcome, Settled, SettingsChanged, renumbered
 
 if TYPE_CHECKING:
-    from tamarindfold.choice import Gateway
-    from tamarindfold.requests import Call
+    from troutdock.admission.gateway import Gateway
+    from troutdock.admission.request_records import Call
 
 
 def settlement(
--- a/tamarindfold/tenant.py
+++ b/troutdock/admission/tenant.py
@@ -6,8 +6,8 @@
 
 from __future__ import annotations
 
-from tamarindfold.diba import VirtualQueue, spread_of
-from tamarindfold.interface import Plan
+from troutdock.admission.diba import VirtualQueue, spread_of
+from troutdock.admission.interface import Plan
 
 EARLY_MS, NO_SHOW_MS = 60.0, 1500.0  # a try so long before or after a return time is the one that was told it
 PACE_MS = 2000.0  # over how long the pace of a tenant without a limit is taken
--- a/tamarindfold/digest.py
+++ b/troutdock/admission/usage_digest_codec.py
@@ -1,6 +1,6 @@
 """The bytes of digests, by which gateways of a small fleet tell one another of use (no I/O).
 
-word.py says what they mean.
+usage_gossip.py says what they mean.
 
 A digest: version (u8), number (u16, one more each time), then for each customer its mark (3 bytes), its
 use in hundredths of the burst (i8; below nought: given back), and the store in STEPS of its burst (u8;
--- a/tamarindfold/word.py
+++ b/troutdock/admission/usage_gossip.py
@@ -21,8 +21,8 @@
 from math import inf
 from random import Random
 
-from tamarindfold.digest import FITTING, MOST_USE, mark_of, read, write
-from tamarindfold.store import Store
+from troutdock.admission.usage_digest_codec import FITTING, MOST_USE, mark_of, read, write
+from troutdock.admission.shared_bucket import Store
 
 DEAF_MS = 10_000.0  # without a digest for so long peers are taken for unreachable; idle ones tell nothing
 INTAKE = 0.8  # of what a gateway takes in a second: the rest is for chance
--- a/troutdock/asgi/guard.py
+++ b/troutdock/asgi/guard.py
@@ -24,7 +24,14 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from tamarindfold.interface import BackendEntry, BackendId, BackendState, FleetUpdate, ListKind, Outcome
+from troutdock.admission.interface import (
+    BackendEntry,
+    BackendId,
+    BackendState,
+    FleetUpdate,
+    ListKind,
+    Outcome,
+)
 from troutdock.asgi.base import FactsOf, Middleware, answer, answer_bad, answer_refused
 from troutdock.asgi.scope import facts_from_headers
 from troutdock.asgi.types import App, Message, Receive, Scope, Send
--- a/troutdock/cli/demo.py
+++ b/troutdock/cli/demo.py
@@ -139,7 +139,7 @@
     """All of it; show is given customers, nodes and the seconds gone by, four times a second."""
     from troutdock.daemon import Service, serve
     from troutdock.operator.compiled import Compiled, read_deployment
-    from troutdock.routed.service import Routed
+    from troutdock.routing_service.service import Routed
 
     nodes = [Node(f"server {n}") for n in (1, 2, 3)]
     for node in nodes:
--- a/troutdock/cli/deployment.py
+++ b/troutdock/cli/deployment.py
@@ -118,8 +118,8 @@
 
 def serve(file: Path = _FILE) -> None:
     """Serve a deployment until SIGTERM, which drains; SIGHUP takes over what has changed in the file."""
-    from troutdock.operator.apart import read_apart
-    from troutdock.routed.run import run
+    from troutdock.operator.subprocess_reader import read_apart
+    from troutdock.routing_service.run import run
 
     running = read(file)
 
--- a/troutdock/cli/plans.py
+++ b/troutdock/cli/plans.py
@@ -56,7 +56,7 @@
     import msgspec
 
     from troutdock.reservations.entries import Entries, Entry
-    from troutdock.reservations.promise import most_of, peak
+    from troutdock.reservations.commitment_limit import most_of, peak
 
     try:
         found = msgspec.json.decode(call(doors[0], "GET", "/control/reservations"))
--- a/troutdock/cli/reservations.py
+++ b/troutdock/cli/reservations.py
@@ -13,7 +13,7 @@
 from troutdock.cli.common import call, either, moment, number, plain_errors, said, spread, stop
 from troutdock.reservations.entries import Entries, Entry, Kind, Reservation, checked
 from troutdock.reservations.files import join, promise, prune, read
-from troutdock.reservations.promise import Terms, Verdict
+from troutdock.reservations.commitment_limit import Terms, Verdict
 
 _FILE = typer.Option(None, "--file", help="The entries: JSON lines.")
 _DOORS = typer.Option([], "--door", help="The operators' door of an ingress, host:port; once for each.")
--- a/troutdock/cli/system.py
+++ b/troutdock/cli/system.py
@@ -10,14 +10,14 @@
 
 import typer
 
-from almanac.boot import BOOT, load_boot
-from almanac.configuration import Configuration, Refused, longest, read_configuration
-from almanac.settings import REQUIRED
-from espalier.routes import Table
-from furrow.messages import WriteAck
-from furrow.trace import TraceError, play, read_trace
-from rootstock.replica import EVENTS, again
-from rootstock.state import InForce, Log, Send
+from troutdock.settings.boot import BOOT, load_boot
+from troutdock.settings.configuration import Configuration, Refused, longest, read_configuration
+from troutdock.settings.table import REQUIRED
+from troutdock.proxy.route_table import Table
+from troutdock.rpc.messages import WriteAck
+from troutdock.rpc.event_trace import TraceError, play, read_trace
+from troutdock.config_store.replica import EVENTS, again
+from troutdock.config_store.replica_state import InForce, Log, Send
 from troutdock.cli.common import call, plain_errors
 
 system = typer.Typer(no_args_is_help=True, help="The whole gateway: registries, stores, ingresses.")
--- a/troutdock/cli/usage.py
+++ b/troutdock/cli/usage.py
@@ -9,7 +9,7 @@
 import typer
 
 from troutdock.cli.common import plain_errors
-from troutdock.usage.port import StoreError
+from troutdock.usage.store import StoreError
 
 usage = typer.Typer(no_args_is_help=True, help="The ledger of use and its exports.")
 _FOLDER = typer.Argument(help="The folder of the exports, or the ledger's above it.")
--- a/rootstock/__main__.py
+++ b/troutdock/config_store/__main__.py
@@ -1,4 +1,7 @@
-"""Start, signals and the end of the store: python -m rootstock, by the settings that TROUTDOCK_BOOT names."""
+"""Start, signals and the end of the store: python -m troutdock.config_store.
+
+The settings are those that TROUTDOCK_BOOT names.
+"""
 
 from __future__ import annotations
 
@@ -6,9 +9,9 @@
 import signal
 import sys
 
-from almanac.boot import Boot
-from almanac.program import life_of_now, run
-from rootstock.daemon import PORT, Store
+from troutdock.settings.boot import Boot
+from troutdock.settings.process import life_of_now, run
+from troutdock.config_store.daemon import PORT, Store
 
 
 async def main(boot: Boot, path: str) -> int:
--- a/rootstock/orders.py
+++ b/troutdock/config_store/configuration_requests.py
@@ -22,9 +22,9 @@
 
 from dataclasses import dataclass, field
 
-from furrow.messages import Read, ReadAck, Write, WriteAck, digest_of
-from rootstock.contact import Contact
-from rootstock.state import LEDGER, InForce, State, raw
+from troutdock.rpc.messages import Read, ReadAck, Write, WriteAck, digest_of
+from troutdock.config_store.quorum_contact import Contact
+from troutdock.config_store.replica_state import LEDGER, InForce, State, raw
 
 READ_S = 0.8  # for a majority to answer: callers wait a second
 QUEUE = 64  # orders that wait their turn
--- a/rootstock/daemon.py
+++ b/troutdock/config_store/daemon.py
@@ -1,4 +1,4 @@
-"""The store's loop: links of replicas and registries, the disk, and time, round rootstock.replica."""
+"""The store's loop: links of replicas and registries, the disk, and time, round config_store.replica."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 import logbook
 import msgspec
 
-from almanac.boot import Boot
-from furrow.link import Address, Dialer, Link, Listener, send_all
-from furrow.messages import (
+from troutdock.settings.boot import Boot
+from troutdock.rpc.connection import Address, Dialer, Link, Listener, send_all
+from troutdock.rpc.messages import (
     NOTHING,
     Accept,
     Accepted,
@@ -30,10 +30,10 @@
     Write,
     digest_of,
 )
-from furrow.trace import traced
-from rootstock.disk import Disk, DiskError
-from rootstock.replica import EVENTS, Replica, made_of
-from rootstock.state import Action, Bounds, InForce, Log, Save, Send
+from troutdock.rpc.event_trace import traced
+from troutdock.config_store.storage import Disk, DiskError
+from troutdock.config_store.replica import EVENTS, Replica, made_of
+from troutdock.config_store.replica_state import Action, Bounds, InForce, Log, Save, Send
 
 log = logbook.Logger("rootstock")
 
--- a/rootstock/contact.py
+++ b/troutdock/config_store/quorum_contact.py
@@ -11,8 +11,8 @@
 
 from math import inf
 
-from furrow.messages import Probe, ProbeAck
-from rootstock.state import State
+from troutdock.rpc.messages import Probe, ProbeAck
+from troutdock.config_store.replica_state import State
 
 PROBE_S = 0.3  # between two rounds of probes
 CONTACT_S = 1.0  # a primary that has no newer proof than this confirms nothing and claims nothing
--- a/rootstock/replica.py
+++ b/troutdock/config_store/replica.py
@@ -13,9 +13,10 @@
     seals     the record is being written down by the voters
     active    the record holds: takes orders, a batch after the other
 
-The parts, each pure, each using only those before it: state (disk, peers, what is to be done), contact (does
-the primary reach a majority), members (who should vote and keep copies), copies (giving and taking them),
-orders (writes and reads); this module moves between the stages and hands each event to its part.
+The parts, each pure, each using only those before it: replica_state (disk, peers, what is to be done),
+quorum_contact (does the primary reach a majority), voter_changes (who should vote and keep copies),
+replication (giving and taking them), configuration_requests (writes and reads); this module moves between
+the stages and hands each event to its part.
 
 Rules that make it safe, each against a loss that was borne in tests:
 
@@ -54,7 +55,7 @@
 
 import msgspec
 
-from furrow.messages import (
+from troutdock.rpc.messages import (
     Accept,
     Accepted,
     Message,
@@ -70,12 +71,12 @@
     Write,
     digest_of,
 )
-from rootstock import copies as keeping
-from rootstock import members
-from rootstock.contact import Contact
-from rootstock.copies import Copies
-from rootstock.orders import Orders, refuse_read, refuse_write
-from rootstock.state import SILENT_S, Action, Bounds, Kept, Peer, State
+from troutdock.config_store import replication
+from troutdock.config_store import voter_changes
+from troutdock.config_store.quorum_contact import Contact
+from troutdock.config_store.replication import Copies
+from troutdock.config_store.configuration_requests import Orders, refuse_read, refuse_write
+from troutdock.config_store.replica_state import SILENT_S, Action, Bounds, Kept, Peer, State
 
 FOUNDING_S = 3.0  # from the first start until another than the first seed may lead
 STATUS_S = 0.3  # between two tellings of what one is
@@ -220,7 +221,7 @@
             case Promise():
                 self._promised(sender, message)
             case Replicate():
-                kept = keeping.take(state, sender, message, self._leading(message.epoch))
+                kept = replication.take(state, sender, message, self._leading(message.epoch))
                 if kept and message.whole and self.stage is not Stage.IDLE:
                     self._step_down(f"{sender} leads under epoch {message.epoch}")
             case ReplicateAck():
@@ -537,8 +538,8 @@
     def _recruit(self) -> None:
         """Give all that is here to backups: those of before if they are there, else others."""
         state = self._state
-        chosen = members.backups(state, self._tried)
-        if len(chosen) + 1 < members.required(state):
+        chosen = voter_changes.backups(state, self._tried)
+        if len(chosen) + 1 < voter_changes.required(state):
             if state.now > self._step_until + STEP_S:
                 self._rest()
                 return
@@ -557,7 +558,7 @@
             self._tried.append(backup)
             self._failed[backup] = state.now
             copies.drop(backup)
-        if copies.backups and len(copies.backups) + 1 >= members.required(state):
+        if copies.backups and len(copies.backups) + 1 >= voter_changes.required(state):
             self._seal()
         else:
             self._recruit()
@@ -649,7 +650,7 @@
 
     def _say_what_is_borne(self) -> None:
         """Operators are told, once for each state, what the places of copies and voters do not bear."""
-        lacks = members.not_borne(self._state, [self.me, *self._copies.backups])
+        lacks = voter_changes.not_borne(self._state, [self.me, *self._copies.backups])
         if lacks != self._lacks:
             self._lacks = lacks
             text = f"Not borne: {'; '.join(lacks)}." if lacks else "All that is to be borne is borne."
@@ -698,7 +699,9 @@
         elif not self._contact.there:
             if state.now - self._contact.proven_at > PATIENCE_S:
                 self._reform("no majority stands by this epoch")
-        elif (change := members.next_voters(state)) is not None and (age > BETTER_S or members.lost(state)):
+        elif (change := voter_changes.next_voters(state)) is not None and (
+            age > BETTER_S or voter_changes.lost(state)
+        ):
             self._voters_next = change[0]
             self._reform(change[1])
         elif age > BETTER_S:
@@ -712,12 +715,15 @@
         """More copies, or better places for them, can be had."""
         state = self._state
         failed = [p for p, at in self._failed.items() if state.now - at < state.bounds.sync_s * 2]
-        now, best = self._copies.backups, members.backups(state, [p for p in failed if p not in self.backups])
+        now, best = (
+            self._copies.backups,
+            voter_changes.backups(state, [p for p in failed if p not in self.backups]),
+        )
         if len(best) > len(now):
             self._reform("another copy can be kept")
-        elif state.bounds.apart and members.places_of(state, [self.me, *best]) > members.places_of(
-            state, [self.me, *now]
-        ):
+        elif state.bounds.apart and voter_changes.places_of(
+            state, [self.me, *best]
+        ) > voter_changes.places_of(state, [self.me, *now]):
             self._reform("copies can stand further apart")
 
     def _reform(self, why: str, *lost: str) -> None:
@@ -726,8 +732,8 @@
         state.log(f"New epoch: {why}.")
         record = state.kept.record
         if not self._voters_next and record is not None and not record.before:
-            gone = members.lost(state)
-            change = members.next_voters(state) if gone else None
+            gone = voter_changes.lost(state)
+            change = voter_changes.next_voters(state) if gone else None
             if change is not None:  # one step for both
                 self._voters_next = change[0]
         self._orders.drop("a backup was lost")
--- a/rootstock/state.py
+++ b/troutdock/config_store/replica_state.py
@@ -1,6 +1,6 @@
 """What the parts of a replica share: its disk, whom it has met, what is to be done (no I/O, no clock).
 
-A part reads and changes this and knows of no other part but those below it (see rootstock.replica).
+A part reads and changes this and knows of no other part but those below it (see config_store.replica).
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from furrow.messages import NOTHING, Message, Record, Status
+from troutdock.rpc.messages import NOTHING, Message, Record, Status
 
 SILENT_S = 1.0  # who was not heard for so long is taken for lost: three tellings
 LEDGER = 128  # numbers of configurations that are remembered with their digests
--- a/rootstock/copies.py
+++ b/troutdock/config_store/replication.py
@@ -9,8 +9,8 @@
 
 from collections.abc import Iterable
 
-from furrow.messages import NOTHING, Replicate, ReplicateAck
-from rootstock.state import State, ledger, raw
+from troutdock.rpc.messages import NOTHING, Replicate, ReplicateAck
+from troutdock.config_store.replica_state import State, ledger, raw
 
 REPLICATE_S = 0.8  # for a backup to have a batch on its disk: a slow sync is some 140 ms
 BYTES_S = 2e6  # a body's way to a backup's disk, bytes a second at the least: it has so much longer
--- a/rootstock/disk.py
+++ b/troutdock/config_store/storage.py
@@ -26,8 +26,8 @@
 
 import msgspec
 
-from furrow.messages import Record
-from rootstock.state import Kept
+from troutdock.rpc.messages import Record
+from troutdock.config_store.replica_state import Kept
 
 FILE = "rootstock.db"
 LOGGED = "rootstock.logged"  # where it is, the database is not whole without its log
--- a/rootstock/members.py
+++ b/troutdock/config_store/voter_changes.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from rootstock.state import State
+from troutdock.config_store.replica_state import State
 
 
 def spares(state: State) -> list[str]:
--- a/troutdock/daemon.py
+++ b/troutdock/daemon.py
@@ -15,19 +15,19 @@
 from collections.abc import Callable, Iterable, Sequence
 from typing import Any, Protocol, runtime_checkable
 
-from tamarindfold.interface import Settings, Settled
+from troutdock.admission.interface import Settings, Settled
 from troutdock import __version__
 from troutdock.address import Address
 from troutdock.engine import Engine
 from troutdock.handover.link import PredecessorLink, SuccessorLink
 from troutdock.handover.protocol import Holds, ProtocolError, pack_state, unpack_state
 from troutdock.handover.roles import Item
-from troutdock.http.bodies import Budget
+from troutdock.http.body_limits import Budget
 from troutdock.http.request import Reader
 from troutdock.http.listener import Server
 from troutdock.http.transport import HttpTransport
 from troutdock.management.availability import State
-from troutdock.management.door import Books, Door
+from troutdock.management.api import Books, Door
 from troutdock.ingress import SWEEP_S, Ingress, half_of_sockets
 from troutdock.overload.lag import Lag
 from troutdock.platform.background import Background
--- a/pollen/instances.py
+++ b/troutdock/endpoints/endpoint_table.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from furrow.messages import GONE, READY, Instance
+from troutdock.rpc.messages import GONE, READY, Instance
 
 GONE_S = 300.0  # a tombstone's time: longer than a cut or a machine's loss that somebody comes back from
 MOST_GONE = 8192  # tombstones, the newest: some releases of all backends of the largest site
--- a/troutdock/engine/attempt.py
+++ b/troutdock/engine/attempt.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from tamarindfold.interface import BackendId
+from troutdock.admission.interface import BackendId
 
 
 class Attempt:
--- a/troutdock/engine/engine.py
+++ b/troutdock/engine/engine.py
@@ -36,7 +36,7 @@
 from functools import partial
 from typing import Any, cast
 
-from tamarindfold.interface import (
+from troutdock.admission.interface import (
     Action,
     Actions,
     AnswerBegan,
@@ -153,16 +153,16 @@
     def __init__(
         self, settings: Settings, seed: int, clock: Clock, timers: Timers, gateway: Decides | None = None
     ) -> None:
-        """gateway: who decides, in place of a choice.Gateway."""
+        """gateway: who decides, in place of a gateway.Gateway."""
         self.clock, self._timers = clock, timers
         self.relays_failures = False  # a backend's own failure is passed on, where nothing better comes
         self.tally = Tally()
         self.ready = False  # until there is a backend to send to
         if gateway is None:
-            from tamarindfold.choice import Gateway
+            from troutdock.admission.gateway import Gateway
 
             gateway = Gateway(settings, seed)
-        self._gateway: Any = gateway  # a Decides; what is handed over is a choice.Gateway's
+        self._gateway: Any = gateway  # a Decides; what is handed over is a gateway.Gateway's
         self._most_units = settings.most_units
         self._calls: dict[int, Call] = {}
         self._open_ids: set[bytes] = set()
@@ -248,14 +248,14 @@
 
         tell: what comes of the attempts that are out, each in its turn.
         """
-        from tamarindfold import snapshot
+        from troutdock.admission import snapshot
 
         self._tell = tell
         return snapshot.take(self._gateway)
 
     def take_back(self, untouched: Any = None) -> None:
         """The other process has died: go on. untouched: the state, where it is known that nobody used it."""
-        from tamarindfold import snapshot
+        from troutdock.admission import snapshot
 
         snapshot.resume(self._gateway, self.clock.now(), untouched)
 
@@ -264,7 +264,7 @@
 
         ValueError if it is none, and nothing is taken from it.
         """
-        from tamarindfold import snapshot
+        from troutdock.admission import snapshot
 
         return snapshot.restore(self._gateway, state)
 
@@ -274,7 +274,7 @@
 
     def predecessor_ended(self) -> None:
         """What the predecessor has not told is not waited for."""
-        from tamarindfold import snapshot
+        from troutdock.admission import snapshot
 
         snapshot.forget(self._gateway)
 
--- a/troutdock/engine/ports.py
+++ b/troutdock/engine/ports.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any, Protocol
 
-from tamarindfold.interface import Actions, BackendId, Event, FleetUpdate, Outcome, Settings
+from troutdock.admission.interface import Actions, BackendId, Event, FleetUpdate, Outcome, Settings
 from troutdock.engine.attempt import Attempt
 
 
@@ -30,7 +30,7 @@
 
 
 class Decides(Protocol):
-    """The decision module: choice.Gateway, or fabric.Fabric where ingresses know one another."""
+    """The decision module: gateway.Gateway, or proxy_admission.Fabric where ingresses know one another."""
 
     @property
     def settings(self) -> Settings:
--- a/troutdock/engine/request.py
+++ b/troutdock/engine/request.py
@@ -4,7 +4,7 @@
 
 from typing import Any, ClassVar, NamedTuple
 
-from tamarindfold.interface import BackendId, RequestArrived
+from troutdock.admission.interface import BackendId, RequestArrived
 
 
 class BadRequest(Exception):
--- a/troutdock/grpc/both.py
+++ b/troutdock/grpc/dual_transport.py
@@ -7,7 +7,7 @@
 
 from typing import Any
 
-from tamarindfold.interface import BackendId, FleetUpdate
+from troutdock.admission.interface import BackendId, FleetUpdate
 from troutdock.engine import Attempt
 from troutdock.engine.ports import Transport
 from troutdock.grpc.request import GrpcMessage
--- a/troutdock/grpc/front.py
+++ b/troutdock/grpc/front.py
@@ -20,7 +20,7 @@
 import time
 from typing import TYPE_CHECKING
 
-from tamarindfold.interface import RequestWaited
+from troutdock.admission.interface import RequestWaited
 from troutdock.engine import BadRequest, Failure
 from troutdock.grpc.exchange import HEAD, GrpcExchange
 from troutdock.grpc.methods import Methods, Row
@@ -34,9 +34,9 @@
     whole_messages,
 )
 from troutdock.grpc.request import Names, Reader, Upload
-from troutdock.grpc.wire import Wire
-from troutdock.http.age import received_ago_ms
-from troutdock.http.bodies import SMALL
+from troutdock.grpc.socket_connection import Wire
+from troutdock.http.socket_info import received_ago_ms
+from troutdock.http.body_limits import SMALL
 from troutdock.http.connection import NOTICED_MS
 from troutdock.http2.connection import Connection, Stream
 from troutdock.http2.frames import Code, StreamError
--- a/troutdock/grpc/methods.py
+++ b/troutdock/grpc/methods.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from tamarindfold.interface import Effect, Settings
+from troutdock.admission.interface import Effect, Settings
 
 
 class Kind(Enum):
--- a/troutdock/grpc/protocol.py
+++ b/troutdock/grpc/protocol.py
@@ -29,7 +29,7 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-from tamarindfold.interface import Outcome
+from troutdock.admission.interface import Outcome
 
 MOST_TIMEOUT_MS = 1e9  # a longer one is cut, as eight digits of hours would be
 _TIMEOUT = re.compile(rb"(\d{1,8})([HMSmun])")
--- a/troutdock/grpc/request.py
+++ b/troutdock/grpc/request.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from tamarindfold.interface import Effect, RequestArrived, Settings
+from troutdock.admission.interface import Effect, RequestArrived, Settings
 from troutdock.engine import BadRequest, Request
 from troutdock.grpc.methods import Method, Methods
 from troutdock.grpc.protocol import Ended, Metadata, format_timeout, parse_timeout
--- a/troutdock/grpc/service.py
+++ b/troutdock/grpc/service.py
@@ -11,10 +11,10 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from tamarindfold.interface import BackendEntry, BackendState, FleetUpdate, ListKind
+from troutdock.admission.interface import BackendEntry, BackendState, FleetUpdate, ListKind
 from troutdock.address import Address
 from troutdock.engine import Engine
-from troutdock.grpc.both import BothTransports
+from troutdock.grpc.dual_transport import BothTransports
 from troutdock.grpc.front import Front
 from troutdock.grpc.methods import Row
 from troutdock.grpc.request import Names
--- a/troutdock/grpc/transport.py
+++ b/troutdock/grpc/transport.py
@@ -19,14 +19,14 @@
 from math import inf
 from typing import Any, Protocol
 
-from tamarindfold.interface import BackendId, FleetUpdate, Outcome
+from troutdock.admission.interface import BackendId, FleetUpdate, Outcome
 from troutdock.address import Address
 from troutdock.engine import Attempt, Flow
 from troutdock.grpc.protocol import OF_HTTP, Ended, Status, outcome_of, read_end
 from troutdock.grpc.request import GrpcMessage
-from troutdock.grpc.wire import Wire
-from troutdock.http.age import received_ago_ms
-from troutdock.http.pools import Pools
+from troutdock.grpc.socket_connection import Wire
+from troutdock.http.socket_info import received_ago_ms
+from troutdock.http.backend_pools import Pools
 from troutdock.http.transport import IDLE_PART, ONCE_STALL_S, STALL_S
 from troutdock.http2.connection import LOW, Connection, Stream
 from troutdock.http2.frames import Code
--- a/troutdock/handover/link.py
+++ b/troutdock/handover/link.py
@@ -16,7 +16,7 @@
 from collections.abc import Callable, Iterable, Iterator
 from typing import Any, Protocol
 
-from tamarindfold.interface import Settled
+from troutdock.admission.interface import Settled
 from troutdock.handover import roles
 from troutdock.handover.protocol import ANSWER_S, MAX_PACKET, Holds, Message, ProtocolError, decode, encode
 from troutdock.handover.roles import Effect, Giving, Item, Predecessor, Successor, Taking
--- a/troutdock/handover/protocol.py
+++ b/troutdock/handover/protocol.py
@@ -39,7 +39,7 @@
 
 import msgspec
 
-from tamarindfold.interface import Settled
+from troutdock.admission.interface import Settled
 
 VERSION, OLDEST = 2, 2
 PIECE = 32 * 1024  # bytes of the state or of a message in one packet: a few fit into the socket's buffer
--- a/troutdock/handover/roles.py
+++ b/troutdock/handover/roles.py
@@ -44,7 +44,7 @@
 from enum import Enum
 from typing import Any
 
-from tamarindfold.interface import Settled
+from troutdock.admission.interface import Settled
 from troutdock.handover.protocol import (
     MAX_MESSAGE,
     MAX_STATE,
--- a/troutdock/http/pools.py
+++ b/troutdock/http/backend_pools.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Generic, Protocol, TypeVar
 
-from tamarindfold.interface import BackendId, BackendState, FleetUpdate, ListKind
+from troutdock.admission.interface import BackendId, BackendState, FleetUpdate, ListKind
 from troutdock.address import Address
 
 
--- a/troutdock/http/connection.py
+++ b/troutdock/http/connection.py
@@ -14,8 +14,8 @@
 
 from troutdock.engine import BadRequest, Failure
 from troutdock.handover.roles import Item
-from troutdock.http.age import has_left, has_unread
-from troutdock.http.bodies import SMALL, Pace
+from troutdock.http.socket_info import has_left, has_unread
+from troutdock.http.body_limits import SMALL, Pace
 from troutdock.http.exchange import Exchange
 from troutdock.http.response import MAX_BODY
 
--- a/troutdock/http/exchange.py
+++ b/troutdock/http/exchange.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from troutdock.engine import Call, Failure, Flow
-from troutdock.http.age import received_ago_ms
+from troutdock.http.socket_info import received_ago_ms
 from troutdock.http.response import MAX_BODY, Response
 from troutdock.http.status import FAILED
 
--- a/troutdock/http/listener.py
+++ b/troutdock/http/listener.py
@@ -25,14 +25,14 @@
 from math import inf
 from typing import Protocol
 
-from tamarindfold.interface import RequestWaited
+from troutdock.admission.interface import RequestWaited
 from troutdock.address import Address
 from troutdock.engine import Engine
 from troutdock.handover.roles import Item
-from troutdock.http.age import has_left
-from troutdock.http.bodies import HEAD_S, Budget
+from troutdock.http.socket_info import has_left
+from troutdock.http.body_limits import HEAD_S, Budget
 from troutdock.http.connection import ClientConnection
-from troutdock.http.places import Line
+from troutdock.http.connection_slots import Line
 from troutdock.http.request import Headers, HttpRequest
 from troutdock.http.response import MAX_HEAD
 from troutdock.http.status import passed_on
--- a/troutdock/http/request.py
+++ b/troutdock/http/request.py
@@ -6,9 +6,9 @@
 from hashlib import blake2b
 from collections.abc import Iterable, Sequence
 
-from tamarindfold.interface import Effect, RequestArrived, RequestWaited, Settings
+from troutdock.admission.interface import Effect, RequestArrived, RequestWaited, Settings
 from troutdock.engine import BadRequest, Request
-from troutdock.http.bodies import SMALL
+from troutdock.http.body_limits import SMALL
 
 ACCOUNT = re.compile(rb"[0-9a-fA-F]{16}")
 SECONDS = re.compile(rb"\d{1,6}(\.\d{1,9})?")
--- a/troutdock/http/transport.py
+++ b/troutdock/http/transport.py
@@ -11,11 +11,11 @@
 from math import inf
 from typing import Any, Protocol, cast
 
-from tamarindfold.interface import BackendId, FleetUpdate, Outcome
+from troutdock.admission.interface import BackendId, FleetUpdate, Outcome
 from troutdock.address import Address
 from troutdock.engine import Attempt, Flow, Manners
-from troutdock.http.age import received_ago_ms
-from troutdock.http.pools import Pools
+from troutdock.http.socket_info import received_ago_ms
+from troutdock.http.backend_pools import Pools
 from troutdock.http.request import Message
 from troutdock.http.response import MAX_BODY, BadResponse, Response, ResponseReader
 from troutdock.overload.lag import Lag
--- a/troutdock/http2/connection.py
+++ b/troutdock/http2/connection.py
@@ -25,7 +25,7 @@
 
 from troutdock.http2 import frames as f
 from troutdock.http2.frames import Code, ConnectionError, StreamError
-from troutdock.http2.guard import Guard
+from troutdock.http2.abuse_limits import Guard
 from troutdock.http2.headers import MOST_LIST, Blocks, Headers, encode
 
 MOST_BLOCK, MOST_CONTINUATIONS = 32 * 1024, 8  # of one block of headers, before it is decoded
--- a/troutdock/ingress.py
+++ b/troutdock/ingress.py
@@ -10,7 +10,7 @@
 from dataclasses import replace
 from random import Random
 
-from tamarindfold.interface import Settings, merged_settings
+from troutdock.admission.interface import Settings, merged_settings
 from troutdock.engine import Engine
 from troutdock.http.transport import HttpTransport
 from troutdock.membership.datagrams import Datagrams
--- a/troutdock/library/deployment.py
+++ b/troutdock/library/deployment.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from secrets import randbits
 
-from tamarindfold.interface import BackendEntry, FleetUpdate, ListKind, Plan, RequestClass, Settings
+from troutdock.admission.interface import BackendEntry, FleetUpdate, ListKind, Plan, RequestClass, Settings
 from troutdock.address import Address, parse_address
 from troutdock.http.response import MAX_BODY
 from troutdock.overload.damping import EVERY
@@ -82,7 +82,7 @@
     ) -> Deployment:
         """A deployment in the program's own words; ConfigError names the first setting that can't be used.
 
-        classes, plans: see tamarindfold.interface; each needs a name. A class's name is the first part of
+        classes, plans: see admission.interface; each needs a name. A class's name is the first part of
             the paths of its requests; its times are milliseconds, a plan's rate is units per second.
         nodes: "host:port" of ledger nodes, where the list never changes. discovery: "host:port" of the
             agent that knows the list; with it, nodes are those known at the start.
--- a/troutdock/library/facts.py
+++ b/troutdock/library/facts.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from hashlib import blake2b
 
-from tamarindfold.interface import RequestArrived, RequestClass, Settings
+from troutdock.admission.interface import RequestArrived, RequestClass, Settings
 from troutdock.engine import BadRequest
 
 CUSTOMERS = 1 << 33  # a customer is a number below it, as the protocol has it
--- a/troutdock/library/local.py
+++ b/troutdock/library/local.py
@@ -9,7 +9,7 @@
 from types import TracebackType
 from typing import Self
 
-from tamarindfold.interface import Effect
+from troutdock.admission.interface import Effect
 from troutdock.engine import BadRequest, Call, Failure, Tally
 from troutdock.http.request import HttpRequest, forwarded_head, key_number
 from troutdock.http.response import MAX_BODY, Response
--- a/troutdock/operator/compiled.py
+++ b/troutdock/operator/compiled.py
@@ -7,15 +7,15 @@
 from dataclasses import dataclass, replace
 from pathlib import Path
 
-from tamarindfold.interface import Effect, Plan, RequestClass
+from troutdock.admission.interface import Effect, Plan, RequestClass
 from troutdock.address import parse_address
-from troutdock.http.bodies import budget_for, streams_for
+from troutdock.http.body_limits import budget_for, streams_for
 from troutdock.library.deployment import Deployment
 from troutdock.operator.deployment import DeploymentFile, Match, RouteSection, ValueMatch, nearest, validated
-from troutdock.operator.tree import Keys, Problem, Tree, load, named
+from troutdock.operator.yaml_tree import Keys, Problem, Tree, load, named
 from troutdock.platform.config import Config, ConfigError
-from troutdock.routed.reader import Customers
-from troutdock.routed.service import PoolTerms, Terms
+from troutdock.routing_service.reader import Customers
+from troutdock.routing_service.service import PoolTerms, Terms
 from troutdock.routing import route as routing
 from troutdock.routing.table import Table
 
--- a/troutdock/operator/parts.py
+++ b/troutdock/operator/components.py
@@ -4,9 +4,9 @@
 
 from typing import Any
 
-from tamarindfold.interface import Settings
+from troutdock.admission.interface import Settings
 from troutdock.operator.model import OperatorFile
-from troutdock.operator.read import OperatorError
+from troutdock.operator.reader import OperatorError
 
 
 def parts_of(ingress: str, file: OperatorFile, settings: Settings) -> list[Any]:
@@ -33,7 +33,7 @@
             parts.append(Grpc(grpc_terms_of(file.grpc, settings)))
         if file.usage is not None:
             from troutdock.operator.usage import terms_of
-            from troutdock.usage.port import StoreError
+            from troutdock.usage.store import StoreError
             from troutdock.usage.service import Usage
 
             try:
--- a/troutdock/operator/deployment.py
+++ b/troutdock/operator/deployment.py
@@ -8,7 +8,7 @@
 from pydantic import BaseModel, ConfigDict, Field, ValidationError, field_validator, model_validator
 
 from troutdock.address import parse_address
-from troutdock.operator.tree import Keys, Problem, Tree, named
+from troutdock.operator.yaml_tree import Keys, Problem, Tree, named
 
 Name = Annotated[str, Field(pattern=r"^[A-Za-z0-9_.-]{1,64}$", description="letters, digits, `_`, `.`, `-`")]
 Address = Annotated[str, Field(description="host:port")]
--- a/troutdock/operator/grpc.py
+++ b/troutdock/operator/grpc.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tamarindfold.interface import Settings
+from troutdock.admission.interface import Settings
 from troutdock.address import parse_address
 from troutdock.grpc.methods import Kind, Methods, Row
 from troutdock.grpc.request import Names
--- a/troutdock/operator/apart.py
+++ b/troutdock/operator/subprocess_reader.py
@@ -17,7 +17,7 @@
 
 from troutdock.operator.compiled import Compiled, compiled
 from troutdock.operator.deployment import validated
-from troutdock.operator.tree import Tree, load
+from troutdock.operator.yaml_tree import Tree, load
 
 MOST_S = 120.0  # for all of it
 
@@ -28,7 +28,7 @@
     Its routes are in its table only.
     """
     try:
-        words = [sys.executable, "-m", "troutdock.operator.apart", str(path)]
+        words = [sys.executable, "-m", "troutdock.operator.subprocess_reader", str(path)]
         done = subprocess.run(words, capture_output=True, timeout=MOST_S, check=False)
         found = msgspec.json.decode(done.stdout)
     except (OSError, subprocess.TimeoutExpired, msgspec.DecodeError) as error:
--- a/troutdock/operator/usage.py
+++ b/troutdock/operator/usage.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from troutdock.operator.model import UsageSection
-from troutdock.usage.book import Promise
+from troutdock.usage.ledger import Promise
 from troutdock.usage.service import Terms
 
 
--- a/troutdock/overload/lag.py
+++ b/troutdock/overload/lag.py
@@ -4,8 +4,8 @@
 of a pass is what a message waits at most, and a timer that is due within one is late by a part of it. A timer
 every few milliseconds samples that: the largest lateness of late, fading, is the lag.
 
-The lag says whether it is worth asking the kernel how long a message has waited (http.age), a system call
-for each.
+The lag says whether it is worth asking the kernel how long a message has waited (http.socket_info), a system
+call for each.
 """
 
 from __future__ import annotations
--- a/troutdock/plans/service.py
+++ b/troutdock/plans/service.py
@@ -11,7 +11,7 @@
 from typing import Protocol
 
 from troutdock import jsonlines
-from troutdock.plans.book import PlanBook
+from troutdock.plans.schedule import PlanBook
 from troutdock.plans.files import join, parse, read
 from troutdock.plans.history import Conflict
 
--- a/troutdock/platform/config.py
+++ b/troutdock/platform/config.py
@@ -7,10 +7,10 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from tamarindfold.interface import FleetUpdate, Settings
-from tamarindfold.wire import parse_settings
+from troutdock.admission.interface import FleetUpdate, Settings
+from troutdock.admission.simulator_wire import parse_settings
 from troutdock.address import Address, parse_address
-from troutdock.http.bodies import LEAST, LEAST_STREAMS, budget_for, streams_for
+from troutdock.http.body_limits import LEAST, LEAST_STREAMS, budget_for, streams_for
 from troutdock.http.response import MAX_BODY
 from troutdock.membership.datagrams import Peers
 from troutdock.overload.damping import Damping, read_damping
@@ -71,7 +71,7 @@
 
 
 def flatten(value: object, path: str = "") -> Iterator[str]:
-    """Nested settings as the simulator's path=value lines, so that wire.parse_settings validates both."""
+    """Nested settings as the simulator's path=value lines: simulator_wire.parse_settings validates both."""
     match value:
         case dict():
             for key, item in value.items():
--- a/troutdock/platform/counter.py
+++ b/troutdock/platform/counter.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import cast
 
-from tamarindfold.interface import CountAnswered, Outcome
+from troutdock.admission.interface import CountAnswered, Outcome
 from troutdock.address import Address
 
 log = logging.getLogger("troutdock")
--- a/troutdock/platform/discovery.py
+++ b/troutdock/platform/discovery.py
@@ -9,7 +9,7 @@
 from hashlib import blake2b
 from typing import Any
 
-from tamarindfold.interface import BackendEntry, BackendId, BackendState, FleetUpdate, ListKind
+from troutdock.admission.interface import BackendEntry, BackendId, BackendState, FleetUpdate, ListKind
 from troutdock.address import Address, parse_address
 from troutdock.http.response import BadResponse, Response, ResponseReader
 from troutdock.membership.watch import Ask, Watch
--- a/espalier/__main__.py
+++ b/troutdock/proxy/__main__.py
@@ -1,4 +1,7 @@
-"""Start, signals and the end of the proxy: python -m espalier, by the settings that TROUTDOCK_BOOT names."""
+"""Start, signals and the end of the proxy: python -m troutdock.proxy.
+
+The settings are those that TROUTDOCK_BOOT names.
+"""
 
 from __future__ import annotations
 
@@ -6,10 +9,10 @@
 import signal
 import sys
 
-from almanac.boot import Boot
-from almanac.program import life_of_now, run
-from espalier.daemon import Ingress
-from espalier.mesh import PORT
+from troutdock.settings.boot import Boot
+from troutdock.settings.process import life_of_now, run
+from troutdock.proxy.daemon import Ingress
+from troutdock.proxy.peer_connections import PORT
 
 
 async def main(boot: Boot, path: str) -> int:
--- a/espalier/daemon.py
+++ b/troutdock/proxy/daemon.py
@@ -1,7 +1,7 @@
 """The proxy's loop: clients, backends, news from the registry, other ingresses, readiness, the end.
 
 What clients and backends are spoken to with is troutdock's: engine, front and transport. Here they get the
-system's reader and verdict, and the decision module for many ingresses (tamarindfold.fabric).
+system's reader and verdict, and the decision module for many ingresses (admission.proxy_admission).
 """
 
 from __future__ import annotations
@@ -14,19 +14,19 @@
 
 import logbook
 
-from almanac.boot import Boot, load_boot
-from almanac.configuration import Refused, read_configuration
-from almanac.settings import SettingsError
-from espalier.following import Act, Note, Ready, Serve, Serving, same
-from espalier.mesh import ROLE, Mesh
-from espalier.news import Feed
-from espalier.quotas import QuotaLoop
-from espalier.reader import SystemReader, passes, verdict
-from espalier.routes import Table
-from espalier.shares import News
-from furrow.calls import Call, CallServer, Reply
-from furrow.link import SILENT_S, Address, Link
-from furrow.messages import (
+from troutdock.settings.boot import Boot, load_boot
+from troutdock.settings.configuration import Refused, read_configuration
+from troutdock.settings.table import SettingsError
+from troutdock.proxy.registry_watch import Act, Note, Ready, Serve, Serving, same
+from troutdock.proxy.peer_connections import ROLE, Mesh
+from troutdock.proxy.registry_connections import Feed
+from troutdock.proxy.quota_loop import QuotaLoop
+from troutdock.proxy.request_reader import SystemReader, passes, verdict
+from troutdock.proxy.route_table import Table
+from troutdock.proxy.load_exchange import News
+from troutdock.rpc.http_calls import Call, CallServer, Reply
+from troutdock.rpc.connection import SILENT_S, Address, Link
+from troutdock.rpc.messages import (
     GONE,
     Config,
     Fresh,
@@ -37,9 +37,9 @@
     Registries,
     Silence,
 )
-from pollen.instances import Book, Entry
-from tamarindfold.fabric import Fabric
-from tamarindfold.interface import (
+from troutdock.endpoints.endpoint_table import Book, Entry
+from troutdock.admission.proxy_admission import Fabric
+from troutdock.admission.interface import (
     Actions,
     BackendEntry,
     BackendState,
@@ -56,7 +56,7 @@
 )
 from troutdock.address import parse_address
 from troutdock.engine import Engine
-from troutdock.http.bodies import Budget, budget_for, streams_for
+from troutdock.http.body_limits import Budget, budget_for, streams_for
 from troutdock.http.listener import Server
 from troutdock.http.transport import HttpTransport
 from troutdock.overload.lag import Lag
--- a/espalier/shares.py
+++ b/troutdock/proxy/load_exchange.py
@@ -22,8 +22,8 @@
 from math import inf
 from typing import Protocol
 
-from furrow.messages import Member, Share, Shares
-from pollen.order import first, in_order
+from troutdock.rpc.messages import Member, Share, Shares
+from troutdock.endpoints.rendezvous import first, in_order
 from troutdock.quota.routes import SHARDS, in_aggregator_order, zones_before
 
 STALE_S = 1.2  # an ingress or zone that was not heard of for so long tells nothing any more
--- a/espalier/mesh.py
+++ b/troutdock/proxy/peer_connections.py
@@ -1,6 +1,6 @@
 """The links of an ingress to others: its zone's, and as home for a duty those of other zones.
 
-The loop round espalier.shares. Of two ingresses the one with the lower address dials. Other zones are
+The loop round proxy.load_exchange. Of two ingresses the one with the lower address dials. Other zones are
 dialled by homes only; who is dialled takes part whatever it thinks of its own part. Of one name the links of
 one life count, those of the life that came last, and nothing that is said on another.
 """
@@ -14,10 +14,10 @@
 
 import logbook
 
-from almanac.boot import Boot
-from espalier.shares import Exchange, News, Services
-from furrow.link import Address, Dialer, Link, Listener
-from furrow.messages import (
+from troutdock.settings.boot import Boot
+from troutdock.proxy.load_exchange import Exchange, News, Services
+from troutdock.rpc.connection import Address, Dialer, Link, Listener
+from troutdock.rpc.messages import (
     Hello,
     Members,
     Message,
--- a/espalier/quotas.py
+++ b/troutdock/proxy/quota_loop.py
@@ -15,8 +15,8 @@
 
 import logbook
 
-from furrow.link import Address
-from furrow.messages import (
+from troutdock.rpc.connection import Address
+from troutdock.rpc.messages import (
     LIFE_TAGS,
     Hello,
     Message,
@@ -27,8 +27,8 @@
     decode_datagram,
     encode_datagram,
 )
-from furrow.netstring import Deframer, FrameError, frame
-from tamarindfold.interface import Event, LeasesDue
+from troutdock.rpc.netstring import Deframer, FrameError, frame
+from troutdock.admission.interface import Event, LeasesDue
 from troutdock.platform.clock import SystemClock
 from troutdock.quota.node import QuotaNode
 from troutdock.quota.routes import Peers
--- a/espalier/news.py
+++ b/troutdock/proxy/registry_connections.py
@@ -1,4 +1,4 @@
-"""The ingress's links to registries: the thin loop round espalier.following.
+"""The ingress's links to registries: the thin loop round troutdock.proxy.registry_watch.
 
 Whoever is followed tells all it knows, then changes. One that is silent is left by the link's own measure.
 What was learnt stays, whoever is lost. Of a link that is not followed yet one configuration is kept and
@@ -13,10 +13,10 @@
 
 import logbook
 
-from almanac.boot import Boot
-from espalier.following import Cut, Dial, Follow, Following, Shed, Step
-from furrow.link import CONNECT_S, Link
-from furrow.messages import Config, Fresh, Hello, Message
+from troutdock.settings.boot import Boot
+from troutdock.proxy.registry_watch import Cut, Dial, Follow, Following, Shed, Step
+from troutdock.rpc.connection import CONNECT_S, Link
+from troutdock.rpc.messages import Config, Fresh, Hello, Message
 
 log = logbook.Logger("news")
 
--- a/espalier/following.py
+++ b/troutdock/proxy/registry_watch.py
@@ -22,9 +22,9 @@
 from dataclasses import dataclass, field
 from math import inf
 
-from furrow.link import CONNECT_S
-from furrow.messages import Config, Fresh
-from pollen.order import in_order
+from troutdock.rpc.connection import CONNECT_S
+from troutdock.rpc.messages import Config, Fresh
+from troutdock.endpoints.rendezvous import in_order
 
 STEP_S = 0.1  # between the beginnings of two looks
 RETRY_S = 0.1  # between two tries of an address while nobody is followed
--- a/espalier/reader.py
+++ b/troutdock/proxy/request_reader.py
@@ -6,10 +6,10 @@
 from collections.abc import Callable
 from random import Random
 
-from espalier.routes import Table, pick
-from tamarindfold.interface import BackendId, Outcome, RequestArrived, RequestWaited
+from troutdock.proxy.route_table import Table, pick
+from troutdock.admission.interface import BackendId, Outcome, RequestArrived, RequestWaited
 from troutdock.engine import BadRequest, Manners
-from troutdock.http.bodies import SMALL
+from troutdock.http.body_limits import SMALL
 from troutdock.http.request import HOP_BY_HOP, Headers, HttpRequest, Message, forwarded_head, once
 from troutdock.http.response import Response
 from troutdock.http.transport import HttpAttempt
--- a/espalier/routes.py
+++ b/troutdock/proxy/route_table.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 from random import Random
 
-from almanac.configuration import Configuration, Route, Tenant
-from tamarindfold.interface import Effect, Plan, RequestClass, Settings
+from troutdock.settings.configuration import Configuration, Route, Tenant
+from troutdock.admission.interface import Effect, Plan, RequestClass, Settings
 
 LOWEST = 9  # priorities beyond are worth no less
 TICK_MS = 1.0
--- a/troutdock/quota/demands.py
+++ b/troutdock/quota/demands.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from math import inf
 
-from furrow.messages import TokenDemand, TokenGrant
+from troutdock.rpc.messages import TokenDemand, TokenGrant
 
 GRANT_LIFETIME_S = 0.25  # a demand is given up then; a grant that comes later is handed back unspent
 ABANDONED_S = 2.0  # so long the answer to a demand that was given up may still come
--- a/troutdock/quota/node.py
+++ b/troutdock/quota/node.py
@@ -31,7 +31,7 @@
 from dataclasses import dataclass
 from math import inf
 
-from furrow.messages import (
+from troutdock.rpc.messages import (
     ChargedRequests,
     Message,
     QuotaGrant,
--- a/troutdock/quota/outbox.py
+++ b/troutdock/quota/outbox.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from furrow.messages import (
+from troutdock.rpc.messages import (
     ChargedRequests,
     Message,
     QuotaGrant,
--- a/troutdock/quota/ownership.py
+++ b/troutdock/quota/ownership.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass
 
-from furrow.messages import QuotaHandover
+from troutdock.rpc.messages import QuotaHandover
 from troutdock.quota.bucket import QuotaLimit
 from troutdock.quota.owner import ShardOwner
 from troutdock.quota.routes import shard_of
--- a/troutdock/quota/routes.py
+++ b/troutdock/quota/routes.py
@@ -15,7 +15,7 @@
 from math import inf
 from zlib import crc32
 
-from pollen.order import first, in_order
+from troutdock.endpoints.rendezvous import first, in_order
 
 SHARDS = 16  # the same in every process of a fleet: who owns what follows from it
 SETTLE_S = 0.4  # for the listed neighbours of a process that has just started to be linked
--- a/hedgerow/__main__.py
+++ b/troutdock/registry/__main__.py
@@ -1,4 +1,4 @@
-"""Start, signals and the end of the registry: python -m hedgerow."""
+"""Start, signals and the end of the registry: python -m troutdock.registry."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 import signal
 import sys
 
-from almanac.boot import Boot
-from almanac.program import life_of_now, run
-from hedgerow.daemon import PORT, Daemon
+from troutdock.settings.boot import Boot
+from troutdock.settings.process import life_of_now, run
+from troutdock.registry.daemon import PORT, Daemon
 
 
 async def main(boot: Boot, path: str) -> int:
--- a/hedgerow/calls.py
+++ b/troutdock/registry/control_plane_calls.py
@@ -10,11 +10,21 @@
 
 import msgspec
 
-from almanac.configuration import Refused, read_configuration
-from almanac.settings import Setting, SettingsError, Table, address, number, one_of, or_none, text, whole
-from furrow.calls import Call, Reply
-from furrow.messages import DRAINING, GONE, READY, Instance
-from pollen.instances import tombstone
+from troutdock.settings.configuration import Refused, read_configuration
+from troutdock.settings.table import (
+    Setting,
+    SettingsError,
+    Table,
+    address,
+    number,
+    one_of,
+    or_none,
+    text,
+    whole,
+)
+from troutdock.rpc.http_calls import Call, Reply
+from troutdock.rpc.messages import DRAINING, GONE, READY, Instance
+from troutdock.endpoints.endpoint_table import tombstone
 
 MAX_BEAT = 4096  # bytes of a backend's call
 LONG = 256 * 1024  # bytes of a configuration that is read beside the loop: it takes some tenths of a second
--- a/hedgerow/daemon.py
+++ b/troutdock/registry/daemon.py
@@ -1,4 +1,4 @@
-"""The registry's loop: calls, links to registries, ingresses and the store, round hedgerow.registry."""
+"""The registry's loop: calls, links to registries, ingresses and the store, round registry.registry."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 import logbook
 import msgspec
 
-from almanac.boot import Boot
-from almanac.configuration import longest
-from furrow.calls import CallServer
-from furrow.link import Address, Dialer, Link, Listener, send_all
-from furrow.messages import (
+from troutdock.settings.boot import Boot
+from troutdock.settings.configuration import longest
+from troutdock.rpc.http_calls import CallServer
+from troutdock.rpc.connection import Address, Dialer, Link, Listener, send_all
+from troutdock.rpc.messages import (
     GONE,
     READY,
     Config,
@@ -27,9 +27,15 @@
     WriteAck,
     digest_of,
 )
-from hedgerow.calls import ConfigurationCalls, Failed, InstanceCalls, Outside, SystemCalls
-from hedgerow.disk import Memory
-from hedgerow.registry import Action, Borne, Confirmed, Forget, Log, Meet, Registry
+from troutdock.registry.control_plane_calls import (
+    ConfigurationCalls,
+    Failed,
+    InstanceCalls,
+    Outside,
+    SystemCalls,
+)
+from troutdock.registry.storage import Memory
+from troutdock.registry.registry import Action, Borne, Confirmed, Forget, Log, Meet, Registry
 
 log = logbook.Logger("hedgerow")
 
@@ -274,7 +280,7 @@
         if self.registry.urgent:
             self._save()
 
-    # ---- calls.Registry
+    # ---- control_plane_calls.Registry
 
     def _known(self, id: str) -> Instance | None:
         entry = self.registry.book.entries.get(id)
--- a/hedgerow/registry.py
+++ b/troutdock/registry/registry.py
@@ -35,7 +35,7 @@
 
 import msgspec
 
-from furrow.messages import (
+from troutdock.rpc.messages import (
     GONE,
     READY,
     Beats,
@@ -51,7 +51,7 @@
     Silence,
     digest_of,
 )
-from pollen.instances import Book
+from troutdock.endpoints.endpoint_table import Book
 
 BEATS_S = 0.5  # between two lists of who has called
 SILENT_BEATS = 2.5  # beats that fail to come, until an instance counts as silent
--- a/hedgerow/disk.py
+++ b/troutdock/registry/storage.py
@@ -19,7 +19,7 @@
 import logbook
 import msgspec
 
-from furrow.messages import Instance
+from troutdock.rpc.messages import Instance
 
 log = logbook.Logger("hedgerow")
 
--- a/troutdock/reservations/files.py
+++ b/troutdock/reservations/files.py
@@ -12,7 +12,7 @@
 from troutdock import jsonlines
 from troutdock.reservations.entries import Entries, Entry
 from troutdock.reservations.escrow import Saved
-from troutdock.reservations.promise import Terms, Verdict, may
+from troutdock.reservations.commitment_limit import Terms, Verdict, may
 
 MOST_ENTRIES = 100_000  # in a file: some 100 MB of memory; those that are over are taken out by `prune`
 
--- a/troutdock/reservations/messages.py
+++ b/troutdock/reservations/messages.py
@@ -4,7 +4,7 @@
     ASK    missing (u32), number of the last gift that came (u64)
     GIVE   parts (u32), number (u64)
 
-The kinds are none of the decision module's (tamarindfold), whose datagrams go the same way.
+The kinds are none of the decision module's (troutdock.admission), whose datagrams go the same way.
 """
 
 from __future__ import annotations
--- a/troutdock/reservations/service.py
+++ b/troutdock/reservations/service.py
@@ -18,13 +18,13 @@
 
 import msgspec
 
-from tamarindfold.interface import Settings
+from troutdock.admission.interface import Settings
 from troutdock import jsonlines
 from troutdock.reservations import files, messages
 from troutdock.reservations.entries import Conflict, Entries, Entry, Kind, Reservation
 from troutdock.reservations.escrow import MILLI, Ask, Escrow, Give
-from troutdock.reservations.promise import Terms as Bounds
-from troutdock.reservations.promise import Verdict
+from troutdock.reservations.commitment_limit import Terms as Bounds
+from troutdock.reservations.commitment_limit import Verdict
 
 log = logging.getLogger("troutdock")
 
--- a/troutdock/routed/reader.py
+++ b/troutdock/routing_service/reader.py
@@ -8,9 +8,9 @@
 from hashlib import blake2b
 from typing import NamedTuple
 
-from tamarindfold.interface import Effect, RequestArrived, RequestWaited, Settings
+from troutdock.admission.interface import Effect, RequestArrived, RequestWaited, Settings
 from troutdock.engine import BadRequest
-from troutdock.http.bodies import SMALL
+from troutdock.http.body_limits import SMALL
 from troutdock.http.request import ACCOUNT, SECONDS, Headers, HttpRequest, forwarded_head, key_number, once
 from troutdock.routing.route import Request
 from troutdock.routing.split import choose, mirrored
--- a/troutdock/routed/run.py
+++ b/troutdock/routing_service/run.py
@@ -14,7 +14,7 @@
 
 from troutdock.daemon import Service, serve
 from troutdock.platform.config import Config
-from troutdock.routed.service import Routed, Terms
+from troutdock.routing_service.service import Routed, Terms
 
 log = logging.getLogger("troutdock")
 
--- a/troutdock/routed/service.py
+++ b/troutdock/routing_service/service.py
@@ -11,7 +11,7 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
 
-from tamarindfold.interface import BackendEntry, BackendState, FleetUpdate, ListKind, Outcome
+from troutdock.admission.interface import BackendEntry, BackendState, FleetUpdate, ListKind, Outcome
 from troutdock.address import parse_address
 from troutdock.engine import Engine
 from troutdock.http.host import Host
@@ -20,7 +20,7 @@
 from troutdock.http.transport import HttpAttempt, HttpTransport
 from troutdock.overload.lag import Lag
 from troutdock.platform.discovery import backend_id
-from troutdock.routed.reader import Customers, RoutedReader, View
+from troutdock.routing_service.reader import Customers, RoutedReader, View
 from troutdock.routing.route import Route
 from troutdock.routing.table import Table
 
--- a/furrow/link.py
+++ b/troutdock/rpc/connection.py
@@ -29,7 +29,7 @@
 
 import logbook
 
-from furrow.messages import (
+from troutdock.rpc.messages import (
     Fresh,
     Hello,
     Message,
@@ -41,7 +41,16 @@
     decode,
     encode,
 )
-from furrow.netstring import MAX_FRAME, MAX_PAYLOAD, PART, Assembler, Deframer, FrameError, Outbox, frame
+from troutdock.rpc.netstring import (
+    MAX_FRAME,
+    MAX_PAYLOAD,
+    PART,
+    Assembler,
+    Deframer,
+    FrameError,
+    Outbox,
+    frame,
+)
 
 log = logbook.Logger("furrow")
 
--- a/furrow/trace.py
+++ b/troutdock/rpc/event_trace.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from furrow.messages import Instance, Member, Message
+from troutdock.rpc.messages import Instance, Member, Message
 
 MOST_BYTES = 64 * 1024 * 1024  # of a trace: some hours of a store's events
 _STRUCTS = {kind.__name__: kind for kind in (*get_args(Message), Instance, Member)}
--- a/furrow/calls.py
+++ b/troutdock/rpc/http_calls.py
@@ -15,7 +15,7 @@
 import httptools
 import logbook
 
-from furrow.link import Address
+from troutdock.rpc.connection import Address
 
 log = logbook.Logger("calls")
 
--- a/furrow/messages.py
+++ b/troutdock/rpc/messages.py
@@ -488,7 +488,7 @@
         raise MessageError(str(error)) from error
 
 
-# ---- datagrams: proxies among themselves (espalier.quotas)
+# ---- datagrams: proxies among themselves (troutdock.proxy.quota_loop)
 
 LIFE_TAGS = 10_000  # a datagram names its sender's life by the last digits
 
--- a/almanac/boot.py
+++ b/troutdock/settings/boot.py
@@ -10,7 +10,7 @@
 from ruamel.yaml import YAML
 from ruamel.yaml.error import YAMLError
 
-from almanac.settings import (
+from troutdock.settings.table import (
     Setting,
     SettingsError,
     Table,
--- a/almanac/configuration.py
+++ b/troutdock/settings/configuration.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from almanac.settings import (
+from troutdock.settings.table import (
     REQUIRED,
     Setting,
     SettingsError,
--- a/almanac/program.py
+++ b/troutdock/settings/process.py
@@ -12,8 +12,8 @@
 import logbook
 import uvloop
 
-from almanac.boot import ENVIRONMENT, Boot, load_boot
-from almanac.settings import SettingsError
+from troutdock.settings.boot import ENVIRONMENT, Boot, load_boot
+from troutdock.settings.table import SettingsError
 
 COLLECT_AFTER = 10_000  # objects more than before, until the collector of cycles looks: requests leave none
 
--- a/troutdock/usage/columns.py
+++ b/troutdock/usage/columns.py
@@ -9,7 +9,7 @@
 import pyarrow as pa
 import pyarrow.parquet as pq
 
-from troutdock.usage.port import StoreError
+from troutdock.usage.store import StoreError
 from troutdock.usage.record import Record, State, Use
 
 _FIELDS: list[tuple[str, Any]] = [
--- a/troutdock/usage/consumer.py
+++ b/troutdock/usage/consumer.py
@@ -10,7 +10,7 @@
 from troutdock.usage.delivery import ANSWER_MS, Course, Verdict, verdict_of
 from troutdock.usage.files import Files
 from troutdock.usage.manifest import decode, digest_of
-from troutdock.usage.port import Store
+from troutdock.usage.store import Store
 
 MOST_ANSWER = 64 * 1024  # bytes of an acknowledgement
 
--- a/troutdock/usage/exporter.py
+++ b/troutdock/usage/exporter.py
@@ -22,7 +22,7 @@
 from troutdock.usage import columns
 from troutdock.usage.files import PART, Files
 from troutdock.usage.manifest import Manifest, decode, differences, digest_of, encode, manifest_of, stem_of
-from troutdock.usage.port import Noted, Store, StoreError
+from troutdock.usage.store import Noted, Store, StoreError
 from troutdock.usage.record import Unknown
 
 MOST_ROWS = 100_000  # of one export: some 1 MB, and 60 MB of memory while it is made
--- a/troutdock/usage/files.py
+++ b/troutdock/usage/files.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from troutdock.usage.port import StoreError
+from troutdock.usage.store import StoreError
 
 PART = ".part"  # behind the name of a file that is not whole yet
 
--- a/troutdock/usage/manifest.py
+++ b/troutdock/usage/manifest.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from troutdock.usage.port import Selection, StoreError
+from troutdock.usage.store import Selection, StoreError
 from troutdock.usage.record import Record, State
 
 FORMAT = 1
--- a/troutdock/usage/memory.py
+++ b/troutdock/usage/memory.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from troutdock.usage.port import Noted, Selection, StoreError
+from troutdock.usage.store import Noted, Selection, StoreError
 from troutdock.usage.record import Batch, Record, State, Unknown
 
 
--- a/troutdock/usage/service.py
+++ b/troutdock/usage/service.py
@@ -20,9 +20,9 @@
 
 import msgspec
 
-from troutdock.usage.book import Book, Promise, Told
+from troutdock.usage.ledger import Book, Promise, Told
 from troutdock.usage.memory import MemoryStore
-from troutdock.usage.port import Store, StoreError
+from troutdock.usage.store import Store, StoreError
 from troutdock.usage.record import Batch, Use
 from troutdock.usage.sqlite import SqliteStore
 
--- a/troutdock/usage/sqlite.py
+++ b/troutdock/usage/sqlite.py
@@ -13,7 +13,7 @@
 from contextlib import contextmanager, suppress
 from pathlib import Path
 
-from troutdock.usage.port import Noted, Selection, StoreError
+from troutdock.usage.store import Noted, Selection, StoreError
 from troutdock.usage.record import Batch, Record, State, Unknown, Use
 
 FORMAT = 1
--- a/troutdock/usage/verify.py
+++ b/troutdock/usage/verify.py
@@ -12,7 +12,7 @@
 from troutdock.usage import columns
 from troutdock.usage.files import Files
 from troutdock.usage.manifest import Manifest, Range, decode, differences, digest_of
-from troutdock.usage.port import StoreError
+from troutdock.usage.store import StoreError
 
 
 @dataclass(slots=True)
