--- a/tests/grpc_front/test_grpc_front.py
+++ b/tests/grpc_front/test_grpc_front.py
@@ -21,10 +21,10 @@
 from troutdock.grpc import front as front_module
 from troutdock.grpc import transport as transport_module
 from troutdock.grpc.exchange import GrpcExchange
-from troutdock.grpc.methods import Kind, Row
+from troutdock.grpc.methods import MethodType, MethodRule
 from troutdock.grpc.protocol import Status
 from troutdock.grpc.request import GrpcMessage, GrpcRequest, Upload
-from troutdock.grpc.service import Grpc, Terms
+from troutdock.grpc.service import GrpcComponent, GrpcOptions
 from troutdock.grpc.transport import GrpcAttempt
 from troutdock.http2 import frames as f
 from troutdock.http2.connection import Stream
@@ -34,13 +34,13 @@
 GRPC: Headers = [(b":status", b"200"), (b"content-type", b"application/grpc")]
 OK: Headers = [(b"grpc-status", b"0")]
 ROWS = (
-    Row("/l/Read", "ledger-read"),
-    Row("/l/Book", "payment-book"),
-    Row("/l/File", "vat-filing"),
-    Row("/l/List", "ledger-read", Kind.SERVER),
-    Row("/l/FileAll", "vat-filing", Kind.CLIENT),
-    Row("/l/Talk", "vat-filing", Kind.BOTH),
-    Row("/l/Watch", "vat-filing", Kind.SERVER),
+    MethodRule("/l/Read", "ledger-read"),
+    MethodRule("/l/Book", "payment-book"),
+    MethodRule("/l/File", "vat-filing"),
+    MethodRule("/l/List", "ledger-read", MethodType.SERVER_STREAMING),
+    MethodRule("/l/FileAll", "vat-filing", MethodType.CLIENT_STREAMING),
+    MethodRule("/l/Talk", "vat-filing", MethodType.BIDIRECTIONAL),
+    MethodRule("/l/Watch", "vat-filing", MethodType.SERVER_STREAMING),
 )
 CLASSES = {"/l/Read": "ledger-read", "/l/Book": "payment-book", "/l/File": "vat-filing"}
 
@@ -71,7 +71,7 @@
     """An ingress with gRPC, its nodes and its clients."""
 
     w: Any
-    part: Grpc
+    part: GrpcComponent
     nodes: list[H2Node]
 
     async def client(self, credit: bool = True) -> Wire:
@@ -105,7 +105,7 @@
     fixed = (terms or {}).pop("fixed", False)
     if fixed:
         terms = {**(terms or {}), "nodes": tuple(parse_address(node.address) for node in s.nodes)}
-    s.part = Grpc(Terms(ROWS, **(terms or {})))
+    s.part = GrpcComponent(GrpcOptions(ROWS, **(terms or {})))
 
     async def fronted(w: World, stack: Any, config: str) -> None:
         raw = json.loads(config)
@@ -533,7 +533,7 @@
 def test_a_preface_with_nothing_or_nonsense_behind_it_is_closed_and_hurts_nobody(
     monkeypatch: pytest.MonkeyPatch, data: bytes, answer: bytes
 ) -> None:
-    monkeypatch.setattr(front_module, "FIRST_S", 0.1)
+    monkeypatch.setattr(front_module, "FIRST_CALL_TIMEOUT_S", 0.1)
     from troutdock.http import body_limits
 
     monkeypatch.setattr(body_limits, "SILENT_S", 0.1)
@@ -552,7 +552,8 @@
 
 ATTACKS = {
     "rapid reset": b"".join(
-        f.frame(f.HEADERS, 4, 2 * n + 1, encode(head("/l/File"))) + f.reset(2 * n + 1, 8) for n in range(400)
+        f.frame(f.HEADERS, 4, 2 * n + 1, encode(head("/l/File"))) + f.rst_stream(2 * n + 1, 8)
+        for n in range(400)
     ),
     "PINGs": f.frame(f.PING, 0, 0, b"x" * 8) * 5000,
     "SETTINGS": f.settings({1: 4096}) * 5000,
@@ -567,7 +568,7 @@
 
 @pytest.mark.parametrize("attack", ATTACKS)
 def test_an_attack_ends_its_own_connection_and_no_other(attack: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(front_module, "FIRST_S", 0.3)
+    monkeypatch.setattr(front_module, "FIRST_CALL_TIMEOUT_S", 0.3)
 
     @playing(served)
     async def course(s: Setup) -> None:
@@ -607,7 +608,7 @@
 def test_what_is_no_call_is_told_why_and_goes_nowhere(
     path: str, data: bytes, changes: dict, status: int, said: str
 ) -> None:
-    @playing(served, terms={"most_message": 10_000})
+    @playing(served, terms={"max_message_bytes": 10_000})
     async def course(s: Setup) -> None:
         call = await s.call(path, data, **changes)
         assert (int(call["grpc-status"]), s.sent) == (status, [0]) and said in call["grpc-message"]
@@ -706,7 +707,7 @@
         def connection() -> Any:
             return next(iter(s.part.transport.pools.of.values())).connections[0].h2
 
-        await until(lambda: connection().peer_streams == 2)
+        await until(lambda: connection().peer_max_streams == 2)
         wire = await s.client()
         small = {"quota-info": "units=0.1,spread=2,first=0"}
         calls = [wire.open(head(account=f"{n:016x}", **small), message()) for n in range(12)]
@@ -714,14 +715,14 @@
             await call.ended.wait()
         assert {call["grpc-status"] for call in calls} <= {"0", "8"}
         assert most[node] <= 2 and [c["grpc-status"] for c in calls].count("0") >= 3
-        assert len(s.nodes[0].wires) <= transport_module.CONNECTIONS
+        assert len(s.nodes[0].wires) <= transport_module.MAX_CONNECTIONS_PER_BACKEND
         more = [wire.open(head(account=f"{n:016x}", **small), message()) for n in range(20, 24)]
         await until(lambda: bool(now[node]))
         node.transport.write(f.settings({f.MAX_CONCURRENT_STREAMS: 0}))  # while it is full
         before = most.pop(node)
         for call in more:
             await call.ended.wait()
-        await until(lambda: connection().peer_streams == 0)
+        await until(lambda: connection().peer_max_streams == 0)
         again = [wire.open(head(account=f"{n:016x}", **small), message()) for n in range(30, 34)]
         for call in again:
             await call.ended.wait()
@@ -762,7 +763,7 @@
 
 
 def test_a_connection_that_has_fallen_silent_carries_nothing_more(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(transport_module, "SILENT_S", 0.2)
+    monkeypatch.setattr(transport_module, "DEAD_CONNECTION_AFTER_S", 0.2)
 
     async def first_silent(call: Call) -> None:
         if call.wire is not node_of[0].wires[0] or len(node_of[0].calls) < 3:
@@ -784,7 +785,7 @@
 def test_a_client_that_opens_no_window_holds_its_own_answer_and_for_a_time(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(front_module, "STUCK_S", 0.3)
+    monkeypatch.setattr(front_module, "UNREAD_TIMEOUT_S", 0.3)
 
     @playing(served)
     async def course(s: Setup) -> None:
@@ -876,13 +877,13 @@
 
 
 def test_a_node_that_leaves_while_its_connection_opens_keeps_none(monkeypatch: pytest.MonkeyPatch) -> None:
-    gate, connect_now = asyncio.Event(), transport_module.Pool._connect
+    gate, connect_now = asyncio.Event(), transport_module.ConnectionPool._connect
 
-    async def connect_late(pool: transport_module.Pool) -> None:
+    async def connect_late(pool: transport_module.ConnectionPool) -> None:
         await gate.wait()
         await connect_now(pool)
 
-    monkeypatch.setattr(transport_module.Pool, "_connect", connect_late)
+    monkeypatch.setattr(transport_module.ConnectionPool, "_connect", connect_late)
 
     @playing(served)
     async def course(s: Setup) -> None:
--- a/tests/grpc_front/test_grpc_protocol.py
+++ b/tests/grpc_front/test_grpc_protocol.py
@@ -12,17 +12,17 @@
 from troutdock.admission.interface import Effect, Group, Outcome, Plan, RequestClass
 from troutdock.engine import BadRequest
 from troutdock.grpc import protocol
-from troutdock.grpc.methods import Kind, Methods, Row
+from troutdock.grpc.methods import MethodType, MethodTable, MethodRule
 from troutdock.grpc.protocol import (
-    Ended,
+    GrpcResponse,
     Status,
-    failed_status,
+    failure_status,
     format_timeout,
     outcome_of,
     parse_timeout,
-    read_end,
+    parse_trailers,
 )
-from troutdock.grpc.request import REPLAY, Names, Reader, Upload
+from troutdock.grpc.request import REPLAY_BYTES, MetadataNames, CallReader, Upload
 
 CLASSES = (
     RequestClass(1500, 6000, 3, Effect.SAFE, name="ledger-read"),
@@ -31,23 +31,25 @@
 )
 SETTINGS = settings(classes=CLASSES, plans=(Plan(1, 8, name="basis"),))
 ROWS = (
-    Row("/l.Ledger/Read", "ledger-read"),
-    Row("/l.Ledger/*", "payment-book"),
-    Row("*", "vat-filing", Kind.BOTH, 2.0),
+    MethodRule("/l.Ledger/Read", "ledger-read"),
+    MethodRule("/l.Ledger/*", "payment-book"),
+    MethodRule("*", "vat-filing", MethodType.BIDIRECTIONAL, 2.0),
 )
 
 
 @pytest.mark.parametrize("status", range(18))
 def test_each_status_has_its_outcome_and_what_a_client_is_told_when_the_call_fails_by_it(status: int) -> None:
-    ended = read_end([(b"grpc-status", b"%d" % status), (b"grpc-message", b"why"), (b"x", b"y")], [], [])
+    ended = parse_trailers(
+        [(b"grpc-status", b"%d" % status), (b"grpc-message", b"why"), (b"x", b"y")], [], []
+    )
     assert ended.status == (status if status <= 16 else Status.UNKNOWN) and ended.trailers == [(b"x", b"y")]
     answers = (0, 3, 5, 6, 7, 9, 10, 11, 12, 16)
     assert outcome_of(ended) is (Outcome.OK if status in answers else Outcome.ERROR)
-    not_started = read_end([(b"grpc-status", b"%d" % status), (b"not-started", b"1")], [], [])
+    not_started = parse_trailers([(b"grpc-status", b"%d" % status), (b"not-started", b"1")], [], [])
     assert (outcome_of(not_started) is Outcome.FULL) == (status in (8, 14))
-    told = failed_status(ended)
+    told = failure_status(ended)
     assert told[0] not in (0, 8, 14) and told[1] == b"why"  # clients don't try these again by themselves
-    assert failed_status(None)[0] == Status.INTERNAL
+    assert failure_status(None)[0] == Status.INTERNAL
 
 
 @pytest.mark.parametrize(
@@ -61,9 +63,9 @@
     ],
 )
 def test_odd_trailers(trailers: protocol.Metadata, head: protocol.Metadata, outcome: Outcome) -> None:
-    assert outcome_of(read_end(trailers, head, [])) is outcome
-    assert outcome_of(Ended(Status.UNIMPLEMENTED, http=True)) is Outcome.ERROR
-    assert outcome_of(Ended(Status.UNAVAILABLE, http=True, not_started=True)) is Outcome.FULL
+    assert outcome_of(parse_trailers(trailers, head, [])) is outcome
+    assert outcome_of(GrpcResponse(Status.UNIMPLEMENTED, non_grpc=True)) is Outcome.ERROR
+    assert outcome_of(GrpcResponse(Status.UNAVAILABLE, non_grpc=True, not_started=True)) is Outcome.FULL
 
 
 @pytest.mark.parametrize(
@@ -79,7 +81,7 @@
 def test_true_units_are_in_the_trailers_or_the_head(
     head: protocol.Metadata, trailers: protocol.Metadata, units: float
 ) -> None:
-    assert Ended(0, head=head, trailers=trailers).true_units == units
+    assert GrpcResponse(0, head=head, trailers=trailers).true_units == units
 
 
 @pytest.mark.parametrize(
@@ -91,7 +93,7 @@
         (b"1500m", 1500),
         (b"250u", 0.25),
         (b"100n", 1e-4),
-        (b"99999999H", protocol.MOST_TIMEOUT_MS),
+        (b"99999999H", protocol.MAX_TIMEOUT_MS),
     ],
 )
 def test_timeouts_are_read(text: bytes, ms: float) -> None:
@@ -111,7 +113,7 @@
 
 
 def test_a_refusal_says_in_each_form_when_to_come_back() -> None:
-    told = dict(protocol.refusal(1234.5))
+    told = dict(protocol.rejection_trailers(1234.5))
     assert (told[b"grpc-status"], told[b"grpc-retry-pushback-ms"], told[b"retry-after"]) == (
         b"8",
         b"1234",
@@ -124,42 +126,46 @@
         b"\x08\x08\x12!refused; trying again is harmless\x1a5\n(type.googleapis.com/google.rpc.RetryInfo"
         b"\x12\t\n\x07\x08\x01\x10\xa0\xdf\xe8o"
     )
-    assert [name for name, _ in protocol.refusal(0.0)] == [b"grpc-status", b"grpc-message"]
+    assert [name for name, _ in protocol.rejection_trailers(0.0)] == [b"grpc-status", b"grpc-message"]
 
 
 def test_messages_are_counted_and_words_escaped() -> None:
-    assert [protocol.whole_messages(b) for b in (b"", b"\0\0\0\0\0", b"\0\0\0\0\1x\1\0\0\0\2yz")] == [0, 1, 2]
+    assert [protocol.count_messages(b) for b in (b"", b"\0\0\0\0\0", b"\0\0\0\0\1x\1\0\0\0\2yz")] == [0, 1, 2]
     for cut in (b"\0\0", b"\0\0\0\0\1", b"\0\0\0\0\1x\0"):
         with pytest.raises(ValueError, match="cut off"):
-            protocol.whole_messages(cut)
-    assert protocol.escaped("50% für\n") == b"50%25 f%C3%BCr%0A"
+            protocol.count_messages(cut)
+    assert protocol.percent_encode("50% für\n") == b"50%25 f%C3%BCr%0A"
 
 
 # ---- the operator's table, and metadata
 
 
 def test_the_most_exact_row_counts() -> None:
-    methods = Methods(ROWS, SETTINGS)
+    methods = MethodTable(ROWS, SETTINGS)
     found = [methods.find(p) for p in (b"/l.Ledger/Read", b"/l.Ledger/Book", b"/other/X")]
-    assert [m and (m.cls, m.kind) for m in found] == [(0, Kind.UNARY), (1, Kind.UNARY), (2, Kind.BOTH)]
-    assert Methods(ROWS[:1], SETTINGS).find(b"/l.Ledger/Book") is None
+    assert [m and (m.cls, m.method_type) for m in found] == [
+        (0, MethodType.UNARY),
+        (1, MethodType.UNARY),
+        (2, MethodType.BIDIRECTIONAL),
+    ]
+    assert MethodTable(ROWS[:1], SETTINGS).find(b"/l.Ledger/Book") is None
 
 
 @pytest.mark.parametrize(
     ("row", "said"),
     [
-        (Row("/a/b", "mail"), "no class"),
-        (Row("a/b", "vat-filing"), "neither"),
-        (Row("/a/b/c", "vat-filing"), "neither"),
-        (Row("/l.Ledger/Read", "vat-filing"), "twice"),
-        (Row("/a/b", "ledger-read", Kind.CLIENT), "may be repeated"),
-        (Row("/a/b", "payment-book", Kind.BOTH), "may be repeated"),
-        (Row("/a/b", "vat-filing", units=99.0), "beyond 4"),
+        (MethodRule("/a/b", "mail"), "no class"),
+        (MethodRule("a/b", "vat-filing"), "neither"),
+        (MethodRule("/a/b/c", "vat-filing"), "neither"),
+        (MethodRule("/l.Ledger/Read", "vat-filing"), "twice"),
+        (MethodRule("/a/b", "ledger-read", MethodType.CLIENT_STREAMING), "may be repeated"),
+        (MethodRule("/a/b", "payment-book", MethodType.BIDIRECTIONAL), "may be repeated"),
+        (MethodRule("/a/b", "vat-filing", units=99.0), "beyond 4"),
     ],
 )
-def test_a_row_that_can_t_be_is_named(row: Row, said: str) -> None:
+def test_a_row_that_can_t_be_is_named(row: MethodRule, said: str) -> None:
     with pytest.raises(ValueError, match=said):
-        Methods((ROWS[0], row), SETTINGS)
+        MethodTable((ROWS[0], row), SETTINGS)
 
 
 GOOD = {
@@ -176,7 +182,7 @@
 
 def read(path: bytes = b"/l.Ledger/Read", **changes: bytes | None) -> object:
     told = GOOD | {name.replace("_", "-").encode(): value for name, value in changes.items()}  # type: ignore[operator]
-    return Reader(Methods(ROWS, SETTINGS), SETTINGS).read(
+    return CallReader(MethodTable(ROWS, SETTINGS), SETTINGS).read(
         path, b"host", [(k, v) for k, v in told.items() if v is not None]
     )
 
@@ -194,7 +200,7 @@
         False,
         0,
     )
-    assert call.timed and call.repeatable  # type: ignore[attr-defined]
+    assert call.has_timeout and call.repeatable  # type: ignore[attr-defined]
     told = dict(call.message(600.0).headers())  # type: ignore[attr-defined]
     assert (told[b":path"], told[b":authority"], told[b"grpc-timeout"], told[b"x-other"]) == (
         b"/l.Ledger/Read",
@@ -206,9 +212,14 @@
     assert keyed.arrival.key != 0 and keyed.arrival.retry and keyed.id == b"r1"  # type: ignore[attr-defined]
     assert read(grpc_previous_rpc_attempts=b"1").arrival.retry  # type: ignore[attr-defined]
     free = read(b"/x/y", quota_info=None, grpc_timeout=None)
-    assert (free.arrival.units, free.arrival.width, free.timeout_ms, free.timed) == (2.0, 2, 8000, False)  # type: ignore[attr-defined]
-    names = Names(account=b"x-customer")
-    call = Reader(Methods(ROWS, SETTINGS), SETTINGS, names).read(
+    assert (free.arrival.units, free.arrival.width, free.timeout_ms, free.has_timeout) == (
+        2.0,
+        2,
+        8000,
+        False,
+    )  # type: ignore[attr-defined]
+    names = MetadataNames(account=b"x-customer")
+    call = CallReader(MethodTable(ROWS, SETTINGS), SETTINGS, names).read(
         b"/l.Ledger/Read", b"", [(b"x-customer" if k == b"account" else k, v) for k, v in GOOD.items()]
     )
     assert call.arrival.customer == 9
@@ -232,11 +243,11 @@
     with pytest.raises(BadRequest, match=said):
         read(**changes)
     with pytest.raises(BadRequest, match="comes twice"):
-        Reader(Methods(ROWS, SETTINGS), SETTINGS).read(
+        CallReader(MethodTable(ROWS, SETTINGS), SETTINGS).read(
             b"/l.Ledger/Read", b"", [*GOOD.items(), (b"account", b"1" * 16)]
         )
     with pytest.raises(BadRequest, match="no such method"):
-        Reader(Methods(ROWS[:1], SETTINGS), SETTINGS).read(b"/a/b", b"", list(GOOD.items()))
+        CallReader(MethodTable(ROWS[:1], SETTINGS), SETTINGS).read(b"/a/b", b"", list(GOOD.items()))
 
 
 # ---- a client's stream of messages
@@ -286,21 +297,23 @@
                 node = None
         elif what == "room" and node is not None:
             node.room += size
-            upload.more()
+            upload.flush()
         elif what == "gone" and node is not None:
-            spoilt = spoilt or (len(came) > REPLAY and bool(node.data))
+            spoilt = spoilt or (len(came) > REPLAY_BYTES and bool(node.data))
             upload.detach()
             node = None
         if node is not None:
             assert came.startswith(node.data) and not node.ended
         assert (
-            sum(credits) <= len(came) <= max(REPLAY, sum(credits)) + sum(s for w, s in steps if w == "push")
+            sum(credits)
+            <= len(came)
+            <= max(REPLAY_BYTES, sum(credits)) + sum(s for w, s in steps if w == "push")
         )
         # what is not credited is all that may be here beyond what is kept: the client can't send more of it
         held = len(came) - (len(node.data) if node is not None else 0)
-        assert node is None or held <= REPLAY + len(came) - sum(credits)
+        assert node is None or held <= REPLAY_BYTES + len(came) - sum(credits)
     upload.push(b"", True)
     if node is not None:
         node.room = 10**9
-        upload.more()
+        upload.flush()
         assert (node.data, node.ended) == (came, True) and sum(credits) == len(came)
--- a/tests/grpc_front/test_interop.py
+++ b/tests/grpc_front/test_interop.py
@@ -16,18 +16,18 @@
 from loopback import FRONTS, daemon, run, target, world
 import loopback
 
-from troutdock.grpc.methods import Kind, Row
-from troutdock.grpc.service import Grpc, Terms
+from troutdock.grpc.methods import MethodType, MethodRule
+from troutdock.grpc.service import GrpcComponent, GrpcOptions
 
 SERVICE = "/grpc.testing.TestService/"
 ROWS = (
-    Row(SERVICE + "EmptyCall", "payment-book"),
-    Row(SERVICE + "UnaryCall", "vat-filing"),
-    Row(SERVICE + "Unimplemented", "vat-filing"),
-    Row(SERVICE + "StreamingOutputCall", "vat-filing", Kind.SERVER),
-    Row(SERVICE + "StreamingInputCall", "vat-filing", Kind.CLIENT),
-    Row(SERVICE + "FullDuplexCall", "vat-filing", Kind.BOTH),
-    Row("/grpc.testing.UnimplementedService/*", "vat-filing"),
+    MethodRule(SERVICE + "EmptyCall", "payment-book"),
+    MethodRule(SERVICE + "UnaryCall", "vat-filing"),
+    MethodRule(SERVICE + "Unimplemented", "vat-filing"),
+    MethodRule(SERVICE + "StreamingOutputCall", "vat-filing", MethodType.SERVER_STREAMING),
+    MethodRule(SERVICE + "StreamingInputCall", "vat-filing", MethodType.CLIENT_STREAMING),
+    MethodRule(SERVICE + "FullDuplexCall", "vat-filing", MethodType.BIDIRECTIONAL),
+    MethodRule("/grpc.testing.UnimplementedService/*", "vat-filing"),
 )
 SPECIAL = "\t\ntest with whitespace\r\nand Unicode BMP ☺ and non-BMP \U0001f608\t\n"
 TOLD = (
@@ -111,7 +111,7 @@
         raw["known"]["targets"] = [
             target(type("At", (), {"address": f"127.0.0.1:{p}"})(), f"s-{n}") for n, p in enumerate(ports)
         ]  # type: ignore[arg-type]
-        await daemon(w, stack, json.dumps(raw), [Grpc(Terms(ROWS))])
+        await daemon(w, stack, json.dumps(raw), [GrpcComponent(GrpcOptions(ROWS))])
 
     front, FRONTS["interop"] = loopback.front, fronted
     loopback.front = "interop"
--- a/tests/http2/test_h2_connection.py
+++ b/tests/http2/test_h2_connection.py
@@ -22,10 +22,10 @@
 from hypothesis import strategies as st
 
 from troutdock.http2 import frames as f
-from troutdock.http2.connection import LOW, MOST_BLOCK, Connection, Stream
-from troutdock.http2.frames import Code, ConnectionError, StreamError
-from troutdock.http2.abuse_limits import CHEAP, RESETS, YOUNG_S
-from troutdock.http2.headers import MOST_LIST, Headers, encode, split
+from troutdock.http2.connection import LOW_WATER_BYTES, MAX_HEADER_BLOCK_BYTES, Connection, Stream
+from troutdock.http2.frames import ErrorCode, H2ConnectionError, H2StreamError
+from troutdock.http2.abuse_limits import OVERHEAD_FRAME_BURST, RESET_BURST, YOUNG_STREAM_S
+from troutdock.http2.headers import MAX_HEADER_LIST_BYTES, Headers, encode, split_pseudo_headers
 
 HEAD: Headers = [
     (b":method", b"POST"),
@@ -117,7 +117,7 @@
 def exchange(ours: Owner, peer: Peer, cuts: list[int]) -> None:
     """All that is to be written goes over, in pieces."""
     for _ in range(50):
-        a, b = peer.h2.data_to_send(), ours.h2.take()
+        a, b = peer.h2.data_to_send(), ours.h2.data_to_send()
         if not a and not b:
             return
         while a:
@@ -153,7 +153,7 @@
     for n, size in enumerate(up):  # requests
         body = bytes((n,)) * size
         if ours_is_client:
-            stream = ours.h2.open(None, 0.0)
+            stream = ours.h2.open_stream(None, 0.0)
             sent[stream.id] = body
             ours.h2.send_headers(stream, HEAD, not body)
             if body:
@@ -194,8 +194,8 @@
 
 
 def test_a_slow_reader_holds_up_its_own_stream_and_no_other() -> None:
-    ours, peer = Owner(True, credit=False, window=20_000), Peer(False)
-    streams = [ours.h2.open(None, 0.0) for _ in range(40)]
+    ours, peer = Owner(True, credit=False, stream_window=20_000), Peer(False)
+    streams = [ours.h2.open_stream(None, 0.0) for _ in range(40)]
     for stream in streams:
         ours.h2.send_headers(stream, HEAD, True)
     exchange(ours, peer, [])
@@ -214,27 +214,29 @@
 
 def test_what_is_queued_waits_for_windows_and_the_owner_is_told_when_to_go_on() -> None:
     ours, peer = Owner(True), Peer(False)
-    stream = ours.h2.open(None, 0.0)
+    stream = ours.h2.open_stream(None, 0.0)
     ours.h2.send_headers(stream, HEAD)
     ours.h2.send_data(stream, b"x" * 150_000)
     exchange(ours, peer, [])
-    assert stream.queued == 150_000 - 65_535 and stream.id not in ours.drained
+    assert stream.queued_bytes == 150_000 - 65_535 and stream.id not in ours.drained
     for _ in range(4):
         peer.credit(stream.id)
         exchange(ours, peer, [])
-    assert stream.queued == 0 and ours.drained == [stream.id] and LOW < 65_535
-    ours.h2.receive(f.frame(f.SETTINGS, 0, 0, f.SETTING.pack(f.INITIAL_WINDOW_SIZE, 10)), 0.0)  # below nought
+    assert stream.queued_bytes == 0 and ours.drained == [stream.id] and LOW_WATER_BYTES < 65_535
+    ours.h2.receive(
+        f.frame(f.SETTINGS, 0, 0, f.SETTING_ENTRY.pack(f.INITIAL_WINDOW_SIZE, 10)), 0.0
+    )  # below nought
     ours.h2.send_data(stream, b"y" * 20)
-    assert stream.send_window < 0 and stream.queued == 20
-    ours.h2.receive(f.frame(f.SETTINGS, 0, 0, f.SETTING.pack(f.INITIAL_WINDOW_SIZE, 1 << 20)), 0.0)
-    assert stream.queued == 0
+    assert stream.send_window < 0 and stream.queued_bytes == 20
+    ours.h2.receive(f.frame(f.SETTINGS, 0, 0, f.SETTING_ENTRY.pack(f.INITIAL_WINDOW_SIZE, 1 << 20)), 0.0)
+    assert stream.queued_bytes == 0
 
 
 def server(now: float = 0.0) -> Owner:
     """Greeted, with nothing left to write."""
-    owner = Owner(False, streams=4)
+    owner = Owner(False, max_streams=4)
     owner.h2.receive(f.PREFACE + SETTINGS, now)
-    owner.h2.take()
+    owner.h2.data_to_send()
     return owner
 
 
@@ -248,71 +250,75 @@
 
 BOMB = Encoder()
 BREAKS = [
-    ("no preface", b"GET / HTTP/1.1\r\n\r\n", Code.PROTOCOL_ERROR),
-    ("a preface that turns out none", f.PREFACE[:20] + b"xxxx", Code.PROTOCOL_ERROR),
+    ("no preface", b"GET / HTTP/1.1\r\n\r\n", ErrorCode.PROTOCOL_ERROR),
+    ("a preface that turns out none", f.PREFACE[:20] + b"xxxx", ErrorCode.PROTOCOL_ERROR),
     (
         "HTTP/1.1 behind the preface",
         f.PREFACE + b"POST /vat-filing HTTP/1.1\r\nHost: x\r\n\r\n",
-        Code.FRAME_SIZE_ERROR,
+        ErrorCode.FRAME_SIZE_ERROR,
     ),
-    ("no SETTINGS at first", f.PREFACE + f.frame(f.PING, 0, 0, b"x" * 8), Code.PROTOCOL_ERROR),
-    ("a frame too long", f.PREFACE + SETTINGS + f.HEAD.pack(1, 0, f.DATA, 0, 1), None),
-    ("an even stream", f.PREFACE + SETTINGS + opened(2), Code.PROTOCOL_ERROR),
-    ("a stream again", f.PREFACE + SETTINGS + opened(3, True) + opened(1), Code.STREAM_CLOSED),
-    ("headers of no stream", f.PREFACE + SETTINGS + opened(0), Code.PROTOCOL_ERROR),
-    ("data of no stream", f.PREFACE + SETTINGS + f.frame(f.DATA, 0, 0, b"x"), Code.PROTOCOL_ERROR),
-    ("data of an idle stream", f.PREFACE + SETTINGS + f.frame(f.DATA, 0, 9, b"x"), Code.PROTOCOL_ERROR),
-    ("a reset of an idle stream", f.PREFACE + SETTINGS + f.reset(9, 8), Code.PROTOCOL_ERROR),
-    ("a window of an idle stream", f.PREFACE + SETTINGS + f.window_update(9, 8), Code.PROTOCOL_ERROR),
-    ("a window that grows by nothing", f.PREFACE + SETTINGS + f.window_update(0, 0), Code.PROTOCOL_ERROR),
-    ("a window too wide", f.PREFACE + SETTINGS + f.window_update(0, 2**31 - 1), Code.FLOW_CONTROL_ERROR),
+    ("no SETTINGS at first", f.PREFACE + f.frame(f.PING, 0, 0, b"x" * 8), ErrorCode.PROTOCOL_ERROR),
+    ("a frame too long", f.PREFACE + SETTINGS + f.FRAME_HEADER.pack(1, 0, f.DATA, 0, 1), None),
+    ("an even stream", f.PREFACE + SETTINGS + opened(2), ErrorCode.PROTOCOL_ERROR),
+    ("a stream again", f.PREFACE + SETTINGS + opened(3, True) + opened(1), ErrorCode.STREAM_CLOSED),
+    ("headers of no stream", f.PREFACE + SETTINGS + opened(0), ErrorCode.PROTOCOL_ERROR),
+    ("data of no stream", f.PREFACE + SETTINGS + f.frame(f.DATA, 0, 0, b"x"), ErrorCode.PROTOCOL_ERROR),
+    ("data of an idle stream", f.PREFACE + SETTINGS + f.frame(f.DATA, 0, 9, b"x"), ErrorCode.PROTOCOL_ERROR),
+    ("a reset of an idle stream", f.PREFACE + SETTINGS + f.rst_stream(9, 8), ErrorCode.PROTOCOL_ERROR),
+    ("a window of an idle stream", f.PREFACE + SETTINGS + f.window_update(9, 8), ErrorCode.PROTOCOL_ERROR),
+    (
+        "a window that grows by nothing",
+        f.PREFACE + SETTINGS + f.window_update(0, 0),
+        ErrorCode.PROTOCOL_ERROR,
+    ),
+    ("a window too wide", f.PREFACE + SETTINGS + f.window_update(0, 2**31 - 1), ErrorCode.FLOW_CONTROL_ERROR),
     (
         "a first window too wide",
         f.PREFACE + f.settings({f.INITIAL_WINDOW_SIZE: 2**31}),
-        Code.FLOW_CONTROL_ERROR,
+        ErrorCode.FLOW_CONTROL_ERROR,
     ),
-    ("frames too small", f.PREFACE + f.settings({f.MAX_FRAME_SIZE: 100}), Code.PROTOCOL_ERROR),
-    ("a push", f.PREFACE + SETTINGS + f.frame(f.PUSH_PROMISE, 0, 1, b"x" * 8), Code.PROTOCOL_ERROR),
-    ("SETTINGS cut", f.PREFACE + f.frame(f.SETTINGS, 0, 0, b"x" * 5), Code.FRAME_SIZE_ERROR),
-    ("a PING cut", f.PREFACE + SETTINGS + f.frame(f.PING, 0, 0, b"x"), Code.FRAME_SIZE_ERROR),
-    ("a GOAWAY cut", f.PREFACE + SETTINGS + f.frame(f.GOAWAY, 0, 0, b"x"), Code.PROTOCOL_ERROR),
+    ("frames too small", f.PREFACE + f.settings({f.MAX_FRAME_SIZE: 100}), ErrorCode.PROTOCOL_ERROR),
+    ("a push", f.PREFACE + SETTINGS + f.frame(f.PUSH_PROMISE, 0, 1, b"x" * 8), ErrorCode.PROTOCOL_ERROR),
+    ("SETTINGS cut", f.PREFACE + f.frame(f.SETTINGS, 0, 0, b"x" * 5), ErrorCode.FRAME_SIZE_ERROR),
+    ("a PING cut", f.PREFACE + SETTINGS + f.frame(f.PING, 0, 0, b"x"), ErrorCode.FRAME_SIZE_ERROR),
+    ("a GOAWAY cut", f.PREFACE + SETTINGS + f.frame(f.GOAWAY, 0, 0, b"x"), ErrorCode.PROTOCOL_ERROR),
     (
         "padding beyond the frame",
         f.PREFACE + SETTINGS + f.frame(f.DATA, f.PADDED, 1, b"\x09x"),
-        Code.PROTOCOL_ERROR,
+        ErrorCode.PROTOCOL_ERROR,
     ),
     (
         "a frame in a block",
         f.PREFACE + SETTINGS + f.frame(f.HEADERS, 0, 1, b"") + f.frame(f.PING, 0, 0, b"x" * 8),
-        Code.PROTOCOL_ERROR,
+        ErrorCode.PROTOCOL_ERROR,
     ),
     (
         "CONTINUATION of nothing",
         f.PREFACE + SETTINGS + f.frame(f.CONTINUATION, 4, 1, b""),
-        Code.PROTOCOL_ERROR,
+        ErrorCode.PROTOCOL_ERROR,
     ),
     (
         "CONTINUATION without end",
         f.PREFACE + SETTINGS + f.frame(f.HEADERS, 0, 1, b"") + flood(f.frame(f.CONTINUATION, 0, 1, b""), 20),
-        Code.ENHANCE_YOUR_CALM,
+        ErrorCode.ENHANCE_YOUR_CALM,
     ),
     (
         "a block too long",
         f.PREFACE
         + SETTINGS
         + f.frame(f.HEADERS, 0, 1, b"x" * 16_000)
-        + flood(f.frame(f.CONTINUATION, 0, 1, b"x" * 16_000), 1 + MOST_BLOCK // 16_000),
-        Code.ENHANCE_YOUR_CALM,
+        + flood(f.frame(f.CONTINUATION, 0, 1, b"x" * 16_000), 1 + MAX_HEADER_BLOCK_BYTES // 16_000),
+        ErrorCode.ENHANCE_YOUR_CALM,
     ),
     (
         "a block that is none",
         f.PREFACE + SETTINGS + opened(1, block=b"\xff\xff\xff\xff\xff\xff"),
-        Code.COMPRESSION_ERROR,
+        ErrorCode.COMPRESSION_ERROR,
     ),
     (
         "an HPACK bomb",
         f.PREFACE + SETTINGS + opened(1, block=BOMB.encode([(b"a", b"x" * 3000)]) + b"\xbe" * 2000),
-        Code.ENHANCE_YOUR_CALM,
+        ErrorCode.ENHANCE_YOUR_CALM,
     ),
     (
         "headers beyond the bound",
@@ -321,49 +327,49 @@
         + opened(
             1, block=encode([(b"x%d" % n, b"y" * 500) for n in range(30)]) + encode([(b"z", b"y" * 1000)])
         ),
-        Code.ENHANCE_YOUR_CALM,
+        ErrorCode.ENHANCE_YOUR_CALM,
     ),
     (
         "PINGs",
-        f.PREFACE + SETTINGS + flood(f.frame(f.PING, 0, 0, b"x" * 8), int(CHEAP) + 2),
-        Code.ENHANCE_YOUR_CALM,
+        f.PREFACE + SETTINGS + flood(f.frame(f.PING, 0, 0, b"x" * 8), int(OVERHEAD_FRAME_BURST) + 2),
+        ErrorCode.ENHANCE_YOUR_CALM,
     ),
-    ("SETTINGS", f.PREFACE + flood(SETTINGS, int(CHEAP) + 3), Code.ENHANCE_YOUR_CALM),
+    ("SETTINGS", f.PREFACE + flood(SETTINGS, int(OVERHEAD_FRAME_BURST) + 3), ErrorCode.ENHANCE_YOUR_CALM),
     (
         "empty DATA",
-        f.PREFACE + SETTINGS + opened(1) + flood(f.frame(f.DATA, 0, 1), int(CHEAP) + 2),
-        Code.ENHANCE_YOUR_CALM,
+        f.PREFACE + SETTINGS + opened(1) + flood(f.frame(f.DATA, 0, 1), int(OVERHEAD_FRAME_BURST) + 2),
+        ErrorCode.ENHANCE_YOUR_CALM,
     ),
     (
         "PRIORITY",
-        f.PREFACE + SETTINGS + flood(f.frame(f.PRIORITY, 0, 1, b"x" * 5), int(CHEAP) + 2),
-        Code.ENHANCE_YOUR_CALM,
+        f.PREFACE + SETTINGS + flood(f.frame(f.PRIORITY, 0, 1, b"x" * 5), int(OVERHEAD_FRAME_BURST) + 2),
+        ErrorCode.ENHANCE_YOUR_CALM,
     ),
     (
         "rapid resets",
         f.PREFACE
         + SETTINGS
-        + b"".join(opened(2 * n + 1) + f.reset(2 * n + 1, 8) for n in range(int(RESETS) + 2)),
-        Code.ENHANCE_YOUR_CALM,
+        + b"".join(opened(2 * n + 1) + f.rst_stream(2 * n + 1, 8) for n in range(int(RESET_BURST) + 2)),
+        ErrorCode.ENHANCE_YOUR_CALM,
     ),
     (
         "streams beyond the bound",
-        f.PREFACE + SETTINGS + b"".join(opened(2 * n + 1) for n in range(int(CHEAP) + 20)),
-        Code.ENHANCE_YOUR_CALM,
+        f.PREFACE + SETTINGS + b"".join(opened(2 * n + 1) for n in range(int(OVERHEAD_FRAME_BURST) + 20)),
+        ErrorCode.ENHANCE_YOUR_CALM,
     ),
 ]
 
 
 @pytest.mark.parametrize(("data", "code"), [(d, c) for _, d, c in BREAKS], ids=[n for n, _, _ in BREAKS])
 @pytest.mark.parametrize("cut", [0, 1, 7])
-def test_who_breaks_the_protocol_or_floods_is_told_why(data: bytes, code: Code | None, cut: int) -> None:
+def test_who_breaks_the_protocol_or_floods_is_told_why(data: bytes, code: ErrorCode | None, cut: int) -> None:
     """cut: bytes at a time; in whatever pieces it comes, it ends alike."""
-    owner = Owner(False, streams=4)
+    owner = Owner(False, max_streams=4)
     if code is None:
-        with pytest.raises(ConnectionError):
+        with pytest.raises(H2ConnectionError):
             owner.h2.receive(data + b"\0" * 70_000, 0.0)
         return
-    with pytest.raises(ConnectionError) as raised:
+    with pytest.raises(H2ConnectionError) as raised:
         for at in range(0, len(data), cut or len(data)):
             owner.h2.receive(data[at : at + (cut or len(data))], 0.0)
     assert raised.value.code == code
@@ -371,50 +377,50 @@
 
 
 STREAMS = [
-    ("trailers that are no end", opened(1) + opened(1), Code.PROTOCOL_ERROR),
-    ("data behind the end", opened(1, True) + f.frame(f.DATA, 0, 1, b"x"), Code.STREAM_CLOSED),
-    ("headers behind the end", opened(1, True) + opened(1, True), Code.STREAM_CLOSED),
+    ("trailers that are no end", opened(1) + opened(1), ErrorCode.PROTOCOL_ERROR),
+    ("data behind the end", opened(1, True) + f.frame(f.DATA, 0, 1, b"x"), ErrorCode.STREAM_CLOSED),
+    ("headers behind the end", opened(1, True) + opened(1, True), ErrorCode.STREAM_CLOSED),
     (
         "data beyond the window",
         opened(1) + flood(f.frame(f.DATA, 0, 1, b"x" * 16_384), 5),
-        Code.FLOW_CONTROL_ERROR,
+        ErrorCode.FLOW_CONTROL_ERROR,
     ),
-    ("a window of nothing", opened(1) + f.window_update(1, 0), Code.PROTOCOL_ERROR),
-    ("a window too wide", opened(1) + f.window_update(1, 2**31 - 1), Code.FLOW_CONTROL_ERROR),
-    ("too many streams", b"".join(opened(2 * n + 1) for n in range(5)), Code.REFUSED_STREAM),
+    ("a window of nothing", opened(1) + f.window_update(1, 0), ErrorCode.PROTOCOL_ERROR),
+    ("a window too wide", opened(1) + f.window_update(1, 2**31 - 1), ErrorCode.FLOW_CONTROL_ERROR),
+    ("too many streams", b"".join(opened(2 * n + 1) for n in range(5)), ErrorCode.REFUSED_STREAM),
 ]
 
 
 @pytest.mark.parametrize(("data", "code"), [(d, c) for _, d, c in STREAMS], ids=[n for n, _, _ in STREAMS])
-def test_an_error_of_one_stream_resets_it_and_no_other(data: bytes, code: Code) -> None:
+def test_an_error_of_one_stream_resets_it_and_no_other(data: bytes, code: ErrorCode) -> None:
     owner = server()
     owner.credit = False
     plain = owner.on_headers
 
     def strict(stream: Stream, headers: Headers, end: bool) -> None:
         if stream.id in owner.heads and not end:
-            raise StreamError(Code.PROTOCOL_ERROR, "trailers that are no end")
+            raise H2StreamError(ErrorCode.PROTOCOL_ERROR, "trailers that are no end")
         plain(stream, headers, end)
 
     owner.on_headers = strict  # type: ignore[method-assign]
     owner.h2.receive(data, 0.0)
-    out = owner.h2.take()
+    out = owner.h2.data_to_send()
     at, resets = 0, []
     while at < len(out):
-        high, low, kind, _, number = f.HEAD.unpack_from(out, at)
+        high, low, kind, _, number = f.FRAME_HEADER.unpack_from(out, at)
         if kind == f.RST_STREAM:
-            resets.append((number, f.NUMBER.unpack_from(out, at + 9)[0]))
+            resets.append((number, f.UINT32.unpack_from(out, at + 9)[0]))
         at += 9 + (high << 8 | low)
-    assert resets == [(9 if code is Code.REFUSED_STREAM else 1, code)]
+    assert resets == [(9 if code is ErrorCode.REFUSED_STREAM else 1, code)]
     owner.h2.receive(opened(11), 0.0)
-    assert (11 in owner.heads) == (code is not Code.REFUSED_STREAM)
+    assert (11 in owner.heads) == (code is not ErrorCode.REFUSED_STREAM)
 
 
 def test_resets_of_streams_that_have_lasted_are_no_flood() -> None:
     owner = server()
     for n in range(1000):
         owner.h2.receive(opened(2 * n + 1), 10.0 * n)
-        owner.h2.receive(f.reset(2 * n + 1, 8), 10.0 * n + 2 * YOUNG_S)
+        owner.h2.receive(f.rst_stream(2 * n + 1, 8), 10.0 * n + 2 * YOUNG_STREAM_S)
     assert len(owner.resets) == 1000 and not owner.h2.streams
 
 
@@ -428,24 +434,24 @@
             ),
             st.builds(opened, st.integers(0, 12), st.booleans()),
             st.builds(f.window_update, st.integers(0, 9), st.integers(0, 2**31 - 1)),
-            st.builds(f.reset, st.integers(0, 9), st.integers(0, 20)),
+            st.builds(f.rst_stream, st.integers(0, 9), st.integers(0, 20)),
         ),
         max_size=40,
     ),
     st.booleans(),
 )
 def test_no_bytes_do_anything_but_end_the_connection(parts: list[bytes], client: bool) -> None:
-    owner = Owner(client, streams=4)
+    owner = Owner(client, max_streams=4)
     try:
         owner.h2.receive((b"" if client else f.PREFACE) + SETTINGS, 0.0)
         if client:
             for _ in range(3):
-                owner.h2.send_headers(owner.h2.open(None, 0.0), HEAD)
+                owner.h2.send_headers(owner.h2.open_stream(None, 0.0), HEAD)
         for part in parts:
             owner.h2.receive(part, 0.0)
             for stream in list(owner.h2.streams.values())[:1]:
                 owner.h2.send_data(stream, b"x" * 10)
-    except ConnectionError:
+    except H2ConnectionError:
         pass
     assert len(owner.h2.streams) <= 4 and sum(map(len, owner.h2.out)) < 50_000
 
@@ -453,15 +459,15 @@
 def test_goodbye_takes_what_has_crossed_it_and_goaway_takes_nothing() -> None:
     ours, peer = Owner(False), Peer(True)
     exchange(ours, peer, [])
-    ours.h2.say_goodbye()
+    ours.h2.announce_goaway()
     ours.h2.receive(opened(1), 0.0)
     assert 1 in ours.heads
     ours.h2.goaway()
     ours.h2.receive(opened(3), 0.0)
     assert 3 not in ours.heads
-    out = ours.h2.take()
+    out = ours.h2.data_to_send()
     assert (
-        out.endswith(f.reset(3, Code.REFUSED_STREAM))
+        out.endswith(f.rst_stream(3, ErrorCode.REFUSED_STREAM))
         and f.goaway(1, 0) in out
         and f.goaway(2**31 - 1, 0) in out
     )
@@ -501,10 +507,10 @@
     ],
 )
 def test_malformed_headers_are_the_streams_error(bad: Headers) -> None:
-    with pytest.raises(StreamError):
-        split(bad, PSEUDO)
-    assert split([(b":path", b"/"), (b"te", b"trailers")], PSEUDO) == (
+    with pytest.raises(H2StreamError):
+        split_pseudo_headers(bad, PSEUDO)
+    assert split_pseudo_headers([(b":path", b"/"), (b"te", b"trailers")], PSEUDO) == (
         {b":path": b"/"},
         [(b"te", b"trailers")],
     )
-    assert MOST_LIST < MOST_BLOCK
+    assert MAX_HEADER_LIST_BYTES < MAX_HEADER_BLOCK_BYTES
--- a/tests/support/grpc_rules.py
+++ b/tests/support/grpc_rules.py
@@ -227,11 +227,11 @@
     """The daemon with gRPC at the platform's one address."""
     from loopback import daemon
 
-    from troutdock.grpc.methods import Row
-    from troutdock.grpc.service import Grpc, Terms
+    from troutdock.grpc.methods import MethodRule
+    from troutdock.grpc.service import GrpcComponent, GrpcOptions
 
     names = [category["name"] for category in json.loads(config)["settings"]["categories"]]
-    part = Grpc(Terms(tuple(Row(PATH.decode() + name, name) for name in names)))
+    part = GrpcComponent(GrpcOptions(tuple(MethodRule(PATH.decode() + name, name) for name in names)))
     await daemon(w, stack, config, [part])
     w.grpc = part
 
--- a/troutdock/grpc/dual_transport.py
+++ b/troutdock/grpc/dual_transport.py
@@ -14,7 +14,7 @@
 from troutdock.grpc.transport import GrpcAttempt, GrpcTransport
 
 
-class BothTransports:
+class DualTransport:
     """engine.Transport over two."""
 
     def __init__(self, http: Transport, grpc: GrpcTransport) -> None:
--- a/troutdock/grpc/protocol.py
+++ b/troutdock/grpc/protocol.py
@@ -31,11 +31,11 @@
 
 from troutdock.admission.interface import Outcome
 
-MOST_TIMEOUT_MS = 1e9  # a longer one is cut, as eight digits of hours would be
+MAX_TIMEOUT_MS = 1e9  # a longer one is cut, as eight digits of hours would be
 _TIMEOUT = re.compile(rb"(\d{1,8})([HMSmun])")
 _UNIT_MS = {b"H": 3_600_000.0, b"M": 60_000.0, b"S": 1000.0, b"m": 1.0, b"u": 1e-3, b"n": 1e-6}
-_UNITS = re.compile(rb"\d{1,6}(\.\d{1,9})?")
-PREFIX = 5  # bytes before each message: compressed or not, and its length
+_BILLED_UNITS = re.compile(rb"\d{1,6}(\.\d{1,9})?")
+MESSAGE_PREFIX_BYTES = 5  # bytes before each message: compressed or not, and its length
 
 
 class Status(IntEnum):
@@ -61,7 +61,7 @@
 
 
 # what a service says of the call, not of itself: there is nothing that another node would do better
-ANSWERS = frozenset(
+APPLICATION_STATUSES = frozenset(
     (
         Status.OK,
         Status.INVALID_ARGUMENT,
@@ -76,9 +76,9 @@
     )
 )
 # by which a node may say that it is full; and what clients would try again by themselves
-FULL = frozenset((Status.UNAVAILABLE, Status.RESOURCE_EXHAUSTED))
+OVERLOAD_STATUSES = frozenset((Status.UNAVAILABLE, Status.RESOURCE_EXHAUSTED))
 # of answers without gRPC (doc/http-grpc-status-mapping.md)
-OF_HTTP = {
+HTTP_STATUS_MAP = {
     400: Status.INTERNAL,
     401: Status.UNAUTHENTICATED,
     403: Status.PERMISSION_DENIED,
@@ -89,13 +89,13 @@
     504: Status.UNAVAILABLE,
 }
 # of requests that the engine or the reader can't take in
-OF_BAD_REQUEST = {400: Status.INVALID_ARGUMENT, 404: Status.UNIMPLEMENTED, 409: Status.ALREADY_EXISTS}
+BAD_REQUEST_STATUS = {400: Status.INVALID_ARGUMENT, 404: Status.UNIMPLEMENTED, 409: Status.ALREADY_EXISTS}
 
 Metadata = list[tuple[bytes, bytes]]
 
 
 @dataclass(slots=True)
-class Ended:
+class GrpcResponse:
     """How a node has ended a call; engine.Answer.
 
     status: 0 to 16, what is beyond counts as UNKNOWN. message: percent-encoded, as it came. head, trailers:
@@ -108,32 +108,32 @@
     trailers: Metadata = field(default_factory=list)
     body: list[bytes] = field(default_factory=list)
     not_started: bool = False
-    http: bool = False  # no gRPC at all
+    non_grpc: bool = False  # no gRPC at all
 
     @property
     def true_units(self) -> float:
         """Billed-Units, of trailers or head; 0 where it is missing or no number."""
         for name, value in (*self.trailers, *self.head):
-            if name == b"billed-units" and _UNITS.fullmatch(value):
+            if name == b"billed-units" and _BILLED_UNITS.fullmatch(value):
                 return float(value)
         return 0.0
 
 
-def outcome_of(ended: Ended) -> Outcome:
+def outcome_of(response: GrpcResponse) -> Outcome:
     """The table's row of a call that its node has ended with a status, gRPC's or HTTP's."""
-    if ended.not_started and ended.status in FULL:
+    if response.not_started and response.status in OVERLOAD_STATUSES:
         return Outcome.FULL
-    return Outcome.OK if ended.status in ANSWERS and not ended.http else Outcome.ERROR
+    return Outcome.OK if response.status in APPLICATION_STATUSES and not response.non_grpc else Outcome.ERROR
 
 
-def read_end(trailers: Metadata, head: Metadata, body: list[bytes]) -> Ended:
+def parse_trailers(trailers: Metadata, head: Metadata, body: list[bytes]) -> GrpcResponse:
     """How a call has ended by its trailers, or its only headers; UNKNOWN where no status is in them."""
     seen = dict(trailers)
-    raw = seen.get(b"grpc-status", b"")
-    status = int(raw) if raw.isdigit() and len(raw) < 4 else Status.UNKNOWN
+    raw_status = seen.get(b"grpc-status", b"")
+    status = int(raw_status) if raw_status.isdigit() and len(raw_status) < 4 else Status.UNKNOWN
     rest = [pair for pair in trailers if pair[0] not in (b"grpc-status", b"grpc-message")]
     not_started = seen.get(b"not-started") == b"1" or (b"not-started", b"1") in head
-    return Ended(
+    return GrpcResponse(
         status if status <= 16 else Status.UNKNOWN,
         seen.get(b"grpc-message", b""),
         head,
@@ -143,21 +143,21 @@
     )
 
 
-def failed_status(last: Ended | None) -> tuple[int, bytes]:
+def failure_status(last_response: GrpcResponse | None) -> tuple[int, bytes]:
     """Status and message for a client whose call has failed, after what its last node said."""
-    if last is None:
+    if last_response is None:
         return Status.INTERNAL, b"the call failed and may have run"
-    if last.status in FULL or last.status == Status.OK:
-        return Status.INTERNAL, last.message or b"the call failed and may have run"
-    return last.status, last.message
+    if last_response.status in OVERLOAD_STATUSES or last_response.status == Status.OK:
+        return Status.INTERNAL, last_response.message or b"the call failed and may have run"
+    return last_response.status, last_response.message
 
 
 def parse_timeout(text: bytes) -> float:
     """grpc-timeout in milliseconds; ValueError if it is none."""
-    found = _TIMEOUT.fullmatch(text)
-    if found is None:
+    match = _TIMEOUT.fullmatch(text)
+    if match is None:
         raise ValueError(f"grpc-timeout: {text!r} is none")
-    return min(MOST_TIMEOUT_MS, int(found[1]) * _UNIT_MS[found[2]])
+    return min(MAX_TIMEOUT_MS, int(match[1]) * _UNIT_MS[match[2]])
 
 
 def format_timeout(ms: float) -> bytes:
@@ -167,18 +167,18 @@
     return b"%dm" % int(ms) if ms < 1e8 else b"%dS" % min(99_999_999, int(ms / 1000))
 
 
-def escaped(text: str) -> bytes:
+def percent_encode(text: str) -> bytes:
     """grpc-message: printable ASCII, the rest of UTF-8 percent-encoded."""
     return b"".join(bytes((c,)) if 0x20 <= c <= 0x7E and c != 0x25 else b"%%%02X" % c for c in text.encode())
 
 
-def whole_messages(body: bytes) -> int:
+def count_messages(body: bytes) -> int:
     """How many messages these are; ValueError if the last one is cut off."""
     count = at = 0
     while at < len(body):
-        if at + PREFIX > len(body):
+        if at + MESSAGE_PREFIX_BYTES > len(body):
             raise ValueError("a message is cut off")
-        at += PREFIX + int.from_bytes(body[at + 1 : at + PREFIX], "big")
+        at += MESSAGE_PREFIX_BYTES + int.from_bytes(body[at + 1 : at + MESSAGE_PREFIX_BYTES], "big")
         count += 1
     if at > len(body):
         raise ValueError("a message is cut off")
@@ -194,37 +194,39 @@
     return bytes(out)
 
 
-def _field(number: int, value: bytes) -> bytes:
+def _bytes_field(number: int, value: bytes) -> bytes:
     return _varint(number << 3 | 2) + _varint(len(value)) + value
 
 
-def _whole(number: int, value: int) -> bytes:
+def _varint_field(number: int, value: int) -> bytes:
     return _varint(number << 3) + _varint(value) if value else b""
 
 
 def retry_details(message: bytes, after_ms: float) -> bytes:
     """grpc-status-details-bin of a refusal: google.rpc.Status with a google.rpc.RetryInfo in base64."""
     nanos = max(0, round(after_ms * 1e6))
-    delay = _whole(1, nanos // 10**9) + _whole(2, nanos % 10**9)
-    info = _field(1, b"type.googleapis.com/google.rpc.RetryInfo") + _field(2, _field(1, delay))
-    status = _whole(1, Status.RESOURCE_EXHAUSTED) + _field(2, message) + _field(3, info)
+    delay = _varint_field(1, nanos // 10**9) + _varint_field(2, nanos % 10**9)
+    info = _bytes_field(1, b"type.googleapis.com/google.rpc.RetryInfo") + _bytes_field(
+        2, _bytes_field(1, delay)
+    )
+    status = _varint_field(1, Status.RESOURCE_EXHAUSTED) + _bytes_field(2, message) + _bytes_field(3, info)
     return b64encode(status).rstrip(b"=")
 
 
-def refusal(after_ms: float) -> Metadata:
+def rejection_trailers(after_ms: float) -> Metadata:
     """Trailers of a refusal: when to come back, in each of the forms that clients follow."""
     message = b"refused; trying again is harmless"
-    told = [(b"grpc-status", b"%d" % Status.RESOURCE_EXHAUSTED), (b"grpc-message", message)]
+    trailers = [(b"grpc-status", b"%d" % Status.RESOURCE_EXHAUSTED), (b"grpc-message", message)]
     if after_ms > 0:
-        told += [
+        trailers += [
             (b"grpc-status-details-bin", retry_details(message, after_ms)),
             (b"grpc-retry-pushback-ms", b"%d" % max(1, round(after_ms))),
             (b"retry-after", b"%.3f" % (after_ms / 1000)),
         ]
-    return told
+    return trailers
 
 
-def ending(status: int, message: bytes = b"") -> Metadata:
+def status_trailers(status: int, message: bytes = b"") -> Metadata:
     """Trailers that say just that."""
-    told = [(b"grpc-status", b"%d" % status)]
-    return [*told, (b"grpc-message", message)] if message else told
+    trailers = [(b"grpc-status", b"%d" % status)]
+    return [*trailers, (b"grpc-message", message)] if message else trailers
--- a/troutdock/grpc/request.py
+++ b/troutdock/grpc/request.py
@@ -8,17 +8,17 @@
 
 from troutdock.admission.interface import Effect, RequestArrived, Settings
 from troutdock.engine import BadRequest, Request
-from troutdock.grpc.methods import Method, Methods
-from troutdock.grpc.protocol import Ended, Metadata, format_timeout, parse_timeout
+from troutdock.grpc.methods import Method, MethodTable
+from troutdock.grpc.protocol import GrpcResponse, Metadata, format_timeout, parse_timeout
 from troutdock.http.request import ACCOUNT, QUOTA, key_number, once
 
-REPLAY = 64 * 1024  # bytes of a client's stream that are kept, as its first node may never have run it
+REPLAY_BYTES = 64 * 1024  # bytes of a client's stream that are kept, as its first node may never have run it
 # what the ingress words itself; :authority and user-agent go on as they are
-_OWN = frozenset((b"te", b"grpc-timeout", b"content-length"))
+_REPLACED_METADATA = frozenset((b"te", b"grpc-timeout", b"content-length"))
 
 
 @dataclass(frozen=True, slots=True)
-class Names:
+class MetadataNames:
     """Under which names the metadata hold what the gateway needs."""
 
     account: bytes = b"account"
@@ -29,7 +29,7 @@
     retry: bytes = b"client-retry"
 
 
-class Sink(Protocol):
+class MessageSink(Protocol):
     """Where a client's stream goes: a stream to a node."""
 
     def send(self, data: bytes, end: bool) -> None:
@@ -47,58 +47,66 @@
     belongs to the node that has it, and the client is let send more only as that takes it.
     """
 
-    __slots__ = ("_credit", "_ended", "_pieces", "_sent", "_sink", "_size", "_spoilt")
-
-    def __init__(self, credit: Callable[[int], None]) -> None:
+    __slots__ = (
+        "_chunks",
+        "_ended",
+        "_grant_credit",
+        "_received_bytes",
+        "_sent_count",
+        "_sink",
+        "_truncated",
+    )
+
+    def __init__(self, grant_credit: Callable[[int], None]) -> None:
         """credit: who lets the client send so many bytes more."""
-        self._credit = credit
-        self._sink: Sink | None = None
-        self._pieces: list[tuple[bytes, bool]] = []  # and whether they are credited
-        self._sent = 0  # of them, to the sink
-        self._size = 0  # bytes that have come
-        self._ended = self._spoilt = False  # all has come; what was sent is not here any more
+        self._grant_credit = grant_credit
+        self._sink: MessageSink | None = None
+        self._chunks: list[tuple[bytes, bool]] = []  # and whether they are credited
+        self._sent_count = 0  # of them, to the sink
+        self._received_bytes = 0  # bytes that have come
+        self._ended = self._truncated = False  # all has come; what was sent is not here any more
 
     def push(self, data: bytes, end: bool) -> None:
         """More has come."""
         self._ended = self._ended or end
-        self._size += len(data)
-        early = self._size <= REPLAY
+        self._received_bytes += len(data)
+        within_replay = self._received_bytes <= REPLAY_BYTES
         if data:
-            self._pieces.append((data, early))
-            if early:
-                self._credit(len(data))
-        self.more()
+            self._chunks.append((data, within_replay))
+            if within_replay:
+                self._grant_credit(len(data))
+        self.flush()
 
-    def attach(self, sink: Sink) -> bool:
+    def attach(self, sink: MessageSink) -> bool:
         """Send it there from its beginning; false if that is not here any more."""
-        if self._spoilt:
+        if self._truncated:
             return False
-        self._sink, self._sent = sink, 0
-        self.more()
+        self._sink, self._sent_count = sink, 0
+        self.flush()
         return True
 
     def detach(self) -> None:
         """It is not sent anywhere for now."""
         self._sink = None
 
-    def more(self) -> None:
+    def flush(self) -> None:
         """Send what there is, as far as the sink takes it."""
         sink = self._sink
         if sink is None:
             return
-        while self._sent < len(self._pieces) and not sink.full:
-            data, credited = self._pieces[self._sent]
-            self._pieces[self._sent] = data, True
-            self._sent += 1
-            sink.send(data, self._ended and self._sent == len(self._pieces))
+        while self._sent_count < len(self._chunks) and not sink.full:
+            data, credited = self._chunks[self._sent_count]
+            self._chunks[self._sent_count] = data, True
+            self._sent_count += 1
+            sink.send(data, self._ended and self._sent_count == len(self._chunks))
             if not credited:
-                self._credit(len(data))
-        if self._ended and self._sent == len(self._pieces):
+                self._grant_credit(len(data))
+        if self._ended and self._sent_count == len(self._chunks):
             sink.send(b"", True)  # harmless where the end went with the last piece
-        if self._size > REPLAY and self._sent:
-            self._spoilt = True
-            del self._pieces[: self._sent]
-            self._sent = 0
+        if self._received_bytes > REPLAY_BYTES and self._sent_count:
+            self._truncated = True
+            del self._chunks[: self._sent_count]
+            self._sent_count = 0
 
 
 class GrpcMessage:
@@ -111,15 +119,15 @@
 
     def headers(self) -> Metadata:
         """Its first block."""
-        r = self.request
+        request = self.request
         return [
             (b":method", b"POST"),
             (b":scheme", b"http"),
-            (b":path", r.path),
-            (b":authority", r.authority),
+            (b":path", request.path),
+            (b":authority", request.authority),
             (b"te", b"trailers"),
             (b"grpc-timeout", format_timeout(self.left_ms)),
-            *r.metadata,
+            *request.metadata,
         ]
 
 
@@ -129,7 +137,16 @@
     last: how its last node has ended it. timed: its client has named an end.
     """
 
-    __slots__ = ("authority", "body", "kind", "last", "metadata", "path", "timed", "upload")
+    __slots__ = (
+        "authority",
+        "body",
+        "has_timeout",
+        "last_response",
+        "metadata",
+        "method_type",
+        "path",
+        "upload",
+    )
 
     def __init__(
         self,
@@ -141,48 +158,57 @@
         metadata: Metadata,
     ) -> None:
         super().__init__(id, arrival, method.effect is not Effect.UNSAFE)
-        self.kind, self.path, self.authority, self.metadata = method.kind, path, authority, metadata
+        self.method_type, self.path, self.authority, self.metadata = (
+            method.method_type,
+            path,
+            authority,
+            metadata,
+        )
         self.body: list[bytes] = []
         self.upload: Upload | None = None
-        self.last: Ended | None = None
-        self.timed = False
+        self.last_response: GrpcResponse | None = None
+        self.has_timeout = False
 
     def message(self, left_ms: float) -> GrpcMessage:
         """What a node gets; left_ms: how long its answer is waited for."""
         return GrpcMessage(self, left_ms)
 
 
-class Reader:
+class CallReader:
     """Checks calls against the settings and the operator's table."""
 
-    def __init__(self, methods: Methods, settings: Settings, names: Names = Names()) -> None:
-        self.settings, self._names, self._methods = settings, names, methods
+    def __init__(
+        self, method_table: MethodTable, settings: Settings, names: MetadataNames = MetadataNames()
+    ) -> None:
+        self.settings, self._metadata_names, self._method_table = settings, names, method_table
         self._plans = {plan.name.encode(): number for number, plan in enumerate(settings.plans)}
 
     def read(self, path: bytes, authority: bytes, metadata: Metadata) -> GrpcRequest:
         """The call by its first block; BadRequest if any part is missing or senseless."""
-        method, names, settings = self._methods.find(path), self._names, self.settings
+        method, names, settings = self._method_table.find(path), self._metadata_names, self.settings
         if method is None:
             raise BadRequest(404, "no such method")
-        seen = once(metadata, (names.account, names.plan, names.quota, names.id, names.key, b"grpc-timeout"))
-        account = ACCOUNT.fullmatch(seen.get(names.account, b""))
+        values = once(
+            metadata, (names.account, names.plan, names.quota, names.id, names.key, b"grpc-timeout")
+        )
+        account = ACCOUNT.fullmatch(values.get(names.account, b""))
         if account is None:
             raise BadRequest(400, f"{names.account.decode()} is missing or senseless")
         customer = int(account[0], 16)
-        plan = self._plans.get(seen.get(names.plan, b""))
+        plan = self._plans.get(values.get(names.plan, b""))
         if plan is None:
             raise BadRequest(400, "no such plan")
-        units, width, first = self._share(seen.get(names.quota), method)
+        units, width, first = self._read_quota(values.get(names.quota), method)
         if customer >= 1 << 33 or not (
             0 < units <= settings.most_units and 1 <= width <= settings.gateways and first < settings.gateways
         ):
             raise BadRequest(400, f"{names.account.decode()} or {names.quota.decode()} out of range")
         try:
-            raw = seen.get(b"grpc-timeout")
+            raw = values.get(b"grpc-timeout")
             timeout_ms = method.deadline_ms if raw is None else parse_timeout(raw)
         except ValueError as error:
             raise BadRequest(400, str(error)) from error
-        key = seen.get(names.key)
+        key = values.get(names.key)
         if key is None and method.effect is Effect.KEYED:
             raise BadRequest(400, f"{names.key.decode()} is missing")
         arrival = RequestArrived(
@@ -194,20 +220,20 @@
             first,
             width,
             timeout_ms,
-            seen.get(names.retry) == b"1" or b"grpc-previous-rpc-attempts" in seen,
+            values.get(names.retry) == b"1" or b"grpc-previous-rpc-attempts" in values,
         )
         if key is not None and method.effect is Effect.KEYED:
             arrival.key = key_number(key)
-        rest = [pair for pair in metadata if pair[0] not in _OWN]
-        request = GrpcRequest(seen.get(names.id, b""), arrival, method, path, authority, rest)
-        request.timed = raw is not None
+        rest = [pair for pair in metadata if pair[0] not in _REPLACED_METADATA]
+        request = GrpcRequest(values.get(names.id, b""), arrival, method, path, authority, rest)
+        request.has_timeout = raw is not None
         return request
 
-    def _share(self, raw: bytes | None, method: Method) -> tuple[float, int, int]:
+    def _read_quota(self, raw: bytes | None, method: Method) -> tuple[float, int, int]:
         """Units, and the gateways that share the customer; by the row where the metadata don't say."""
         if raw is None and method.units:
             return method.units, self.settings.gateways, 0
         found = QUOTA.fullmatch(raw or b"")
         if found is None:
-            raise BadRequest(400, f"{self._names.quota.decode()} is missing or senseless")
+            raise BadRequest(400, f"{self._metadata_names.quota.decode()} is missing or senseless")
         return float(found[1]), int(found[2]), int(found[3])
--- a/troutdock/http2/abuse_limits.py
+++ b/troutdock/http2/abuse_limits.py
@@ -6,41 +6,47 @@
 
 from __future__ import annotations
 
-RESETS, RESETS_PER_S = 200.0, 100.0  # of streams younger than YOUNG_S: who gives up calls does so later
-YOUNG_S = 0.05
-CHEAP, CHEAP_PER_S = 200.0, 20.0  # clients that measure the way send some ten PINGs a second
+RESET_BURST, RESETS_PER_S = 200.0, 100.0  # of streams younger than YOUNG_S: who gives up calls does so later
+YOUNG_STREAM_S = 0.05
+OVERHEAD_FRAME_BURST, OVERHEAD_FRAMES_PER_S = (
+    200.0,
+    20.0,
+)  # clients that measure the way send some ten PINGs a second
 
 
-class Bucket:
+class TokenBucket:
     """So many at once, and so many a second; seconds on any clock."""
 
-    __slots__ = ("_at", "_most", "_per_s", "_tokens")
+    __slots__ = ("_burst", "_per_s", "_tokens", "_updated_at")
 
-    def __init__(self, most: float, per_s: float, now: float) -> None:
-        self._most, self._per_s, self._tokens, self._at = most, per_s, most, now
+    def __init__(self, burst: float, per_s: float, now: float) -> None:
+        self._burst, self._per_s, self._tokens, self._updated_at = burst, per_s, burst, now
 
     def take(self, now: float) -> bool:
         """One more; false if that is too many."""
-        self._tokens = min(self._most, self._tokens + (now - self._at) * self._per_s)
-        self._at = now
+        self._tokens = min(self._burst, self._tokens + (now - self._updated_at) * self._per_s)
+        self._updated_at = now
         if self._tokens < 1:
             return False
         self._tokens -= 1
         return True
 
 
-class Guard:
+class AbuseLimiter:
     """Of one connection."""
 
-    __slots__ = ("_cheap", "_resets")
+    __slots__ = ("_overhead_bucket", "_reset_bucket")
 
     def __init__(self, now: float) -> None:
-        self._resets, self._cheap = Bucket(RESETS, RESETS_PER_S, now), Bucket(CHEAP, CHEAP_PER_S, now)
+        self._reset_bucket, self._overhead_bucket = (
+            TokenBucket(RESET_BURST, RESETS_PER_S, now),
+            TokenBucket(OVERHEAD_FRAME_BURST, OVERHEAD_FRAMES_PER_S, now),
+        )
 
-    def reset(self, age_s: float, now: float) -> bool:
+    def allow_reset(self, age_s: float, now: float) -> bool:
         """The peer gives up a stream of that age; false if it does so too often."""
-        return age_s >= YOUNG_S or self._resets.take(now)
+        return age_s >= YOUNG_STREAM_S or self._reset_bucket.take(now)
 
-    def cheap(self, now: float) -> bool:
+    def allow_overhead_frame(self, now: float) -> bool:
         """A frame that wants an answer or says nothing; false if there are too many."""
-        return self._cheap.take(now)
+        return self._overhead_bucket.take(now)
--- a/troutdock/operator/components.py
+++ b/troutdock/operator/components.py
@@ -27,10 +27,10 @@
 
             parts.append(Reservations(Terms(kept.file, kept.folder, kept.reread_s, kept.fleet_units_per_s)))
         if file.grpc is not None:
-            from troutdock.grpc.service import Grpc
+            from troutdock.grpc.service import GrpcComponent
             from troutdock.operator.grpc import terms_of as grpc_terms_of
 
-            parts.append(Grpc(grpc_terms_of(file.grpc, settings)))
+            parts.append(GrpcComponent(grpc_terms_of(file.grpc, settings)))
         if file.usage is not None:
             from troutdock.operator.usage import terms_of
             from troutdock.usage.store import StoreError
