--- a/tests/grpc_front/test_grpc_protocol.py
+++ b/tests/grpc_front/test_grpc_protocol.py
@@ -154,13 +154,13 @@
 @pytest.mark.parametrize(
     ("row", "said"),
     [
-        (MethodRule("/a/b", "mail"), "no class"),
+        (MethodRule("/a/b", "mail"), "no class 'mail'"),
         (MethodRule("a/b", "vat-filing"), "neither"),
         (MethodRule("/a/b/c", "vat-filing"), "neither"),
         (MethodRule("/l.Ledger/Read", "vat-filing"), "twice"),
         (MethodRule("/a/b", "ledger-read", MethodType.CLIENT_STREAMING), "may be repeated"),
         (MethodRule("/a/b", "payment-book", MethodType.BIDIRECTIONAL), "may be repeated"),
-        (MethodRule("/a/b", "vat-filing", units=99.0), "beyond 4"),
+        (MethodRule("/a/b", "vat-filing", units=99.0), "beyond the maximum of 4"),
     ],
 )
 def test_a_row_that_can_t_be_is_named(row: MethodRule, said: str) -> None:
--- a/troutdock/grpc/__init__.py
+++ b/troutdock/grpc/__init__.py
@@ -1,4 +1,4 @@
-"""gRPC over HTTP/2, as published: a front and a transport over the same engine; loaded only when used.
+"""gRPC over HTTP/2: client-facing frontend and backend transport on the shared engine; loaded only if used.
 
-Messages stay opaque: nothing of protobuf is needed, and compressed ones pass untouched.
+Messages are opaque: protobuf is not needed, and compressed messages are forwarded unchanged.
 """
--- a/troutdock/grpc/dual_transport.py
+++ b/troutdock/grpc/dual_transport.py
@@ -1,6 +1,6 @@
-"""One pool whose backends speak both protocols: each attempt goes the way that its request came.
+"""One pool of backends that speak HTTP/1.1 and gRPC: an attempt uses the protocol of its request.
 
-A backend counts as one so, for its load, its cold start and its drain, whatever comes to it.
+A backend is thus a single entry for load, cold start and draining, whatever protocol its requests use.
 """
 
 from __future__ import annotations
@@ -15,33 +15,33 @@
 
 
 class DualTransport:
-    """engine.Transport over two."""
+    """engine.Transport that delegates to an HTTP/1.1 and a gRPC transport."""
 
     def __init__(self, http: Transport, grpc: GrpcTransport) -> None:
         self._http, self._grpc = http, grpc
 
     def place(self, backend: BackendId, endpoint: Any, up_since_ms: float) -> None:
-        """A backend is there, for both."""
+        """Adds or updates a backend in both transports."""
         self._http.place(backend, endpoint, up_since_ms)
         self._grpc.place(backend, endpoint, up_since_ms)
 
     def follow(self, update: FleetUpdate) -> None:
-        """The list has changed, for both."""
+        """Applies a change of the list of backends to both transports."""
         self._http.follow(update)
         self._grpc.follow(update)
 
     def new_attempt(
         self, owner: Any, index: int, backend: BackendId, message: Any, started: float, repeatable: bool
     ) -> Attempt:
-        """In the kind of the one that will carry it."""
+        """Returns an attempt of the transport that will send it."""
         if isinstance(message, GrpcMessage):
             return GrpcAttempt(owner, index, backend, message, started, repeatable)
         return self._http.new_attempt(owner, index, backend, message, started, repeatable)
 
     def start(self, attempt: Any) -> None:
-        """Begin an attempt."""
+        """Starts an attempt."""
         (self._grpc if isinstance(attempt, GrpcAttempt) else self._http).start(attempt)
 
     def give_up(self, attempt: Any) -> None:
-        """Stop waiting."""
+        """Cancels an attempt."""
         (self._grpc if isinstance(attempt, GrpcAttempt) else self._http).give_up(attempt)
--- a/troutdock/grpc/methods.py
+++ b/troutdock/grpc/methods.py
@@ -1,4 +1,4 @@
-"""The operator's table of methods: what class of request a call is, and how it streams (no I/O)."""
+"""The operator's table of gRPC methods: request class and streaming type of each method (no I/O)."""
 
 from __future__ import annotations
 
@@ -10,27 +10,34 @@
 
 
 class MethodType(Enum):
-    """Who sends more than one message."""
+    """Which side sends a stream of messages."""
 
     UNARY = "unary"
-    SERVER_STREAMING = "server-streaming"  # its answer is passed on as it comes
+    SERVER_STREAMING = "server-streaming"  # the response is forwarded as it arrives
     CLIENT_STREAMING = "client-streaming"
     BIDIRECTIONAL = "bidirectional"
 
     @property
     def client_streams(self) -> bool:
-        """The client's messages are passed on as they come: once, to one node."""
+        """Whether the client's messages are forwarded as they arrive, once and to one backend."""
         return self in (MethodType.CLIENT_STREAMING, MethodType.BIDIRECTIONAL)
 
     @property
     def server_streams(self) -> bool:
-        """The node's messages are passed on as they come."""
+        """Whether the backend's messages are forwarded as they arrive."""
         return self in (MethodType.SERVER_STREAMING, MethodType.BIDIRECTIONAL)
 
 
 @dataclass(frozen=True, slots=True)
 class MethodRule:
-    """path: `/service/method`, `/service/*` or `*`. units: of calls whose metadata name none, if not 0."""
+    """A configured rule.
+
+    Attributes:
+        path: `/service/method`, `/service/*` or `*`.
+        cls: Name of the request class.
+        method_type: Streaming type.
+        units: Units of calls whose metadata has no quota; 0 requires the metadata.
+    """
 
     path: str
     cls: str
@@ -40,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Method:
-    """A row with its class by number."""
+    """A rule resolved against the settings; `cls` is the index of the request class."""
 
     cls: int
     effect: Effect
@@ -50,27 +57,33 @@
 
 
 class MethodTable:
-    """The most exact row counts: the method's own, its service's, the one for all."""
+    """Finds the most specific rule of a path: that of the method, of its service, or the default."""
 
     def __init__(self, rules: Iterable[MethodRule], settings: Settings) -> None:
-        """ValueError names the row that can't be."""
+        """Resolves the rules.
+
+        Raises:
+            ValueError: A rule is invalid; the message names it.
+        """
         live_classes = settings.classes[: settings.live_classes or len(settings.classes)]
         classes = {cls.name: n for n, cls in enumerate(live_classes)}
         self._methods: dict[bytes, Method] = {}
         for rule in rules:
             if rule.path != "*" and (not rule.path.startswith("/") or rule.path.count("/") != 2):
-                raise ValueError(f"{rule.path}: neither /service/method nor /service/* nor *")
+                raise ValueError(f"{rule.path}: path is neither /service/method nor /service/* nor *")
             if rule.path.encode() in self._methods:
-                raise ValueError(f"{rule.path}: it is there twice")
+                raise ValueError(f"{rule.path}: path is configured twice")
             if rule.cls not in classes:
-                raise ValueError(f"{rule.path}: {rule.cls!r} is no class: {', '.join(classes)}")
+                raise ValueError(f"{rule.path}: no class {rule.cls!r}; known classes: {', '.join(classes)}")
             number = classes[rule.cls]
             cls = settings.classes[number]
             if rule.method_type.client_streams and cls.effect is not Effect.UNSAFE:
-                detail = f"{rule.method_type.value} calls are sent once, and {rule.cls} may be repeated"
+                detail = f"{rule.method_type.value} calls are sent only once, but {rule.cls} may be repeated"
                 raise ValueError(f"{rule.path}: {detail}")
             if not 0 <= rule.units <= settings.most_units:
-                raise ValueError(f"{rule.path}: {rule.units:g} units are beyond {settings.most_units:g}")
+                raise ValueError(
+                    f"{rule.path}: {rule.units:g} units are beyond the maximum of {settings.most_units:g}"
+                )
             self._methods[rule.path.encode()] = Method(
                 number, cls.effect, rule.method_type, rule.units, cls.deadline_ms
             )
@@ -79,7 +92,7 @@
     def with_valid_rules(
         cls, rules: Iterable[MethodRule], settings: Settings
     ) -> tuple[MethodTable, list[str]]:
-        """With the rows that can be, and why the others can't."""
+        """Returns a table of the valid rules, and an error message for each of the others."""
         valid: list[MethodRule] = []
         errors: list[str] = []
         for rule in rules:
@@ -91,7 +104,7 @@
         return cls(valid, settings), errors
 
     def find(self, path: bytes) -> Method | None:
-        """The row of a call; None: there is none."""
+        """Returns the rule of a path, or None."""
         return (
             self._methods.get(path)
             or self._methods.get(path[: path.rfind(b"/") + 1] + b"*")
--- a/troutdock/grpc/request.py
+++ b/troutdock/grpc/request.py
@@ -1,4 +1,4 @@
-"""What a call means: its metadata checked and read for the gateway, its form for a node (no I/O)."""
+"""Parses and validates the metadata of a call, and builds the request to a backend (no I/O)."""
 
 from __future__ import annotations
 
@@ -12,14 +12,15 @@
 from troutdock.grpc.protocol import GrpcResponse, Metadata, format_timeout, parse_timeout
 from troutdock.http.request import ACCOUNT, QUOTA, key_number, once
 
-REPLAY_BYTES = 64 * 1024  # bytes of a client's stream that are kept, as its first node may never have run it
-# what the ingress words itself; :authority and user-agent go on as they are
+# bytes of a client's stream kept for another backend if the first one did not start the call
+REPLAY_BYTES = 64 * 1024
+# set by the ingress itself; :authority and user-agent are forwarded unchanged
 _REPLACED_METADATA = frozenset((b"te", b"grpc-timeout", b"content-length"))
 
 
 @dataclass(frozen=True, slots=True)
 class MetadataNames:
-    """Under which names the metadata hold what the gateway needs."""
+    """Names of the metadata that the gateway reads."""
 
     account: bytes = b"account"
     plan: bytes = b"plan"
@@ -30,21 +31,22 @@
 
 
 class MessageSink(Protocol):
-    """Where a client's stream goes: a stream to a node."""
+    """Receiver of a client's stream: the HTTP/2 stream to a backend."""
 
     def send(self, data: bytes, end: bool) -> None:
-        """More of it; end: and that is all."""
+        """Sends data; `end` closes the direction."""
 
     @property
     def full(self) -> bool:
-        """It has not taken what it got; Upload.more is called once it has."""
+        """Whether its send queue is full; Upload.flush() is called once it has drained."""
 
 
 class Upload:
-    """A client's stream of messages, passed on as it comes, to one node.
+    """A client's stream of messages, forwarded to one backend as it arrives.
 
-    What has come is kept, up to REPLAY bytes, so that a node that never ran it costs nothing. After that it
-    belongs to the node that has it, and the client is let send more only as that takes it.
+    The first REPLAY_BYTES are kept, so that the stream can be sent to another backend if the first one did
+    not start the call. Beyond that the stream is tied to its backend, and the client is granted flow-control
+    credit only as the backend takes the data.
     """
 
     __slots__ = (
@@ -58,16 +60,16 @@
     )
 
     def __init__(self, grant_credit: Callable[[int], None]) -> None:
-        """credit: who lets the client send so many bytes more."""
+        """grant_credit: Called with a number of bytes that the client may send in addition."""
         self._grant_credit = grant_credit
         self._sink: MessageSink | None = None
-        self._chunks: list[tuple[bytes, bool]] = []  # and whether they are credited
-        self._sent_count = 0  # of them, to the sink
-        self._received_bytes = 0  # bytes that have come
-        self._ended = self._truncated = False  # all has come; what was sent is not here any more
+        self._chunks: list[tuple[bytes, bool]] = []  # data, and whether the client was granted credit for it
+        self._sent_count = 0  # chunks passed to the sink
+        self._received_bytes = 0  # total
+        self._ended = self._truncated = False  # the client has ended the stream; sent chunks were dropped
 
     def push(self, data: bytes, end: bool) -> None:
-        """More has come."""
+        """Adds received data; `end` is the end of the client's stream."""
         self._ended = self._ended or end
         self._received_bytes += len(data)
         within_replay = self._received_bytes <= REPLAY_BYTES
@@ -78,7 +80,11 @@
         self.flush()
 
     def attach(self, sink: MessageSink) -> bool:
-        """Send it there from its beginning; false if that is not here any more."""
+        """Sends the stream to this sink from its beginning.
+
+        Returns:
+            False if the beginning has been dropped.
+        """
         if self._truncated:
             return False
         self._sink, self._sent_count = sink, 0
@@ -86,11 +92,11 @@
         return True
 
     def detach(self) -> None:
-        """It is not sent anywhere for now."""
+        """Stops sending to the current sink."""
         self._sink = None
 
     def flush(self) -> None:
-        """Send what there is, as far as the sink takes it."""
+        """Sends pending chunks until the sink is full."""
         sink = self._sink
         if sink is None:
             return
@@ -102,7 +108,7 @@
             if not credited:
                 self._grant_credit(len(data))
         if self._ended and self._sent_count == len(self._chunks):
-            sink.send(b"", True)  # harmless where the end went with the last piece
+            sink.send(b"", True)  # no effect if the end was sent with the last chunk
         if self._received_bytes > REPLAY_BYTES and self._sent_count:
             self._truncated = True
             del self._chunks[: self._sent_count]
@@ -110,7 +116,7 @@
 
 
 class GrpcMessage:
-    """A call as one node gets it."""
+    """A call as it is sent to one backend."""
 
     __slots__ = ("left_ms", "request")
 
@@ -118,7 +124,7 @@
         self.request, self.left_ms = request, left_ms
 
     def headers(self) -> Metadata:
-        """Its first block."""
+        """Returns the request headers."""
         request = self.request
         return [
             (b":method", b"POST"),
@@ -132,9 +138,11 @@
 
 
 class GrpcRequest(Request):
-    """A call: all of its messages, or its first ones and a stream of more.
+    """A call with its complete body, or with an upload.
 
-    last: how its last node has ended it. timed: its client has named an end.
+    Attributes:
+        last_response: How the last backend ended the call.
+        has_timeout: Whether the client sent grpc-timeout.
     """
 
     __slots__ = (
@@ -170,12 +178,12 @@
         self.has_timeout = False
 
     def message(self, left_ms: float) -> GrpcMessage:
-        """What a node gets; left_ms: how long its answer is waited for."""
+        """Returns the call for a backend; left_ms: time until the deadline."""
         return GrpcMessage(self, left_ms)
 
 
 class CallReader:
-    """Checks calls against the settings and the operator's table."""
+    """Validates calls against the settings and the operator's table of methods."""
 
     def __init__(
         self, method_table: MethodTable, settings: Settings, names: MetadataNames = MetadataNames()
@@ -184,7 +192,11 @@
         self._plans = {plan.name.encode(): number for number, plan in enumerate(settings.plans)}
 
     def read(self, path: bytes, authority: bytes, metadata: Metadata) -> GrpcRequest:
-        """The call by its first block; BadRequest if any part is missing or senseless."""
+        """Returns the call for its request headers.
+
+        Raises:
+            BadRequest: A required field is missing or invalid.
+        """
         method, names, settings = self._method_table.find(path), self._metadata_names, self.settings
         if method is None:
             raise BadRequest(404, "no such method")
@@ -230,7 +242,10 @@
         return request
 
     def _read_quota(self, raw: bytes | None, method: Method) -> tuple[float, int, int]:
-        """Units, and the gateways that share the customer; by the row where the metadata don't say."""
+        """Returns units, number of gateways that share the customer, and the first of them.
+
+        Without the metadata the units of the method's rule apply, shared by all gateways.
+        """
         if raw is None and method.units:
             return method.units, self.settings.gateways, 0
         found = QUOTA.fullmatch(raw or b"")
--- a/troutdock/grpc/service.py
+++ b/troutdock/grpc/service.py
@@ -1,4 +1,4 @@
-"""gRPC beside the daemon: its front at the clients' listener, its transport to the nodes."""
+"""gRPC component of the daemon: the frontend at the clients' listener and the transport to the backends."""
 
 from __future__ import annotations
 
@@ -28,9 +28,14 @@
 
 @dataclass(frozen=True, slots=True)
 class GrpcOptions:
-    """What the operator asks for. listen: an address of its own beside the clients' one, None for none.
-
-    nodes: a fixed list of nodes; with none those of the platform's list get gRPC calls as well.
+    """Configured options.
+
+    Attributes:
+        rules: Table of methods.
+        names: Names of the metadata.
+        listen: An additional listening address for gRPC only, or None.
+        nodes: A fixed list of backends. If empty, the backends of the platform's list get gRPC calls as well.
+        max_message_bytes: Size limit of a message.
     """
 
     rules: tuple[MethodRule, ...]
@@ -41,7 +46,7 @@
 
 
 class GrpcComponent:
-    """It belongs to the event loop that is running when it is attached."""
+    """The component; bound to the event loop that runs when attach() is called."""
 
     def __init__(self, options: GrpcOptions) -> None:
         self._options = options
@@ -53,7 +58,12 @@
         self.address: Address | None = None
 
     def attach(self, host: Host) -> None:
-        """Take calls from now on. ValueError names a row that does not fit; OSError: no such address."""
+        """Starts to accept calls.
+
+        Raises:
+            ValueError: A rule does not fit the settings; the message names it.
+            OSError: The additional address can't be bound.
+        """
         options, engine = self._options, host.engine
         self.front = GrpcFrontend(host.server, options.rules, options.names, options.max_message_bytes)
         connect_s, idle_s = host.times_s
@@ -84,7 +94,7 @@
         self._listener = await loop.create_server(lambda: front.new_connection(None), sock=sock)
 
     def start(self, engine: Engine) -> None:
-        """It has begun with attach."""
+        """Does nothing: attach() has started the component."""
 
     def _sweep(self) -> None:
         if self.transport is not None:
@@ -92,7 +102,7 @@
         self._sweep_timer = asyncio.get_running_loop().call_later(SWEEP_S, self._sweep)
 
     async def close(self) -> None:
-        """The ingress has drained: close what is left."""
+        """Closes the listener and the connections to backends; called after the ingress has drained."""
         if self._sweep_timer is not None:
             self._sweep_timer.cancel()
         for task in self._tasks:
@@ -103,7 +113,7 @@
             self.transport.close()
 
     def books(self) -> dict[tuple[bytes, bytes], Callable[[bytes], Awaitable[tuple[int, bytes]]]]:
-        """How many connections and calls there are."""
+        """Returns the status page with the numbers of connections and calls."""
         return {(b"GET", b"/control/grpc"): self._status}
 
     async def _status(self, body: bytes) -> tuple[int, bytes]:
--- a/troutdock/grpc/socket_connection.py
+++ b/troutdock/grpc/socket_connection.py
@@ -1,4 +1,4 @@
-"""An HTTP/2 connection on a socket: bytes read go to its state machine, what that has to say is written."""
+"""An HTTP/2 connection on a socket: feeds received bytes to the state machine and writes its output."""
 
 from __future__ import annotations
 
@@ -10,17 +10,22 @@
 
 
 class SocketConnection(asyncio.Protocol):
-    """A client's or a node's; the subclass is the state machine's handler."""
+    """Base of the connections of clients and backends; the subclass is the http2.Handler."""
 
     h2: Connection
     transport: asyncio.Transport | None = None
     _feeding = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is none by name
+        # uvloop's class does not derive from asyncio.Transport
+        self.transport = cast(asyncio.Transport, transport)
 
     def feed(self, data: bytes, now: float) -> str:
-        """Take in bytes, and write what that calls for; why the connection has ended by them, if it has."""
+        """Processes received bytes and writes the output.
+
+        Returns:
+            The reason if the bytes caused a connection error, else "".
+        """
         self._feeding = True
         try:
             self.h2.receive(data, now)
@@ -33,7 +38,7 @@
         return ""
 
     def flush(self) -> None:
-        """Write what has gathered; while bytes are read, once they are."""
+        """Writes pending output; during feed() this is left to its end."""
         if not self._feeding and self.h2.out and self.transport is not None:
             data = self.h2.data_to_send()
             if not self.transport.is_closing():
--- a/troutdock/http2/__init__.py
+++ b/troutdock/http2/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/2 (RFC 9113) without I/O: bytes in, calls to a handler, bytes out; headers are HPACK's (RFC 7541)."""
+"""HTTP/2 (RFC 9113) with HPACK (RFC 7541), without I/O: bytes in, handler callbacks and bytes out."""
--- a/troutdock/http2/abuse_limits.py
+++ b/troutdock/http2/abuse_limits.py
@@ -1,21 +1,21 @@
-"""What a peer may make us do for nothing, as buckets (no I/O, no clock).
+"""Rate limits for frames that cost the sender less than the receiver, as token buckets (no I/O, no clock).
 
-Frames that cost the sender little and the receiver an answer or a table's place are counted: resets of
-streams that have only just come (CVE-2023-44487), PING and SETTINGS, which are answered, and empty DATA.
+Counted are resets of streams that were opened only a moment ago (rapid reset, CVE-2023-44487), and overhead
+frames: PING and SETTINGS, which require an acknowledgement, PRIORITY, empty DATA frames, and HEADERS of
+streams that are refused, which each take an entry in a table.
 """
 
 from __future__ import annotations
 
-RESET_BURST, RESETS_PER_S = 200.0, 100.0  # of streams younger than YOUNG_S: who gives up calls does so later
+# Only resets of streams younger than YOUNG_STREAM_S count: applications cancel calls later than that.
+RESET_BURST, RESETS_PER_S = 200.0, 100.0
 YOUNG_STREAM_S = 0.05
-OVERHEAD_FRAME_BURST, OVERHEAD_FRAMES_PER_S = (
-    200.0,
-    20.0,
-)  # clients that measure the way send some ten PINGs a second
+# Clients that measure the network path send about ten PINGs per second.
+OVERHEAD_FRAME_BURST, OVERHEAD_FRAMES_PER_S = 200.0, 20.0
 
 
 class TokenBucket:
-    """So many at once, and so many a second; seconds on any clock."""
+    """A token bucket; times are in seconds of any monotonic clock."""
 
     __slots__ = ("_burst", "_per_s", "_tokens", "_updated_at")
 
@@ -23,7 +23,7 @@
         self._burst, self._per_s, self._tokens, self._updated_at = burst, per_s, burst, now
 
     def take(self, now: float) -> bool:
-        """One more; false if that is too many."""
+        """Takes one token. Returns False if the bucket is empty."""
         self._tokens = min(self._burst, self._tokens + (now - self._updated_at) * self._per_s)
         self._updated_at = now
         if self._tokens < 1:
@@ -33,7 +33,7 @@
 
 
 class AbuseLimiter:
-    """Of one connection."""
+    """The limits of one connection."""
 
     __slots__ = ("_overhead_bucket", "_reset_bucket")
 
@@ -44,9 +44,9 @@
         )
 
     def allow_reset(self, age_s: float, now: float) -> bool:
-        """The peer gives up a stream of that age; false if it does so too often."""
+        """Counts an RST_STREAM for a stream of this age. Returns False if the rate limit is exceeded."""
         return age_s >= YOUNG_STREAM_S or self._reset_bucket.take(now)
 
     def allow_overhead_frame(self, now: float) -> bool:
-        """A frame that wants an answer or says nothing; false if there are too many."""
+        """Counts an overhead frame. Returns False if the rate limit is exceeded."""
         return self._overhead_bucket.take(now)
--- a/troutdock/http2/connection.py
+++ b/troutdock/http2/connection.py
@@ -1,20 +1,24 @@
-"""One HTTP/2 connection, of a client or a server, as a state machine without I/O.
+"""State machine of one HTTP/2 connection, client or server side, without I/O.
 
-Theory of operation. Bytes go into receive(), which calls the handler; what is to be written gathers in `out`,
-which the owner writes when it is through. A stream is open towards us and towards the peer, each until its
-end; the one that is closed both ways is forgotten:
+Theory of operation. The owner passes received bytes to receive(), which calls the handler. Frames to be sent
+are collected in `out`; the owner fetches them with data_to_send() after each call and writes them.
 
-    ours     idle -> open -> ended by END_STREAM, behind all that is queued
-    peer's   idle -> open -> ended by END_STREAM
-    both     reset by either side: ended at once, nothing more of it is told or sent
+States of a stream. Both directions are tracked separately, and a stream that is closed in both is removed:
 
-Windows. What the peer sends on the connection as a whole is credited as it comes, what it sends on a stream
-only when its owner says that it was consumed: so a slow reader holds up its own stream and no other, and what
-is held for it is at most one window. What we send waits in the stream's queue for both windows.
+    local    idle -> open -> ended by END_STREAM, after all queued data has been sent
+    peer     idle -> open -> ended by END_STREAM
+    both     closed by RST_STREAM of either side; no further callbacks, and nothing more is sent
 
-A block of headers is always decoded, also of a stream that nobody knows any more, as the table behind it is
-the connection's. Errors of a stream reset it, those of the connection are raised as ConnectionError: the
-owner says goodbye with goaway() and closes.
+Flow control. Received data is credited to the connection's window on arrival, but to the stream's window only
+when the owner calls consumed(). A slow reader therefore blocks its own stream only, and at most one stream
+window is buffered for it. Data to be sent waits in the stream's queue until the windows of the stream and of
+the connection both allow it.
+
+Field blocks. Every field block is decoded, also for a stream that has been removed, because the HPACK dynamic
+table belongs to the connection.
+
+Errors. A stream error resets the stream. A connection error is raised as H2ConnectionError: the owner calls
+goaway() and closes the connection.
 """
 
 from __future__ import annotations
@@ -28,41 +32,41 @@
 from troutdock.http2.abuse_limits import AbuseLimiter
 from troutdock.http2.headers import MAX_HEADER_LIST_BYTES, HeaderDecoder, Headers, encode
 
-MAX_HEADER_BLOCK_BYTES, MAX_CONTINUATIONS = 32 * 1024, 8  # of one block of headers, before it is decoded
-MAX_REMEMBERED_RESETS = 200  # streams that we have reset, whose frames may still be on their way
+MAX_HEADER_BLOCK_BYTES, MAX_CONTINUATIONS = 32 * 1024, 8  # limits of one field block before decoding
+MAX_REMEMBERED_RESETS = 200  # streams reset here, of which frames may still be in flight
 MAX_STREAM_ID = 2**31 - 1
 
 
 class Handler(Protocol):
-    """The owner of a connection; nothing here may call receive()."""
+    """Callbacks to the owner of a connection. A callback must not call receive()."""
 
     def on_headers(self, stream: Stream, headers: Headers, end: bool) -> None:
-        """A block of headers: the first one of a stream, or its trailers. StreamError resets it."""
+        """Header fields or trailers of a stream have arrived. Raising H2StreamError resets the stream."""
 
     def on_data(self, stream: Stream, data: bytes, end: bool) -> None:
-        """A piece of its body, which is to be credited by consumed()."""
+        """Data of a stream has arrived; the owner must credit it with consumed()."""
 
     def on_reset(self, stream: Stream, code: int) -> None:
-        """The peer, or an error here, has ended it; nothing more is told of it."""
+        """The stream was reset by the peer or by a stream error; no further callbacks follow."""
 
     def on_drained(self, stream: Stream) -> None:
-        """Its queue, which was above LOW, is not any more."""
+        """The send queue of the stream has fallen to LOW_WATER_BYTES or below."""
 
     def on_settings(self) -> None:
-        """The peer's settings have changed."""
+        """A SETTINGS frame of the peer has been applied."""
 
     def on_goaway(self, last: int, code: int) -> None:
-        """The peer takes no more streams, and none above the last has run."""
+        """The peer accepts no more streams and has not processed any stream above `last`."""
 
     def on_pong(self) -> None:
-        """A PING of ours is answered."""
+        """A PING sent by ping() was acknowledged."""
 
 
-LOW_WATER_BYTES = 32 * 1024  # bytes in a stream's queue, above which its owner is to write no more
+LOW_WATER_BYTES = 32 * 1024  # above this in a stream's queue the owner should pause writing
 
 
 class Stream:
-    """One stream, and what is queued for it."""
+    """A stream and its send queue."""
 
     __slots__ = (
         "headers_sent",
@@ -82,17 +86,17 @@
     def __init__(self, id: int, receive_window: int, send_window: int, opened_at: float) -> None:
         self.id, self.receive_window, self.send_window = id, receive_window, send_window
         self.opened_at = opened_at
-        self.owner: Any = None  # the handler's
+        self.owner: Any = None  # set and used by the handler only
         self.queue: deque[bytes] = deque()
         self.queued_bytes = 0
-        self.pending_trailers: bytes | None = None  # trailers to come behind the queue; empty: END_STREAM
-        self.headers_sent = False  # our headers are out
+        self.pending_trailers: bytes | None = None  # encoded, sent after the queue; b"": END_STREAM only
+        self.headers_sent = False
         self.local_ended = self.peer_ended = False
         self.uncredited = 0
 
 
 class Connection:
-    """HTTP/2 towards one peer."""
+    """An HTTP/2 connection to one peer."""
 
     def __init__(
         self,
@@ -103,7 +107,16 @@
         stream_window: int = 65_535,
         connection_window: int = 1 << 20,
     ) -> None:
-        """streams: that the peer may have open here. window, connection_window: bytes that it may send."""
+        """Queues the connection preface and the initial SETTINGS.
+
+        Args:
+            client: Whether this side is the client.
+            handler: Receives the callbacks.
+            now: Current time in seconds, on the clock that is also passed to receive() and open_stream().
+            max_streams: Streams that the peer may have open at once.
+            stream_window: Receive window of a stream, in bytes.
+            connection_window: Receive window of the connection, in bytes.
+        """
         self._client, self._handler = client, handler
         self._decoder, self._limiter = HeaderDecoder(), AbuseLimiter(now)
         self._max_streams, self._stream_window, self._connection_window = (
@@ -112,21 +125,23 @@
             connection_window,
         )
         self.streams: dict[int, Stream] = {}
-        self._reset_streams: dict[int, None] = {}  # that we have reset
+        self._reset_streams: dict[int, None] = {}  # reset here, oldest first
         self._buffer = b"" if client else None
         self._preface = b""
-        self._header_block: tuple[int, bool, list[bytes], int] | None = None  # stream, its end, parts, bytes
+        # stream, END_STREAM, parts, size
+        self._header_block: tuple[int, bool, list[bytes], int] | None = None
         self._next_stream_id = 1 if client else 2
-        self._last_peer_stream_id = 0  # the peer's highest stream
-        self._settings_received = False  # its first SETTINGS are here
+        self._last_peer_stream_id = 0  # highest stream identifier of the peer
+        self._settings_received = False  # the first SETTINGS of the peer has arrived
         self._receive_window = f.DEFAULT_WINDOW_SIZE
         self._uncredited = 0
         self.send_window = f.DEFAULT_WINDOW_SIZE
         self._peer_initial_window, self._peer_max_frame_size = f.DEFAULT_WINDOW_SIZE, f.DEFAULT_MAX_FRAME_SIZE
-        self.peer_max_streams = MAX_STREAM_ID  # that we may have open there
-        self._blocked: dict[int, None] = {}  # streams that wait for the connection's window
+        # streams that this side may have open; unlimited until SETTINGS
+        self.peer_max_streams = MAX_STREAM_ID
+        self._blocked: dict[int, None] = {}  # streams blocked by the connection's send window
         self._now = now
-        self.goaway_sent = False  # our GOAWAY is out
+        self.goaway_sent = False
         values = {
             f.MAX_CONCURRENT_STREAMS: max_streams,
             f.INITIAL_WINDOW_SIZE: stream_window,
@@ -144,10 +159,14 @@
             self.out.append(f.window_update(0, connection_window - f.DEFAULT_WINDOW_SIZE))
             self._receive_window = connection_window
 
-    # ---- what comes
+    # ---- receiving
 
     def receive(self, data: bytes, now: float) -> None:
-        """Bytes of the peer's; ConnectionError if the connection is of no more use."""
+        """Processes received bytes.
+
+        Raises:
+            H2ConnectionError: The connection can't be used any more.
+        """
         self._now = now
         if self._buffer is None:
             self._preface += data
@@ -160,25 +179,27 @@
             data = self._buffer + data
         at, size = 0, len(data)
         while size - at >= f.FRAME_HEADER_SIZE:
-            high, low, kind, flags, stream = f.FRAME_HEADER.unpack_from(data, at)
+            high, low, frame_type, flags, stream = f.FRAME_HEADER.unpack_from(data, at)
             length = high << 8 | low
             if length > f.DEFAULT_MAX_FRAME_SIZE:
                 raise H2ConnectionError(ErrorCode.FRAME_SIZE_ERROR, f"a frame of {length} bytes")
             end = at + f.FRAME_HEADER_SIZE + length
             if end > size:
                 break
-            self._handle_frame(kind, flags, stream & 0x7FFFFFFF, data[at + f.FRAME_HEADER_SIZE : end])
+            self._handle_frame(frame_type, flags, stream & 0x7FFFFFFF, data[at + f.FRAME_HEADER_SIZE : end])
             at = end
         self._buffer = data[at:] if at < size else b""
 
-    def _handle_frame(self, kind: int, flags: int, stream_id: int, payload: bytes) -> None:
-        if self._header_block is not None and (kind != f.CONTINUATION or stream_id != self._header_block[0]):
+    def _handle_frame(self, frame_type: int, flags: int, stream_id: int, payload: bytes) -> None:
+        if self._header_block is not None and (
+            frame_type != f.CONTINUATION or stream_id != self._header_block[0]
+        ):
             raise H2ConnectionError(ErrorCode.PROTOCOL_ERROR, "a block of headers is cut off")
-        if not self._settings_received and kind != f.SETTINGS:
+        if not self._settings_received and frame_type != f.SETTINGS:
             raise H2ConnectionError(ErrorCode.PROTOCOL_ERROR, "no SETTINGS at first")
-        if kind == f.DATA:
+        if frame_type == f.DATA:
             self._handle_data(flags, stream_id, payload)
-        elif kind == f.HEADERS:
+        elif frame_type == f.HEADERS:
             payload = f.strip_padding(payload, flags)
             if flags & f.PRIORITY_FLAG:
                 if len(payload) < 5:
@@ -190,26 +211,26 @@
                 self._handle_headers(stream_id, payload, bool(flags & f.END_STREAM))
             else:
                 self._header_block = stream_id, bool(flags & f.END_STREAM), [payload], len(payload)
-        elif kind == f.CONTINUATION:
+        elif frame_type == f.CONTINUATION:
             self._handle_continuation(flags, stream_id, payload)
-        elif kind == f.WINDOW_UPDATE:
+        elif frame_type == f.WINDOW_UPDATE:
             self._handle_window_update(stream_id, payload)
-        elif kind == f.RST_STREAM:
+        elif frame_type == f.RST_STREAM:
             self._handle_rst_stream(stream_id, payload)
-        elif kind == f.SETTINGS:
+        elif frame_type == f.SETTINGS:
             self._handle_settings(flags, stream_id, payload)
-        elif kind == f.PING:
+        elif frame_type == f.PING:
             self._handle_ping(flags, stream_id, payload)
-        elif kind == f.GOAWAY:
+        elif frame_type == f.GOAWAY:
             if stream_id or len(payload) < 8:
                 raise H2ConnectionError(ErrorCode.PROTOCOL_ERROR, "a GOAWAY that is none")
             last, code = f.GOAWAY_FIELDS.unpack_from(payload)
             self._handler.on_goaway(last & 0x7FFFFFFF, code)
-        elif kind == f.PRIORITY:
+        elif frame_type == f.PRIORITY:
             if not stream_id or len(payload) != 5:
                 raise H2ConnectionError(ErrorCode.PROTOCOL_ERROR, "a PRIORITY that is none")
             self._count_overhead_frame()
-        elif kind == f.PUSH_PROMISE:
+        elif frame_type == f.PUSH_PROMISE:
             raise H2ConnectionError(ErrorCode.PROTOCOL_ERROR, "nothing may be pushed here")
 
     def _count_overhead_frame(self) -> None:
@@ -235,7 +256,7 @@
         if stream is None:
             if self._client or not stream_id & 1:
                 if self._was_opened(stream_id):
-                    return  # of a stream that is forgotten
+                    return  # the stream has been removed
                 raise H2ConnectionError(ErrorCode.PROTOCOL_ERROR, "headers of a stream that nobody opened")
             if stream_id <= self._last_peer_stream_id:
                 if stream_id in self._reset_streams:
@@ -255,7 +276,7 @@
     def _dispatch(
         self, handler: Callable[[Stream, Any, bool], None], stream: Stream, payload: Any, end: bool
     ) -> None:
-        """Tell of a piece, which may end the peer's side."""
+        """Calls a handler callback; with `end` the peer's direction of the stream is closed."""
         if end:
             stream.peer_ended = True
         try:
@@ -266,13 +287,13 @@
         self._remove_if_closed(stream)
 
     def _refuse_stream(self, stream_id: int) -> None:
-        """It is not taken: nothing of it has run."""
+        """Resets a new stream with REFUSED_STREAM, which tells the peer that it was not processed."""
         self._count_overhead_frame()
         self._remember_reset(stream_id)
         self.out.append(f.rst_stream(stream_id, ErrorCode.REFUSED_STREAM))
 
     def _was_opened(self, stream_id: int) -> bool:
-        """A stream that is no more, of ours or of the peer's."""
+        """Returns whether a stream that is not open was open before, whichever side opened it."""
         return (
             0 < stream_id < self._next_stream_id
             if (stream_id & 1) == (self._next_stream_id & 1)
@@ -396,10 +417,10 @@
             self._count_overhead_frame()
             self.out.append(f.frame(f.PING, f.ACK, 0, payload))
 
-    # ---- what goes
+    # ---- sending
 
     def open_stream(self, owner: Any, now: float) -> Stream:
-        """A stream of ours; its headers follow at once."""
+        """Opens a stream. The caller must call send_headers() before opening another one."""
         stream = Stream(self._next_stream_id, self._stream_window, self._peer_initial_window, now)
         stream.owner = owner
         self.streams[stream.id] = stream
@@ -408,11 +429,11 @@
 
     @property
     def stream_ids_exhausted(self) -> bool:
-        """No more streams can be opened here: their numbers are used up."""
+        """Whether the stream identifiers of this side are used up."""
         return self._next_stream_id > f.MAX_WINDOW_SIZE - 2
 
     def send_headers(self, stream: Stream, headers: Headers, end: bool = False) -> None:
-        """The stream's first headers; end: and nothing else."""
+        """Sends the header fields of a stream; `end` sets END_STREAM."""
         stream.headers_sent = True
         self._write_block(stream, encode(headers), end)
 
@@ -433,7 +454,7 @@
             self._end_local_side(stream)
 
     def send_data(self, stream: Stream, data: bytes, end: bool = False) -> None:
-        """More of its body, as far as the windows allow; the rest is queued. end: and that is all."""
+        """Sends data as far as the windows allow and queues the rest; `end` sets END_STREAM."""
         if stream.local_ended or stream.pending_trailers is not None:
             return
         if data:
@@ -444,13 +465,13 @@
         self._pump(stream)
 
     def send_trailers(self, stream: Stream, headers: Headers) -> None:
-        """The end, behind all that is queued."""
+        """Sends trailers with END_STREAM after all queued data."""
         if not stream.local_ended and stream.pending_trailers is None:
             stream.pending_trailers = encode(headers)
             self._pump(stream)
 
     def _pump(self, stream: Stream) -> None:
-        """Write what the windows allow."""
+        """Sends queued data as far as the windows allow, then the pending trailers."""
         was_above_low_water = stream.queued_bytes > LOW_WATER_BYTES
         while stream.queue:
             allowed = min(stream.send_window, self.send_window, self._peer_max_frame_size)
@@ -485,7 +506,7 @@
     def _end_local_side(self, stream: Stream) -> None:
         stream.local_ended = True
         if not stream.peer_ended and not self._client:
-            # the answer is whole: what the client still wants to send is of no use (RFC 9113, 8.1)
+            # the response is complete: the rest of the request is not needed (RFC 9113, 8.1)
             self.out.append(f.rst_stream(stream.id, ErrorCode.NO_ERROR))
             self._remember_reset(stream.id)
             self.streams.pop(stream.id, None)
@@ -494,13 +515,16 @@
 
     def _remove_if_closed(self, stream: Stream) -> None:
         if stream.peer_ended and (stream.local_ended or self._client):
-            if not stream.local_ended:  # a server has answered before all was sent to it
+            if not stream.local_ended:  # the server completed its response before the end of the request
                 self.out.append(f.rst_stream(stream.id, ErrorCode.NO_ERROR))
                 stream.local_ended = True
             self.streams.pop(stream.id, None)
 
     def consumed(self, stream: Stream, size: int) -> None:
-        """So much of what came on it is no longer held: the peer may send as much again."""
+        """Credits received data of a stream that is no longer buffered, so that the peer may send more.
+
+        The WINDOW_UPDATE is sent once half of the window is to be credited.
+        """
         if stream.peer_ended:
             return
         stream.uncredited += size
@@ -510,14 +534,14 @@
             stream.uncredited = 0
 
     def reset_stream(self, stream: Stream, code: int) -> None:
-        """End a stream at once; nothing more of it is told. Harmless if it is over."""
+        """Resets a stream; no further callbacks follow. Does nothing if the stream is closed."""
         if self.streams.pop(stream.id, None) is not None:
             stream.local_ended = True
             self._remember_reset(stream.id)
             self.out.append(f.rst_stream(stream.id, code))
 
     def _fail_stream(self, stream: Stream, code: ErrorCode) -> None:
-        """An error of the peer's on one stream."""
+        """Resets a stream because of a stream error, and reports it to the handler."""
         self.reset_stream(stream, code)
         self._handler.on_reset(stream, code)
 
@@ -527,20 +551,28 @@
             del self._reset_streams[next(iter(self._reset_streams))]
 
     def ping(self) -> None:
-        """Ask whether the peer is there; on_pong tells."""
+        """Sends a PING; on_pong() reports the acknowledgement."""
         self.out.append(f.frame(f.PING, 0, 0, b"troutdck"))
 
     def announce_goaway(self) -> None:
-        """No more streams, please: those that have crossed this word are taken still. goaway() follows."""
+        """Announces a shutdown with a GOAWAY that refuses no stream (RFC 9113, 6.8).
+
+        Streams that the peer opened before it received the frame are still accepted; goaway() must follow.
+        """
         self.out.append(f.goaway(MAX_STREAM_ID, ErrorCode.NO_ERROR))
 
     def goaway(self, code: int = ErrorCode.NO_ERROR, reason: str = "") -> None:
-        """Streams that have come are seen to their end, none after them is taken."""
+        """Sends a GOAWAY: streams received so far are completed, later ones are refused.
+
+        Args:
+            code: Error code.
+            reason: Debug data.
+        """
         self.goaway_sent = True
         self.out.append(f.goaway(self._last_peer_stream_id, code, reason.encode()))
 
     def data_to_send(self) -> bytes:
-        """What is to be written."""
+        """Returns the bytes to be written and clears them."""
         data = b"".join(self.out)
         self.out.clear()
         return data
--- a/troutdock/http2/frames.py
+++ b/troutdock/http2/frames.py
@@ -1,4 +1,4 @@
-"""The bytes of HTTP/2's frames, and the errors by number (RFC 9113, 4 to 7)."""
+"""Encoding of HTTP/2 frames, and the error codes (RFC 9113, sections 4 to 7)."""
 
 from __future__ import annotations
 
@@ -6,18 +6,19 @@
 from struct import Struct
 
 PREFACE = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
-FRAME_HEADER = Struct(">HBBBI")  # length's upper 16 bits, its lower 8, type, flags, stream
+FRAME_HEADER = Struct(">HBBBI")  # length (upper 16 bits, lower 8 bits), type, flags, stream identifier
 FRAME_HEADER_SIZE = 9
-DEFAULT_MAX_FRAME_SIZE = 16_384  # bytes of a frame's payload that we take, the least that every peer takes
+# bytes of payload: the initial SETTINGS_MAX_FRAME_SIZE, and the limit used here
+DEFAULT_MAX_FRAME_SIZE = 16_384
 MAX_WINDOW_SIZE = 2**31 - 1
-DEFAULT_WINDOW_SIZE = 65_535  # of a connection, and of each stream until SETTINGS say otherwise
+DEFAULT_WINDOW_SIZE = 65_535  # bytes: of a connection, and of a stream until SETTINGS change it
 
 DATA, HEADERS, PRIORITY, RST_STREAM, SETTINGS, PUSH_PROMISE, PING, GOAWAY = range(8)
 WINDOW_UPDATE, CONTINUATION = 8, 9
 
 END_STREAM, ACK, END_HEADERS, PADDED, PRIORITY_FLAG = 0x1, 0x1, 0x4, 0x8, 0x20
 
-# of SETTINGS
+# identifiers of settings
 HEADER_TABLE_SIZE, ENABLE_PUSH, MAX_CONCURRENT_STREAMS, INITIAL_WINDOW_SIZE, MAX_FRAME_SIZE = range(1, 6)
 MAX_HEADER_LIST_SIZE = 6
 
@@ -27,7 +28,7 @@
 
 
 class ErrorCode(IntEnum):
-    """Why a stream or a connection ends (RFC 9113, 7)."""
+    """Error codes of RST_STREAM and GOAWAY (RFC 9113, section 7)."""
 
     NO_ERROR = 0x0
     PROTOCOL_ERROR = 0x1
@@ -46,7 +47,12 @@
 
 
 class H2ConnectionError(Exception):
-    """The peer broke the protocol for the whole connection: code, and what was wrong."""
+    """A connection error (RFC 9113, section 5.4.1): the connection must be closed with a GOAWAY.
+
+    Attributes:
+        code: Error code of the GOAWAY.
+        reason: Debug data of the GOAWAY.
+    """
 
     def __init__(self, code: ErrorCode, reason: str) -> None:
         super().__init__(code, reason)
@@ -54,7 +60,7 @@
 
 
 class H2StreamError(Exception):
-    """The same for one stream."""
+    """A stream error (RFC 9113, section 5.4.2): the stream is reset, the connection stays open."""
 
     def __init__(self, code: ErrorCode, reason: str) -> None:
         super().__init__(code, reason)
@@ -62,33 +68,37 @@
 
 
 def frame(frame_type: int, flags: int, stream_id: int, payload: bytes = b"") -> bytes:
-    """One frame."""
+    """Returns an encoded frame."""
     size = len(payload)
     return FRAME_HEADER.pack(size >> 8, size & 0xFF, frame_type, flags, stream_id) + payload
 
 
 def settings(values: dict[int, int]) -> bytes:
-    """A SETTINGS frame."""
+    """Returns a SETTINGS frame with these values by identifier."""
     return frame(SETTINGS, 0, 0, b"".join(SETTING_ENTRY.pack(*pair) for pair in values.items()))
 
 
 def window_update(stream_id: int, increment: int) -> bytes:
-    """A WINDOW_UPDATE frame."""
+    """Returns a WINDOW_UPDATE frame; stream 0 is the connection."""
     return frame(WINDOW_UPDATE, 0, stream_id, UINT32.pack(increment))
 
 
 def rst_stream(stream_id: int, code: int) -> bytes:
-    """An RST_STREAM frame."""
+    """Returns an RST_STREAM frame."""
     return frame(RST_STREAM, 0, stream_id, UINT32.pack(code))
 
 
 def goaway(last_stream_id: int, code: int, reason: bytes = b"") -> bytes:
-    """A GOAWAY frame."""
+    """Returns a GOAWAY frame with optional debug data."""
     return frame(GOAWAY, 0, 0, GOAWAY_FIELDS.pack(last_stream_id, code) + reason)
 
 
 def strip_padding(payload: bytes, flags: int) -> bytes:
-    """A payload without its padding; ConnectionError if that is longer than the payload."""
+    """Returns the payload without its padding.
+
+    Raises:
+        H2ConnectionError: The padding is not shorter than the payload.
+    """
     if not flags & PADDED:
         return payload
     if not payload or payload[0] >= len(payload):
--- a/troutdock/http2/headers.py
+++ b/troutdock/http2/headers.py
@@ -1,7 +1,7 @@
-"""Blocks of headers: decoded by the library hpack within bounds, encoded as plain literals.
+"""Field blocks: decoded by the library hpack within limits, encoded as literals without indexing.
 
-Literals are not compressed and touch no table, so that a block is put together from parts that are cached,
-and a peer's table has no influence here.
+The literals are not Huffman-encoded and do not use the dynamic table. A block can therefore be assembled from
+cached parts, and the peer's SETTINGS_HEADER_TABLE_SIZE has no effect on the encoder.
 """
 
 from __future__ import annotations
@@ -13,12 +13,10 @@
 
 from troutdock.http2.frames import ErrorCode, H2ConnectionError, H2StreamError
 
-MAX_HEADER_LIST_BYTES = (
-    16 * 1024
-)  # bytes of a list of headers, names, values and 32 for each (RFC 9113, 10.5.1)
-DECODER_TABLE_BYTES = 4096  # bytes of a peer's table here, HPACK's default
-NAME_CACHE_SIZE = 512  # headers whose literal is remembered: method's paths and fixed values
-# of one connection only (RFC 9113, 8.2.2)
+MAX_HEADER_LIST_BYTES = 16 * 1024  # names, values and 32 bytes per field (RFC 9113, 10.5.1)
+DECODER_TABLE_BYTES = 4096  # size of the decoder's dynamic table, the default of HPACK
+NAME_CACHE_SIZE = 512  # number of field names whose encoding is cached
+# connection-specific fields (RFC 9113, 8.2.2)
 _CONNECTION_SPECIFIC = frozenset(
     (b"connection", b"keep-alive", b"proxy-connection", b"transfer-encoding", b"upgrade")
 )
@@ -30,7 +28,7 @@
 
 
 def _encode_string(value: bytes) -> bytes:
-    """A length with a prefix of seven bits, and the bytes as they are (RFC 7541, 5.1 and 5.2)."""
+    """Returns a string literal without Huffman coding (RFC 7541, 5.1 and 5.2)."""
     size = len(value)
     if size < 127:
         return bytes((size,)) + value
@@ -44,24 +42,32 @@
 
 @lru_cache(NAME_CACHE_SIZE)
 def _encode_name(name: bytes) -> bytes:
-    """Without indexing; what is secret never, nor by those who pass it on (RFC 7541, 6.2.2, 6.2.3)."""
+    """Returns the start of a literal without indexing, never indexed for secrets (RFC 7541, 6.2.2, 6.2.3).
+
+    Never indexed also binds intermediaries that forward the field.
+    """
     return (b"\x10" if name in _NEVER_INDEXED else b"\x00") + _encode_string(name)
 
 
 def encode(headers: Iterable[tuple[bytes, bytes]]) -> bytes:
-    """A block of literals."""
+    """Returns a field block of literals."""
     return b"".join([_encode_name(name) + _encode_string(value) for name, value in headers])
 
 
 class HeaderDecoder:
-    """The peer's blocks of one connection, in their order."""
+    """HPACK decoder of one connection; it must decode every field block of the peer, in order."""
 
     def __init__(self) -> None:
         self._decoder = Decoder(max_header_list_size=MAX_HEADER_LIST_BYTES)
         self._decoder.max_allowed_table_size = DECODER_TABLE_BYTES
 
     def decode(self, block: bytes) -> Headers:
-        """Its headers; ConnectionError, as what comes after it can't be read either, or it is a bomb."""
+        """Returns the fields of a block.
+
+        Raises:
+            H2ConnectionError: The block is malformed, so that the dynamic table is out of step and later
+                blocks can't be decoded either, or the list exceeds MAX_HEADER_LIST_BYTES (HPACK bomb).
+        """
         try:
             return [(bytes(name), bytes(value)) for name, value in self._decoder.decode(block, raw=True)]
         except OversizedHeaderListError as error:
@@ -73,9 +79,14 @@
 
 
 def split_pseudo_headers(headers: Headers, allowed: frozenset[bytes]) -> tuple[dict[bytes, bytes], Headers]:
-    """Pseudo-headers, and the rest; StreamError if they are malformed (RFC 9113, 8.2 and 8.3).
+    """Splits a header list into pseudo-headers and the other fields.
+
+    Args:
+        headers: The decoded list.
+        allowed: The pseudo-headers that may occur.
 
-    known: the pseudo-headers that may be there.
+    Raises:
+        H2StreamError: The list is malformed (RFC 9113, 8.2 and 8.3).
     """
     pseudo: dict[bytes, bytes] = {}
     rest: Headers = []
@@ -83,12 +94,16 @@
         name, value = pair
         if name[:1] == b":":
             if rest or name in pseudo or name not in allowed:
-                raise H2StreamError(ErrorCode.PROTOCOL_ERROR, f"a pseudo-header out of place: {name!r}")
+                raise H2StreamError(
+                    ErrorCode.PROTOCOL_ERROR, f"unexpected, repeated or misplaced pseudo-header: {name!r}"
+                )
             pseudo[name] = value
         else:
             if not name or name in _CONNECTION_SPECIFIC or (name == b"te" and value != b"trailers"):
-                raise H2StreamError(ErrorCode.PROTOCOL_ERROR, f"a header of one connection: {name!r}")
+                raise H2StreamError(
+                    ErrorCode.PROTOCOL_ERROR, f"connection-specific or empty field name: {name!r}"
+                )
             if name != name.lower() or b" " in name or b"\0" in value or b"\n" in value or b"\r" in value:
-                raise H2StreamError(ErrorCode.PROTOCOL_ERROR, f"a header that is none: {name!r}")
+                raise H2StreamError(ErrorCode.PROTOCOL_ERROR, f"malformed field: {name!r}")
             rest.append(pair)
     return pseudo, rest
