--- a/troutdock/grpc/exchange.py
+++ b/troutdock/grpc/exchange.py
@@ -1,4 +1,4 @@
-"""One call on a client's connection, and its one final status."""
+"""A call on a client's connection; it ends with exactly one final status."""
 
 from __future__ import annotations
 
@@ -22,7 +22,8 @@
     from troutdock.grpc.front import GrpcConnection
     from troutdock.http2.connection import Stream
 
-DEADLINE_MARGIN_MS = 25.0  # so near its deadline a failure is that: the engine ends calls 20 ms ahead of it
+# A failure this close to the deadline is DEADLINE_EXCEEDED: the engine ends calls 20 ms before the deadline.
+DEADLINE_MARGIN_MS = 25.0
 RESPONSE_HEADERS: Metadata = [(b":status", b"200"), (b"content-type", b"application/grpc")]
 _FAILURE_STATUS = {
     Failure.UNANSWERED: (Status.DEADLINE_EXCEEDED, b"there was no answer in time"),
@@ -33,7 +34,7 @@
 
 
 class GrpcExchange:
-    """The client's side of a call; engine.StreamingExchange."""
+    """The client side of a call; engine.StreamingExchange."""
 
     __slots__ = (
         "arrived",
@@ -55,21 +56,20 @@
     def __init__(
         self, connection: GrpcConnection, stream: Stream, request: GrpcRequest, arrived: float
     ) -> None:
-        """arrived: of its first block, in milliseconds of the engine's clock."""
+        """arrived: Arrival of the request headers, in milliseconds of the engine's clock."""
         self.connection, self.stream, self.request, self.arrived = connection, stream, request, arrived
         self.call: Call | None = None
         self.flow: Flow | None = None
-        self.deadline_timer: asyncio.TimerHandle | None = (
-            None  # the front's own, of what the engine does not time
-        )
-        self.reserved_bytes = 0  # bytes of the budget for bodies
-        self.received_bytes = 0  # bytes of its messages that have come
-        self.headers_sent = False  # headers are out
-        self.finished = self.deadline_expired = False  # its final status is out; its time is over
-        self.finished_at = 0.0  # when that was, on the monotonic clock
+        # covers the phases that the engine does not time: the client's messages and a forwarded response
+        self.deadline_timer: asyncio.TimerHandle | None = None
+        self.reserved_bytes = 0  # reserved in the memory budget for bodies
+        self.received_bytes = 0  # bytes of the client's messages
+        self.headers_sent = False  # response headers
+        self.finished = self.deadline_expired = False  # final status sent; deadline passed
+        self.finished_at = 0.0  # monotonic time
 
     def served(self, answer: GrpcResponse) -> None:
-        """A node's answer, or the rest and the end of one that is passed on."""
+        """Sends a backend's complete response, or the rest of a forwarded one, with its status."""
         h2, stream = self.connection.h2, self.stream
         if self._finish_once():
             trailers = [*status_trailers(answer.status, answer.message), *answer.trailers]
@@ -83,7 +83,7 @@
             self.connection.flush()
 
     def began(self, head: GrpcResponse, flow: Flow) -> None:
-        """The first message of a stream of them: it goes out as it comes."""
+        """Starts to forward a response as it arrives."""
         self.flow = flow
         self._release_reservation()
         self.connection.front.server.streams += 1
@@ -99,11 +99,11 @@
         self.deadline_timer = asyncio.get_running_loop().call_later(left_s, self.expire)
 
     def start_deadline_timer(self, left_ms: float) -> None:
-        """Its messages have not all come: they may take so long."""
+        """Limits the time for the rest of the client's messages."""
         self._schedule_deadline(left_ms)
 
     def expire(self) -> None:
-        """Its time is over, and the engine does not end it."""
+        """Ends the call at its deadline where the engine has no timer for it."""
         self.deadline_expired, call = True, self.call
         if call is not None:
             self.connection.front.server.engine.abandon(call)
@@ -111,22 +111,22 @@
             self._fail(Status.DEADLINE_EXCEEDED, b"its messages have not come in time")
 
     def more(self, data: bytes) -> None:
-        """A piece of it."""
+        """Forwards data of a response that has begun."""
         if not self.finished:
             self.connection.h2.send_data(self.stream, data)
             self.connection.flush()
             if self.flow is not None and (
                 self.stream.queued_bytes > LOW_WATER_BYTES or self.connection.write_paused
             ):
-                self.flow.pause()  # until the client has taken it
+                self.flow.pause()  # until the client has read it
 
     def on_writable(self) -> None:
-        """The client takes more."""
+        """Resumes a paused response: the send queue has drained."""
         if self.flow is not None and self.stream.queued_bytes <= LOW_WATER_BYTES:
             self.flow.resume()
 
     def refused(self, retry_after_ms: float) -> None:
-        """RESOURCE_EXHAUSTED, with the time to come back."""
+        """Rejects the call with RESOURCE_EXHAUSTED and a retry time."""
         if self._finish_once():
             self.connection.h2.send_headers(
                 self.stream, [*RESPONSE_HEADERS, *rejection_trailers(retry_after_ms)], True
@@ -134,7 +134,7 @@
             self.connection.flush()
 
     def failed(self, why: Failure) -> None:
-        """A status that no client takes for a refusal, or tries again by itself."""
+        """Sends an error status that clients neither take for a rejection nor retry by themselves."""
         if self._deadline_near():
             self._fail(Status.DEADLINE_EXCEEDED, b"there was no answer in time")
         elif why is Failure.ATTEMPT:
@@ -143,12 +143,12 @@
             self._fail(*_FAILURE_STATUS[why])
 
     def broken(self) -> None:
-        """An answer that had begun can't be finished: its status says so."""
+        """Sends an error status for a response that had begun and can't be completed."""
         last = self.request.last_response
         if self.deadline_expired or self._deadline_near():
             self._fail(Status.DEADLINE_EXCEEDED, b"the answer was not whole in time")
         elif last is not None and last.status != Status.OK:
-            self._fail(last.status, last.message, last.trailers)  # what its node says of what it has sent
+            self._fail(last.status, last.message, last.trailers)  # the backend's own error status
         else:
             self._fail(Status.INTERNAL, b"the answer is cut off, and the call may have run")
 
@@ -170,16 +170,20 @@
             self.connection.h2.send_headers(self.stream, _response_headers(head))
 
     def _finish_once(self) -> bool:
-        """The final status goes out now; false if one has, or the client has left."""
+        """Finishes the exchange.
+
+        Returns:
+            False if the final status was already sent or the client has cancelled the call.
+        """
         if self.finished:
             return False
         self.finish()
         return True
 
     def finish(self) -> None:
-        """Nothing more is told its client."""
+        """Marks the exchange as finished and releases its resources; nothing more is sent to the client."""
         self.finished, self.finished_at = True, time.monotonic()
-        self.call = self.stream.owner = None  # no cycle for the collector
+        self.call = self.stream.owner = None  # breaks reference cycles
         if self.deadline_timer is not None:
             self.deadline_timer.cancel()
             self.deadline_timer = None
@@ -197,7 +201,7 @@
 
 
 def _response_headers(head: Metadata) -> Metadata:
-    """A node's head for its client; what the node left out is worded here."""
+    """Returns the response headers for the client; adds content-type if the backend did not send it."""
     return (
         [RESPONSE_HEADERS[0], *head]
         if any(name == b"content-type" for name, _ in head)
--- a/troutdock/grpc/front.py
+++ b/troutdock/grpc/front.py
@@ -1,15 +1,17 @@
-"""gRPC clients' connections: calls in, one final status out for each.
+"""Connections of gRPC clients: receives calls and sends exactly one final status for each.
 
-Theory of operation. A connection comes by the listener of HTTP/1.1, told apart by HTTP/2's preface, or by one
-of its own, and holds one place of the same bound. Each stream is a call:
+Theory of operation. A connection is accepted by the HTTP/1.1 listener, which recognises the HTTP/2 preface,
+or by a listener of its own. Both kinds count towards the same limit on client connections. Each stream is a
+call:
 
-    collecting  its messages have not all come; a unary one is held whole, within the budget for bodies
-    asked       the engine has it, and owes its one final status
-    over        the status is out, or the client has given it up: nothing more is told
+    receiving   messages are incomplete; a unary message is buffered completely, within the budget for bodies
+    submitted   the engine has the call and will report exactly one final result
+    finished    the final status was sent, or the client cancelled the call; nothing more is sent
 
-A connection that is to end (drain, out of service, a successor) says so with two GOAWAYs: one that refuses
-nothing, and NOTICE_S later, when calls that had crossed it are here, the one that counts. What comes after is
-refused unread, which clients may send elsewhere by themselves: it has not run.
+A connection that is to be closed (drain, out of service, successor process) sends two GOAWAY frames. The
+first refuses no stream. The second follows after GOAWAY_INTERVAL_S, when calls that the client opened before
+it received the first have arrived, and is final. Later streams are refused unprocessed; clients may retry
+these elsewhere, because the calls were not executed.
 """
 
 from __future__ import annotations
@@ -47,21 +49,20 @@
 
 log = logging.getLogger("troutdock")
 
-MAX_CONCURRENT_STREAMS = 100  # of one connection at once, as gRPC's own servers take
-STREAM_WINDOW = 64 * 1024  # bytes that a call may send ahead of what is held of it
+MAX_CONCURRENT_STREAMS = 100  # per connection, the usual value of gRPC servers
+STREAM_WINDOW = 64 * 1024  # bytes that a call may send before they are credited
 CONNECTION_WINDOW = 1 << 20
-IDLE_TIMEOUT_S = (
-    60.0  # a connection without calls is ended after this; one of HTTP/1.1, which is cheaper to open, 10
-)
-FIRST_CALL_TIMEOUT_S = 2.6  # until the first call, as for a first head in HTTP/1.1
-GOAWAY_INTERVAL_S = 0.3  # between the two GOAWAYs: a way there and back on any network near by
-MAX_UNREAD_BYTES, UNREAD_TIMEOUT_S = 256 * 1024, 10.0  # what and how long a client may leave unread
-NO_MEMORY_RETRY_MS = 500.0  # when to come back with messages that found no room
+# For a connection without calls. HTTP/1.1 connections, which are cheaper to open, have 10 s.
+IDLE_TIMEOUT_S = 60.0
+FIRST_CALL_TIMEOUT_S = 2.6  # as for the first request head in HTTP/1.1
+GOAWAY_INTERVAL_S = 0.3  # between the two GOAWAY frames: longer than a round trip in a nearby network
+MAX_UNREAD_BYTES, UNREAD_TIMEOUT_S = 256 * 1024, 10.0  # output that a client may leave unread, and how long
+NO_MEMORY_RETRY_MS = 500.0  # retry time if the budget for bodies is used up
 _PSEUDO_HEADERS = frozenset((b":method", b":scheme", b":path", b":authority"))
 
 
 class GrpcFrontend:
-    """All gRPC connections, and what they share."""
+    """All connections of gRPC clients and their shared state."""
 
     def __init__(
         self,
@@ -70,7 +71,11 @@
         metadata_names: MetadataNames,
         max_message_bytes: int,
     ) -> None:
-        """ValueError names a row of the table that can't be."""
+        """Resolves the table of methods.
+
+        Raises:
+            ValueError: A rule is invalid; the message names it.
+        """
         self.server, self._rules, self._metadata_names, self.max_message_bytes = (
             server,
             rules,
@@ -80,27 +85,29 @@
         settings = server.engine.settings
         self._reader = CallReader(MethodTable(rules, settings), settings, metadata_names)
         self.connections: dict[GrpcConnection, None] = {}
-        self.accepted = 0  # of them
-        self.pool = 0  # of the nodes that calls go to
+        self.accepted = 0  # connections since the start
+        self.pool = 0  # number of the backend pool of all calls
 
     @property
     def reader(self) -> CallReader:
-        """By the settings that hold now; rows of the table that don't fit them are left out."""
+        """Reader for the current settings; rules that don't fit them are left out."""
         settings = self.server.engine.settings
         if settings is not self._reader.settings:
             methods, errors = MethodTable.with_valid_rules(self._rules, settings)
             for reason in errors:
-                log.error("grpc: calls of a row are not taken any more: %s", reason)
+                log.error(
+                    "grpc: rule of the method table does not fit the new settings and is disabled: %s", reason
+                )
             self._reader = CallReader(methods, settings, self._metadata_names)
         return self._reader
 
     def new_connection(self, sock: socket.socket | None) -> GrpcConnection:
-        """One for a client that has shown the preface, or is about to."""
+        """Returns a protocol for a client that has sent the HTTP/2 preface, or is expected to."""
         return GrpcConnection(self, sock)
 
 
 class GrpcConnection(SocketConnection):
-    """One client's connection; http2.Handler, and the listener's Other."""
+    """A client's connection; http2.Handler, and the listener's Other."""
 
     def __init__(self, front: GrpcFrontend, sock: socket.socket | None) -> None:
         self.front, self.sock = front, sock
@@ -108,10 +115,10 @@
             False, self, time.monotonic(), MAX_CONCURRENT_STREAMS, STREAM_WINDOW, CONNECTION_WINDOW
         )
         self._calls: dict[int, GrpcExchange] = {}
-        self._write_paused_since = 0.0  # the client does not read, since then
+        self._write_paused_since = 0.0  # monotonic time; 0: not paused
         self._idle_since = self._opened_at = time.monotonic()
         self._goaway_at = 0.0
-        self._had_call = False  # a call has come
+        self._had_call = False
 
     # ---- asyncio.Protocol
 
@@ -128,14 +135,14 @@
 
     def data_received(self, data: bytes) -> None:
         if reason := self.feed(data, time.monotonic()):
-            log.info("grpc: a client's connection ends: %s", reason)
+            log.info("grpc: closing client connection after a connection error: %s", reason)
             self.close()
         elif (
             self.transport is not None
             and not self._calls
             and (self.transport.get_write_buffer_size() > MAX_UNREAD_BYTES)
         ):
-            self.abort()  # guards against one that wants answers to its PINGs and reads none
+            self.abort()  # guards against a client that sends PINGs and does not read the answers
 
     def pause_writing(self) -> None:
         self._write_paused_since = time.monotonic()
@@ -155,30 +162,30 @@
         self.transport = None
 
     def now(self) -> float:
-        """Milliseconds of the engine's clock."""
+        """Returns the engine's time in milliseconds."""
         return self.front.server.engine.clock.now()
 
     @property
     def write_paused(self) -> bool:
-        """The client does not read what is written."""
+        """Whether the transport's write buffer is full because the client does not read."""
         return self._write_paused_since > 0
 
     # ---- http2.Handler
 
     def on_headers(self, stream: Stream, headers: Headers, end: bool) -> None:
-        """A call, or the trailers of one, which say nothing here."""
+        """A new call, or trailers, whose fields are ignored."""
         exchange: GrpcExchange | None = stream.owner
         if exchange is not None:
             if not end:
-                raise H2StreamError(ErrorCode.PROTOCOL_ERROR, "a second block of headers")
+                raise H2StreamError(ErrorCode.PROTOCOL_ERROR, "HEADERS without END_STREAM on an open stream")
             self._receive_messages(exchange, b"", True)
             return
         if stream.headers_sent:
-            return  # trailers of a call that has its answer
+            return  # trailers of a call whose response was sent
         self._had_call = True
         pseudo, metadata = split_pseudo_headers(headers, _PSEUDO_HEADERS)
         if len(pseudo) < 3 or not pseudo.get(b":path"):
-            raise H2StreamError(ErrorCode.PROTOCOL_ERROR, "a request without method, scheme or path")
+            raise H2StreamError(ErrorCode.PROTOCOL_ERROR, "request without :method, :scheme or :path")
         content_type = next((value for name, value in metadata if name == b"content-type"), b"")
         if not content_type.startswith(b"application/grpc") or pseudo[b":method"] != b"POST":
             self._answer_non_grpc(stream, pseudo, content_type)
@@ -186,7 +193,7 @@
         self._start_call(stream, pseudo, metadata, end)
 
     def _answer_non_grpc(self, stream: Stream, pseudo: dict[bytes, bytes], content_type: bytes) -> None:
-        """HTTP/2 without gRPC: health is told, the rest is none (doc/PROTOCOL-HTTP2.md: 415)."""
+        """Answers a request that is not gRPC: the health check, else 415 (doc/PROTOCOL-HTTP2.md) or 404."""
         status = b"415" if content_type or pseudo[b":method"] == b"POST" else b"404"
         if pseudo[b":path"] == b"/healthz" and pseudo[b":method"] == b"GET":
             status = b"200" if self.front.server.healthy else b"503"
@@ -196,7 +203,7 @@
         server = self.front.server
         arrived = self.now()
         if server.lag.notable and self.sock is not None:
-            arrived -= received_ago_ms(self.sock)  # the client's time runs from then on
+            arrived -= received_ago_ms(self.sock)  # the deadline counts from the arrival in the socket buffer
         try:
             request = self.front.reader.read(pseudo[b":path"], pseudo.get(b":authority", b""), metadata)
         except BadRequest as error:
@@ -214,14 +221,14 @@
             self._receive_messages(exchange, b"", True)
 
     def _send_status(self, stream: Stream, status: int, reason: str) -> None:
-        """It can't be taken in."""
+        """Ends a call with this status."""
         self._calls.pop(stream.id, None)
         self.h2.send_headers(
             stream, [*RESPONSE_HEADERS, *status_trailers(status, percent_encode(reason))], True
         )
 
     def on_data(self, stream: Stream, data: bytes, end: bool) -> None:
-        """Messages of a call."""
+        """Data of a call's messages."""
         exchange: GrpcExchange | None = stream.owner
         if exchange is None or exchange.finished:
             self.h2.consumed(stream, len(data))
@@ -233,7 +240,7 @@
         self.flush()
 
     def _receive_messages(self, exchange: GrpcExchange, data: bytes, end: bool) -> None:
-        """More of a call: a unary one is held until it is whole."""
+        """Processes message data: unary calls are buffered until complete, others go to the upload."""
         upload, stream, server = exchange.request.upload, exchange.stream, self.front.server
         if upload is not None:
             upload.push(data, end)
@@ -273,7 +280,7 @@
         self._send_status(exchange.stream, status, reason)
 
     def _reject_no_memory(self, exchange: GrpcExchange) -> None:
-        """There is no room for it now, and nothing of it has run."""
+        """Rejects a call because the budget for bodies is used up; it was not executed."""
         exchange.finish()
         self._calls.pop(exchange.stream.id, None)
         self.h2.send_headers(
@@ -281,7 +288,7 @@
         )
 
     def _submit(self, exchange: GrpcExchange) -> None:
-        """A call has come: it goes to the engine, unless it has waited for this process for too long."""
+        """Passes a call to the engine, unless it is rejected because this process read it too late."""
         server, request = self.front.server, exchange.request
         a = request.arrival
         waited_ms = self.now() - exchange.arrived
@@ -296,14 +303,14 @@
             self._fail_call(exchange, BAD_REQUEST_STATUS.get(error.status, Status.INTERNAL), error.reason)
             return
         except Exception:
-            log.exception("a call could not be taken in")
+            log.exception("grpc: the engine failed to accept a call")
             exchange.failed(Failure.INTERNAL)
             return
         if not exchange.finished:
             exchange.call = call
 
     def on_reset(self, stream: Stream, code: int) -> None:
-        """The client gives the call up."""
+        """The client cancelled the call."""
         exchange = self._calls.pop(stream.id, None)
         if exchange is not None:
             self._cancel_call(exchange)
@@ -316,36 +323,35 @@
             self.front.server.engine.withdraw(call)
 
     def on_drained(self, stream: Stream) -> None:
-        """The client takes more."""
+        """The send queue of the stream has drained."""
         if stream.owner is not None:
             stream.owner.on_writable()
 
     def on_settings(self) -> None:
-        """Nothing here depends on them."""
+        """Does nothing: the state machine applies the settings."""
 
     def on_goaway(self, last: int, code: int) -> None:
-        """The client will open no more."""
+        """Does nothing: the client opens no more streams."""
 
     def on_pong(self) -> None:
-        """Nothing was asked."""
+        """Does nothing: no PINGs are sent."""
 
     # ---- the listener's Other
 
     def go_away(self) -> None:
-        """Clients are to go elsewhere: take what has crossed this word, and nothing after that."""
+        """Starts the shutdown of the connection with the first GOAWAY; sweep() sends the second."""
         if not self._goaway_at:
             self._goaway_at = time.monotonic()
             self.h2.announce_goaway()
             self.flush()
 
     def sweep(self, now: float) -> None:
-        """End what has had its time."""
+        """Enforces the timeouts of the connection and its calls; `now` is monotonic time."""
         for stream_id, exchange in list(self._calls.items()):
             if exchange.finished and stream_id not in self.h2.streams:
                 del self._calls[stream_id]
-            elif (
-                exchange.finished and now - exchange.finished_at > UNREAD_TIMEOUT_S
-            ):  # a client that opens no window
+            elif exchange.finished and now - exchange.finished_at > UNREAD_TIMEOUT_S:
+                # the client does not open the stream's window for the rest of the response
                 self.h2.reset_stream(exchange.stream, ErrorCode.CANCEL)
                 self.flush()
         if self._goaway_at and now - self._goaway_at > GOAWAY_INTERVAL_S and not self.h2.goaway_sent:
@@ -364,26 +370,26 @@
 
     @property
     def calls(self) -> int:
-        """Under way."""
+        """Number of calls that are not removed yet."""
         return len(self._calls)
 
     @property
     def idle_since(self) -> float:
-        """Since when it owes nothing; infinite while it does."""
+        """Monotonic time since when there are no calls; infinite while there are any."""
         return float("inf") if self._calls else self._idle_since
 
     def make_room(self) -> None:
-        """Its place is needed, and it owes nothing."""
+        """Closes the idle connection to make room for another one."""
         self.h2.goaway()
         self.flush()
         self.close()
 
     def close(self) -> None:
-        """End once what is written has gone out."""
+        """Closes after the write buffer has been sent."""
         if self.transport is not None:
             self.transport.close()
 
     def abort(self) -> None:
-        """End at once."""
+        """Closes at once and drops the write buffer."""
         if self.transport is not None:
             self.transport.abort()
--- a/troutdock/grpc/protocol.py
+++ b/troutdock/grpc/protocol.py
@@ -1,25 +1,28 @@
-"""What gRPC writes into HTTP/2 (grpc/grpc: doc/PROTOCOL-HTTP2.md), and the table of outcomes (no I/O).
-
-The table, towards nodes. What a call's end says of whether it has run, for the decision module:
-
-    end of the call                                         outcome          of the answer
-    grpc-status OK behind a message                         OK               passed on
-    a status of ANSWERS (not found, say)                    OK               passed on: others would say so
-    any other status, an HTTP error, no gRPC                ERROR            may have run
-    UNAVAILABLE or RESOURCE_EXHAUSTED, `not-started: 1`     FULL             never ran
-    HTTP 503 or 504, `not-started: 1`                       FULL             never ran
-    RST_STREAM with REFUSED_STREAM                          FULL             never ran
-    above a GOAWAY's last stream; no connection             CONNECT_FAILED   never ran
-    any other RST_STREAM, a broken connection, no trailers  RESET            may have run
-    nothing until the deadline                              TIMEOUT          may have run
-
-And towards clients, for each final answer of the engine:
-
-    served     as the node has said, with its status
+"""The gRPC protocol over HTTP/2 (grpc/grpc: doc/PROTOCOL-HTTP2.md), and the outcomes of calls (no I/O).
+
+Towards backends. How the end of a call maps to an outcome of the admission module. The outcome tells whether
+the call may have been executed:
+
+    end of the call                                         outcome          consequence
+    grpc-status OK after a message                          OK               response is forwarded
+    a status of APPLICATION_STATUSES, such as NOT_FOUND     OK               response is forwarded, as other
+                                                                             backends would return the same
+    any other status, an HTTP error, not gRPC               ERROR            may have been executed
+    UNAVAILABLE or RESOURCE_EXHAUSTED, `not-started: 1`     FULL             was not executed
+    HTTP 503 or 504, `not-started: 1`                       FULL             was not executed
+    RST_STREAM with REFUSED_STREAM                          FULL             was not executed
+    above the last stream of a GOAWAY; no connection        CONNECT_FAILED   was not executed
+    any other RST_STREAM, lost connection, no trailers      RESET            may have been executed
+    no response before the deadline                         TIMEOUT          may have been executed
+
+Towards clients. The status for each final result of the engine:
+
+    served     response and status of the backend
     refused    RESOURCE_EXHAUSTED, with RetryInfo, grpc-retry-pushback-ms and retry-after
-    failed     at the deadline DEADLINE_EXCEEDED; else the last node's status, but for those that clients
-               retry by themselves or take for a refusal (UNAVAILABLE, RESOURCE_EXHAUSTED): INTERNAL
-    broken     an answer that had begun: the node's status if it gave one, else as failed
+    failed     DEADLINE_EXCEEDED at the deadline, else the status of the last backend. UNAVAILABLE and
+               RESOURCE_EXHAUSTED become INTERNAL, because clients retry these by themselves or take them
+               for a rejection.
+    broken     (the response had begun) status of the backend if it sent one, else as for failed
 """
 
 from __future__ import annotations
@@ -31,15 +34,15 @@
 
 from troutdock.admission.interface import Outcome
 
-MAX_TIMEOUT_MS = 1e9  # a longer one is cut, as eight digits of hours would be
+MAX_TIMEOUT_MS = 1e9  # longer timeouts, up to eight digits of hours, are reduced to this
 _TIMEOUT = re.compile(rb"(\d{1,8})([HMSmun])")
 _UNIT_MS = {b"H": 3_600_000.0, b"M": 60_000.0, b"S": 1000.0, b"m": 1.0, b"u": 1e-3, b"n": 1e-6}
 _BILLED_UNITS = re.compile(rb"\d{1,6}(\.\d{1,9})?")
-MESSAGE_PREFIX_BYTES = 5  # bytes before each message: compressed or not, and its length
+MESSAGE_PREFIX_BYTES = 5  # compressed flag (1 byte) and message length (4 bytes)
 
 
 class Status(IntEnum):
-    """grpc-status (github.com/grpc/grpc, doc/statuscodes.md)."""
+    """Values of grpc-status (github.com/grpc/grpc, doc/statuscodes.md)."""
 
     OK = 0
     CANCELLED = 1
@@ -60,7 +63,7 @@
     UNAUTHENTICATED = 16
 
 
-# what a service says of the call, not of itself: there is nothing that another node would do better
+# statuses that describe the call, not the backend's condition: another backend would return the same
 APPLICATION_STATUSES = frozenset(
     (
         Status.OK,
@@ -75,9 +78,9 @@
         Status.UNAUTHENTICATED,
     )
 )
-# by which a node may say that it is full; and what clients would try again by themselves
+# with these a backend may report overload; clients retry them by themselves
 OVERLOAD_STATUSES = frozenset((Status.UNAVAILABLE, Status.RESOURCE_EXHAUSTED))
-# of answers without gRPC (doc/http-grpc-status-mapping.md)
+# gRPC status of HTTP responses that are not gRPC (doc/http-grpc-status-mapping.md)
 HTTP_STATUS_MAP = {
     400: Status.INTERNAL,
     401: Status.UNAUTHENTICATED,
@@ -88,7 +91,7 @@
     503: Status.UNAVAILABLE,
     504: Status.UNAVAILABLE,
 }
-# of requests that the engine or the reader can't take in
+# status of requests that the engine or CallReader rejects with BadRequest
 BAD_REQUEST_STATUS = {400: Status.INVALID_ARGUMENT, 404: Status.UNIMPLEMENTED, 409: Status.ALREADY_EXISTS}
 
 Metadata = list[tuple[bytes, bytes]]
@@ -96,10 +99,16 @@
 
 @dataclass(slots=True)
 class GrpcResponse:
-    """How a node has ended a call; engine.Answer.
-
-    status: 0 to 16, what is beyond counts as UNKNOWN. message: percent-encoded, as it came. head, trailers:
-    metadata, the trailers without their status. body: of messages that have not been passed on.
+    """How a backend ended a call; engine.Answer.
+
+    Attributes:
+        status: 0 to 16; other values count as UNKNOWN.
+        message: grpc-message as received, percent-encoded.
+        head: Initial metadata.
+        trailers: Trailing metadata without grpc-status and grpc-message.
+        body: Received messages that have not been forwarded.
+        not_started: Whether the backend reported that it did not start the call.
+        non_grpc: Whether it was an HTTP response without gRPC.
     """
 
     status: int
@@ -108,11 +117,11 @@
     trailers: Metadata = field(default_factory=list)
     body: list[bytes] = field(default_factory=list)
     not_started: bool = False
-    non_grpc: bool = False  # no gRPC at all
+    non_grpc: bool = False
 
     @property
     def true_units(self) -> float:
-        """Billed-Units, of trailers or head; 0 where it is missing or no number."""
+        """Value of billed-units in the trailers or the initial metadata; 0 if missing or invalid."""
         for name, value in (*self.trailers, *self.head):
             if name == b"billed-units" and _BILLED_UNITS.fullmatch(value):
                 return float(value)
@@ -120,14 +129,14 @@
 
 
 def outcome_of(response: GrpcResponse) -> Outcome:
-    """The table's row of a call that its node has ended with a status, gRPC's or HTTP's."""
+    """Returns the outcome of a call that its backend ended with a gRPC or HTTP status (see the table)."""
     if response.not_started and response.status in OVERLOAD_STATUSES:
         return Outcome.FULL
     return Outcome.OK if response.status in APPLICATION_STATUSES and not response.non_grpc else Outcome.ERROR
 
 
 def parse_trailers(trailers: Metadata, head: Metadata, body: list[bytes]) -> GrpcResponse:
-    """How a call has ended by its trailers, or its only headers; UNKNOWN where no status is in them."""
+    """Parses trailers, or headers with END_STREAM (Trailers-Only); without a status it is UNKNOWN."""
     seen = dict(trailers)
     raw_status = seen.get(b"grpc-status", b"")
     status = int(raw_status) if raw_status.isdigit() and len(raw_status) < 4 else Status.UNKNOWN
@@ -144,7 +153,7 @@
 
 
 def failure_status(last_response: GrpcResponse | None) -> tuple[int, bytes]:
-    """Status and message for a client whose call has failed, after what its last node said."""
+    """Returns status and message for the client of a failed call, from the last backend's response."""
     if last_response is None:
         return Status.INTERNAL, b"the call failed and may have run"
     if last_response.status in OVERLOAD_STATUSES or last_response.status == Status.OK:
@@ -153,7 +162,14 @@
 
 
 def parse_timeout(text: bytes) -> float:
-    """grpc-timeout in milliseconds; ValueError if it is none."""
+    """Parses grpc-timeout.
+
+    Returns:
+        Milliseconds, at most MAX_TIMEOUT_MS.
+
+    Raises:
+        ValueError: The text is not a timeout.
+    """
     match = _TIMEOUT.fullmatch(text)
     if match is None:
         raise ValueError(f"grpc-timeout: {text!r} is none")
@@ -161,19 +177,23 @@
 
 
 def format_timeout(ms: float) -> bytes:
-    """grpc-timeout, rounded down, so that no node waits longer than its caller."""
+    """Returns grpc-timeout, rounded down so that the backend's deadline is not after the caller's."""
     if ms < 1000:
         return b"%du" % max(1, int(ms * 1000))
     return b"%dm" % int(ms) if ms < 1e8 else b"%dS" % min(99_999_999, int(ms / 1000))
 
 
 def percent_encode(text: str) -> bytes:
-    """grpc-message: printable ASCII, the rest of UTF-8 percent-encoded."""
+    """Encodes grpc-message: printable ASCII is kept, other bytes of the UTF-8 are percent-encoded."""
     return b"".join(bytes((c,)) if 0x20 <= c <= 0x7E and c != 0x25 else b"%%%02X" % c for c in text.encode())
 
 
 def count_messages(body: bytes) -> int:
-    """How many messages these are; ValueError if the last one is cut off."""
+    """Returns the number of messages in a body.
+
+    Raises:
+        ValueError: The last message is incomplete.
+    """
     count = at = 0
     while at < len(body):
         if at + MESSAGE_PREFIX_BYTES > len(body):
@@ -203,7 +223,7 @@
 
 
 def retry_details(message: bytes, after_ms: float) -> bytes:
-    """grpc-status-details-bin of a refusal: google.rpc.Status with a google.rpc.RetryInfo in base64."""
+    """Returns grpc-status-details-bin of a rejection: base64 of a google.rpc.Status with RetryInfo."""
     nanos = max(0, round(after_ms * 1e6))
     delay = _varint_field(1, nanos // 10**9) + _varint_field(2, nanos % 10**9)
     info = _bytes_field(1, b"type.googleapis.com/google.rpc.RetryInfo") + _bytes_field(
@@ -214,7 +234,7 @@
 
 
 def rejection_trailers(after_ms: float) -> Metadata:
-    """Trailers of a refusal: when to come back, in each of the forms that clients follow."""
+    """Returns the trailers of a rejection, with the retry time in each form that clients support."""
     message = b"refused; trying again is harmless"
     trailers = [(b"grpc-status", b"%d" % Status.RESOURCE_EXHAUSTED), (b"grpc-message", message)]
     if after_ms > 0:
@@ -227,6 +247,6 @@
 
 
 def status_trailers(status: int, message: bytes = b"") -> Metadata:
-    """Trailers that say just that."""
+    """Returns trailers with a status and, if not empty, a message."""
     trailers = [(b"grpc-status", b"%d" % status)]
     return [*trailers, (b"grpc-message", message)] if message else trailers
--- a/troutdock/grpc/transport.py
+++ b/troutdock/grpc/transport.py
@@ -1,12 +1,15 @@
-"""Calls to nodes over HTTP/2: connections with many streams each, and what came of each call.
-
-A node has one connection as long as that has room for a stream, and up to CONNECTIONS. Nothing is ever sent
-twice here: what never ran is told the engine as such, and the decision module says who gets it next.
-
-    opening   its first calls wait for it, together; those that find no room are told so (FULL)
-    up        takes calls, as many as the node allows
-    leaving   the node has said GOAWAY, its pool has retired, or it has been silent: what is under way goes on
-    closed    what was under way may have run, but for streams that the node had said it never took
+"""Transport of calls to backends over multiplexed HTTP/2 connections; reports one outcome per attempt.
+
+Theory of operation. A backend has one connection while that has a free stream, and up to
+MAX_CONNECTIONS_PER_BACKEND otherwise. The transport never resends a call: one that was not executed is
+reported as such to the engine, and the admission module selects the next backend. States of a connection:
+
+    opening   calls wait for it in the pool's queue; if it can't be opened, they fail together (FULL,
+              CONNECT_FAILED)
+    open      accepts calls, as many as the backend allows
+    leaving   the backend sent GOAWAY, the pool was retired, or the connection was silent for too long: calls
+              in progress continue, new ones are not accepted
+    closed    calls in progress may have been executed, except for streams that the backend's GOAWAY excluded
 """
 
 from __future__ import annotations
@@ -35,26 +38,21 @@
 
 log = logging.getLogger("troutdock")
 
-MAX_CONNECTIONS_PER_BACKEND = 4  # to one node: each carries some hundred calls at once
-MAX_STREAMS, INITIAL_MAX_STREAMS = (
-    1000,
-    100,
-)  # of one connection, where the node allows more; until it has said
-STREAM_WINDOW = 32 * 1024  # bytes of one answer on their way: what a slow client holds up here
+MAX_CONNECTIONS_PER_BACKEND = 4  # each carries some hundred calls at once
+# Streams of a connection: upper limit if the backend allows more, and limit until its SETTINGS arrive.
+MAX_STREAMS, INITIAL_MAX_STREAMS = 1000, 100
+STREAM_WINDOW = 32 * 1024  # bytes of a response that are buffered for a slow client
 CONNECTION_WINDOW = 1 << 20
-MAX_BUFFERED_RESPONSE = (
-    64 * 1024
-)  # bytes of an answer that is held whole; a longer one is passed on as it comes
-MAX_SILENCE_BEFORE_REUSE_S = (
-    5.0  # what may not be repeated goes on no connection that has been silent for longer
-)
-DEAD_CONNECTION_AFTER_S = (
-    1.0  # a call given up after hearing nothing for so long shows a connection that is dead
-)
+# bytes of a response that is buffered completely; a longer one is forwarded as it arrives
+MAX_BUFFERED_RESPONSE = 64 * 1024
+# An idle connection that has received nothing for longer carries no call that must not be repeated.
+MAX_SILENCE_BEFORE_REUSE_S = 5.0
+# If a call is cancelled and nothing at all was received for this long, the connection is considered dead.
+DEAD_CONNECTION_AFTER_S = 1.0
 
 
 class ResponseReports(Protocol):
-    """Who is told of answers: engine.Reports."""
+    """Receiver of responses and outcomes; engine.Reports."""
 
     def answer_began(self, attempt: Attempt, head: Any = None, flow: Flow | None = None) -> bool: ...
 
@@ -64,7 +62,7 @@
 
 
 class ConnectionLimit(Protocol):
-    """The bound on connections to backends, of whatever protocol."""
+    """Limit on connections to backends, shared by all protocols."""
 
     open: int
 
@@ -72,7 +70,7 @@
 
 
 class GrpcAttempt(Attempt):
-    """A call on one node; engine.Flow of its answer, and the sink of its messages."""
+    """A call on one backend; engine.Flow of the response, request.MessageSink of the client's messages."""
 
     __slots__ = (
         "body",
@@ -103,49 +101,48 @@
         self.head: Headers | None = None
         self.body: list[bytes] = []
         self.received_bytes = 0
-        self.forwarding = self.paused = (
-            False  # its answer goes on as it comes; the client does not take it now
-        )
-        self.uncredited = 0  # bytes that have come while it was paused
+        # the response is forwarded as it arrives; the client is not reading it at the moment
+        self.forwarding = self.paused = False
+        self.uncredited = 0  # bytes received while paused
         self.stall_timer: asyncio.TimerHandle | None = None
 
     # ---- engine.Flow
 
     def pause(self) -> None:
-        """The client is slower than its node."""
+        """Stops crediting received data: the client reads slower than the backend sends."""
         self.paused = True
 
     def resume(self) -> None:
-        """It reads on."""
+        """Credits the data received while paused."""
         self.paused = False
         if self.uncredited and self.connection is not None and self.stream is not None:
             size, self.uncredited = self.uncredited, 0
             self.connection.h2.consumed(self.stream, size)
             self.connection.flush()
 
-    # ---- request.Sink
+    # ---- request.MessageSink
 
     def send(self, data: bytes, end: bool) -> None:
-        """More of the client's messages."""
+        """Sends data of the client's messages."""
         if self.connection is not None and self.stream is not None:
             self.connection.h2.send_data(self.stream, data, end)
             self.connection.flush()
 
     @property
     def full(self) -> bool:
-        """The node has not taken what is queued."""
+        """Whether the send queue of the stream is above its limit."""
         return self.stream is None or self.stream.queued_bytes > LOW_WATER_BYTES
 
 
 class BackendConnection(SocketConnection):
-    """A connection to a node; http2.Handler."""
+    """A connection to a backend; http2.Handler."""
 
     def __init__(self, pool: ConnectionPool, sock: socket.socket) -> None:
         self.pool, self.sock = pool, sock
         now = asyncio.get_running_loop().time()
         self.h2 = Connection(True, self, now, 0, STREAM_WINDOW, CONNECTION_WINDOW)
         self.leaving = self._closed = False
-        self.settings_received = False  # the node's settings are here
+        self.settings_received = False  # SETTINGS of the backend
         self.last_received_at = now
         self.idle_since = now
 
@@ -158,7 +155,7 @@
     def data_received(self, data: bytes) -> None:
         self.last_received_at = asyncio.get_running_loop().time()
         if reason := self.feed(data, self.last_received_at):
-            log.warning("node %s: %s", self.pool.endpoint, reason)
+            log.warning("grpc: backend %s: %s", self.pool.endpoint, reason)
             self.close()
         elif self.leaving and not self.h2.streams:
             self.close()
@@ -170,7 +167,7 @@
 
     @property
     def available_streams(self) -> int:
-        """How many calls more it takes."""
+        """Number of calls that can be started."""
         if self.leaving or self._closed or self.h2.stream_ids_exhausted:
             return 0
         return min(
@@ -178,11 +175,11 @@
         ) - len(self.h2.streams)
 
     def is_usable(self) -> bool:
-        """Guards against a connection that the node has closed, which the loop has not read yet."""
+        """Returns False if the connection is closed, also if the event loop has not yet read that."""
         if self._closed or self.transport is None or self.transport.is_closing():
             return False
         if self.h2.streams:
-            return True  # what comes is read
+            return True  # the event loop reads it
         try:
             return bool(self.sock.recv(1, socket.MSG_PEEK))
         except BlockingIOError:
@@ -191,17 +188,17 @@
             return False
 
     def start(self, attempt: GrpcAttempt) -> None:
-        """Write the call; from its headers on it may run."""
+        """Sends the call; it may be executed as soon as its headers are written."""
         message: GrpcMessage = attempt.message
         request = message.request
         attempt.connection = self
         stream = attempt.stream = self.h2.open_stream(attempt, asyncio.get_running_loop().time())
         self.h2.send_headers(stream, message.headers())
         if request.upload is not None:
-            attempt.lag_ms = inf  # what is the client's time, and what its node's, can't be told
+            attempt.lag_ms = inf  # the time of the client and that of the backend can't be separated
             self.flush()
             if not request.upload.attach(attempt):
-                # its first messages are not here any more: nothing that could be sent would be the call
+                # the beginning of the client's stream was dropped, so that the call can't be sent completely
                 self._reset_stream(attempt, ErrorCode.CANCEL)
                 asyncio.get_running_loop().call_soon(self.pool.end_attempt, attempt, Outcome.ERROR, None)
             return
@@ -213,11 +210,11 @@
         self.flush()
 
     def give_up(self, attempt: GrpcAttempt) -> None:
-        """Tell the node that nobody waits."""
+        """Cancels the call at the backend."""
         now = asyncio.get_running_loop().time()
         stream = attempt.stream
         if stream is not None and self.last_received_at <= stream.opened_at < now - DEAD_CONNECTION_AFTER_S:
-            self.leaving = True  # nothing at all has come since: the way may be cut
+            self.leaving = True  # nothing was received since: the network path may be interrupted
         self._reset_stream(attempt, ErrorCode.CANCEL)
         self.flush()
         if self.leaving and not self.h2.streams:
@@ -242,7 +239,7 @@
         self.pool.capacity_freed()
 
     def _end_attempt(self, attempt: GrpcAttempt, outcome: Outcome, answer: GrpcResponse | None) -> None:
-        """The one outcome; answer: how the node has ended it."""
+        """Reports the outcome of an attempt; `answer`: how the backend ended it."""
         stream = attempt.stream
         if stream is not None:
             stream.owner = None
@@ -259,7 +256,7 @@
     # ---- http2.Handler
 
     def on_headers(self, stream: Stream, headers: Headers, end: bool) -> None:
-        """A node's head, or its trailers."""
+        """Response headers of the backend, or its trailers."""
         attempt: GrpcAttempt | None = stream.owner
         if attempt is None:
             return
@@ -267,11 +264,11 @@
             if end:
                 self._on_trailers(attempt, headers)
             else:
-                self._on_invalid_response(attempt, "a second head")
+                self._on_invalid_response(attempt, "HEADERS without END_STREAM after the response headers")
             return
         status = next((value for name, value in headers if name == b":status"), b"")
         if len(status) == 3 and status[:1] == b"1" and not end:
-            return  # an interim answer
+            return  # an interim response
         head = [pair for pair in headers if pair[0][:1] != b":"]
         content_type = next((value for name, value in head if name == b"content-type"), b"")
         if status != b"200" or not content_type.startswith(b"application/grpc"):
@@ -283,7 +280,7 @@
             attempt.head = head
 
     def _on_non_grpc_response(self, attempt: GrpcAttempt, status: bytes, head: Headers) -> None:
-        """HTTP without gRPC: an error of what stands before the node, or in its place."""
+        """Handles a response that is not gRPC: an error of an intermediary, or of another server."""
         number = int(status) if status.isdigit() else 0
         not_started = number in (503, 504) and (b"not-started", b"1") in head
         grpc_status = HTTP_STATUS_MAP.get(number, Status.UNKNOWN)
@@ -298,16 +295,16 @@
         answer = parse_trailers(trailers, attempt.head or [], attempt.body)
         outcome = outcome_of(answer)
         if attempt.forwarding and outcome is Outcome.FULL:
-            outcome = Outcome.ERROR  # it says so behind a message: that has run
+            outcome = Outcome.ERROR  # it has sent a message before, so that the call was executed
         self._end_attempt(attempt, outcome, answer)
 
     def on_data(self, stream: Stream, data: bytes, end: bool) -> None:
-        """A piece of its messages."""
+        """Data of the backend's messages."""
         attempt: GrpcAttempt | None = stream.owner
         if attempt is None or attempt.head is None:
             self.h2.consumed(stream, len(data))
             if attempt is not None:
-                self._on_invalid_response(attempt, "messages without a head")
+                self._on_invalid_response(attempt, "DATA before the response headers")
             return
         if attempt.stall_timer is not None:
             attempt.stall_timer.cancel()
@@ -324,24 +321,24 @@
             ):
                 self._start_forwarding(attempt)
             elif attempt.received_bytes > self.pool.max_answer:
-                self._on_invalid_response(attempt, "a message beyond the bound")
+                self._on_invalid_response(attempt, "response exceeds the size limit")
         if end and stream.owner is attempt:
-            self._on_invalid_response(attempt, "no trailers", ended=True)
+            self._on_invalid_response(attempt, "END_STREAM without trailers", ended=True)
         elif attempt.stream is not None and not attempt.forwarding and attempt.stall_timer is None:
             after_s = STALL_S if attempt.repeatable else ONCE_STALL_S
             attempt.stall_timer = asyncio.get_running_loop().call_later(
-                after_s, self._on_invalid_response, attempt, "an answer stopped half way"
+                after_s, self._on_invalid_response, attempt, "response stalled before its end"
             )
 
     def _start_forwarding(self, attempt: GrpcAttempt) -> None:
-        """From here on it is the client's, and can't be tried again."""
+        """Starts to forward the response to the client; the call can't be retried any more."""
         attempt.forwarding = True
         if attempt.stall_timer is not None:
             attempt.stall_timer.cancel()
             attempt.stall_timer = None
         head = GrpcResponse(0, head=attempt.head or [])
         if not self.pool.reports.answer_began(attempt, head, attempt):
-            self._reset_stream(attempt, ErrorCode.CANCEL)  # another answer is the client's
+            self._reset_stream(attempt, ErrorCode.CANCEL)  # the client gets the response of another attempt
             return
         pieces, attempt.body = attempt.body, []
         for piece in pieces:
@@ -357,8 +354,8 @@
             self.h2.consumed(attempt.stream, len(data))
 
     def _on_invalid_response(self, attempt: GrpcAttempt, reason: str, ended: bool = False) -> None:
-        """What came is no answer; it may have run."""
-        log.warning("node %s: %s", self.pool.endpoint, reason)
+        """Ends an attempt whose response is invalid; it may have been executed."""
+        log.warning("grpc: backend %s: %s", self.pool.endpoint, reason)
         stream = attempt.stream
         self._end_attempt(attempt, Outcome.RESET, None)
         if stream is not None and not ended:
@@ -366,25 +363,25 @@
         self.flush()
 
     def on_reset(self, stream: Stream, code: int) -> None:
-        """The node ends it without a status."""
+        """The backend reset the stream without a status."""
         attempt: GrpcAttempt | None = stream.owner
         if attempt is not None:
             never_ran = code == ErrorCode.REFUSED_STREAM and not attempt.forwarding
             self._end_attempt(attempt, Outcome.FULL if never_ran else Outcome.RESET, None)
 
     def on_drained(self, stream: Stream) -> None:
-        """The node has taken what was queued for it."""
+        """The send queue of the stream has drained."""
         attempt: GrpcAttempt | None = stream.owner
         if attempt is not None and attempt.message.request.upload is not None:
             attempt.message.request.upload.flush()
 
     def on_settings(self) -> None:
-        """The node may take more calls now, or fewer."""
+        """The number of allowed streams may have changed."""
         self.settings_received = True
         self.pool.capacity_freed()
 
     def on_goaway(self, last: int, code: int) -> None:
-        """No more calls here; those above the last one never ran."""
+        """The backend accepts no more calls here and did not execute those above `last`."""
         self.leaving = True
         for stream in list(self.h2.streams.values()):
             if stream.id > last and stream.owner is not None:
@@ -394,10 +391,10 @@
         self.pool.stop_using(self)
 
     def on_pong(self) -> None:
-        """Nothing was asked."""
+        """Does nothing: no PINGs are sent."""
 
     def close(self) -> None:
-        """Close at once; what is under way may have run."""
+        """Closes at once; calls in progress may have been executed."""
         if self._closed:
             return
         self._closed = True
@@ -411,19 +408,19 @@
 
 
 class ConnectionPool:
-    """The connections to one node."""
+    """The connections to one backend."""
 
     def __init__(self, endpoint: Address, transport: GrpcTransport, up_since_ms: float) -> None:
         self.endpoint, self._transport, self.up_since_ms = endpoint, transport, up_since_ms
         self.reports, self.lag, self.max_answer = transport.reports, transport.lag, transport.max_answer
-        self.connections: list[BackendConnection] = []  # that take calls
-        self._leaving: list[BackendConnection] = []  # that are leaving
+        self.connections: list[BackendConnection] = []  # accept calls
+        self._leaving: list[BackendConnection] = []  # state "leaving"
         self._waiting: deque[GrpcAttempt] = deque()
         self._opening: asyncio.Task[None] | None = None
         self.retired = False
 
     def start(self, attempt: GrpcAttempt) -> None:
-        """Write the call on a connection with room, or on a new one."""
+        """Starts an attempt on a connection with a free stream, or queues it and opens one."""
         attempt.pool = self
         if (connection := self._find_connection(attempt)) is not None:
             connection.start(attempt)
@@ -448,7 +445,7 @@
         return None
 
     def _open_connection(self) -> None:
-        """One more, for all that wait; where there can't be one, they are told that the node is full."""
+        """Opens one more connection for all waiting attempts; at the limit they end as FULL."""
         if self._opening is not None:
             return
         loop = asyncio.get_running_loop()
@@ -486,30 +483,30 @@
         self._opening = None
         self.connections.append(connection)
         self.capacity_freed()
-        if self.retired:  # meanwhile, and only what had waited for it may use it
+        if self.retired:  # while connecting; only the attempts that waited may use the connection
             self.retire()
 
     def _fail_waiting(self, outcome: Outcome) -> None:
-        """Nobody can take what waits."""
+        """Ends all waiting attempts unless a connection is being opened."""
         if self._opening is None:
             waiting, self._waiting = self._waiting, deque()
             for attempt in waiting:
                 self.end_attempt(attempt, outcome, None)
 
     def capacity_freed(self) -> None:
-        """A connection may have room: those that wait get it, the longest waiting first."""
+        """Starts waiting attempts on free streams, in the order of their arrival."""
         while self._waiting and (connection := self._find_connection(self._waiting[0])) is not None:
             connection.start(self._waiting.popleft())
         if self._waiting:
             self._open_connection()
 
     def cancel_waiting(self, attempt: GrpcAttempt) -> None:
-        """An attempt that has not been written is waited for no longer."""
+        """Removes an attempt that has not been sent from the queue."""
         if attempt in self._waiting:
             self._waiting.remove(attempt)
 
     def end_attempt(self, attempt: GrpcAttempt, outcome: Outcome, answer: GrpcResponse | None) -> None:
-        """Told once, of what has not been given up."""
+        """Reports the outcome of an attempt once, unless it was cancelled."""
         if not attempt.over:
             attempt.over = True
             upload = attempt.message.request.upload
@@ -518,20 +515,20 @@
             self.reports.attempt_ended(attempt, outcome, answer)
 
     def stop_using(self, connection: BackendConnection) -> None:
-        """It takes no calls any more."""
+        """Starts no more calls on this connection."""
         if connection in self.connections:
             self.connections.remove(connection)
             self._leaving.append(connection)
 
     def connection_closed(self, connection: BackendConnection) -> None:
-        """It is gone."""
+        """Removes a closed connection."""
         self.stop_using(connection)
         if connection in self._leaving:
             self._leaving.remove(connection)
         self._transport.connection_limit.open -= 1
 
     def retire(self) -> None:
-        """The node has left: what is under way goes on."""
+        """The backend was removed from the list: calls in progress continue."""
         self.retired = True
         for connection in list(self.connections):
             connection.leaving = True
@@ -543,7 +540,7 @@
             self._opening = None
 
     def sweep(self, before: float) -> None:
-        """Close what has carried nothing since that time."""
+        """Closes connections that have been idle since before this time of the event loop."""
         for connection in [*self.connections, *self._leaving]:
             if not connection.h2.streams and (connection.idle_since < before or connection.leaving):
                 connection.h2.goaway()
@@ -551,14 +548,14 @@
                 connection.close()
 
     def close(self) -> None:
-        """Close all."""
+        """Closes all connections."""
         self.retire()
         for connection in list(self._leaving):
             connection.close()
 
 
 class GrpcTransport:
-    """All nodes that speak gRPC, within the bound on connections that all backends share."""
+    """engine.Transport over gRPC, within the limit on connections that all backends share."""
 
     def __init__(
         self,
@@ -575,21 +572,21 @@
         self.pools = Pools(lambda endpoint, up_since_ms: ConnectionPool(endpoint, self, up_since_ms))
 
     def place(self, backend: BackendId, endpoint: Address, up_since_ms: float = 0.0) -> None:
-        """A node is at this address, perhaps a new one, or one that has started anew."""
+        """Adds a backend, or updates it if its address changed or it was restarted."""
         self.pools.place(backend, endpoint, up_since_ms)
 
     def follow(self, update: FleetUpdate) -> None:
-        """The list has changed; what has left gets nothing new."""
+        """Applies a change of the list of backends; removed ones get no new calls."""
         self.pools.follow(update)
 
     new_attempt: Callable[..., Attempt] = GrpcAttempt
 
     def start(self, attempt: GrpcAttempt) -> None:
-        """Begin a call; its outcome comes later, never within this."""
+        """Starts an attempt; its outcome is reported later, never within this call."""
         self.pools.of[attempt.backend].start(attempt)
 
     def give_up(self, attempt: GrpcAttempt) -> None:
-        """Stop waiting: no outcome comes any more, and the node is told."""
+        """Cancels an attempt at the backend; no outcome is reported."""
         attempt.over = True
         upload = attempt.message.request.upload
         if upload is not None:
@@ -600,13 +597,13 @@
             attempt.pool.cancel_waiting(attempt)
 
     def sweep(self) -> None:
-        """Drop connections before their nodes do."""
+        """Closes idle connections before the backends do."""
         before = asyncio.get_running_loop().time() - self.idle_s
         for pool in list(self.pools.of.values()):
             pool.sweep(before)
 
     def status(self) -> list[dict[str, Any]]:
-        """Each node's connections, and the calls on them."""
+        """Returns the numbers of connections and calls of each backend, for the status page."""
         return [
             {
                 "node": "{}:{}".format(*pool.endpoint),
@@ -617,6 +614,6 @@
         ]
 
     def close(self) -> None:
-        """Close all connections."""
+        """Closes the connections of all backends."""
         for pool in self.pools.of.values():
             pool.close()
