--- a/tests/grpc_front/test_grpc_protocol.py
+++ b/tests/grpc_front/test_grpc_protocol.py
@@ -1,4 +1,4 @@
-"""What gRPC's words mean: the table of outcomes, metadata, methods, uploads."""
+"""Outcomes, metadata, table of methods, and uploads of the gRPC protocol layer."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     RequestClass(3000, 8000, 9, Effect.UNSAFE, name="vat-filing"),
 )
 SETTINGS = settings(classes=CLASSES, plans=(Plan(1, 8, name="basis"),))
-ROWS = (
+RULES = (
     MethodRule("/l.Ledger/Read", "ledger-read"),
     MethodRule("/l.Ledger/*", "payment-book"),
     MethodRule("*", "vat-filing", MethodType.BIDIRECTIONAL, 2.0),
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.parametrize("status", range(18))
-def test_each_status_has_its_outcome_and_what_a_client_is_told_when_the_call_fails_by_it(status: int) -> None:
+def test_outcome_and_client_status_of_each_backend_status(status: int) -> None:
     ended = parse_trailers(
         [(b"grpc-status", b"%d" % status), (b"grpc-message", b"why"), (b"x", b"y")], [], []
     )
@@ -47,8 +47,9 @@
     assert outcome_of(ended) is (Outcome.OK if status in answers else Outcome.ERROR)
     not_started = parse_trailers([(b"grpc-status", b"%d" % status), (b"not-started", b"1")], [], [])
     assert (outcome_of(not_started) is Outcome.FULL) == (status in (8, 14))
-    told = failure_status(ended)
-    assert told[0] not in (0, 8, 14) and told[1] == b"why"  # clients don't try these again by themselves
+    result = failure_status(ended)
+    # clients do not retry the other statuses by themselves
+    assert result[0] not in (0, 8, 14) and result[1] == b"why"
     assert failure_status(None)[0] == Status.INTERNAL
 
 
@@ -62,7 +63,9 @@
         ([(b"grpc-status", b"14")], [(b"not-started", b"1")], Outcome.FULL),
     ],
 )
-def test_odd_trailers(trailers: protocol.Metadata, head: protocol.Metadata, outcome: Outcome) -> None:
+def test_missing_or_invalid_trailers(
+    trailers: protocol.Metadata, head: protocol.Metadata, outcome: Outcome
+) -> None:
     assert outcome_of(parse_trailers(trailers, head, [])) is outcome
     assert outcome_of(GrpcResponse(Status.UNIMPLEMENTED, non_grpc=True)) is Outcome.ERROR
     assert outcome_of(GrpcResponse(Status.UNAVAILABLE, non_grpc=True, not_started=True)) is Outcome.FULL
@@ -78,7 +81,7 @@
         ([], [], 0.0),
     ],
 )
-def test_true_units_are_in_the_trailers_or_the_head(
+def test_billed_units_are_read_from_trailers_or_headers(
     head: protocol.Metadata, trailers: protocol.Metadata, units: float
 ) -> None:
     assert GrpcResponse(0, head=head, trailers=trailers).true_units == units
@@ -96,32 +99,32 @@
         (b"99999999H", protocol.MAX_TIMEOUT_MS),
     ],
 )
-def test_timeouts_are_read(text: bytes, ms: float) -> None:
+def test_parse_timeout(text: bytes, ms: float) -> None:
     assert parse_timeout(text) == pytest.approx(ms)
 
 
 @pytest.mark.parametrize("text", [b"", b"5", b"S", b"123456789m", b"1.5S", b"-1S", b"1 S", b"1s"])
-def test_what_is_no_timeout_is_said(text: bytes) -> None:
+def test_invalid_timeouts_are_rejected(text: bytes) -> None:
     with pytest.raises(ValueError, match="grpc-timeout"):
         parse_timeout(text)
 
 
 @given(st.floats(0.001, 1e9))
-def test_a_node_is_never_told_to_wait_longer_than_its_caller(ms: float) -> None:
-    told = format_timeout(ms)
-    assert len(told) <= 9 and 0 < parse_timeout(told) <= max(ms * (1 + 1e-9), 0.001)
+def test_formatted_timeout_is_never_longer_than_the_callers(ms: float) -> None:
+    result = format_timeout(ms)
+    assert len(result) <= 9 and 0 < parse_timeout(result) <= max(ms * (1 + 1e-9), 0.001)
 
 
-def test_a_refusal_says_in_each_form_when_to_come_back() -> None:
-    told = dict(protocol.rejection_trailers(1234.5))
-    assert (told[b"grpc-status"], told[b"grpc-retry-pushback-ms"], told[b"retry-after"]) == (
+def test_rejection_has_the_retry_time_in_each_form() -> None:
+    result = dict(protocol.rejection_trailers(1234.5))
+    assert (result[b"grpc-status"], result[b"grpc-retry-pushback-ms"], result[b"retry-after"]) == (
         b"8",
         b"1234",
         b"1.234",
     )
-    raw = told[b"grpc-status-details-bin"]
+    raw = result[b"grpc-status-details-bin"]
     details = b64decode(raw + b"=" * (-len(raw) % 4))
-    # as the library protobuf writes google.rpc.Status with an Any of RetryInfo in it: 1 s and 234,500,000 ns
+    # google.rpc.Status with an Any of RetryInfo, as encoded by the library protobuf: 1 s and 234,500,000 ns
     assert details == (
         b"\x08\x08\x12!refused; trying again is harmless\x1a5\n(type.googleapis.com/google.rpc.RetryInfo"
         b"\x12\t\n\x07\x08\x01\x10\xa0\xdf\xe8o"
@@ -129,7 +132,7 @@
     assert [name for name, _ in protocol.rejection_trailers(0.0)] == [b"grpc-status", b"grpc-message"]
 
 
-def test_messages_are_counted_and_words_escaped() -> None:
+def test_count_messages_and_percent_encode() -> None:
     assert [protocol.count_messages(b) for b in (b"", b"\0\0\0\0\0", b"\0\0\0\0\1x\1\0\0\0\2yz")] == [0, 1, 2]
     for cut in (b"\0\0", b"\0\0\0\0\1", b"\0\0\0\0\1x\0"):
         with pytest.raises(ValueError, match="cut off"):
@@ -137,22 +140,22 @@
     assert protocol.percent_encode("50% für\n") == b"50%25 f%C3%BCr%0A"
 
 
-# ---- the operator's table, and metadata
+# ---- the operator's table of methods, and metadata
 
 
-def test_the_most_exact_row_counts() -> None:
-    methods = MethodTable(ROWS, SETTINGS)
+def test_most_specific_rule_applies() -> None:
+    methods = MethodTable(RULES, SETTINGS)
     found = [methods.find(p) for p in (b"/l.Ledger/Read", b"/l.Ledger/Book", b"/other/X")]
     assert [m and (m.cls, m.method_type) for m in found] == [
         (0, MethodType.UNARY),
         (1, MethodType.UNARY),
         (2, MethodType.BIDIRECTIONAL),
     ]
-    assert MethodTable(ROWS[:1], SETTINGS).find(b"/l.Ledger/Book") is None
+    assert MethodTable(RULES[:1], SETTINGS).find(b"/l.Ledger/Book") is None
 
 
 @pytest.mark.parametrize(
-    ("row", "said"),
+    ("row", "expected"),
     [
         (MethodRule("/a/b", "mail"), "no class 'mail'"),
         (MethodRule("a/b", "vat-filing"), "neither"),
@@ -163,9 +166,9 @@
         (MethodRule("/a/b", "vat-filing", units=99.0), "beyond the maximum of 4"),
     ],
 )
-def test_a_row_that_can_t_be_is_named(row: MethodRule, said: str) -> None:
-    with pytest.raises(ValueError, match=said):
-        MethodTable((ROWS[0], row), SETTINGS)
+def test_invalid_rules_are_rejected_by_name(row: MethodRule, expected: str) -> None:
+    with pytest.raises(ValueError, match=expected):
+        MethodTable((RULES[0], row), SETTINGS)
 
 
 GOOD = {
@@ -181,13 +184,13 @@
 
 
 def read(path: bytes = b"/l.Ledger/Read", **changes: bytes | None) -> object:
-    told = GOOD | {name.replace("_", "-").encode(): value for name, value in changes.items()}  # type: ignore[operator]
-    return CallReader(MethodTable(ROWS, SETTINGS), SETTINGS).read(
-        path, b"host", [(k, v) for k, v in told.items() if v is not None]
+    result = GOOD | {name.replace("_", "-").encode(): value for name, value in changes.items()}  # type: ignore[operator]
+    return CallReader(MethodTable(RULES, SETTINGS), SETTINGS).read(
+        path, b"host", [(k, v) for k, v in result.items() if v is not None]
     )
 
 
-def test_a_call_is_read_and_its_metadata_go_on() -> None:
+def test_call_is_parsed_and_metadata_forwarded() -> None:
     call = read()
     a = call.arrival  # type: ignore[attr-defined]
     assert (a.customer, a.cls, a.units, a.width, a.first_gateway, a.time_left_ms, a.retry, a.key) == (
@@ -201,8 +204,8 @@
         0,
     )
     assert call.has_timeout and call.repeatable  # type: ignore[attr-defined]
-    told = dict(call.message(600.0).headers())  # type: ignore[attr-defined]
-    assert (told[b":path"], told[b":authority"], told[b"grpc-timeout"], told[b"x-other"]) == (
+    result = dict(call.message(600.0).headers())  # type: ignore[attr-defined]
+    assert (result[b":path"], result[b":authority"], result[b"grpc-timeout"], result[b"x-other"]) == (
         b"/l.Ledger/Read",
         b"host",
         b"600000u",
@@ -219,14 +222,14 @@
         False,
     )  # type: ignore[attr-defined]
     names = MetadataNames(account=b"x-customer")
-    call = CallReader(MethodTable(ROWS, SETTINGS), SETTINGS, names).read(
+    call = CallReader(MethodTable(RULES, SETTINGS), SETTINGS, names).read(
         b"/l.Ledger/Read", b"", [(b"x-customer" if k == b"account" else k, v) for k, v in GOOD.items()]
     )
     assert call.arrival.customer == 9
 
 
 @pytest.mark.parametrize(
-    ("changes", "said"),
+    ("changes", "expected"),
     [
         ({"account": None}, "account"),
         ({"account": b"9"}, "account"),
@@ -239,36 +242,36 @@
         ({"path": b"/l.Ledger/Book", "idempotency_key": None}, "idempotency-key"),
     ],
 )
-def test_what_is_missing_or_senseless_is_named(changes: dict, said: str) -> None:
-    with pytest.raises(BadRequest, match=said):
+def test_missing_or_invalid_metadata_is_rejected(changes: dict, expected: str) -> None:
+    with pytest.raises(BadRequest, match=expected):
         read(**changes)
     with pytest.raises(BadRequest, match="comes twice"):
-        CallReader(MethodTable(ROWS, SETTINGS), SETTINGS).read(
+        CallReader(MethodTable(RULES, SETTINGS), SETTINGS).read(
             b"/l.Ledger/Read", b"", [*GOOD.items(), (b"account", b"1" * 16)]
         )
     with pytest.raises(BadRequest, match="no such method"):
-        CallReader(MethodTable(ROWS[:1], SETTINGS), SETTINGS).read(b"/a/b", b"", list(GOOD.items()))
+        CallReader(MethodTable(RULES[:1], SETTINGS), SETTINGS).read(b"/a/b", b"", list(GOOD.items()))
 
 
-# ---- a client's stream of messages
+# ---- uploads
 
 
-class Node:
-    """Takes so many bytes before it is full."""
+class BackendSink:
+    """A sink that is full after `capacity` bytes."""
 
-    def __init__(self, room: int) -> None:
-        self.room, self.data, self.ended = room, b"", False
+    def __init__(self, capacity: int) -> None:
+        self.capacity, self.data, self.ended = capacity, b"", False
 
     def send(self, data: bytes, end: bool) -> None:
         assert not self.ended or (not data and end)
-        self.data, self.room, self.ended = self.data + data, self.room - len(data), self.ended or end
+        self.data, self.capacity, self.ended = self.data + data, self.capacity - len(data), self.ended or end
 
     @property
     def full(self) -> bool:
-        return self.room <= 0
+        return self.capacity <= 0
 
 
-STEPS = st.lists(
+UPLOAD_STEPS = st.lists(
     st.one_of(
         st.tuples(st.just("push"), st.integers(0, 30_000)),
         st.tuples(st.just("node"), st.integers(0, 60_000)),
@@ -279,41 +282,41 @@
 )
 
 
-@given(STEPS)
-def test_an_upload_reaches_a_node_whole_or_not_at_all_and_little_is_held(
+@given(UPLOAD_STEPS)
+def test_upload_reaches_a_backend_completely_or_not_at_all_and_buffers_little(
     steps: list[tuple[str, int]],
 ) -> None:
     credits: list[int] = []
-    upload, node, came, spoilt = Upload(credits.append), None, b"", False
+    upload, sink, received, truncated = Upload(credits.append), None, b"", False
     for n, (what, size) in enumerate(steps):
         if what == "push":
             piece = bytes((n,)) * size
-            came += piece
+            received += piece
             upload.push(piece, False)
-        elif what == "node" and node is None:
-            node = Node(size)
-            if not upload.attach(node):
-                assert spoilt
-                node = None
-        elif what == "room" and node is not None:
-            node.room += size
+        elif what == "node" and sink is None:
+            sink = BackendSink(size)
+            if not upload.attach(sink):
+                assert truncated
+                sink = None
+        elif what == "room" and sink is not None:
+            sink.capacity += size
             upload.flush()
-        elif what == "gone" and node is not None:
-            spoilt = spoilt or (len(came) > REPLAY_BYTES and bool(node.data))
+        elif what == "gone" and sink is not None:
+            truncated = truncated or (len(received) > REPLAY_BYTES and bool(sink.data))
             upload.detach()
-            node = None
-        if node is not None:
-            assert came.startswith(node.data) and not node.ended
+            sink = None
+        if sink is not None:
+            assert received.startswith(sink.data) and not sink.ended
         assert (
             sum(credits)
-            <= len(came)
+            <= len(received)
             <= max(REPLAY_BYTES, sum(credits)) + sum(s for w, s in steps if w == "push")
         )
-        # what is not credited is all that may be here beyond what is kept: the client can't send more of it
-        held = len(came) - (len(node.data) if node is not None else 0)
-        assert node is None or held <= REPLAY_BYTES + len(came) - sum(credits)
+        # Beyond the replay buffer only data without credit is buffered: the client can't send more of it.
+        buffered = len(received) - (len(sink.data) if sink is not None else 0)
+        assert sink is None or buffered <= REPLAY_BYTES + len(received) - sum(credits)
     upload.push(b"", True)
-    if node is not None:
-        node.room = 10**9
+    if sink is not None:
+        sink.capacity = 10**9
         upload.flush()
-        assert (node.data, node.ended) == (came, True) and sum(credits) == len(came)
+        assert (sink.data, sink.ended) == (received, True) and sum(credits) == len(received)
--- a/tests/grpc_front/test_interop.py
+++ b/tests/grpc_front/test_interop.py
@@ -1,6 +1,6 @@
-"""The cases of gRPC's interoperability list, between grpcio's client and grpcio's servers, through the ingress.
+"""Cases of the gRPC interoperability tests, with grpcio as client and servers, through the ingress.
 
-Messages are bytes: what a case asks of a server is JSON in place of its protobuf.
+Messages are bytes: the options of a request are encoded as JSON instead of protobuf.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from troutdock.grpc.service import GrpcComponent, GrpcOptions
 
 SERVICE = "/grpc.testing.TestService/"
-ROWS = (
+RULES = (
     MethodRule(SERVICE + "EmptyCall", "payment-book"),
     MethodRule(SERVICE + "UnaryCall", "vat-filing"),
     MethodRule(SERVICE + "Unimplemented", "vat-filing"),
@@ -30,38 +30,38 @@
     MethodRule("/grpc.testing.UnimplementedService/*", "vat-filing"),
 )
 SPECIAL = "\t\ntest with whitespace\r\nand Unicode BMP ☺ and non-BMP \U0001f608\t\n"
-TOLD = (
+METADATA = (
     ("account", "0000000000000009"),
     ("plan", "plus"),
     ("quota-info", "units=0.1,spread=2,first=0"),
     ("idempotency-key", "k"),
 )
-ECHO = "x-grpc-test-echo-initial", "x-grpc-test-echo-trailing-bin"
+ECHO_KEYS = "x-grpc-test-echo-initial", "x-grpc-test-echo-trailing-bin"
 
 
-async def echoed(context: Any) -> None:
-    """Custom metadata come back: one in the head, one in the trailers."""
-    told = dict(context.invocation_metadata())
-    if ECHO[0] in told:
-        await context.send_initial_metadata(((ECHO[0], told[ECHO[0]]),))
-    if ECHO[1] in told:
-        context.set_trailing_metadata(((ECHO[1], told[ECHO[1]]),))
+async def echo_metadata(context: Any) -> None:
+    """Returns custom metadata to the client: one field as initial, one as trailing metadata."""
+    metadata = dict(context.invocation_metadata())
+    if ECHO_KEYS[0] in metadata:
+        await context.send_initial_metadata(((ECHO_KEYS[0], metadata[ECHO_KEYS[0]]),))
+    if ECHO_KEYS[1] in metadata:
+        context.set_trailing_metadata(((ECHO_KEYS[1], metadata[ECHO_KEYS[1]]),))
 
 
 class Service(grpc.GenericRpcHandler):
-    """A stand-in for gRPC's own test service."""
+    """Implements the methods of grpc.testing.TestService that the cases need."""
 
     def __init__(self) -> None:
         self.cancelled = 0
 
     async def unary(self, request: bytes, context: Any) -> bytes:
-        await echoed(context)
-        asked = json.loads(request.partition(b"\0")[0] or b"{}")
-        if "code" in asked:
+        await echo_metadata(context)
+        options = json.loads(request.partition(b"\0")[0] or b"{}")
+        if "code" in options:
             await context.abort(
-                next(c for c in grpc.StatusCode if c.value[0] == asked["code"]), asked["message"]
+                next(c for c in grpc.StatusCode if c.value[0] == options["code"]), options["message"]
             )
-        return b"y" * asked.get("size", 0)
+        return b"y" * options.get("size", 0)
 
     async def output(self, request: bytes, context: Any) -> AsyncIterator[bytes]:
         for size in json.loads(request)["sizes"]:
@@ -71,16 +71,16 @@
         return b"%d" % sum([len(r) async for r in requests])
 
     async def duplex(self, requests: Any, context: Any) -> AsyncIterator[bytes]:
-        await echoed(context)
+        await echo_metadata(context)
         try:
             async for request in requests:
-                asked = json.loads(request.partition(b"\0")[0])
-                if "code" in asked:
+                options = json.loads(request.partition(b"\0")[0])
+                if "code" in options:
                     await context.abort(
-                        next(c for c in grpc.StatusCode if c.value[0] == asked["code"]), asked["message"]
+                        next(c for c in grpc.StatusCode if c.value[0] == options["code"]), options["message"]
                     )
-                await asyncio.sleep(asked.get("sleep", 0))
-                yield b"y" * asked["size"]
+                await asyncio.sleep(options.get("sleep", 0))
+                yield b"y" * options["size"]
         except asyncio.CancelledError:
             self.cancelled += 1
             raise
@@ -97,7 +97,7 @@
 
 @asynccontextmanager
 async def interop() -> AsyncIterator[tuple[Any, Service, Any]]:
-    """A channel to an ingress before two servers."""
+    """Yields a channel to an ingress with two servers, the first service, and the environment."""
     services, servers, ports = [Service(), Service()], [], []
     for service in services:
         server = grpc.aio.server()
@@ -106,14 +106,14 @@
         await server.start()
         servers.append(server)
 
-    async def fronted(w: Any, stack: Any, config: str) -> None:
+    async def start_daemon(w: Any, stack: Any, config: str) -> None:
         raw = json.loads(config)
         raw["known"]["targets"] = [
             target(type("At", (), {"address": f"127.0.0.1:{p}"})(), f"s-{n}") for n, p in enumerate(ports)
         ]  # type: ignore[arg-type]
-        await daemon(w, stack, json.dumps(raw), [GrpcComponent(GrpcOptions(ROWS))])
+        await daemon(w, stack, json.dumps(raw), [GrpcComponent(GrpcOptions(RULES))])
 
-    front, FRONTS["interop"] = loopback.front, fronted
+    front, FRONTS["interop"] = loopback.front, start_daemon
     loopback.front = "interop"
     try:
         async with world() as w, grpc.aio.insecure_channel("{}:{}".format(*w.address)) as channel:
@@ -141,7 +141,7 @@
 async def client_streaming(channel: Any, services: Any) -> None:
     sizes = [27182, 8, 1828, 45904]
     assert await channel.stream_unary(SERVICE + "StreamingInputCall")(
-        (b"x" * n for n in sizes), metadata=TOLD, timeout=5
+        (b"x" * n for n in sizes), metadata=METADATA, timeout=5
     ) == b"%d" % sum(sizes)
 
 
@@ -149,16 +149,16 @@
 async def server_streaming(channel: Any, services: Any) -> None:
     sizes = [31415, 9, 2653, 58979]
     call = channel.unary_stream(SERVICE + "StreamingOutputCall")(
-        json.dumps({"sizes": sizes}).encode(), metadata=TOLD, timeout=5
+        json.dumps({"sizes": sizes}).encode(), metadata=METADATA, timeout=5
     )
     assert [len(m) async for m in call] == sizes
 
 
 @case
 async def ping_pong(channel: Any, services: Any) -> None:
-    call = channel.stream_stream(SERVICE + "FullDuplexCall")(metadata=TOLD, timeout=5)
-    for asked, size in zip([27182, 8, 1828, 45904], [31415, 9, 2653, 58979], strict=True):
-        await call.write(json.dumps({"size": size}).encode() + b"\0" * asked)
+    call = channel.stream_stream(SERVICE + "FullDuplexCall")(metadata=METADATA, timeout=5)
+    for request_size, size in zip([27182, 8, 1828, 45904], [31415, 9, 2653, 58979], strict=True):
+        await call.write(json.dumps({"size": size}).encode() + b"\0" * request_size)
         assert len(await call.read()) == size
     await call.done_writing()
     assert await call.read() is grpc.aio.EOF and await code(call) == 0
@@ -166,14 +166,14 @@
 
 @case
 async def empty_stream(channel: Any, services: Any) -> None:
-    call = channel.stream_stream(SERVICE + "FullDuplexCall")(metadata=TOLD, timeout=5)
+    call = channel.stream_stream(SERVICE + "FullDuplexCall")(metadata=METADATA, timeout=5)
     await call.done_writing()
     assert await call.read() is grpc.aio.EOF and await code(call) == 0
 
 
 @case
 async def cancel_after_begin(channel: Any, services: Any) -> None:
-    call = channel.stream_unary(SERVICE + "StreamingInputCall")(metadata=TOLD, timeout=5)
+    call = channel.stream_unary(SERVICE + "StreamingInputCall")(metadata=METADATA, timeout=5)
     await asyncio.sleep(0.05)
     call.cancel()
     assert await code(call) == 1
@@ -181,7 +181,7 @@
 
 @case
 async def cancel_after_first_response(channel: Any, services: Any) -> None:
-    call = channel.stream_stream(SERVICE + "FullDuplexCall")(metadata=TOLD, timeout=5)
+    call = channel.stream_stream(SERVICE + "FullDuplexCall")(metadata=METADATA, timeout=5)
     await call.write(json.dumps({"size": 31415}).encode())
     assert len(await call.read()) == 31415
     call.cancel()
@@ -190,39 +190,39 @@
 
 @case
 async def timeout_on_sleeping_server(channel: Any, services: Any) -> None:
-    call = channel.stream_stream(SERVICE + "FullDuplexCall")(metadata=TOLD, timeout=0.6)
+    call = channel.stream_stream(SERVICE + "FullDuplexCall")(metadata=METADATA, timeout=0.6)
     await call.write(json.dumps({"size": 1, "sleep": 3}).encode())
     assert await code(call) == 4
 
 
 @case
 async def custom_metadata(channel: Any, services: Any) -> None:
-    told = (*TOLD, (ECHO[0], "test_initial_metadata_value"), (ECHO[1], b"\xab\xab\xab"))
-    call = channel.unary_unary(SERVICE + "UnaryCall")(b'{"size": 5}', metadata=told, timeout=5)
+    metadata = (*METADATA, (ECHO_KEYS[0], "test_initial_metadata_value"), (ECHO_KEYS[1], b"\xab\xab\xab"))
+    call = channel.unary_unary(SERVICE + "UnaryCall")(b'{"size": 5}', metadata=metadata, timeout=5)
     assert await call == b"yyyyy"
-    duplex = channel.stream_stream(SERVICE + "FullDuplexCall")(metadata=told, timeout=5)
+    duplex = channel.stream_stream(SERVICE + "FullDuplexCall")(metadata=metadata, timeout=5)
     await duplex.write(b'{"size": 5}')
     assert await duplex.read() == b"yyyyy"
     await duplex.done_writing()
     assert await duplex.read() is grpc.aio.EOF
     for one in (call, duplex):
-        assert dict(await one.initial_metadata())[ECHO[0]] == "test_initial_metadata_value"
-        assert dict(await one.trailing_metadata())[ECHO[1]] == b"\xab\xab\xab"
+        assert dict(await one.initial_metadata())[ECHO_KEYS[0]] == "test_initial_metadata_value"
+        assert dict(await one.trailing_metadata())[ECHO_KEYS[1]] == b"\xab\xab\xab"
 
 
 @case
 async def status_code_and_message(channel: Any, services: Any) -> None:
-    asked = b'{"code": 2, "message": "test status message"}'
-    unary = channel.unary_unary(SERVICE + "UnaryCall")(asked, metadata=TOLD, timeout=5)
-    duplex = channel.stream_stream(SERVICE + "FullDuplexCall")(metadata=TOLD, timeout=5)
-    await duplex.write(asked)
+    options = b'{"code": 2, "message": "test status message"}'
+    unary = channel.unary_unary(SERVICE + "UnaryCall")(options, metadata=METADATA, timeout=5)
+    duplex = channel.stream_stream(SERVICE + "FullDuplexCall")(metadata=METADATA, timeout=5)
+    await duplex.write(options)
     await duplex.done_writing()
     for call in (unary, duplex):
         assert (await code(call), await call.details()) == (2, "test status message")
 
 
 LARGE = json.dumps({"size": 314_159}).encode() + b"\0" * 271_828
-UNARY = {  # path, what is asked, compression, status, and the answer or the status's message
+UNARY = {  # path, request, compression, status, and the response or the status message
     "empty_unary": (SERVICE + "EmptyCall", b"", None, 0, b""),
     "large_unary": (SERVICE + "UnaryCall", LARGE, None, 0, b"y" * 314_159),
     "client_compressed_unary": (SERVICE + "UnaryCall", LARGE, grpc.Compression.Gzip, 0, b"y" * 314_159),
@@ -240,13 +240,13 @@
 
 
 async def unary(channel: Any, name: str) -> None:
-    path, asked, compression, status, said = UNARY[name]
-    call = channel.unary_unary(path)(asked, metadata=TOLD, timeout=5, compression=compression)
-    assert await code(call) == status and said in (None, await call.details() if status else await call)
+    path, options, compression, status, expected = UNARY[name]
+    call = channel.unary_unary(path)(options, metadata=METADATA, timeout=5, compression=compression)
+    assert await code(call) == status and expected in (None, await call.details() if status else await call)
 
 
 @pytest.mark.parametrize("name", [*CASES, *UNARY])
-def test_a_case_of_the_interoperability_list_passes(name: str) -> None:
+def test_interoperability_case(name: str) -> None:
     async def test() -> None:
         async with interop() as (channel, services, w):
             await (CASES[name](channel, services) if name in CASES else unary(channel, name))
@@ -255,15 +255,16 @@
     run(test())
 
 
-def test_a_refused_call_tells_grpc_s_own_client_when_to_come_back() -> None:
+def test_rejected_call_gives_grpcio_client_a_retry_time() -> None:
     async def test() -> None:
         async with interop() as (channel, _, _):
-            told = tuple(
+            metadata = tuple(
                 (k, "basis" if k == "plan" else "units=2,spread=2,first=0" if k == "quota-info" else v)
-                for k, v in TOLD
+                for k, v in METADATA
             )
             calls = [
-                channel.unary_unary(SERVICE + "UnaryCall")(b"", metadata=told, timeout=2) for _ in range(6)
+                channel.unary_unary(SERVICE + "UnaryCall")(b"", metadata=metadata, timeout=2)
+                for _ in range(6)
             ]
             codes = [await code(call) for call in calls]
             assert sorted(dict.fromkeys(codes)) == [0, 8]
--- a/tests/support/h2_peers.py
+++ b/tests/support/h2_peers.py
@@ -1,4 +1,4 @@
-"""Scripted peers that speak HTTP/2 by the library h2: independent of the code under test."""
+"""Scripted HTTP/2 peers based on the library h2, independent of the code under test."""
 
 from __future__ import annotations
 
@@ -24,31 +24,32 @@
 import contextlib
 
 Headers = list[tuple[bytes, bytes]]
-PLAIN = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nBilled-Units: 3\r\n\r\ndone"  # a node's whole HTTP/1.1
+# answer to every HTTP/1.1 request
+HTTP1_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nBilled-Units: 3\r\n\r\ndone"
 
 
 def message(data: bytes = b"done", compressed: bool = False) -> bytes:
-    """A gRPC message with its prefix."""
+    """Returns a gRPC message with its 5-byte prefix."""
     return bytes((compressed,)) + len(data).to_bytes(4, "big") + data
 
 
 @dataclass
 class Call:
-    """One stream, as either side sees it."""
+    """A stream, as seen by either side."""
 
-    id: int
-    wire: Wire
+    stream_id: int
+    peer: H2Peer
     headers: Headers = field(default_factory=list)
     trailers: Headers = field(default_factory=list)
     data: bytes = b""
-    interim: int = 0
+    interim_responses: int = 0
     ended: asyncio.Event = field(default_factory=asyncio.Event)
-    started: asyncio.Event = field(default_factory=asyncio.Event)  # a head, or data
+    started: asyncio.Event = field(default_factory=asyncio.Event)  # headers or data received
     reset: int | None = None
-    surplus: int = 0  # events after its end
+    events_after_end: int = 0
 
     def __getitem__(self, name: str) -> str:
-        """Of its trailers, else of its headers; "" if it is not there."""
+        """Returns a field of the trailers, else of the headers, else "" if there is none."""
         for key, value in (*self.trailers, *self.headers):
             if key == name.encode():
                 return value.decode()
@@ -61,35 +62,35 @@
         trailers: Headers | None = None,
         end: bool = False,
     ) -> None:
-        """What there is of a head, data and trailers; a block of headers alone may end it."""
-        h2 = self.wire.h2
+        """Sends headers, data and trailers as given; `end` sets END_STREAM if there are no trailers."""
+        h2 = self.peer.h2
         try:
             if headers is not None:
-                h2.send_headers(self.id, headers, end_stream=end and not data and trailers is None)
+                h2.send_headers(self.stream_id, headers, end_stream=end and not data and trailers is None)
             if data:
-                self.wire.queue(self.id, data, end and trailers is None)
+                self.peer.queue(self.stream_id, data, end and trailers is None)
             if trailers is not None:
-                if self.wire.queued(self.id):
-                    self.wire.after[self.id] = trailers
+                if self.peer.has_queued(self.stream_id):
+                    self.peer.pending_trailers[self.stream_id] = trailers
                 else:
-                    h2.send_headers(self.id, trailers, end_stream=True)
+                    h2.send_headers(self.stream_id, trailers, end_stream=True)
         except (ProtocolError, StreamClosedError):
-            pass  # the other side has ended it meanwhile
-        self.wire.flush()
+            pass  # the other side has closed the stream meanwhile
+        self.peer.flush()
 
     def cancel(self, code: int = 8) -> None:
         with contextlib.suppress(ProtocolError, StreamClosedError):
-            self.wire.h2.reset_stream(self.id, code)
-        self.wire.flush()
+            self.peer.h2.reset_stream(self.stream_id, code)
+        self.peer.flush()
 
 
-class Wire(asyncio.Protocol):
-    """A connection of either side."""
+class H2Peer(asyncio.Protocol):
+    """A connection of a client or a server."""
 
     def __init__(
-        self, client: bool, opened: Callable[[Call], None] | None = None, credit: bool = True
+        self, client: bool, on_call: Callable[[Call], None] | None = None, auto_credit: bool = True
     ) -> None:
-        """opened: told of a call of the other side's, once its head is here. credit: what is read is credited at once."""
+        """on_call: Receives each call of the other side, after its headers. auto_credit: Credit received data."""
         self.h2 = H2Connection(
             H2Configuration(
                 client_side=client,
@@ -99,22 +100,22 @@
                 validate_inbound_headers=client,
             )
         )
-        self.opened, self.credit = opened, credit
+        self.on_call, self.auto_credit = on_call, auto_credit
         self.calls: dict[int, Call] = {}
-        self.gone: tuple[int, int] | None = None  # GOAWAY: last stream and code
+        self.last_goaway: tuple[int, int] | None = None  # last stream and error code
         self.goaways: list[tuple[int, int]] = []
         self.closed = asyncio.Event()
         self._queues: dict[int, list[tuple[bytes, bool]]] = {}
-        self.after: dict[int, Headers] = {}
+        self.pending_trailers: dict[int, Headers] = {}
         self.transport: Any = None
         self.received = 0
-        self.raw = False  # bytes are not read as HTTP/2 any more
-        self.plain = False  # it turned out to be HTTP/1.1
-        self._frames = b""
+        self.ignore_input = False  # received bytes are dropped
+        self.is_http1 = False  # the client sent HTTP/1.1
+        self._frame_buffer = b""
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
-        if self.h2.config.client_side:  # else once it is told that the other side speaks HTTP/2
+        if self.h2.config.client_side:  # a server starts after it has received the preface
             self.h2.initiate_connection()
             self.flush()
 
@@ -123,44 +124,44 @@
         if data and self.transport is not None and not self.transport.is_closing():
             self.transport.write(data)
 
-    def queued(self, id: int) -> bool:
-        return bool(self._queues.get(id))
+    def has_queued(self, stream_id: int) -> bool:
+        return bool(self._queues.get(stream_id))
 
-    def queue(self, id: int, data: bytes, end: bool) -> None:
-        self._queues.setdefault(id, []).append((data, end))
-        self._pump(id)
+    def queue(self, stream_id: int, data: bytes, end: bool) -> None:
+        self._queues.setdefault(stream_id, []).append((data, end))
+        self._send_queued(stream_id)
 
-    def _pump(self, id: int) -> None:
-        queue = self._queues.get(id, [])
+    def _send_queued(self, stream_id: int) -> None:
+        queue = self._queues.get(stream_id, [])
         while queue:
             data, end = queue[0]
             try:
-                room = min(self.h2.local_flow_control_window(id), self.h2.max_outbound_frame_size)
-                if room <= 0 and data:
+                allowed = min(self.h2.local_flow_control_window(stream_id), self.h2.max_outbound_frame_size)
+                if allowed <= 0 and data:
                     return
-                self.h2.send_data(id, data[:room], end_stream=end and len(data) <= room)
+                self.h2.send_data(stream_id, data[:allowed], end_stream=end and len(data) <= allowed)
             except (ProtocolError, StreamClosedError):
                 queue.clear()
                 return
-            if len(data) > room:
-                queue[0] = data[room:], end
+            if len(data) > allowed:
+                queue[0] = data[allowed:], end
             else:
                 queue.pop(0)
-        if id in self.after:
-            self.h2.send_headers(id, self.after.pop(id), end_stream=True)
+        if stream_id in self.pending_trailers:
+            self.h2.send_headers(stream_id, self.pending_trailers.pop(stream_id), end_stream=True)
 
     def data_received(self, data: bytes) -> None:
         if not self.received and not self.h2.config.client_side:
-            self.plain = not data.startswith(b"PRI")
-            if not self.plain:
+            self.is_http1 = not data.startswith(b"PRI")
+            if not self.is_http1:
                 self.h2.initiate_connection()
         self.received += len(data)
-        if self.plain and not self.raw:
-            self.transport.write(PLAIN * data.count(b" HTTP/1.1\r\n"))
-        if self.raw or self.plain:
+        if self.is_http1 and not self.ignore_input:
+            self.transport.write(HTTP1_RESPONSE * data.count(b" HTTP/1.1\r\n"))
+        if self.ignore_input or self.is_http1:
             return
         if self.h2.config.client_side:
-            data = self._without_goaways(data)
+            data = self._strip_goaways(data)
         try:
             events = self.h2.receive_data(data)
         except ProtocolError:
@@ -171,57 +172,59 @@
             self._event(event)
         self.flush()
 
-    def _without_goaways(self, data: bytes) -> bytes:
-        """The library takes a GOAWAY for the end of all calls, and no more of them can be opened to cross it."""
-        data, kept = self._frames + data, b""
+    def _strip_goaways(self, data: bytes) -> bytes:
+        """Records and removes GOAWAY frames: after one the library ends all calls and can't open more."""
+        data, remaining = self._frame_buffer + data, b""
         while len(data) >= 9 and len(data) >= (size := 9 + int.from_bytes(data[:3], "big")):
             if data[3] == 7:
-                self.gone = int.from_bytes(data[9:13], "big"), int.from_bytes(data[13:17], "big")
-                self.goaways.append(self.gone)
+                self.last_goaway = int.from_bytes(data[9:13], "big"), int.from_bytes(data[13:17], "big")
+                self.goaways.append(self.last_goaway)
             else:
-                kept += data[:size]
+                remaining += data[:size]
             data = data[size:]
-        self._frames = data
-        return kept
+        self._frame_buffer = data
+        return remaining
 
     def _event(self, event: Any) -> None:
         if isinstance(event, ConnectionTerminated):
-            self.gone = event.last_stream_id or 0, int(event.error_code)
-            self.goaways.append(self.gone)
+            self.last_goaway = event.last_stream_id or 0, int(event.error_code)
+            self.goaways.append(self.last_goaway)
             return
-        id = getattr(event, "stream_id", 0) or 0
+        stream_id = getattr(event, "stream_id", 0) or 0
         if isinstance(event, WindowUpdated):
-            for stream in [id] if id else list(self._queues):
-                self._pump(stream)
+            for stream in [stream_id] if stream_id else list(self._queues):
+                self._send_queued(stream)
             return
         if isinstance(event, RequestReceived):
-            call = self.calls[id] = Call(id, self, [(bytes(k), bytes(v)) for k, v in event.headers])
-            if self.opened is not None:
-                self.opened(call)
+            call = self.calls[stream_id] = Call(
+                stream_id, self, [(bytes(k), bytes(v)) for k, v in event.headers]
+            )
+            if self.on_call is not None:
+                self.on_call(call)
             return
-        known = self.calls.get(id)
-        if known is None:
+        call = self.calls.get(stream_id)
+        if call is None:
             return
-        if known.ended.is_set() and not isinstance(event, StreamReset):
-            known.surplus += 1
+        if call.ended.is_set() and not isinstance(event, StreamReset):
+            call.events_after_end += 1
         if isinstance(event, InformationalResponseReceived):
-            known.interim += 1
+            call.interim_responses += 1
         elif isinstance(event, ResponseReceived):
-            known.headers = [(bytes(k), bytes(v)) for k, v in event.headers]
-            known.started.set()
+            call.headers = [(bytes(k), bytes(v)) for k, v in event.headers]
+            call.started.set()
         elif isinstance(event, TrailersReceived):
-            known.trailers = [(bytes(k), bytes(v)) for k, v in event.headers]
+            call.trailers = [(bytes(k), bytes(v)) for k, v in event.headers]
         elif isinstance(event, DataReceived):
-            known.data += event.data
-            if self.credit and event.flow_controlled_length:
-                self.h2.acknowledge_received_data(event.flow_controlled_length, id)
-            known.started.set()
+            call.data += event.data
+            if self.auto_credit and event.flow_controlled_length:
+                self.h2.acknowledge_received_data(event.flow_controlled_length, stream_id)
+            call.started.set()
         elif isinstance(event, StreamEnded):
-            known.ended.set()
+            call.ended.set()
         elif isinstance(event, StreamReset):
-            if not known.ended.is_set() or not self.h2.config.client_side:
-                known.reset = int(event.error_code)
-            known.ended.set()
+            if not call.ended.is_set() or not self.h2.config.client_side:
+                call.reset = int(event.error_code)
+            call.ended.set()
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.closed.set()
@@ -229,51 +232,53 @@
             call.ended.set()
 
     def open(self, headers: Headers, data: bytes = b"", end: bool = True) -> Call:
-        """A call of this side's."""
-        id = self.h2.get_next_available_stream_id()
-        call = self.calls[id] = Call(id, self)
-        self.h2.send_headers(id, headers, end_stream=end and not data)
+        """Opens a call from this side."""
+        stream_id = self.h2.get_next_available_stream_id()
+        call = self.calls[stream_id] = Call(stream_id, self)
+        self.h2.send_headers(stream_id, headers, end_stream=end and not data)
         if data:
-            self.queue(id, data, end)
+            self.queue(stream_id, data, end)
         self.flush()
         return call
 
 
-async def connect(address: tuple[str, int], credit: bool = True) -> Wire:
-    """A client's connection to there."""
-    _, wire = await asyncio.get_running_loop().create_connection(lambda: Wire(True, credit=credit), *address)
-    return wire
+async def connect(address: tuple[str, int], auto_credit: bool = True) -> H2Peer:
+    """Returns a client connection to this address."""
+    _, peer = await asyncio.get_running_loop().create_connection(
+        lambda: H2Peer(True, auto_credit=auto_credit), *address
+    )
+    return peer
 
 
-Answering = Callable[[Call], Awaitable[None]]
+Script = Callable[[Call], Awaitable[None]]
 
 
-class H2Node:
-    """A gRPC node whose answers a script gives; it is called once a call has come whole, or with its head."""
+class H2Backend:
+    """A gRPC backend that runs a script per call, after its end or (wait_for_end=False) its headers."""
 
-    def __init__(self, script: Answering, whole: bool = True, credit: bool = True) -> None:
-        self.script, self.whole, self.credit = script, whole, credit
+    def __init__(self, script: Script, wait_for_end: bool = True, auto_credit: bool = True) -> None:
+        self.script, self.wait_for_end, self.auto_credit = script, wait_for_end, auto_credit
         self.calls: list[Call] = []
-        self.wires: list[Wire] = []
+        self.peers: list[H2Peer] = []
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def start(self, port: int = 0) -> None:
-        self.server = await asyncio.get_running_loop().create_server(self._wire, "127.0.0.1", port)
+        self.server = await asyncio.get_running_loop().create_server(self._new_peer, "127.0.0.1", port)
         self.port = self.server.sockets[0].getsockname()[1]
 
-    def _wire(self) -> Wire:
-        wire = Wire(False, self._opened, self.credit)
-        self.wires.append(wire)
-        return wire
+    def _new_peer(self) -> H2Peer:
+        peer = H2Peer(False, self._on_call, self.auto_credit)
+        self.peers.append(peer)
+        return peer
 
-    def _opened(self, call: Call) -> None:
+    def _on_call(self, call: Call) -> None:
         self.calls.append(call)
         task = asyncio.get_running_loop().create_task(self._serve(call))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def _serve(self, call: Call) -> None:
-        if self.whole:
+        if self.wait_for_end:
             await call.ended.wait()
             if call.reset is not None:
                 return
@@ -284,10 +289,10 @@
         return f"127.0.0.1:{self.port}"
 
     def stop(self) -> None:
-        """No new connections, and those that are open are reset."""
+        """Closes the listener and aborts all connections."""
         self.server.close()
-        for wire in self.wires:
-            if wire.transport is not None:
-                wire.transport.abort()
+        for peer in self.peers:
+            if peer.transport is not None:
+                peer.transport.abort()
         for task in list(self.tasks):
             task.cancel()
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -387,7 +387,7 @@
 
 async def grpc(w: World, stack: AsyncExitStack, config: str) -> None:
     """gRPC calls at the daemon's one address, and nodes that speak it."""
-    from grpc_rules import grpc as over_grpc
+    from grpc_rules import grpc_frontend as over_grpc
 
     await over_grpc(w, stack, config)
 
--- a/troutdock/grpc/front.py
+++ b/troutdock/grpc/front.py
@@ -240,7 +240,7 @@
         self.flush()
 
     def _receive_messages(self, exchange: GrpcExchange, data: bytes, end: bool) -> None:
-        """Processes message data: unary calls are buffered until complete, others go to the upload."""
+        """Passes message data to the upload of a client stream; without one, buffers it until the end."""
         upload, stream, server = exchange.request.upload, exchange.stream, self.front.server
         if upload is not None:
             upload.push(data, end)
