--- a/tests/grpc_front/test_grpc_front.py
+++ b/tests/grpc_front/test_grpc_front.py
@@ -195,17 +195,19 @@
 
 POSSIBLY_EXECUTED = {
     **{f"RST_STREAM {code}": reset_with(code) for code in (0, 1, 2, 8, 11)},
-    "reset behind the head": reset_with(8, lambda call: call.send(GRPC)),
-    "broken before the head": abort_after(lambda call: None),
-    "broken behind the head": abort_after(lambda call: call.send(GRPC)),
-    "broken in the message": abort_after(lambda call: call.send(GRPC, message()[:-2])),
-    "broken before the trailers": abort_after(lambda call: call.send(GRPC, message())),
-    "refused behind a message": answer_with(GRPC, message(), [(b"grpc-status", b"14")]),
+    "reset after the headers": reset_with(8, lambda call: call.send(GRPC)),
+    "connection lost before the headers": abort_after(lambda call: None),
+    "connection lost after the headers": abort_after(lambda call: call.send(GRPC)),
+    "connection lost within the message": abort_after(lambda call: call.send(GRPC, message()[:-2])),
+    "connection lost before the trailers": abort_after(lambda call: call.send(GRPC, message())),
+    "UNAVAILABLE after a message": answer_with(GRPC, message(), [(b"grpc-status", b"14")]),
     "no trailers": answer_with(GRPC, message()),
-    "no status": answer_with(GRPC, message(), [(b"x", b"y")]),
-    "a head alone": answer_with(GRPC),
-    "stopped half way": lambda call: asyncio.sleep(0, call.send(GRPC, message()[:-2])),
-    "good, then bad": answer_with(GRPC, message(), [(b"grpc-status", b"13"), (b"grpc-message", b"late")]),
+    "trailers without status": answer_with(GRPC, message(), [(b"x", b"y")]),
+    "headers only": answer_with(GRPC),
+    "stalled within the message": lambda call: asyncio.sleep(0, call.send(GRPC, message()[:-2])),
+    "error status after a message": answer_with(
+        GRPC, message(), [(b"grpc-status", b"13"), (b"grpc-message", b"late")]
+    ),
     **{
         f"status {code}": answer_with([*GRPC, (b"grpc-status", b"%d" % code), (b"grpc-message", b"why")])
         for code in (1, 2, 4, 8, 13, 14, 15)
@@ -214,7 +216,7 @@
         f"HTTP {code}": answer_with([(b":status", b"%d" % code)])
         for code in (301, 400, 404, 429, 500, 502, 503)
     },
-    "no gRPC": answer_with([(b":status", b"200"), (b"content-type", b"text/html")], b"<html>"),
+    "not gRPC": answer_with([(b":status", b"200"), (b"content-type", b"text/html")], b"<html>"),
 }
 NOT_EXECUTED = {
     "REFUSED_STREAM": reset_with(7),
@@ -235,7 +237,12 @@
         status = int(call["grpc-status"])
         if path == "/l/File":
             assert sum(s.attempts) == 1 and status not in (0, 8, 14)
-            expected = {"status 2": 2, "status 15": 15, "good, then bad": 13, "HTTP 404": 12}.get(row)
+            expected = {
+                "status 2": 2,
+                "status 15": 15,
+                "error status after a message": 13,
+                "HTTP 404": 12,
+            }.get(row)
             assert expected in (None, status)
         else:
             assert (status, sum(s.attempts), max(s.attempts)) == (8, 3, 1)
@@ -576,17 +583,18 @@
         f.frame(f.HEADERS, 4, 2 * n + 1, encode(request_headers("/l/File"))) + f.rst_stream(2 * n + 1, 8)
         for n in range(400)
     ),
-    "PINGs": f.frame(f.PING, 0, 0, b"x" * 8) * 5000,
-    "SETTINGS": f.settings({1: 4096}) * 5000,
-    "CONTINUATION": f.frame(f.HEADERS, 0, 1, b"") + f.frame(f.CONTINUATION, 0, 1, b"\x00\x01a\x01b") * 5000,
-    "an HPACK bomb": f.frame(f.HEADERS, 5, 1, encode([(b"a", b"x" * 4000)]) * 4 + b"\xbf" * 9000),
-    "metadata beyond the bound": f.frame(
+    "PING flood": f.frame(f.PING, 0, 0, b"x" * 8) * 5000,
+    "SETTINGS flood": f.settings({1: 4096}) * 5000,
+    "CONTINUATION flood": f.frame(f.HEADERS, 0, 1, b"")
+    + f.frame(f.CONTINUATION, 0, 1, b"\x00\x01a\x01b") * 5000,
+    "HPACK bomb": f.frame(f.HEADERS, 5, 1, encode([(b"a", b"x" * 4000)]) * 4 + b"\xbf" * 9000),
+    "metadata above the limit": f.frame(
         f.HEADERS,
         5,
         1,
         encode([*request_headers(), *((b"x%d" % n, b"y" * 100) for n in range(200))])[:16_000],
     ),
-    "headers never ended": f.frame(f.HEADERS, 0, 1, encode(request_headers())),
+    "headers without END_HEADERS": f.frame(f.HEADERS, 0, 1, encode(request_headers())),
 }
 
 
--- a/tests/http2/test_h2_connection.py
+++ b/tests/http2/test_h2_connection.py
@@ -251,63 +251,75 @@
 BOMB = Encoder()
 CONNECTION_ERRORS = [
     ("no preface", b"GET / HTTP/1.1\r\n\r\n", ErrorCode.PROTOCOL_ERROR),
-    ("a preface that turns out none", f.PREFACE[:20] + b"xxxx", ErrorCode.PROTOCOL_ERROR),
+    ("invalid preface", f.PREFACE[:20] + b"xxxx", ErrorCode.PROTOCOL_ERROR),
     (
-        "HTTP/1.1 behind the preface",
+        "HTTP/1.1 after the preface",
         f.PREFACE + b"POST /vat-filing HTTP/1.1\r\nHost: x\r\n\r\n",
         ErrorCode.FRAME_SIZE_ERROR,
     ),
-    ("no SETTINGS at first", f.PREFACE + f.frame(f.PING, 0, 0, b"x" * 8), ErrorCode.PROTOCOL_ERROR),
-    ("a frame too long", f.PREFACE + SETTINGS + f.FRAME_HEADER.pack(1, 0, f.DATA, 0, 1), None),
-    ("an even stream", f.PREFACE + SETTINGS + headers_frame(2), ErrorCode.PROTOCOL_ERROR),
+    ("first frame is not SETTINGS", f.PREFACE + f.frame(f.PING, 0, 0, b"x" * 8), ErrorCode.PROTOCOL_ERROR),
+    ("frame too long", f.PREFACE + SETTINGS + f.FRAME_HEADER.pack(1, 0, f.DATA, 0, 1), None),
+    ("even stream identifier", f.PREFACE + SETTINGS + headers_frame(2), ErrorCode.PROTOCOL_ERROR),
     (
-        "a stream again",
+        "reused stream identifier",
         f.PREFACE + SETTINGS + headers_frame(3, True) + headers_frame(1),
         ErrorCode.STREAM_CLOSED,
     ),
-    ("headers of no stream", f.PREFACE + SETTINGS + headers_frame(0), ErrorCode.PROTOCOL_ERROR),
-    ("data of no stream", f.PREFACE + SETTINGS + f.frame(f.DATA, 0, 0, b"x"), ErrorCode.PROTOCOL_ERROR),
-    ("data of an idle stream", f.PREFACE + SETTINGS + f.frame(f.DATA, 0, 9, b"x"), ErrorCode.PROTOCOL_ERROR),
-    ("a reset of an idle stream", f.PREFACE + SETTINGS + f.rst_stream(9, 8), ErrorCode.PROTOCOL_ERROR),
-    ("a window of an idle stream", f.PREFACE + SETTINGS + f.window_update(9, 8), ErrorCode.PROTOCOL_ERROR),
+    ("HEADERS on stream 0", f.PREFACE + SETTINGS + headers_frame(0), ErrorCode.PROTOCOL_ERROR),
+    ("DATA on stream 0", f.PREFACE + SETTINGS + f.frame(f.DATA, 0, 0, b"x"), ErrorCode.PROTOCOL_ERROR),
+    ("DATA on an idle stream", f.PREFACE + SETTINGS + f.frame(f.DATA, 0, 9, b"x"), ErrorCode.PROTOCOL_ERROR),
+    ("RST_STREAM on an idle stream", f.PREFACE + SETTINGS + f.rst_stream(9, 8), ErrorCode.PROTOCOL_ERROR),
     (
-        "a window that grows by nothing",
+        "WINDOW_UPDATE on an idle stream",
+        f.PREFACE + SETTINGS + f.window_update(9, 8),
+        ErrorCode.PROTOCOL_ERROR,
+    ),
+    (
+        "WINDOW_UPDATE of 0",
         f.PREFACE + SETTINGS + f.window_update(0, 0),
         ErrorCode.PROTOCOL_ERROR,
     ),
-    ("a window too wide", f.PREFACE + SETTINGS + f.window_update(0, 2**31 - 1), ErrorCode.FLOW_CONTROL_ERROR),
+    ("window too large", f.PREFACE + SETTINGS + f.window_update(0, 2**31 - 1), ErrorCode.FLOW_CONTROL_ERROR),
     (
-        "a first window too wide",
+        "initial window too large",
         f.PREFACE + f.settings({f.INITIAL_WINDOW_SIZE: 2**31}),
         ErrorCode.FLOW_CONTROL_ERROR,
     ),
-    ("frames too small", f.PREFACE + f.settings({f.MAX_FRAME_SIZE: 100}), ErrorCode.PROTOCOL_ERROR),
-    ("a push", f.PREFACE + SETTINGS + f.frame(f.PUSH_PROMISE, 0, 1, b"x" * 8), ErrorCode.PROTOCOL_ERROR),
-    ("SETTINGS cut", f.PREFACE + f.frame(f.SETTINGS, 0, 0, b"x" * 5), ErrorCode.FRAME_SIZE_ERROR),
-    ("a PING cut", f.PREFACE + SETTINGS + f.frame(f.PING, 0, 0, b"x"), ErrorCode.FRAME_SIZE_ERROR),
-    ("a GOAWAY cut", f.PREFACE + SETTINGS + f.frame(f.GOAWAY, 0, 0, b"x"), ErrorCode.PROTOCOL_ERROR),
     (
-        "padding beyond the frame",
+        "maximum frame size too small",
+        f.PREFACE + f.settings({f.MAX_FRAME_SIZE: 100}),
+        ErrorCode.PROTOCOL_ERROR,
+    ),
+    (
+        "PUSH_PROMISE",
+        f.PREFACE + SETTINGS + f.frame(f.PUSH_PROMISE, 0, 1, b"x" * 8),
+        ErrorCode.PROTOCOL_ERROR,
+    ),
+    ("truncated SETTINGS", f.PREFACE + f.frame(f.SETTINGS, 0, 0, b"x" * 5), ErrorCode.FRAME_SIZE_ERROR),
+    ("truncated PING", f.PREFACE + SETTINGS + f.frame(f.PING, 0, 0, b"x"), ErrorCode.FRAME_SIZE_ERROR),
+    ("truncated GOAWAY", f.PREFACE + SETTINGS + f.frame(f.GOAWAY, 0, 0, b"x"), ErrorCode.PROTOCOL_ERROR),
+    (
+        "padding longer than the frame",
         f.PREFACE + SETTINGS + f.frame(f.DATA, f.PADDED, 1, b"\x09x"),
         ErrorCode.PROTOCOL_ERROR,
     ),
     (
-        "a frame in a block",
+        "frame within a field block",
         f.PREFACE + SETTINGS + f.frame(f.HEADERS, 0, 1, b"") + f.frame(f.PING, 0, 0, b"x" * 8),
         ErrorCode.PROTOCOL_ERROR,
     ),
     (
-        "CONTINUATION of nothing",
+        "CONTINUATION without HEADERS",
         f.PREFACE + SETTINGS + f.frame(f.CONTINUATION, 4, 1, b""),
         ErrorCode.PROTOCOL_ERROR,
     ),
     (
-        "CONTINUATION without end",
+        "CONTINUATION flood",
         f.PREFACE + SETTINGS + f.frame(f.HEADERS, 0, 1, b"") + repeat(f.frame(f.CONTINUATION, 0, 1, b""), 20),
         ErrorCode.ENHANCE_YOUR_CALM,
     ),
     (
-        "a block too long",
+        "field block too long",
         f.PREFACE
         + SETTINGS
         + f.frame(f.HEADERS, 0, 1, b"x" * 16_000)
@@ -315,17 +327,17 @@
         ErrorCode.ENHANCE_YOUR_CALM,
     ),
     (
-        "a block that is none",
+        "malformed field block",
         f.PREFACE + SETTINGS + headers_frame(1, block=b"\xff\xff\xff\xff\xff\xff"),
         ErrorCode.COMPRESSION_ERROR,
     ),
     (
-        "an HPACK bomb",
+        "HPACK bomb",
         f.PREFACE + SETTINGS + headers_frame(1, block=BOMB.encode([(b"a", b"x" * 3000)]) + b"\xbe" * 2000),
         ErrorCode.ENHANCE_YOUR_CALM,
     ),
     (
-        "headers beyond the bound",
+        "header list too long",
         f.PREFACE
         + SETTINGS
         + headers_frame(
@@ -334,13 +346,17 @@
         ErrorCode.ENHANCE_YOUR_CALM,
     ),
     (
-        "PINGs",
+        "PING flood",
         f.PREFACE + SETTINGS + repeat(f.frame(f.PING, 0, 0, b"x" * 8), int(OVERHEAD_FRAME_BURST) + 2),
         ErrorCode.ENHANCE_YOUR_CALM,
     ),
-    ("SETTINGS", f.PREFACE + repeat(SETTINGS, int(OVERHEAD_FRAME_BURST) + 3), ErrorCode.ENHANCE_YOUR_CALM),
     (
-        "empty DATA",
+        "SETTINGS flood",
+        f.PREFACE + repeat(SETTINGS, int(OVERHEAD_FRAME_BURST) + 3),
+        ErrorCode.ENHANCE_YOUR_CALM,
+    ),
+    (
+        "empty DATA flood",
         f.PREFACE
         + SETTINGS
         + headers_frame(1)
@@ -348,12 +364,12 @@
         ErrorCode.ENHANCE_YOUR_CALM,
     ),
     (
-        "PRIORITY",
+        "PRIORITY flood",
         f.PREFACE + SETTINGS + repeat(f.frame(f.PRIORITY, 0, 1, b"x" * 5), int(OVERHEAD_FRAME_BURST) + 2),
         ErrorCode.ENHANCE_YOUR_CALM,
     ),
     (
-        "rapid resets",
+        "rapid reset",
         f.PREFACE
         + SETTINGS
         + b"".join(
@@ -362,7 +378,7 @@
         ErrorCode.ENHANCE_YOUR_CALM,
     ),
     (
-        "streams beyond the bound",
+        "refused streams flood",
         f.PREFACE
         + SETTINGS
         + b"".join(headers_frame(2 * n + 1) for n in range(int(OVERHEAD_FRAME_BURST) + 20)),
@@ -392,16 +408,16 @@
 
 
 STREAM_ERRORS = [
-    ("trailers that are no end", headers_frame(1) + headers_frame(1), ErrorCode.PROTOCOL_ERROR),
-    ("data behind the end", headers_frame(1, True) + f.frame(f.DATA, 0, 1, b"x"), ErrorCode.STREAM_CLOSED),
-    ("headers behind the end", headers_frame(1, True) + headers_frame(1, True), ErrorCode.STREAM_CLOSED),
+    ("trailers without END_STREAM", headers_frame(1) + headers_frame(1), ErrorCode.PROTOCOL_ERROR),
+    ("DATA after END_STREAM", headers_frame(1, True) + f.frame(f.DATA, 0, 1, b"x"), ErrorCode.STREAM_CLOSED),
+    ("HEADERS after END_STREAM", headers_frame(1, True) + headers_frame(1, True), ErrorCode.STREAM_CLOSED),
     (
-        "data beyond the window",
+        "DATA beyond the window",
         headers_frame(1) + repeat(f.frame(f.DATA, 0, 1, b"x" * 16_384), 5),
         ErrorCode.FLOW_CONTROL_ERROR,
     ),
-    ("a window of nothing", headers_frame(1) + f.window_update(1, 0), ErrorCode.PROTOCOL_ERROR),
-    ("a window too wide", headers_frame(1) + f.window_update(1, 2**31 - 1), ErrorCode.FLOW_CONTROL_ERROR),
+    ("WINDOW_UPDATE of 0", headers_frame(1) + f.window_update(1, 0), ErrorCode.PROTOCOL_ERROR),
+    ("window too large", headers_frame(1) + f.window_update(1, 2**31 - 1), ErrorCode.FLOW_CONTROL_ERROR),
     ("too many streams", b"".join(headers_frame(2 * n + 1) for n in range(5)), ErrorCode.REFUSED_STREAM),
 ]
 
@@ -416,7 +432,7 @@
 
     def strict(stream: Stream, headers: Headers, end: bool) -> None:
         if stream.id in handler.headers and not end:
-            raise H2StreamError(ErrorCode.PROTOCOL_ERROR, "trailers that are no end")
+            raise H2StreamError(ErrorCode.PROTOCOL_ERROR, "trailers without END_STREAM")
         plain(stream, headers, end)
 
     handler.on_headers = strict  # type: ignore[method-assign]
