--- a/tests/grpc_front/test_grpc_front.py
+++ b/tests/grpc_front/test_grpc_front.py
@@ -427,9 +427,7 @@
         await asyncio.sleep(0.2)
         assert (await s.call("/l/Read"))["grpc-status"] == "0"  # over the same backend connection
         assert len(s.backends[0].peers) == 1
-        (left,) = [
-            sum(len(d) for d, _ in q) for peer in s.backends[0].peers for q in peer._queues.values() if q
-        ]
+        (left,) = [sum(len(d) for d, _ in q) for b in s.backends[0].peers for q in b._queues.values() if q]
         received = len(slow.data)
         # buffered in the ingress
         assert 60_000 <= received <= 65_535 and 4_000_005 - left - received < 160_000
--- a/tests/support/h2_peers.py
+++ b/tests/support/h2_peers.py
@@ -202,29 +202,29 @@
             if self.on_call is not None:
                 self.on_call(call)
             return
-        call = self.calls.get(stream_id)
-        if call is None:
+        known_call = self.calls.get(stream_id)
+        if known_call is None:
             return
-        if call.ended.is_set() and not isinstance(event, StreamReset):
-            call.events_after_end += 1
+        if known_call.ended.is_set() and not isinstance(event, StreamReset):
+            known_call.events_after_end += 1
         if isinstance(event, InformationalResponseReceived):
-            call.interim_responses += 1
+            known_call.interim_responses += 1
         elif isinstance(event, ResponseReceived):
-            call.headers = [(bytes(k), bytes(v)) for k, v in event.headers]
-            call.started.set()
+            known_call.headers = [(bytes(k), bytes(v)) for k, v in event.headers]
+            known_call.started.set()
         elif isinstance(event, TrailersReceived):
-            call.trailers = [(bytes(k), bytes(v)) for k, v in event.headers]
+            known_call.trailers = [(bytes(k), bytes(v)) for k, v in event.headers]
         elif isinstance(event, DataReceived):
-            call.data += event.data
+            known_call.data += event.data
             if self.auto_credit and event.flow_controlled_length:
                 self.h2.acknowledge_received_data(event.flow_controlled_length, stream_id)
-            call.started.set()
+            known_call.started.set()
         elif isinstance(event, StreamEnded):
-            call.ended.set()
+            known_call.ended.set()
         elif isinstance(event, StreamReset):
-            if not call.ended.is_set() or not self.h2.config.client_side:
-                call.reset = int(event.error_code)
-            call.ended.set()
+            if not known_call.ended.is_set() or not self.h2.config.client_side:
+                known_call.reset = int(event.error_code)
+            known_call.ended.set()
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.closed.set()
