--- a/benchmarks/hollow/core.py
+++ b/benchmarks/hollow/core.py
@@ -43,7 +43,7 @@
     decode,
     encode,
 )
-from troutdock.rpc.netstring import frame
+from troutdock.rpc.netstring import encode_frame
 from troutdock.registry.daemon import TICK_S
 from troutdock.registry.registry import Registry, Tell
 from lab.timeline import Timeline
@@ -104,7 +104,7 @@
             if not isinstance(action, Tell) or (action.to is None and not followers):
                 continue
             began = time.process_time()
-            payload = frame(encode(action.message))
+            payload = encode_frame(encode(action.message))
             encoding = time.process_time() - began
             if action.to is None:
                 count.said("hedgerow", "espalier", len(payload), followers)
@@ -170,7 +170,7 @@
                 case Save():
                     after += SYNC_S
                 case StoreSend(to, message):
-                    payload = frame(encode(message))
+                    payload = encode_frame(encode(message))
                     caller = to.startswith("@")
                     number = int(to[1:]) if caller else self.ips.index(to)
                     self.count.said("rootstock", "hedgerow" if caller else "rootstock", len(payload))
@@ -182,7 +182,7 @@
                         ),
                     )
                 case InForce(version, body):
-                    payload = frame(encode(Config(version, msgspec.Raw(body))))
+                    payload = encode_frame(encode(Config(version, msgspec.Raw(body))))
                     for to in range(CORE):
                         self.count.said("rootstock", "hedgerow", len(payload))
                         self.time.after(
@@ -238,7 +238,7 @@
         active = self.replicas[n].status.active
         if active != self.fresh[n]:
             self.fresh[n] = active
-            size = len(frame(encode(Fresh(active, 0))))
+            size = len(encode_frame(encode(Fresh(active, 0))))
             self.count.said("rootstock", "hedgerow", size, CORE)
             for to in range(CORE):
                 self.time.after(way_s(zone_of(n), zone_of(to)), lambda to=to: self._primary(to))
@@ -282,7 +282,7 @@
         self.count.said(
             "espalier",
             "hedgerow",
-            len(frame(encode(Hello("espalier", member.name, member.ip, member.zone, 1)))),
+            len(encode_frame(encode(Hello("espalier", member.name, member.ip, member.zone, 1)))),
         )
         began = time.process_time()
         self.do(n, self.registries[n].ingress_up(self.time.now, member.name, member), began)
@@ -346,7 +346,7 @@
         """An operator's change, at the first registry; gives its bytes."""
         body = configuration(self.size, version)
         primary = self.fresh.index(True)
-        payload = frame(encode(Write(version, version, msgspec.Raw(body))))
+        payload = encode_frame(encode(Write(version, version, msgspec.Raw(body))))
         self.count.said("hedgerow", "rootstock", len(payload))
         self._post(0, primary, len(payload), payload, self._asked, 0)
         return len(body)
--- a/benchmarks/hollow/ingress.py
+++ b/benchmarks/hollow/ingress.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from troutdock.settings.configuration import Refused, read_configuration
+from troutdock.settings.configuration import RejectedConfiguration, read_configuration
 from troutdock.proxy.daemon import NOTHING, STATES
 from troutdock.proxy.route_table import Table
 from troutdock.proxy.load_exchange import Exchange
@@ -60,7 +60,7 @@
         if self.table is not None and version <= self.table.version:
             return
         found = read_configuration(body)
-        assert not isinstance(found, Refused), found
+        assert not isinstance(found, RejectedConfiguration), found
         table = Table(found, self.tenants)
         for service in found.services:
             self.pools.setdefault(service, len(self.pools))
--- a/benchmarks/hollow/measures.py
+++ b/benchmarks/hollow/measures.py
@@ -7,7 +7,9 @@
 from typing import Any
 
 from benchmarks.hollow.town import CHANGES_A_DAY, CORE, DAY_S, RESTARTS_A_DAY
-from troutdock.rpc.connection import SILENT_S  # of a process that works on in one piece: its links are cut
+from troutdock.rpc.connection import (
+    SILENCE_TIMEOUT_S,
+)  # of a process that works on in one piece: its links are cut
 
 CPU, KEEP_MB, KB_S, IN_FORCE_S = (
     0.033,
@@ -134,7 +136,7 @@
         KB_S,
     ),
     Measure(E, "one change: in force everywhere", "s", lambda r: r["core"]["change in force s"], IN_FORCE_S),
-    Measure(E, "one change: processor, in one piece", "s", _cpu("change", E, 1), SILENT_S, True),
+    Measure(E, "one change: processor, in one piece", "s", _cpu("change", E, 1), SILENCE_TIMEOUT_S, True),
     Measure(
         E,
         "changes of a day: processor",
@@ -192,7 +194,7 @@
     Measure(H, "start: told by one to registries", "MB", _in(_registry("start", H), 1e6)),
     Measure(H, "start: processor", "s", _cpu("start", H, CORE), None, True),
     Measure(H, "one change: told by one", "MB", _in(_registry("change", E), 1e6)),
-    Measure(H, "one change: processor, in one piece", "s", _cpu("change", H, CORE), SILENT_S, True),
+    Measure(H, "one change: processor, in one piece", "s", _cpu("change", H, CORE), SILENCE_TIMEOUT_S, True),
     Measure(H, "zone lost: processor, 70 s", "s", _cpu("zone lost", H, CORE - 1), None, True),
     Measure(R, "state of the primary", "MB", lambda r: r["core"]["state"][R] / 1e6),
     Measure(R, "connections", "links", lambda r: r["core"]["connections"][R]),
--- a/benchmarks/hollow/zone.py
+++ b/benchmarks/hollow/zone.py
@@ -19,9 +19,9 @@
 from benchmarks.hollow.town import INGRESSES, PEAK_PER_S, Size, state_bytes, zone_of
 from troutdock.proxy.peer_connections import AWAY_S, LOOK_S, ZONE_S
 from troutdock.proxy.load_exchange import ZONE, Exchange
-from troutdock.rpc.connection import PING_S
+from troutdock.rpc.connection import PING_INTERVAL_S
 from troutdock.rpc.messages import Instance, Member, Ping, Shares, decode, encode
-from troutdock.rpc.netstring import frame
+from troutdock.rpc.netstring import encode_frame
 from lab.timeline import Timeline
 from troutdock.endpoints.endpoint_table import Book
 from troutdock.endpoints.rendezvous import in_order
@@ -83,7 +83,7 @@
 
     def _said(self, kind: str, name: str, payload: bytes, times: int) -> None:
         if self.counting:
-            size = len(frame(payload))
+            size = len(encode_frame(payload))
             self.messages[kind, name] += times
             self.bytes[kind, name] += size * times
 
@@ -96,7 +96,7 @@
         self.exchanges[name].hear(self.time.now, decode(payload), sender, zone)
         if self.counting and name in self.names[:FULL]:
             self.cpu_s["hear " + kind] += time.process_time() - began
-            self.taken[kind] += len(frame(payload))
+            self.taken[kind] += len(encode_frame(payload))
             self.taken_messages[kind] += 1
 
     def start(self) -> None:
@@ -230,7 +230,10 @@
             for k in kinds
         },
         "busiest sends B/s": max(by.values(), default=0) / seconds,
-        "signs of life B/s": sum(links.values()) / count / PING_S * len(frame(encode(Ping()))),
+        "signs of life B/s": sum(links.values())
+        / count
+        / PING_INTERVAL_S
+        * len(encode_frame(encode(Ping()))),
         "links": [sum(links.values()) / count, max(links.values())],
         "duties": max(zone.duties.values()),
         "exchange bytes": state_bytes(zone.exchanges[first[0]], *shared),
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -28,7 +28,7 @@
 import msgspec
 
 from troutdock.rpc.messages import (
-    NOTHING,
+    NO_BODY,
     Message,
     Probe,
     ProbeAck,
@@ -37,7 +37,7 @@
     Status,
     Write,
     WriteAck,
-    digest_of,
+    body_digest,
 )
 from troutdock.config_store.replica import Replica, Stage
 from troutdock.config_store.replica_state import Bounds, InForce, Kept, Save, Send
@@ -50,7 +50,7 @@
 HERE = "here"  # a caller that reaches every machine and never dies
 LINK_SILENT_S = 1.2  # of one direction, until the connection ends: rpc.connection.SILENT_S, and its beat
 PASSING = (Status, Probe, ProbeAck)  # go between the parts of large messages, as on troutdock.rpc.connection
-PAUSES_S = 0.05, 0.5  # between two tries to connect, as troutdock.rpc.connection.Dialer makes them
+PAUSES_S = 0.05, 0.5  # between two tries to connect, as troutdock.rpc.connection.Connector makes them
 OVERHEAD = 300  # bytes of a message beside its body
 
 
@@ -327,7 +327,7 @@
         by = self.callers[caller]
         self.sent.add((version, body))
         call = self._called(by, Call(by.last + 1, version, body, self.acknowledged))
-        message = Write(call.number, version, msgspec.Raw(body), self.life_of(by), digest_of(body))
+        message = Write(call.number, version, msgspec.Raw(body), self.life_of(by), body_digest(body))
         self._call(by, ip, message)
         return call
 
@@ -439,7 +439,7 @@
         at = max(leaves_at + self.random.uniform(*self.latency), self._way_free.get(lane, 0.0))
         if self.bandwidth:
             at += (
-                OVERHEAD + (self.body_bytes if getattr(message, "body", NOTHING) != NOTHING else 0)
+                OVERHEAD + (self.body_bytes if getattr(message, "body", NO_BODY) != NO_BODY else 0)
             ) / self.bandwidth
         self._way_free[lane] = at
         self._later(at, to, ("hear", other.life, machine.ip, message, machine.life, leaves_at))
--- a/tests/support/planted.py
+++ b/tests/support/planted.py
@@ -12,7 +12,7 @@
 def forgets(patch: pytest.MonkeyPatch) -> None:
     """Who has lost its disk promises at once, and passes for a copy."""
     patch.setattr(Replica, "_learn", lambda self: self._state.save(blank=False))
-    patch.setattr(State, "member", lambda self, record: self.me in record.copies)
+    patch.setattr(State, "member", lambda self, record: self.me in record.replicas)
 
 
 def old_voters(patch: pytest.MonkeyPatch) -> None:
--- a/tests/support/registries.py
+++ b/tests/support/registries.py
@@ -25,7 +25,7 @@
     Instances,
     Member,
     Message,
-    digest_of,
+    body_digest,
 )
 from troutdock.registry.registry import Borne, Confirmed, Registry, Tell
 from troutdock.endpoints.endpoint_table import Book, tombstone
@@ -433,7 +433,7 @@
 
 
 def config(version: int, body: bytes) -> Config:
-    return Config(version, msgspec.Raw(body), digest_of(body))
+    return Config(version, msgspec.Raw(body), body_digest(body))
 
 
 def play(core: Core, seconds: float = 9.0) -> None:
--- a/tests/support/whole.py
+++ b/tests/support/whole.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from troutdock.settings.boot import boot_of
+from troutdock.settings.boot import parse_boot
 from troutdock.proxy.daemon import Ingress
 from troutdock.registry.daemon import Daemon
 from troutdock.config_store.daemon import Store
@@ -139,7 +139,7 @@
 
     def boot(self, ip: str, zone: str, first: bool, data: bool) -> Any:
         port = self.ports
-        return boot_of(
+        return parse_boot(
             {
                 "nodeName": f"n-{ip}",
                 "ipAddress": ip,
--- a/tests/system/test_following.py
+++ b/tests/system/test_following.py
@@ -35,8 +35,8 @@
     Step,
 )
 from troutdock.proxy.registry_connections import BEFORE_MOST, _Before
-from troutdock.rpc.connection import CONNECT_S
-from troutdock.rpc.messages import Config, Fresh, Silence, digest_of
+from troutdock.rpc.connection import CONNECT_TIMEOUT_S
+from troutdock.rpc.messages import Config, Fresh, Silence, body_digest
 
 WAY_S = 0.01  # a message's time, in the test's world
 TICK_S = 0.05
@@ -308,7 +308,7 @@
     w.run(3.0)
     assert w.place == "2"
     w.sites["1"].state = "up"
-    w.run(CONNECT_S + BETTER_S + 0.5)
+    w.run(CONNECT_TIMEOUT_S + BETTER_S + 0.5)
     assert w.place == "1"
 
 
@@ -579,7 +579,7 @@
 
 
 def test_stated_times_lie_within_contact_s() -> None:
-    assert PATIENCE_S + 3 * STEP_S + SETTLE_S + CONNECT_S < CONTACT_S / 2
+    assert PATIENCE_S + 3 * STEP_S + SETTLE_S + CONNECT_TIMEOUT_S < CONTACT_S / 2
 
 
 # ---- the loop round it, over sockets
@@ -713,7 +713,7 @@
                 }
             ).encode()
         )
-        digest = digest_of(body)
+        digest = body_digest(body)
         ingress._heard(Config(5, msgspec.Raw(b"not even JSON"), "another"))  # the same: not read at all
         ingress._heard(Fresh(True, 5, digest))
         ingress._heard(Config(5, body, digest))
--- a/tests/system/test_large_messages.py
+++ b/tests/system/test_large_messages.py
@@ -13,16 +13,16 @@
 
 from troutdock.rpc import connection
 from troutdock.rpc.connection import (
-    GONE_S,
-    MOST_UNSENT,
-    PASSING,
-    PING_S,
-    SILENT_S,
-    STRANGER_FRAME,
-    UNSENT_PARTS,
-    Dialer,
-    Link,
+    EXPEDITED_MESSAGES,
+    MAX_HELLO_BYTES,
+    MAX_UNSENT_BYTES,
+    MAX_WRITE_BUFFER_BYTES,
+    PING_INTERVAL_S,
+    SILENCE_TIMEOUT_S,
+    STALE_INPUT_S,
+    Connector,
     Listener,
+    PeerConnection,
 )
 from troutdock.rpc.messages import (
     Accept,
@@ -39,10 +39,18 @@
     decode,
     encode,
 )
-from troutdock.rpc.netstring import MAX_FRAME, PART, Assembler, Deframer, FrameError, Outbox, frame
+from troutdock.rpc.netstring import (
+    CHUNK_BYTES,
+    MAX_FRAME_BYTES,
+    ChunkAssembler,
+    FrameDecoder,
+    FrameError,
+    SendQueue,
+    encode_frame,
+)
 
 ME, YOU = Hello("r", "me", "10.0.0.1", "a", 1), Hello("r", "you", "10.0.0.2", "a", 2)
-PING = frame(encode(Ping()))
+PING = encode_frame(encode(Ping()))
 
 
 def config(size: int, version: int = 1) -> Config:
@@ -52,15 +60,15 @@
 # ---- parts, without sockets
 
 
-def drained(outbox: Outbox) -> list[bytes]:
-    return list(iter(outbox.take, None))  # type: ignore[arg-type]
+def drained(outbox: SendQueue) -> list[bytes]:
+    return list(iter(outbox.next_frame, None))  # type: ignore[arg-type]
 
 
 SIZES = st.one_of(
     st.integers(1, 60),
-    st.integers(PART - 2, PART + 2),
-    st.integers(2 * PART - 2, 2 * PART + 2),
-    st.integers(1, 5 * PART),
+    st.integers(CHUNK_BYTES - 2, CHUNK_BYTES + 2),
+    st.integers(2 * CHUNK_BYTES - 2, 2 * CHUNK_BYTES + 2),
+    st.integers(1, 5 * CHUNK_BYTES),
 )
 
 
@@ -70,30 +78,30 @@
 @given(st.lists(SIZES, max_size=6), st.lists(st.integers(0, 2), min_size=1, max_size=9), st.data())
 def test_payloads_come_whole_and_in_order_with_others_between_their_parts(sizes, between, data) -> None:
     payloads = [b"{%d" % i + FILL[:size] for i, size in enumerate(sizes)]
-    outbox = Outbox()
+    outbox = SendQueue()
     for payload in payloads:
         outbox.put(payload)
     frames = drained(outbox)
-    assert outbox.size == 0 and max(map(len, frames), default=0) <= MAX_FRAME + 9
+    assert outbox.queued_bytes == 0 and max(map(len, frames), default=0) <= MAX_FRAME_BYTES + 9
     wire = b""
     for i, framed in enumerate(frames):
         wire += framed + PING * between[i % len(between)]
     cuts = sorted(data.draw(st.lists(st.integers(0, len(wire)), max_size=5)))
-    deframer, assembler, found = Deframer(), Assembler(), []
+    deframer, assembler, found = FrameDecoder(), ChunkAssembler(), []
     for start, end in zip([0, *cuts], [*cuts, len(wire)], strict=True):
         for framed in deframer.feed(wire[start:end]):
-            if (whole := assembler.take(framed)) is not None and whole != encode(Ping()):
+            if (whole := assembler.add(framed)) is not None and whole != encode(Ping()):
                 found.append(whole)
-            assert assembler.have <= sum(map(len, payloads))
-    assert found == payloads and not assembler.half
+            assert assembler.received_bytes <= sum(map(len, payloads))
+    assert found == payloads and not assembler.incomplete
 
 
-@given(st.integers(PART + 1, 6 * PART), st.data())
+@given(st.integers(CHUNK_BYTES + 1, 6 * CHUNK_BYTES), st.data())
 def test_parts_that_are_lost_doubled_or_swapped_are_refused_and_let_go(size, data) -> None:
-    outbox = Outbox()
+    outbox = SendQueue()
     outbox.put(b"{" * size)
     outbox.put(b"[" * size)
-    parts = [framed for data_ in drained(outbox) for framed in Deframer().feed(data_)]
+    parts = [framed for data_ in drained(outbox) for framed in FrameDecoder().feed(data_)]
     at = data.draw(st.integers(0, len(parts) - 2))
     harm: Callable[[list[bytes]], list[bytes]] = data.draw(
         st.sampled_from(
@@ -104,12 +112,12 @@
             ]
         )
     )
-    assembler, whole = Assembler(), []
+    assembler, whole = ChunkAssembler(), []
     with pytest.raises(FrameError, match="a part at"):
         for part in harm(parts):
-            if (found := assembler.take(part)) is not None:
+            if (found := assembler.add(part)) is not None:
                 whole.append(found)
-    assert not assembler.half and assembler.have == 0
+    assert not assembler.incomplete and assembler.received_bytes == 0
     assert all(found in (b"{" * size, b"[" * size) for found in whole)  # never a mixture
 
 
@@ -135,18 +143,18 @@
     ],
 )
 def test_what_is_no_part_is_refused(part: bytes) -> None:
-    assembler = Assembler(1000)
+    assembler = ChunkAssembler(1000)
     with pytest.raises(FrameError):
-        assembler.take(part)
-    assert not assembler.half
+        assembler.add(part)
+    assert not assembler.incomplete
 
 
 def test_an_announced_length_takes_no_memory_before_its_bytes_come() -> None:
     import tracemalloc
 
     tracemalloc.start()
-    assembler = Assembler()
-    assert assembler.take(b"+0/80000000:x") is None
+    assembler = ChunkAssembler()
+    assert assembler.add(b"+0/80000000:x") is None
     assert tracemalloc.get_traced_memory()[1] < 100_000
     tracemalloc.stop()
 
@@ -156,9 +164,9 @@
 
     payload = b"{" + b"x" * 5_000_000
     tracemalloc.start()
-    for outbox in [Outbox() for _ in range(20)]:
+    for outbox in [SendQueue() for _ in range(20)]:
         outbox.put(payload)
-        outbox.take()
+        outbox.next_frame()
     assert tracemalloc.get_traced_memory()[1] < 1_000_000
     tracemalloc.stop()
 
@@ -169,7 +177,7 @@
 class Pipe(asyncio.Transport):
     """A connection whose peer reads `room` bytes more; what it has read stands in `out`."""
 
-    def __init__(self, link: Link, room: float = 1e12) -> None:
+    def __init__(self, link: PeerConnection, room: float = 1e12) -> None:
         super().__init__()
         self.link, self.room, self.out, self._held, self.aborted = link, room, bytearray(), bytearray(), False
         self._high, self._paused = 1 << 16, False
@@ -215,37 +223,37 @@
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, room: float = 1e12, hello: bool = True) -> None:
         self.now, self.timers = 100.0, []
-        monkeypatch.setattr(connection, "steady", lambda: self.now)
+        monkeypatch.setattr(connection, "monotonic_time", lambda: self.now)
         loop = asyncio.get_running_loop()
         monkeypatch.setattr(
             loop, "call_later", lambda s, f: self.timers.append(f) or asyncio.TimerHandle(0, f, (), loop)
         )
         self.heard: list[Message] = []
         self.ups = self.downs = 0
-        self.link = Link(ME, lambda _, message: self.heard.append(message), self._up, self._down)
+        self.link = PeerConnection(ME, lambda _, message: self.heard.append(message), self._up, self._down)
         self.pipe = Pipe(self.link, room)
         self.link.connection_made(self.pipe)
         if hello:
-            self.link.data_received(frame(encode(YOU)))
+            self.link.data_received(encode_frame(encode(YOU)))
 
-    def _up(self, _: Link) -> None:
+    def _up(self, _: PeerConnection) -> None:
         self.ups += 1
 
-    def _down(self, _: Link) -> None:
+    def _down(self, _: PeerConnection) -> None:
         self.downs += 1
 
-    def beat(self, after: float = PING_S) -> None:
+    def beat(self, after: float = PING_INTERVAL_S) -> None:
         self.now += after
         due, self.timers = self.timers, []
         for each in due:
             each()
 
     def said(self) -> list[Message]:
-        assembler = Assembler()
+        assembler = ChunkAssembler()
         return [
             decode(whole)
-            for framed in Deframer().feed(bytes(self.pipe.out))
-            if (whole := assembler.take(framed)) is not None
+            for framed in FrameDecoder().feed(bytes(self.pipe.out))
+            if (whole := assembler.add(framed)) is not None
         ]
 
 
@@ -279,12 +287,12 @@
     ]
     for message in order:
         assert world.link.send(message)
-    world.pipe.read(2 * UNSENT_PARTS + 2 * PART)  # no more of the long one lies before them
+    world.pipe.read(2 * MAX_WRITE_BUFFER_BYTES + 2 * CHUNK_BYTES)  # no more of the long one lies before them
     early = world.said()[1:]
-    assert early == [m for m in order if isinstance(m, PASSING)]
+    assert early == [m for m in order if isinstance(m, EXPEDITED_MESSAGES)]
     while not world.pipe.room:
         world.pipe.read(500_000)
-    assert world.said()[1:] == [*early, long, *(m for m in order if not isinstance(m, PASSING))]
+    assert world.said()[1:] == [*early, long, *(m for m in order if not isinstance(m, EXPEDITED_MESSAGES))]
 
 
 @in_loop
@@ -293,13 +301,13 @@
 ) -> None:
     world = World(monkeypatch, room=0)
     world.link.send(config(11_000_000))
-    body = frame(b"+0/200:" + b"x" * 100)
+    body = encode_frame(b"+0/200:" + b"x" * 100)
     for at in range(40):  # 12 s in which the peer takes 3 KB a beat and says nothing whole
         world.pipe.read(3000)
         world.link.data_received(body[at : at + 1])
         world.beat()
         assert world.link.open
-    world.pipe.read(UNSENT_PARTS + PART)
+    world.pipe.read(MAX_WRITE_BUFFER_BYTES + CHUNK_BYTES)
     assert world.said().count(Ping()) > 30
     for _ in range(5):
         world.beat()
@@ -315,19 +323,19 @@
     sent = 0
     while world.link.send_payload(payload):
         sent += 1
-        assert world.pipe.get_write_buffer_size() <= UNSENT_PARTS + MAX_FRAME + 100
+        assert world.pipe.get_write_buffer_size() <= MAX_WRITE_BUFFER_BYTES + MAX_FRAME_BYTES + 100
         assert sent < 100, "no bound"
-    assert sent == MOST_UNSENT // len(payload) and world.pipe.aborted and world.downs == 1
-    assert not world.link.send(Ping()) and not world.link._outbox.size
+    assert sent == MAX_UNSENT_BYTES // len(payload) and world.pipe.aborted and world.downs == 1
+    assert not world.link.send(Ping()) and not world.link._send_queue.queued_bytes
 
 
 @in_loop
 def test_half_a_message_goes_with_its_link(monkeypatch: pytest.MonkeyPatch) -> None:
     world = World(monkeypatch)
-    world.link.data_received(frame(b"+0/70000:" + b"x" * 60_000))
-    assert world.link._assembler.have == 60_000
+    world.link.data_received(encode_frame(b"+0/70000:" + b"x" * 60_000))
+    assert world.link._assembler.received_bytes == 60_000
     world.link.connection_lost(None)
-    assert not world.link._assembler.half and world.heard == [] and world.downs == 1
+    assert not world.link._assembler.incomplete and world.heard == [] and world.downs == 1
 
 
 @pytest.mark.parametrize(
@@ -338,11 +346,11 @@
         (b"65600:", "65600 bytes, 65568 at most"),
         (b"01:", "is no length of a frame"),
         (b"1000000:", "1000000 bytes, 65568 at most"),
-        (frame(b"+5/9:x"), "a part at 5 of 9 bytes, where 0 of 0"),
-        (frame(b"+0/99999999:x"), "99999999 bytes in parts"),
-        (frame(b"garbage"), "JSON"),
-        (frame(encode(YOU)), "a second Hello, of you, life 2"),
-        (frame(encode(Hello("r", "you", "10.0.0.2", "a", 3))), "a second Hello, of you, life 3"),
+        (encode_frame(b"+5/9:x"), "a part at 5 of 9 bytes, where 0 of 0"),
+        (encode_frame(b"+0/99999999:x"), "99999999 bytes in parts"),
+        (encode_frame(b"garbage"), "JSON"),
+        (encode_frame(encode(YOU)), "a second Hello, of you, life 2"),
+        (encode_frame(encode(Hello("r", "you", "10.0.0.2", "a", 3))), "a second Hello, of you, life 3"),
     ],
 )
 def test_garbage_ends_the_link_with_a_line_that_names_who(
@@ -360,7 +368,13 @@
 
 
 @pytest.mark.parametrize(
-    "wire", [PING + frame(encode(Fresh(True, 1))), frame(b"+0/5000:" + b"x" * 100), b"4097:", frame(b"{}")]
+    "wire",
+    [
+        PING + encode_frame(encode(Fresh(True, 1))),
+        encode_frame(b"+0/5000:" + b"x" * 100),
+        b"4097:",
+        encode_frame(b"{}"),
+    ],
 )
 def test_a_stranger_is_cut_and_named_by_address(monkeypatch: pytest.MonkeyPatch, wire: bytes) -> None:
     async def run() -> None:
@@ -369,7 +383,7 @@
             world.link.data_received(wire)
         [record] = handler.records
         assert "10.9.9.9" in record.message and not world.link.open and world.heard == [] and world.ups == 0
-        assert STRANGER_FRAME == 4096
+        assert MAX_HELLO_BYTES == 4096
 
     asyncio.run(run())
 
@@ -382,9 +396,9 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     world = World(monkeypatch)
-    world.beat(SILENT_S + 0.3)  # its timer fires first
+    world.beat(SILENCE_TIMEOUT_S + 0.3)  # its timer fires first
     assert world.link.open
-    world.link.data_received(frame(encode(Fresh(True, 7))))
+    world.link.data_received(encode_frame(encode(Fresh(True, 7))))
     assert world.heard == [Fresh(True, 7)]
 
 
@@ -397,7 +411,7 @@
         else:
             world.now += 20.0
         with logbook.TestHandler() as handler:
-            world.link.data_received(frame(encode(Fresh(True, 7))))
+            world.link.data_received(encode_frame(encode(Fresh(True, 7))))
         assert world.heard == [] and not world.link.open and world.downs == 1
         assert "you has ended it while this process stood for 20.0 s" in handler.records[0].message
 
@@ -407,7 +421,7 @@
     world, began = World(monkeypatch), 100.0
     while world.link.open:
         world.beat()
-    assert SILENT_S < world.now - began <= SILENT_S + PING_S < GONE_S
+    assert SILENCE_TIMEOUT_S < world.now - began <= SILENCE_TIMEOUT_S + PING_INTERVAL_S < STALE_INPUT_S
 
 
 # ---- dialers, over sockets of this machine
@@ -415,20 +429,23 @@
 
 def test_an_end_that_is_told_late_does_not_leave_two_links_alive() -> None:
     async def run() -> None:
-        taken: list[Link] = []
+        taken: list[PeerConnection] = []
         listener = Listener(
-            lambda: taken.append(Link(YOU, lambda *_: None, lambda _: None, lambda _: None)) or taken[-1]
+            lambda: (
+                taken.append(PeerConnection(YOU, lambda *_: None, lambda _: None, lambda _: None))
+                or taken[-1]
+            )
         )
         address = await listener.listen(("127.0.0.1", 0))
         up = asyncio.Event()
-        dialer = Dialer(address, ME, lambda *_: None, lambda _: up.set())
+        dialer = Connector(address, ME, lambda *_: None, lambda _: up.set())
         await asyncio.wait_for(up.wait(), 5)
-        before = Link(ME, lambda *_: None, lambda _: None, dialer._ended)  # of an earlier try
+        before = PeerConnection(ME, lambda *_: None, lambda _: None, dialer._ended)  # of an earlier try
         dialer._ended(before)
-        current = dialer.link
+        current = dialer.connection
         for _ in range(20):
             await asyncio.sleep(0)
-        assert dialer.link is current and dialer.up and len(taken) == 1
+        assert dialer.connection is current and dialer.is_ready and len(taken) == 1
         dialer.close()
         listener.close()
 
@@ -442,16 +459,16 @@
     async def run() -> None:
         loop, made = asyncio.get_running_loop(), []
 
-        async def connect(make: Callable[[], Link], *_: object) -> None:
+        async def connect(make: Callable[[], PeerConnection], *_: object) -> None:
             made.append(make())
             made[-1].connection_made(Pipe(made[-1]))
             raise error
 
         monkeypatch.setattr(loop, "create_connection", connect)
-        dialer = Dialer(("10.0.0.9", 1), ME, lambda *_: None, lambda _: None)
+        dialer = Connector(("10.0.0.9", 1), ME, lambda *_: None, lambda _: None)
         await asyncio.sleep(0)
         await asyncio.sleep(0)
-        assert len(made) == 1 and not made[0].open and dialer.link is None
+        assert len(made) == 1 and not made[0].open and dialer.connection is None
         dialer.close()
 
     asyncio.run(run())
@@ -459,8 +476,8 @@
 
 def test_a_closed_dialer_says_nothing_on_a_connection_that_comes_up_afterwards() -> None:
     async def run() -> None:
-        link = Link(ME, lambda *_: None, lambda _: None, lambda _: None)
-        link.cut()
+        link = PeerConnection(ME, lambda *_: None, lambda _: None, lambda _: None)
+        link.abort()
         pipe = Pipe(link)
         link.connection_made(pipe)
         assert pipe.aborted and not pipe.out and not link.open
@@ -472,11 +489,11 @@
     async def run() -> None:
         heard: asyncio.Queue[Message] = asyncio.Queue()
         listener = Listener(
-            lambda: Link(YOU, lambda _, m: heard.put_nowait(m), lambda _: None, lambda _: None)
+            lambda: PeerConnection(YOU, lambda _, m: heard.put_nowait(m), lambda _: None, lambda _: None)
         )
         address = await listener.listen(("127.0.0.1", 0))
         up = asyncio.Event()
-        dialer = Dialer(address, ME, lambda *_: None, lambda _: up.set())
+        dialer = Connector(address, ME, lambda *_: None, lambda _: up.set())
         await asyncio.wait_for(up.wait(), 5)
         long = config(11_000_000, 3)
         assert (
--- a/tests/system/test_lives_of_ingresses.py
+++ b/tests/system/test_lives_of_ingresses.py
@@ -7,7 +7,7 @@
 
 from company import Two
 
-from troutdock.settings.boot import boot_of
+from troutdock.settings.boot import parse_boot
 from troutdock.proxy.peer_connections import ROLE, Mesh
 from troutdock.proxy.load_exchange import Exchange, News
 from troutdock.rpc.messages import Hello, Member, Members, Message, QuotaStatus, Share, Shares, decode
@@ -29,7 +29,7 @@
         self.sent.append(payload)
         return self.open
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         if self.open:
             self.open = False
             self.mesh._down(self)  # type: ignore[arg-type]
@@ -62,7 +62,7 @@
 
 def play(story: Callable[[Mesh, list[News]], None]) -> None:
     async def whole() -> None:
-        boot = boot_of(
+        boot = parse_boot(
             {
                 "nodeName": "a-1",
                 "ipAddress": "10.0.0.1",
@@ -94,7 +94,7 @@
         old.says(Other("a-2", 1, i1=4).full())
         new = Wire(mesh, "a-2", 2).up()
         new.says(Other("a-2", 2, i1=1, i2=3).full())
-        old.cut()  # silent for a second, by then
+        old.abort()  # silent for a second, by then
         assert out_of(mesh) == {"1": 1, "2": 3} == mesh.exchange.zone_out
 
     play(story)
@@ -106,9 +106,9 @@
         other = Other("a-2", 1, i1=4)
         for link in links:
             link.says(other.full())
-        links[0].cut()
+        links[0].abort()
         assert out_of(mesh) == {"1": 4}
-        links[1].cut()
+        links[1].abort()
         assert out_of(mesh) == {} == mesh.exchange.zone_out
 
     play(story)
@@ -285,7 +285,7 @@
         wire.peer = Hello(ROLE, "a-2", "10.0.0.9", "a", 5, leases=True)
         wire.up().says(QuotaStatus(True))
         assert told[-1].busy == {"a-2"}
-        wire.cut()
+        wire.abort()
         assert told[-1].busy == {"a-2"} and told[-1].near == frozenset()
         again = Wire(mesh, "a-2", 6)
         again.peer = Hello(ROLE, "a-2", "10.0.0.9", "a", 6, leases=True)
--- a/tests/system/test_proxy_outcomes.py
+++ b/tests/system/test_proxy_outcomes.py
@@ -22,7 +22,7 @@
 import uvloop
 from scripted import Asker, Conn, Got, Script, Scripted, Seen, answer, good
 
-from troutdock.settings.boot import boot_of
+from troutdock.settings.boot import parse_boot
 from troutdock.proxy import daemon as daemon_module
 from troutdock.proxy import request_reader
 from troutdock.proxy.daemon import Ingress
@@ -575,7 +575,7 @@
 async def proxy(of: list[Run]) -> tuple[Ingress, tuple[str, int]]:
     """An ingress with these routes, without any other program."""
     ip = f"127.{20 + os.getpid() % 200}.7.1"
-    boot = boot_of(
+    boot = parse_boot(
         {
             "nodeName": "n",
             "ipAddress": ip,
--- a/tests/system/test_quota_loop.py
+++ b/tests/system/test_quota_loop.py
@@ -7,7 +7,7 @@
 
 from troutdock.proxy.quota_loop import BUSY_MS, MOST_DATAGRAM_BYTES, QuotaLoop
 from troutdock.rpc.messages import (
-    LIFE_TAGS,
+    INCARNATION_TAG_MODULUS,
     Hello,
     Message,
     QuotaDatagram,
@@ -18,7 +18,7 @@
     TokenDemand,
     encode_datagram,
 )
-from troutdock.rpc.netstring import frame
+from troutdock.rpc.netstring import encode_frame
 from troutdock.admission.interface import Event
 from troutdock.platform.clock import SystemClock
 from troutdock.quota.bucket import QuotaLimit
@@ -107,20 +107,20 @@
             ("asker", 22, "127.0.0.9"),
             ("nobody", 22, ASKER.ip),
         ):
-            payload = encode_datagram(QuotaDatagram(sender, life % LIFE_TAGS, demands))
-            owner.loop._receive_datagram(frame(payload), (ip, 7000))
+            payload = encode_datagram(QuotaDatagram(sender, life % INCARNATION_TAG_MODULUS, demands))
+            owner.loop._receive_datagram(encode_frame(payload), (ip, 7000))
         for data in (
             b"",
             b"junk",
             b"3:{}x",
-            frame(b"{}"),
-            frame(b'["asker",22,[["t","one",5]]]'),
+            encode_frame(b"{}"),
+            encode_frame(b'["asker",22,[["t","one",5]]]'),
             b"9" * 3000,
         ):
             owner.loop._receive_datagram(data, (ASKER.ip, 7000))
         assert owner.node.rejected == 9 and not owner.node.has_output
         owner.loop._receive_datagram(
-            frame(encode_datagram(QuotaDatagram("asker", 22, demands))), (ASKER.ip, 7000)
+            encode_frame(encode_datagram(QuotaDatagram("asker", 22, demands))), (ASKER.ip, 7000)
         )
         assert owner.node.has_output and owner.node.rejected == 9
 
--- a/tests/system/test_registry.py
+++ b/tests/system/test_registry.py
@@ -15,9 +15,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from troutdock.settings.boot import boot_of
-from troutdock.rpc.http_calls import Call, Reply
-from troutdock.rpc.connection import Link
+from troutdock.settings.boot import parse_boot
+from troutdock.rpc.http_calls import HttpRequest, HttpResponse
+from troutdock.rpc.connection import PeerConnection
 from troutdock.rpc.messages import (
     DRAINING,
     GONE,
@@ -39,7 +39,7 @@
     Write,
     WriteAck,
     decode,
-    digest_of,
+    body_digest,
     encode,
 )
 from troutdock.registry.daemon import Daemon
@@ -221,7 +221,7 @@
     told = [
         a.message for a in registry.ingress_up(0.0, "e", Member("e", "10.1.0.1", 1, "a", 1)) if a.to == "e"
     ]
-    digest = digest_of(b"{}")
+    digest = body_digest(b"{}")
     assert told[0] == Config(9, msgspec.Raw(b"{}"), digest) and told[-1] == Fresh(False, 9, digest)
 
 
@@ -531,7 +531,7 @@
 
 
 def config(version: int, body: bytes = b'{"a":1}', digest: str | None = None) -> Config:
-    return Config(version, msgspec.Raw(body), digest_of(body) if digest is None else digest)
+    return Config(version, msgspec.Raw(body), body_digest(body) if digest is None else digest)
 
 
 @pytest.mark.parametrize(
@@ -569,17 +569,17 @@
         (Fresh(True, 7), True),
         (Fresh(True, 6), True),
         (Fresh(True, 8), False),
-        (Fresh(True, 7, digest_of(b'{"a":1}')), True),
-        (Fresh(True, 7, digest_of(b"{}")), False),
+        (Fresh(True, 7, body_digest(b'{"a":1}')), True),
+        (Fresh(True, 7, body_digest(b"{}")), False),
     ],
 )
 def test_a_registry_is_fresh_once_it_has_what_the_primary_told(told: Fresh | None, fresh: bool) -> None:
     registry = in_contact()
     registry.take_config(config(7))
     registry.primary(1.0, told)
-    assert registry.freshness == Fresh(fresh, 7, digest_of(b'{"a":1}'))
+    assert registry.freshness == Fresh(fresh, 7, body_digest(b'{"a":1}'))
     if told == Fresh(True, 8):
-        assert Tell(None, Fresh(True, 8, digest_of(b"{}"))) in registry.take_config(config(8, b"{}"), True)
+        assert Tell(None, Fresh(True, 8, body_digest(b"{}"))) in registry.take_config(config(8, b"{}"), True)
 
 
 # ---- nothing grows
@@ -688,7 +688,7 @@
         def close(self) -> None:
             dialled[self.address] = False
 
-    monkeypatch.setattr("troutdock.registry.daemon.Dialer", Dialed)
+    monkeypatch.setattr("troutdock.registry.daemon.Connector", Dialed)
 
     async def story(daemon: Daemon, store: Stub) -> None:
         daemon._carry_out([Meet(["10.0.0.4", "10.0.0.2"])])
@@ -743,7 +743,7 @@
 # ---- the daemon: calls, and answers of the store
 
 
-class Stub(Link):
+class Stub(PeerConnection):
     """A link that keeps what is said on it."""
 
     def __init__(self, name: str = "store") -> None:
@@ -755,7 +755,7 @@
 
 
 def with_daemon(story: Callable[[Daemon, Stub], Awaitable[None]], **changes: Any) -> None:
-    boot = boot_of(
+    boot = parse_boot(
         {
             "nodeName": "n",
             "ipAddress": "10.0.0.1",
@@ -783,8 +783,8 @@
         await asyncio.sleep(0)
 
 
-async def asked(daemon: Daemon, method: str, path: str, body: bytes = b"") -> Reply:
-    return await daemon._outside.handler(Call(method.encode(), path.encode(), body))
+async def asked(daemon: Daemon, method: str, path: str, body: bytes = b"") -> HttpResponse:
+    return await daemon._outside.handler(HttpRequest(method.encode(), path.encode(), body))
 
 
 ORDER = json.dumps(
@@ -801,7 +801,7 @@
         call = asyncio.create_task(asked(daemon, "POST", "/configuration/replace", ORDER + b"\n"))
         await turns()
         (write,) = store.said
-        assert write == Write(1, 9, msgspec.Raw(ORDER), 7, digest_of(ORDER))
+        assert write == Write(1, 9, msgspec.Raw(ORDER), 7, body_digest(ORDER))
         other = Stub("other")
         for link, answer in (
             (other, WriteAck(1, True, life=7)),
@@ -842,7 +842,7 @@
         read = decode(encode(store.said[0]))
         assert (
             isinstance(read, Write)
-            and read.digest == digest_of(read.body)
+            and read.digest == body_digest(read.body)
             and json.loads(bytes(read.body)) == json.loads(body)
         )
         daemon._store_says(store, WriteAck(1, True, life=7))
@@ -908,7 +908,7 @@
         other = Stub("other")
         daemon._store_says(other, config(9, b"{}"))  # it does not lead yet
         assert daemon.registry.config == config(9)
-        daemon._store_says(other, Fresh(True, 9, digest_of(b"{}")))
+        daemon._store_says(other, Fresh(True, 9, body_digest(b"{}")))
         assert daemon.registry.config == config(9, b"{}") and daemon.registry.fresh and not daemon._contested
 
     with_daemon(story)
@@ -934,7 +934,7 @@
 
 def test_others_are_met_while_the_disk_is_still_read(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     dialled: list[tuple[str, int]] = []
-    monkeypatch.setattr("troutdock.registry.daemon.Dialer", lambda address, *_: dialled.append(address))
+    monkeypatch.setattr("troutdock.registry.daemon.Connector", lambda address, *_: dialled.append(address))
 
     async def story(daemon: Daemon, store: Stub) -> None:
         go = threading.Event()
--- a/tests/system/test_rooms.py
+++ b/tests/system/test_rooms.py
@@ -10,11 +10,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from troutdock.settings.boot import boot_of, load_boot
-from troutdock.settings.configuration import Configuration, Refused, read_configuration
+from troutdock.settings.boot import parse_boot, load_boot
+from troutdock.settings.configuration import Configuration, RejectedConfiguration, read_configuration
 from troutdock.settings.table import SettingsError
 from troutdock.rpc.messages import Beats, Instance, Instances, MessageError, Record, decode, encode
-from troutdock.rpc.netstring import Deframer, FrameError, frame
+from troutdock.rpc.netstring import FrameDecoder, FrameError, encode_frame
 from troutdock.config_store.storage import FILE, Disk, DiskError
 from troutdock.config_store.replica_state import Kept
 
@@ -23,9 +23,9 @@
 
 @given(st.lists(st.binary(max_size=300)), st.data())
 def test_frames_come_whole_however_they_are_cut(payloads: list[bytes], data: st.DataObject) -> None:
-    wire = b"".join(map(frame, payloads))
+    wire = b"".join(map(encode_frame, payloads))
     cuts = sorted(data.draw(st.lists(st.integers(0, len(wire)), max_size=8)))
-    deframer, found = Deframer(), []
+    deframer, found = FrameDecoder(), []
     for start, end in zip([0, *cuts], [*cuts, len(wire)], strict=True):
         found += list(deframer.feed(wire[start:end]))
     assert found == payloads
@@ -34,7 +34,7 @@
 @pytest.mark.parametrize("wire", [b"x:1,", b"01:a,", b"-1:,", b"1:ab", b"99999999999", b"2000:", b":,"])
 def test_what_is_no_frame_is_refused(wire: bytes) -> None:
     with pytest.raises(FrameError):
-        list(Deframer(1000).feed(wire))
+        list(FrameDecoder(1000).feed(wire))
 
 
 @pytest.mark.parametrize(
@@ -75,7 +75,7 @@
 
 
 def test_boot_settings_take_defaults_and_leave_the_unknown_alone() -> None:
-    boot = boot_of(BOOT)
+    boot = parse_boot(BOOT)
     assert boot.values["bounds.graceS"] == 6.0 and boot.seeds == (("10.0.0.2", 81),) and boot.port(9) == 7003
 
 
@@ -94,7 +94,7 @@
 )
 def test_bad_boot_settings_name_the_place(change: dict, place: str) -> None:
     with pytest.raises(SettingsError, match=place):
-        boot_of({**BOOT, **change})
+        parse_boot({**BOOT, **change})
 
 
 @pytest.mark.parametrize("text", [b"a: [", b"\xff\xfe", b"- 1", b""])
@@ -142,7 +142,7 @@
     assert isinstance(found, Configuration)
     assert (
         found.version == 7
-        and found.routes[0].to == (("s", 1.0), ("t", 0.0))
+        and found.routes[0].split == (("s", 1.0), ("t", 0.0))
         and not found.routes[1].read_only
     )
     assert [t.rate for t in found.tenants or ()] == [5.0, 0.0] and found.limits.idle_ms == 15_000
@@ -181,7 +181,7 @@
         at = at[step]  # type: ignore[index]
     at[where[-1]] = value  # type: ignore[index]
     found = read_configuration(json.dumps(given).encode())
-    assert isinstance(found, Refused)
+    assert isinstance(found, RejectedConfiguration)
     import re
 
     assert re.search(place, str(found))
@@ -189,7 +189,7 @@
 
 def test_a_configuration_that_is_cut_short_anywhere_is_none() -> None:
     whole = json.dumps(configuration()).encode()
-    assert all(isinstance(read_configuration(whole[:n]), Refused) for n in range(len(whole)))
+    assert all(isinstance(read_configuration(whole[:n]), RejectedConfiguration) for n in range(len(whole)))
 
 
 # ---- the disk
--- a/tests/system/test_store_exhaustive.py
+++ b/tests/system/test_store_exhaustive.py
@@ -17,7 +17,7 @@
 import pytest
 from cluster import make_replica
 
-from troutdock.rpc.messages import Read, ReadAck, Write, WriteAck, digest_of
+from troutdock.rpc.messages import Read, ReadAck, Write, WriteAck, body_digest
 from troutdock.config_store.replica import Replica, Stage
 from troutdock.config_store.replica_state import InForce, Kept, Save, Send
 
@@ -127,7 +127,7 @@
     def order(self, ip: str, caller: str, version: int, body: bytes) -> None:
         self.calls[caller].append((version, body))
         message = Write(
-            len(self.calls[caller]), version, msgspec.Raw(body), self.lives[caller], digest_of(body)
+            len(self.calls[caller]), version, msgspec.Raw(body), self.lives[caller], body_digest(body)
         )
         self.do(ip, self.replicas[ip].hear(self.now, self.name(caller), message))
         self.end_if_left()
--- a/tests/system/test_three_programs.py
+++ b/tests/system/test_three_programs.py
@@ -211,16 +211,18 @@
     async def story(w: Whole) -> None:
         control = w.control(w.core[0])
         server = w.registries[w.core[0]]._outside
-        monkeypatch.setattr(server, "max_held", 100_000)
+        monkeypatch.setattr(server, "max_buffered_bytes", 100_000)
         _, writer = await asyncio.open_connection(*control)
         writer.write(b"POST /configuration/replace HTTP/1.1\r\nContent-Length: 90000\r\n\r\n" + b"x" * 80_000)
-        await until(lambda: server.held == 80_000)
+        await until(lambda: server.buffered_bytes == 80_000)
         assert (await call(control, "POST", "/configuration/replace", b"y" * 50_000))[0] == 503
         writer.close()
-        await until(lambda: server.held == 0)
+        await until(lambda: server.buffered_bytes == 0)
         monkeypatch.undo()
-        status, _, body = await call(control, "POST", "/configuration/replace", b"z" * (server.max_body + 1))
-        assert status == 413 and b"bytes at most" in body and server.held == 0
+        status, _, body = await call(
+            control, "POST", "/configuration/replace", b"z" * (server.max_body_bytes + 1)
+        )
+        assert status == 413 and b"bytes at most" in body and server.buffered_bytes == 0
         assert await w.put(CONFIGURATION, w.core[0]) == 200
 
     play(tmp_path, story)
--- a/tests/system/test_traces.py
+++ b/tests/system/test_traces.py
@@ -8,11 +8,11 @@
 import pytest
 from typer.testing import CliRunner
 
-from troutdock.rpc.messages import Status
-from troutdock.rpc.event_trace import read_trace
+from troutdock.cli.app import app
 from troutdock.config_store.replica import EVENTS, again
 from troutdock.config_store.replica_state import InForce, Log, Save, Send
-from troutdock.cli.app import app
+from troutdock.rpc.event_trace import read_trace
+from troutdock.rpc.messages import Status
 
 TRACES = Path(__file__).parent / "traces"
 
--- a/troutdock/cli/system.py
+++ b/troutdock/cli/system.py
@@ -10,12 +10,17 @@
 
 import typer
 
-from troutdock.settings.boot import BOOT, load_boot
-from troutdock.settings.configuration import Configuration, Refused, longest, read_configuration
+from troutdock.settings.boot import BOOT_SETTINGS, load_boot
+from troutdock.settings.configuration import (
+    Configuration,
+    RejectedConfiguration,
+    max_configuration_bytes,
+    read_configuration,
+)
 from troutdock.settings.table import REQUIRED
 from troutdock.proxy.route_table import Table
 from troutdock.rpc.messages import WriteAck
-from troutdock.rpc.event_trace import TraceError, play, read_trace
+from troutdock.rpc.event_trace import TraceError, replay_events, read_trace
 from troutdock.config_store.replica import EVENTS, again
 from troutdock.config_store.replica_state import InForce, Log, Send
 from troutdock.cli.common import call, plain_errors
@@ -66,7 +71,7 @@
 
 def _configuration(file: Path) -> Configuration:
     found = read_configuration(file.read_bytes())
-    if isinstance(found, Refused):
+    if isinstance(found, RejectedConfiguration):
         raise ValueError(f"{file}: {found}")
     return found
 
@@ -76,7 +81,7 @@
     """The fields of the settings file that the programs read: default, and what each is for."""
     rows = [
         {"name": s.name, "required": s.default is REQUIRED, "default": s.default, "about": s.about}
-        for s in BOOT.settings
+        for s in BOOT_SETTINGS.settings
     ]
     for row in rows:
         if row["required"]:
@@ -98,7 +103,7 @@
             typer.echo(f"{file}: settings of {boot.name} in {boot.zone}, {len(boot.seeds)} seeds")
             return
         found = _configuration(file)
-        size, bound = file.stat().st_size, longest(BOOT_MEMORY_MB)
+        size, bound = file.stat().st_size, max_configuration_bytes(BOOT_MEMORY_MB)
     keys = "no keys asked" if found.tenants is None else f"{len(found.tenants)} tenants"
     counts = f"{len(found.routes)} routes, {len(found.services)} services"
     typer.echo(f"{file}: r{found.version}, {counts}, {keys}")
@@ -128,7 +133,7 @@
             "status": 0,
             "route": route.name,
             "prefix": route.prefix,
-            "to": dict(route.to),
+            "to": dict(route.split),
             "repeatable": route.read_only,
             "attempts": route.max_attempts,
             "timeout_s": route.timeout_ms / 1000,
@@ -225,7 +230,7 @@
             raise TraceError(f"{trace.name}, line 1: not a store's trace")
         replica, now = again(made), float(made["now"])
         count = 0
-        for (_, args), actions in play(replica, events, EVENTS):
+        for (_, args), actions in replay_events(replica, events, EVENTS):
             now = next((arg for arg in args if isinstance(arg, float)), now)
             found += _seen(now, actions)
             count += 1
--- a/troutdock/config_store/__main__.py
+++ b/troutdock/config_store/__main__.py
@@ -10,7 +10,7 @@
 import sys
 
 from troutdock.settings.boot import Boot
-from troutdock.settings.process import life_of_now, run
+from troutdock.settings.process import new_incarnation, run_daemon
 from troutdock.config_store.daemon import PORT, Store
 
 
@@ -20,7 +20,7 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
     loop.add_signal_handler(signal.SIGHUP, lambda: None)  # nothing here follows the file
-    store = Store(boot, life_of_now())
+    store = Store(boot, new_incarnation())
     await store.start((boot.ip, boot.port(PORT)))
     await stop.wait()
     await store.leave()
@@ -29,4 +29,4 @@
 
 
 if __name__ == "__main__":
-    sys.exit(run("rootstock", main))
+    sys.exit(run_daemon("rootstock", main))
--- a/troutdock/config_store/configuration_requests.py
+++ b/troutdock/config_store/configuration_requests.py
@@ -22,7 +22,7 @@
 
 from dataclasses import dataclass, field
 
-from troutdock.rpc.messages import Read, ReadAck, Write, WriteAck, digest_of
+from troutdock.rpc.messages import Read, ReadAck, Write, WriteAck, body_digest
 from troutdock.config_store.quorum_contact import Contact
 from troutdock.config_store.replica_state import LEDGER, InForce, State, raw
 
@@ -67,7 +67,7 @@
         """Keep a configuration."""
         caller = sender, order.number, order.life
         body = bytes(order.body)
-        digest = digest_of(body)
+        digest = body_digest(body)
         if order.digest not in ("", digest):
             self._answer(caller, "the body does not fit its digest")
             return
--- a/troutdock/config_store/daemon.py
+++ b/troutdock/config_store/daemon.py
@@ -10,9 +10,9 @@
 import msgspec
 
 from troutdock.settings.boot import Boot
-from troutdock.rpc.connection import Address, Dialer, Link, Listener, send_all
+from troutdock.rpc.connection import Address, Connector, PeerConnection, Listener, broadcast
 from troutdock.rpc.messages import (
-    NOTHING,
+    NO_BODY,
     Accept,
     Accepted,
     Config,
@@ -28,9 +28,9 @@
     ReplicateAck,
     Status,
     Write,
-    digest_of,
+    body_digest,
 )
-from troutdock.rpc.event_trace import traced
+from troutdock.rpc.event_trace import record_events
 from troutdock.config_store.storage import Disk, DiskError
 from troutdock.config_store.replica import EVENTS, Replica, made_of
 from troutdock.config_store.replica_state import Action, Bounds, InForce, Log, Save, Send
@@ -65,13 +65,15 @@
             values["bounds.graceS"],
         )
         self._places = {boot.ip: self._place(boot.zone)}
-        self._dialers: dict[str, Dialer] = {}
-        self._registries: dict[Link, str] = {}  # and the name that the replica knows each by
-        self._callers: dict[str, Link] = {}  # by that name: an answer goes to the link that asked, or nowhere
+        self._dialers: dict[str, Connector] = {}
+        self._registries: dict[PeerConnection, str] = {}  # and the name that the replica knows each by
+        self._callers: dict[
+            str, PeerConnection
+        ] = {}  # by that name: an answer goes to the link that asked, or nowhere
         self._last_caller = 0
         self._listener = Listener(self._accepted)
         self._timer: asyncio.TimerHandle | None = None
-        self._config = Config(0, NOTHING)  # in force, as this machine has led it
+        self._config = Config(0, NO_BODY)  # in force, as this machine has led it
         self._first = boot.bootstrap
         self._fresh = False
         trace = boot.values["traceFile"]
@@ -119,7 +121,7 @@
         self._lives += 1
         path = path.with_name(f"{path.name}.{self._hello.life}.{self._lives}")
         try:
-            return traced(replica, path, made, EVENTS)
+            return record_events(replica, path, made, EVENTS)
         except OSError as error:
             log.warning("No trace: {}", error)
             return replica
@@ -128,14 +130,14 @@
         """Another machine of the core."""
         if ip == self.me or ip in self._dialers:
             return
-        self._dialers[ip] = Dialer((ip, port), self._hello, self._heard, self._up)
+        self._dialers[ip] = Connector((ip, port), self._hello, self._heard, self._up)
         if self._replica is not None:
             self._replica.meet(ip, self._places.get(ip, ""))
 
-    def _accepted(self) -> Link:
-        return Link(self._hello, self._heard, self._up, self._down)
+    def _accepted(self) -> PeerConnection:
+        return PeerConnection(self._hello, self._heard, self._up, self._down)
 
-    def _up(self, link: Link) -> None:
+    def _up(self, link: PeerConnection) -> None:
         peer = link.peer
         assert peer is not None
         if peer.role == ROLE:
@@ -146,7 +148,7 @@
                     self._replica.meet(peer.ip, place)
             self.meet(peer.ip, self._boot.port(PORT))
             dialer = self._dialers.get(peer.ip)
-            if self._replica is not None and dialer is not None and dialer.link is link:
+            if self._replica is not None and dialer is not None and dialer.connection is link:
                 self._carry_out(self._replica.linked(asyncio.get_running_loop().time(), peer.ip))
             return
         self._last_caller += 1
@@ -155,11 +157,11 @@
         link.send(Fresh(self._fresh, self._config.version, self._config.digest))
         self._show(link)
 
-    def _down(self, link: Link) -> None:
+    def _down(self, link: PeerConnection) -> None:
         if (name := self._registries.pop(link, None)) is not None:
             del self._callers[name]
 
-    def _heard(self, link: Link, message: Message) -> None:
+    def _heard(self, link: PeerConnection, message: Message) -> None:
         if self._replica is None or link.peer is None:
             return
         now = asyncio.get_running_loop().time()
@@ -184,9 +186,9 @@
         fresh = self._replica is not None and self._replica.status.active
         if fresh != self._fresh:
             self._fresh = fresh
-            send_all(list(self._registries), Fresh(fresh, self._config.version, self._config.digest))
+            broadcast(list(self._registries), Fresh(fresh, self._config.version, self._config.digest))
 
-    def _show(self, link: Link) -> None:
+    def _show(self, link: PeerConnection) -> None:
         if self._config.version:
             link.send(self._config)
 
@@ -212,12 +214,12 @@
                     elif (dialer := self._dialers.get(to)) is not None:
                         dialer.send(message)
                 case InForce(version, body):
-                    self._config = Config(version, msgspec.Raw(body), digest_of(body))
+                    self._config = Config(version, msgspec.Raw(body), body_digest(body))
                     log.info("In force: r{}.", version)
                     links = list(self._registries)
-                    send_all(links, self._config)
+                    broadcast(links, self._config)
                     self._fresh = self._replica is not None and self._replica.status.active
-                    send_all(links, Fresh(self._fresh, version, self._config.digest))
+                    broadcast(links, Fresh(self._fresh, version, self._config.digest))
                 case Log(text):
                     log.info("{}", text)
 
--- a/troutdock/config_store/replica.py
+++ b/troutdock/config_store/replica.py
@@ -69,7 +69,7 @@
     ReplicateAck,
     Status,
     Write,
-    digest_of,
+    body_digest,
 )
 from troutdock.config_store import replication
 from troutdock.config_store import voter_changes
@@ -161,7 +161,7 @@
         self._led_at = now  # an active primary was heard last, or this life began
         if kept is not None:
             if kept.version and not kept.digest:  # a disk of before digests were kept
-                state.kept = replace(kept, taken=((kept.version, digest_of(kept.body)),))
+                state.kept = replace(kept, taken=((kept.version, body_digest(kept.body)),))
             if kept.record is not None and kept.record.primary == me:
                 self._rest_until = now  # nobody else is to be waited for
         elif first_start and seeds:
@@ -427,7 +427,7 @@
             for status in (state.peers[p].status for p in there if p != self.me)
         ):
             return False  # this one was away; who leads now has not been heard yet
-        turn = record.copies.index(self.me)
+        turn = record.replicas.index(self.me)
         if turn == 0:
             return True
         first = state.peers.get(record.primary)
@@ -435,7 +435,7 @@
         holds = first is not None and first.status is not None and first.status.holds
         if state.stays(record.primary) and holds and not long_ago:
             return False  # else it is there and can't lead (its disk was lost) or has not come to it for long
-        return long_ago or not any(state.stays(b) for b in record.copies[1:turn])
+        return long_ago or not any(state.stays(b) for b in record.replicas[1:turn])
 
     def _another_is_elected(self, there: list[str]) -> bool:
         """A majority has promised an epoch to somebody else, who has time for the copies that it gives."""
@@ -776,7 +776,7 @@
             return False
         status = state.peers[leader].status
         record = status.record if status is not None else None
-        if record is None or self.me in record.copies or record.before:
+        if record is None or self.me in record.replicas or record.before:
             return False
         if self.me not in record.voters:
             return True
--- a/troutdock/config_store/replica_state.py
+++ b/troutdock/config_store/replica_state.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from troutdock.rpc.messages import NOTHING, Message, Record, Status
+from troutdock.rpc.messages import NO_BODY, Message, Record, Status
 
 SILENT_S = 1.0  # who was not heard for so long is taken for lost: three tellings
 LEDGER = 128  # numbers of configurations that are remembered with their digests
@@ -209,7 +209,7 @@
     def core(self) -> list[str]:
         """Whom the newest record names: those that this one has to reach, whatever the seeds are now."""
         record = self.kept.record
-        named = record.copies if record is not None else []
+        named = record.replicas if record is not None else []
         voters = [v for voters in self.lists(record) for v in voters]
         return [ip for ip in dict.fromkeys([*voters, *named]) if ip]
 
@@ -219,7 +219,7 @@
 
     def member(self, record: Record) -> bool:
         """All that was confirmed under it, and before it, is here."""
-        return self.me in record.copies and self.kept.given >= record.epoch
+        return self.me in record.replicas and self.kept.given >= record.epoch
 
     @property
     def holds(self) -> bool:
@@ -230,4 +230,4 @@
 
 def raw(body: bytes) -> msgspec.Raw:
     """A body as messages carry it."""
-    return msgspec.Raw(body) if body else NOTHING
+    return msgspec.Raw(body) if body else NO_BODY
--- a/troutdock/config_store/replication.py
+++ b/troutdock/config_store/replication.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Iterable
 
-from troutdock.rpc.messages import NOTHING, Replicate, ReplicateAck
+from troutdock.rpc.messages import NO_BODY, Replicate, ReplicateAck
 from troutdock.config_store.replica_state import State, ledger, raw
 
 REPLICATE_S = 0.8  # for a backup to have a batch on its disk: a slow sync is some 140 ms
@@ -71,7 +71,7 @@
 
     def _snapshot(self, backup: str, without_body: bool) -> None:
         state, kept = self._state, self._state.kept
-        body = NOTHING if without_body else raw(kept.body)
+        body = NO_BODY if without_body else raw(kept.body)
         digest, taken = kept.digest, list(kept.taken)
         number, life = self._number, state.life
         state.send(backup, Replicate(state.epoch, kept.version, body, True, digest, taken, number, life))
@@ -82,7 +82,7 @@
         rises = version > state.kept.version
         self._begin(self.backups, body if rises else b"")
         digest = dict(taken).get(version, "")
-        sent = raw(body) if rises else NOTHING
+        sent = raw(body) if rises else NO_BODY
         self._sent = Replicate(state.epoch, version, sent, False, digest, taken, self._number, state.life)
         for backup in self.backups:
             state.send(backup, self._sent)
@@ -120,7 +120,7 @@
         return False
     changes: dict[str, object] = {}
     if given.whole:
-        body = b"" if given.body == NOTHING else bytes(given.body)
+        body = b"" if given.body == NO_BODY else bytes(given.body)
         if given.version and not body:
             if (kept.version, kept.digest) != (given.version, given.digest):
                 _answer(state, sender, given, False, lacks=True)
--- a/troutdock/config_store/voter_changes.py
+++ b/troutdock/config_store/voter_changes.py
@@ -64,7 +64,7 @@
 def backups(state: State, but: list[str]) -> list[str]:
     """Who would best keep copies beside this machine, of those that are there."""
     record = state.kept.record
-    former = record.copies if record is not None else []
+    former = record.replicas if record is not None else []
     voters = state.voters
     free = [p for p in state.peers if state.stays(p) and p not in but]
     chosen: list[str] = []
--- a/troutdock/proxy/__main__.py
+++ b/troutdock/proxy/__main__.py
@@ -10,7 +10,7 @@
 import sys
 
 from troutdock.settings.boot import Boot
-from troutdock.settings.process import life_of_now, run
+from troutdock.settings.process import new_incarnation, run_daemon
 from troutdock.proxy.daemon import Ingress
 from troutdock.proxy.peer_connections import PORT
 
@@ -20,7 +20,7 @@
     stop, loop = asyncio.Event(), asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    ingress = Ingress(boot, path, life_of_now())
+    ingress = Ingress(boot, path, new_incarnation())
     loop.add_signal_handler(signal.SIGHUP, ingress.reload)
     await ingress.start(boot.listen["http"], boot.listen["readiness"], (boot.ip, boot.port(PORT)))
     await stop.wait()
@@ -29,4 +29,4 @@
 
 
 if __name__ == "__main__":
-    sys.exit(run("espalier", main))
+    sys.exit(run_daemon("espalier", main))
--- a/troutdock/proxy/daemon.py
+++ b/troutdock/proxy/daemon.py
@@ -15,7 +15,7 @@
 import logbook
 
 from troutdock.settings.boot import Boot, load_boot
-from troutdock.settings.configuration import Refused, read_configuration
+from troutdock.settings.configuration import RejectedConfiguration, read_configuration
 from troutdock.settings.table import SettingsError
 from troutdock.proxy.registry_watch import Act, Note, Ready, Serve, Serving, same
 from troutdock.proxy.peer_connections import ROLE, Mesh
@@ -24,8 +24,8 @@
 from troutdock.proxy.request_reader import SystemReader, passes, verdict
 from troutdock.proxy.route_table import Table
 from troutdock.proxy.load_exchange import News
-from troutdock.rpc.http_calls import Call, CallServer, Reply
-from troutdock.rpc.connection import SILENT_S, Address, Link
+from troutdock.rpc.http_calls import HttpRequest, HttpServer, HttpResponse
+from troutdock.rpc.connection import SILENCE_TIMEOUT_S, Address, PeerConnection
 from troutdock.rpc.messages import (
     GONE,
     Config,
@@ -196,7 +196,7 @@
             boot.bootstrap,
         )
         self._decides.mesh, self._decides.quotas = self.mesh, self.quotas
-        self._readiness = CallServer(self._ready, 1024)
+        self._readiness = HttpServer(self._ready, 1024)
         self._sampled_at = self._loop.time()
         self._ending = self._opened = False
         self._mark: tuple[int, int, int] | None = None  # of the settings file that was read last
@@ -233,12 +233,12 @@
             self.serving.ready and not self._ending and bool(self._numbers) and self.reader.table is not None
         )
 
-    async def _ready(self, call: Call) -> Reply:
-        return Reply(200 if self.ready else 503)
+    async def _ready(self, call: HttpRequest) -> HttpResponse:
+        return HttpResponse(200 if self.ready else 503)
 
     # ---- news
 
-    def _followed(self, link: Link) -> None:
+    def _followed(self, link: PeerConnection) -> None:
         """A registry is followed anew: it may have lost what this ingress knows."""
         self.serving.followed()
         now = self._loop.time()
@@ -292,7 +292,7 @@
     def _configure(self, version: int, body: bytes) -> bool:
         """Swap in a configuration, in one step; false: it can't be read, and nothing has changed."""
         found = read_configuration(body)
-        if isinstance(found, Refused):
+        if isinstance(found, RejectedConfiguration):
             log.error("Configuration r{} can't be read: {}", version, found)
             return False
         table = Table(found, self._tenants)
@@ -380,7 +380,7 @@
         self.lag.sample()
         now = self._loop.time()
         stood, self._sampled_at = now - self._sampled_at, now
-        if stood > SILENT_S:
+        if stood > SILENCE_TIMEOUT_S:
             self._woke(stood)
         self._loop.call_later(SAMPLE_S, self._sample)
 
--- a/troutdock/proxy/peer_connections.py
+++ b/troutdock/proxy/peer_connections.py
@@ -16,7 +16,7 @@
 
 from troutdock.settings.boot import Boot
 from troutdock.proxy.load_exchange import Exchange, News, Services
-from troutdock.rpc.connection import Address, Dialer, Link, Listener
+from troutdock.rpc.connection import Address, Connector, PeerConnection, Listener
 from troutdock.rpc.messages import (
     Hello,
     Members,
@@ -69,14 +69,14 @@
         self._peers_changed, self._quota_message = peers_changed, quota_message
         self._is_listed = False
         self._is_busy = False
-        self._by_name: dict[str, Link] = {}
+        self._by_name: dict[str, PeerConnection] = {}
         self._is_dial_due = False
         self._busy_until: dict[str, float] = {}  # by name; infinite while it is linked
         self._loop = asyncio.get_running_loop()
         self.exchange = Exchange(boot.name, boot.ip, boot.zone, hello.life, services)
-        self._dialers: dict[str, Dialer] = {}  # by name
-        self._links: dict[Link, None] = {}
-        self._listener = Listener(lambda: Link(hello, self._heard, self._up, self._down))
+        self._dialers: dict[str, Connector] = {}  # by name
+        self._links: dict[PeerConnection, None] = {}
+        self._listener = Listener(lambda: PeerConnection(hello, self._heard, self._up, self._down))
         self._zone_due = False
         self._closed = False
         self._told = (0, 0)
@@ -151,7 +151,7 @@
 
     def _failing(self) -> list[str]:
         """Those that were dialled in vain the last time."""
-        return [name for name, dialer in self._dialers.items() if dialer.tried and not dialer.up]
+        return [name for name, dialer in self._dialers.items() if dialer.attempted and not dialer.is_ready]
 
     def _dial(self) -> None:
         self._is_dial_due = False
@@ -160,31 +160,31 @@
         linked = [(link.peer.name, link.peer.zone) for link in self._links if link.peer is not None]
         wanted = {m.name: m for m in self.exchange.wanted(self._loop.time(), linked, self._failing())}
         for name, dialer in list(self._dialers.items()):
-            if not self.exchange.keeps(name, dialer.address[0], wanted, dialer.up):
+            if not self.exchange.keeps(name, dialer.address[0], wanted, dialer.is_ready):
                 dialer.close()
                 del self._dialers[name]
         for name, member in wanted.items():
             if name not in self._dialers:
                 up = partial(self._up, expected=name)
-                self._dialers[name] = Dialer(
+                self._dialers[name] = Connector(
                     (member.ip, member.port), self._hello, self._heard, up, self._down, self._dial_soon
                 )
 
-    def _up(self, link: Link, expected: str = "") -> None:
+    def _up(self, link: PeerConnection, expected: str = "") -> None:
         """expected: whom it was dialled to reach; another one may have taken over the address."""
         peer = link.peer
         assert peer is not None
         wrong = peer.role != ROLE or (expected and peer.name != expected)
         if wrong or peer.name == self._hello.name:  # one's own name: a former life's connection
-            link.cut()
+            link.abort()
             return
         for other in list(self._links):
             if other.peer is not None and other.peer.name == peer.name and other.peer.life != peer.life:
                 listed = self.exchange.members.get(peer.name)
                 if listed is not None and listed.life == other.peer.life and peer.life < other.peer.life:
-                    link.cut()  # of a former life, come late; one whose clock was set back tries again
+                    link.abort()  # of a former life, come late; one whose clock was set back tries again
                     return
-                other.cut()
+                other.abort()
         self._links[link] = None
         self._busy_until.pop(peer.name, None)
         if self._is_busy and peer.leases:
@@ -194,7 +194,7 @@
         self._tell_peers()
         self._dial_soon()  # this one may speak for its zone now
 
-    def _down(self, link: Link) -> None:
+    def _down(self, link: PeerConnection) -> None:
         if link in self._links:
             del self._links[link]
             if link.peer is not None and link.peer.name in self._busy_until:
@@ -206,7 +206,7 @@
                 return  # two links, where both have dialled: the other one is up
             self._on_news(self.exchange.forget(self._loop.time(), peer.name))
 
-    def _heard(self, link: Link, message: Message) -> None:
+    def _heard(self, link: PeerConnection, message: Message) -> None:
         if link.peer is None or link not in self._links:
             return
         if isinstance(message, QuotaRequest | QuotaGrant | QuotaSettlement | QuotaHandover):
@@ -293,7 +293,7 @@
     def renew(self) -> None:
         """Cut all links: what stands in them was said before this process stood still."""
         for link in list(self._links):
-            link.cut()
+            link.abort()
 
     def close(self) -> None:
         """End in order."""
@@ -302,4 +302,4 @@
         for dialer in self._dialers.values():
             dialer.close()
         for link in list(self._links):
-            link.cut()
+            link.abort()
--- a/troutdock/proxy/quota_loop.py
+++ b/troutdock/proxy/quota_loop.py
@@ -17,7 +17,7 @@
 
 from troutdock.rpc.connection import Address
 from troutdock.rpc.messages import (
-    LIFE_TAGS,
+    INCARNATION_TAG_MODULUS,
     Hello,
     Message,
     MessageError,
@@ -27,7 +27,7 @@
     decode_datagram,
     encode_datagram,
 )
-from troutdock.rpc.netstring import Deframer, FrameError, frame
+from troutdock.rpc.netstring import FrameDecoder, FrameError, encode_frame
 from troutdock.admission.interface import Event, LeasesDue
 from troutdock.platform.clock import SystemClock
 from troutdock.quota.node import QuotaNode
@@ -142,7 +142,7 @@
 
     def _send_messages(self, name: str, messages: list[Message]) -> None:
         """Send to one proxy: in one datagram what may be lost, on its link the rest."""
-        datagram = QuotaDatagram(self._hello.name, self._hello.life % LIFE_TAGS)
+        datagram = QuotaDatagram(self._hello.name, self._hello.life % INCARNATION_TAG_MODULUS)
         unsure: list[Message] = []
         for message in messages:
             match message:
@@ -164,12 +164,12 @@
         payload = encode_datagram(datagram)
         if self._datagrams is None or peer is None or len(payload) > MOST_DATAGRAM_BYTES:
             return False
-        self._datagrams.sendto(frame(payload), (peer.ip, self._port))
+        self._datagrams.sendto(encode_frame(payload), (peer.ip, self._port))
         return True
 
     def _receive_datagram(self, data: bytes, address: Address) -> None:
         try:
-            (payload,) = Deframer(MOST_DATAGRAM_BYTES).feed(data)
+            (payload,) = FrameDecoder(MOST_DATAGRAM_BYTES).feed(data)
             datagram = decode_datagram(payload)
         except (FrameError, MessageError, ValueError):  # the last: not one whole frame
             self.node.rejected += 1
@@ -184,7 +184,10 @@
 
     def _is_of_peer(self, datagram: QuotaDatagram, address: Address) -> bool:
         peer = self._peer(datagram.sender)
-        return peer is not None and (peer.ip, peer.life % LIFE_TAGS) == (address[0], datagram.life_tag)
+        return peer is not None and (peer.ip, peer.life % INCARNATION_TAG_MODULUS) == (
+            address[0],
+            datagram.life_tag,
+        )
 
     def _tick(self) -> None:
         now = self.now()
--- a/troutdock/proxy/registry_connections.py
+++ b/troutdock/proxy/registry_connections.py
@@ -15,7 +15,7 @@
 
 from troutdock.settings.boot import Boot
 from troutdock.proxy.registry_watch import Cut, Dial, Follow, Following, Shed, Step
-from troutdock.rpc.connection import CONNECT_S, Link
+from troutdock.rpc.connection import CONNECT_TIMEOUT_S, PeerConnection
 from troutdock.rpc.messages import Config, Fresh, Hello, Message
 
 log = logbook.Logger("news")
@@ -50,7 +50,7 @@
         boot: Boot,
         hello: Hello,
         heard: Callable[[Message], None],
-        up: Callable[[Link], None],
+        up: Callable[[PeerConnection], None],
         lost: Callable[[], None] = lambda: None,
         has: Callable[[Config], bool] = lambda _: False,
     ) -> None:
@@ -59,9 +59,9 @@
         self._on_lost, self._has = lost, has
         self._loop = asyncio.get_running_loop()
         self.following = Following(boot.name, boot.zone, [host for host, _ in boot.seeds])
-        self._link: Link | None = None
-        self._links: dict[int, Link] = {}
-        self._numbers: dict[Link, int] = {}
+        self._link: PeerConnection | None = None
+        self._links: dict[int, PeerConnection] = {}
+        self._numbers: dict[PeerConnection, int] = {}
         self._before: dict[int, _Before] = {}
         self._dials: dict[int, asyncio.Task[None]] = {}
         self._timer: asyncio.TimerHandle | None = None
@@ -89,11 +89,11 @@
     def renew(self) -> None:
         """Cut all links: what stands in them was said before this process stood still."""
         for link in list(self._links.values()):
-            link.cut()
+            link.abort()
 
     # ---- links
 
-    def _heard(self, link: Link, message: Message) -> None:
+    def _heard(self, link: PeerConnection, message: Message) -> None:
         if (number := self._numbers.get(link)) is None:
             return
         if link is self._link:
@@ -102,22 +102,22 @@
             unneeded = isinstance(message, Config) and self._has(message)
             if not unneeded and not before.add(message):
                 log.warning("Registry {} says too much to wait for.", link.peer.name if link.peer else "?")
-                link.cut()
+                link.abort()
                 return
         if isinstance(message, Fresh):
             self._carry_out(self.following.told(self._loop.time(), number, message.fresh))
 
-    def _up(self, link: Link) -> None:
+    def _up(self, link: PeerConnection) -> None:
         peer = link.peer
         assert peer is not None
         number = self._numbers.get(link)
         if number is None or peer.role != REGISTRY:
-            link.cut()
+            link.abort()
             return
         self._before[number] = _Before()
         self._carry_out(self.following.met(self._loop.time(), number, peer.ip, peer.zone))
 
-    def _down(self, link: Link) -> None:
+    def _down(self, link: PeerConnection) -> None:
         if (number := self._numbers.get(link)) is None:
             return
         self._drop(number)
@@ -133,12 +133,12 @@
         if link is not None:
             self._numbers.pop(link, None)
 
-    async def _connect(self, number: int, ip: str, link: Link) -> None:
+    async def _connect(self, number: int, ip: str, link: PeerConnection) -> None:
         try:
-            async with asyncio.timeout(CONNECT_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await self._loop.create_connection(lambda: link, ip, self._boot.port(PORT))
         except (OSError, TimeoutError):
-            link.cut()
+            link.abort()
             if number in self._links:
                 self._drop(number)
                 self._carry_out(self.following.ended(self._loop.time(), number))
@@ -151,7 +151,7 @@
         self._timer = None
         now = self._loop.time()
         for number, link in self._links.items():
-            self.following.heard(number, link.heard_at)
+            self.following.heard(number, link.last_received_at)
         self._carry_out(self.following.tick(now))
 
     def _carry_out(self, steps: list[Step]) -> None:
@@ -175,7 +175,7 @@
     def _do(self, step: Step) -> None:
         match step:
             case Dial(number, ip):
-                link = Link(self._hello, self._heard, self._up, self._down)
+                link = PeerConnection(self._hello, self._heard, self._up, self._down)
                 self._links[number], self._numbers[link] = link, number
                 self._dials[number] = self._loop.create_task(self._connect(number, ip, link))
             case Follow(number):
@@ -188,7 +188,7 @@
                 if (dial := self._dials.pop(number, None)) is not None:
                     dial.cancel()
                 if cut is not None:
-                    cut.cut()
+                    cut.abort()
 
     def _follow(self, number: int) -> None:
         link = self._links.get(number)
@@ -211,6 +211,6 @@
             dial.cancel()
         for link in list(self._links.values()):
             self._numbers.pop(link, None)
-            link.cut()
+            link.abort()
         self._links.clear()
         self._link = None
--- a/troutdock/proxy/registry_watch.py
+++ b/troutdock/proxy/registry_watch.py
@@ -22,7 +22,7 @@
 from dataclasses import dataclass, field
 from math import inf
 
-from troutdock.rpc.connection import CONNECT_S
+from troutdock.rpc.connection import CONNECT_TIMEOUT_S
 from troutdock.rpc.messages import Config, Fresh
 from troutdock.endpoints.rendezvous import in_order
 
@@ -186,8 +186,8 @@
             key=lambda w: order.get(w.ip, len(order)),
         )
         for way in list(others):
-            late = not way.met and now - way.began_at > CONNECT_S
-            mute = way.met and way.contact is None and now - way.heard_at > CONNECT_S
+            late = not way.met and now - way.began_at > CONNECT_TIMEOUT_S
+            mute = way.met and way.contact is None and now - way.heard_at > CONNECT_TIMEOUT_S
             if late or mute or (way.contact is None and now - way.began_at > LOOK_MOST_S):
                 self._cut(way, others, steps)
         followed = self._ways.get(self.followed) if self.followed is not None else None
--- a/troutdock/proxy/request_reader.py
+++ b/troutdock/proxy/request_reader.py
@@ -111,7 +111,7 @@
             1,
             max(1.0, left_ms),
             False,
-            self._pool_of(pick(route.to, self._random)),
+            self._pool_of(pick(route.split, self._random)),
             route.max_attempts,
             priority=priority,
         )
--- a/troutdock/proxy/route_table.py
+++ b/troutdock/proxy/route_table.py
@@ -73,7 +73,7 @@
     """
     classes = tuple(
         RequestClass(
-            route.aim_ms,
+            route.target_latency_ms,
             route.timeout_ms,
             1 / (1 + min(route.priority, LOWEST)),
             Effect.SAFE if route.read_only else Effect.UNSAFE,
--- a/troutdock/registry/__main__.py
+++ b/troutdock/registry/__main__.py
@@ -7,7 +7,7 @@
 import sys
 
 from troutdock.settings.boot import Boot
-from troutdock.settings.process import life_of_now, run
+from troutdock.settings.process import new_incarnation, run_daemon
 from troutdock.registry.daemon import PORT, Daemon
 
 
@@ -17,7 +17,7 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
     loop.add_signal_handler(signal.SIGHUP, lambda: None)
-    daemon = Daemon(boot, life_of_now())
+    daemon = Daemon(boot, new_incarnation())
     await daemon.start(boot.listen["controlPlane"], (boot.ip, boot.port(PORT)))
     await stop.wait()
     daemon.close()
@@ -25,4 +25,4 @@
 
 
 if __name__ == "__main__":
-    sys.exit(run("hedgerow", main))
+    sys.exit(run_daemon("hedgerow", main))
--- a/troutdock/registry/control_plane_calls.py
+++ b/troutdock/registry/control_plane_calls.py
@@ -10,19 +10,19 @@
 
 import msgspec
 
-from troutdock.settings.configuration import Refused, read_configuration
+from troutdock.settings.configuration import RejectedConfiguration, read_configuration
 from troutdock.settings.table import (
     Setting,
     SettingsError,
-    Table,
+    SettingsTable,
     address,
     number,
     one_of,
     or_none,
-    text,
-    whole,
+    string,
+    integer,
 )
-from troutdock.rpc.http_calls import Call, Reply
+from troutdock.rpc.http_calls import HttpRequest, HttpResponse
 from troutdock.rpc.messages import DRAINING, GONE, READY, Instance
 from troutdock.endpoints.endpoint_table import tombstone
 
@@ -32,20 +32,20 @@
 _ID = re.compile(r"[\x21-\x2e\x30-\x7e]{1,128}")
 MOST = 1 << 53  # of whole numbers on the wire
 
-BEAT = Table(
-    Setting("service", text, about="whose backend it is"),
+BEAT = SettingsTable(
+    Setting("service", string, about="whose backend it is"),
     Setting("address", address, about="where it serves"),
-    Setting("zone", or_none(text), ""),
-    Setting("capacity", whole(1), 1, "requests at once"),
+    Setting("zone", or_none(string), ""),
+    Setting("capacity", integer(1), 1, "requests at once"),
     Setting("state", one_of(*_STATES), "available"),
     Setting("warmupLeftS", or_none(number(0)), 0),
-    Setting("callCount", whole(0), 0, "rises with each call"),
+    Setting("callCount", integer(0), 0, "rises with each call"),
 )
 
 
-def refusal(status: int, why: str) -> Reply:
+def refusal(status: int, why: str) -> HttpResponse:
     """An answer that says what is wrong."""
-    return Reply(status, msgspec.json.encode({"error": why}))
+    return HttpResponse(status, msgspec.json.encode({"error": why}))
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,12 +58,12 @@
     digest: str = ""
 
     @property
-    def reply(self) -> Reply:
+    def reply(self) -> HttpResponse:
         """The answer that says so."""
         if self.status != 409:
             return refusal(self.status, self.why)
         held = {"revision": f"r{self.version}", "digest": self.digest}
-        return Reply(409, msgspec.json.encode({"error": self.why, "held": held}))
+        return HttpResponse(409, msgspec.json.encode({"error": self.why, "held": held}))
 
 
 class Registry(Protocol):
@@ -88,7 +88,7 @@
     def __init__(self, registry: Registry, known: Callable[[str], Instance | None]) -> None:
         self._registry, self._known = registry, known
 
-    async def heartbeat(self, id: str, body: bytes) -> Reply:
+    async def heartbeat(self, id: str, body: bytes) -> HttpResponse:
         """Alive, or draining."""
         if len(body) > MAX_BEAT:
             return refusal(413, f"{MAX_BEAT} bytes at most")
@@ -111,14 +111,14 @@
         target = await self._registry.beat(instance, found["callCount"])
         if isinstance(target, Failed):
             return target.reply
-        return Reply(200, msgspec.json.encode({"heartbeatTarget": target} if target else {}))
+        return HttpResponse(200, msgspec.json.encode({"heartbeatTarget": target} if target else {}))
 
-    async def deregister(self, id: str, body: bytes) -> Reply:
+    async def deregister(self, id: str, body: bytes) -> HttpResponse:
         """Gone for good, also one that was never heard of here: others may know it, or hear of it late."""
         known = self._known(id)
         gone = msgspec.structs.replace(known, state=GONE, warm_s=0.0) if known is not None else tombstone(id)
         found = await self._registry.beat(gone, -1)
-        return found.reply if isinstance(found, Failed) else Reply(200)
+        return found.reply if isinstance(found, Failed) else HttpResponse(200)
 
 
 class ConfigurationCalls:
@@ -127,7 +127,7 @@
     def __init__(self, registry: Registry) -> None:
         self._registry = registry
 
-    async def replace(self, body: bytes) -> Reply:
+    async def replace(self, body: bytes) -> HttpResponse:
         """A complete configuration; acknowledged once two disks have it, or a higher one.
 
         409 where its number is taken by another body; what is held is told.
@@ -136,19 +136,19 @@
             found = await asyncio.to_thread(read_configuration, body)
         else:
             found = read_configuration(body)
-        if isinstance(found, Refused):
+        if isinstance(found, RejectedConfiguration):
             return refusal(400, str(found))
         if not found.version:
             return refusal(400, "revision: 'r0' is below the first, r1")
         failed = await self._registry.put(found.version, body)
-        return Reply(200) if failed is None else failed.reply
+        return HttpResponse(200) if failed is None else failed.reply
 
-    async def describe(self) -> Reply:
+    async def describe(self) -> HttpResponse:
         """The newest, as it was sent."""
         found = await self._registry.newest()
         if isinstance(found, Failed):
             return found.reply
-        return Reply(200, found[1]) if found[0] else refusal(404, "no configuration yet")
+        return HttpResponse(200, found[1]) if found[0] else refusal(404, "no configuration yet")
 
 
 class SystemCalls:
@@ -157,9 +157,9 @@
     def __init__(self, status: Callable[[], dict[str, object]]) -> None:
         self._status = status
 
-    async def status(self) -> Reply:
+    async def status(self) -> HttpResponse:
         """All of it."""
-        return Reply(200, msgspec.json.encode(self._status()))
+        return HttpResponse(200, msgspec.json.encode(self._status()))
 
 
 class Outside:
@@ -170,13 +170,13 @@
     ) -> None:
         self._instances, self._configuration, self._system = instances, configuration, system
 
-    async def handle(self, call: Call) -> Reply:
+    async def handle(self, call: HttpRequest) -> HttpResponse:
         """Answer one call."""
         parts = call.path.decode("latin-1").split("/")[1:]
         if len(parts) == 3 and parts[0] == "instances" and parts[2] in ("heartbeat", "deregister"):
             if not _ID.fullmatch(parts[1]):
                 return refusal(400, f"id: {parts[1]!r:.40} is not 1 to 128 printable characters")
-            does: dict[str, Callable[[str, bytes], Awaitable[Reply]]] = {
+            does: dict[str, Callable[[str, bytes], Awaitable[HttpResponse]]] = {
                 "heartbeat": self._instances.heartbeat,
                 "deregister": self._instances.deregister,
             }
--- a/troutdock/registry/daemon.py
+++ b/troutdock/registry/daemon.py
@@ -9,9 +9,9 @@
 import msgspec
 
 from troutdock.settings.boot import Boot
-from troutdock.settings.configuration import longest
-from troutdock.rpc.http_calls import CallServer
-from troutdock.rpc.connection import Address, Dialer, Link, Listener, send_all
+from troutdock.settings.configuration import max_configuration_bytes
+from troutdock.rpc.http_calls import HttpServer
+from troutdock.rpc.connection import Address, Connector, PeerConnection, Listener, broadcast
 from troutdock.rpc.messages import (
     GONE,
     READY,
@@ -25,7 +25,7 @@
     ReadAck,
     Write,
     WriteAck,
-    digest_of,
+    body_digest,
 )
 from troutdock.registry.control_plane_calls import (
     ConfigurationCalls,
@@ -52,7 +52,7 @@
 class _Call:
     """One call to the store: its answer comes on the link that it went out on, and in no other life."""
 
-    def __init__(self, link: Link, answer: asyncio.Future[WriteAck | ReadAck | None]) -> None:
+    def __init__(self, link: PeerConnection, answer: asyncio.Future[WriteAck | ReadAck | None]) -> None:
         self.link, self.answer = link, answer
 
 
@@ -80,19 +80,21 @@
             values["bounds.contactS"],
             boot.ip,
         )
-        self._registries: dict[str, Dialer] = {}
-        self._stores: dict[str, Dialer] = {}
-        self._fresh: dict[Link, Fresh] = {}  # links to primaries, and what each has told last
-        self._contested: dict[Link, Config] = {}  # a store's, of the number held and with another body
+        self._registries: dict[str, Connector] = {}
+        self._stores: dict[str, Connector] = {}
+        self._fresh: dict[PeerConnection, Fresh] = {}  # links to primaries, and what each has told last
+        self._contested: dict[
+            PeerConnection, Config
+        ] = {}  # a store's, of the number held and with another body
         self._calls: dict[int, _Call] = {}
         self._dropped = 0  # answers of the store that belonged to no call
         self._confirms: dict[int, asyncio.Future[Confirmed]] = {}
         self._last = 0
-        self._listener = Listener(lambda: Link(self._hello, self._heard, self._up, self._down))
+        self._listener = Listener(lambda: PeerConnection(self._hello, self._heard, self._up, self._down))
         instances = InstanceCalls(self, self._known)
         outside = Outside(instances, ConfigurationCalls(self), SystemCalls(self._status))
-        bound = longest(boot.values["limits.memoryMb"])
-        self._outside = CallServer(outside.handle, bound, HELD * bound)
+        bound = max_configuration_bytes(boot.values["limits.memoryMb"])
+        self._outside = HttpServer(outside.handle, bound, HELD * bound)
         self._control_port = 0
         self._timer: asyncio.TimerHandle | None = None
         self._memory = Memory(boot.data)
@@ -117,7 +119,7 @@
     def _meet(self, ip: str) -> None:
         """Another core machine: its registry is dialled by the lower address, its store by all."""
         if ip not in self._stores:
-            self._stores[ip] = Dialer(
+            self._stores[ip] = Connector(
                 (ip, self._boot.port(STORE_PORT)),
                 self._hello,
                 self._store_says,
@@ -131,7 +133,7 @@
 
     def _dial(self, ip: str) -> None:
         if ip != self._boot.ip and ip not in self._registries:
-            self._registries[ip] = Dialer(
+            self._registries[ip] = Connector(
                 (ip, self._boot.port(PORT)), self._hello, self._heard, self._up, self._down
             )
 
@@ -145,7 +147,7 @@
 
     # ---- links
 
-    def _up(self, link: Link) -> None:
+    def _up(self, link: PeerConnection) -> None:
         peer, now = link.peer, self._loop.time()
         assert peer is not None
         if peer.role == ROLE:
@@ -155,16 +157,16 @@
             member = Member(peer.name, peer.ip, self._boot.port(PORT), peer.zone, peer.life)
             self._carry_out(self.registry.ingress_up(now, link, member))
 
-    def _down(self, link: Link) -> None:
+    def _down(self, link: PeerConnection) -> None:
         now = self._loop.time()
         self._carry_out([*self.registry.registry_down(now, link), *self.registry.ingress_down(now, link)])
         if link.peer is not None and link.peer.role == ROLE and not self._closed:
             self._dial(link.peer.ip)  # it may come back with settings that name nobody who is there
 
-    def _heard(self, link: Link, message: Message) -> None:
+    def _heard(self, link: PeerConnection, message: Message) -> None:
         self._carry_out(self.registry.hear(self._loop.time(), link, message))
 
-    def _store_down(self, link: Link) -> None:
+    def _store_down(self, link: PeerConnection) -> None:
         """That store's link has ended: its calls fail at once."""
         self._contested.pop(link, None)
         for call in self._calls.values():
@@ -172,7 +174,7 @@
                 call.answer.set_result(None)
         self._leads_no_more(link)
 
-    def _leads_no_more(self, link: Link) -> None:
+    def _leads_no_more(self, link: PeerConnection) -> None:
         """What that store was asked before it may still answer, often after a tenth of a second."""
         if self._fresh.pop(link, None) is not None:
             self._told_contact()
@@ -187,7 +189,7 @@
         elif primary is not None and primary.peer is not None and not had:
             log.info("In contact: {} leads.", primary.peer.name)
 
-    def _store_says(self, link: Link, message: Message) -> None:
+    def _store_says(self, link: PeerConnection, message: Message) -> None:
         match message:
             case Fresh(True):
                 self._fresh.pop(link, None)
@@ -202,7 +204,7 @@
                 held, leads = self.registry.config, link is self._primary()
                 self._carry_out(self.registry.take_config(message, leads))
                 if held is not None and held is self.registry.config and message.version == held.version:
-                    if not leads and digest_of(message.body) != held.digest:
+                    if not leads and body_digest(message.body) != held.digest:
                         self._contested[link] = message  # should it turn out to lead
                 elif leads:
                     self._told_contact()
@@ -211,7 +213,7 @@
             case _:
                 pass
 
-    def _answered(self, link: Link, answer: WriteAck | ReadAck) -> None:
+    def _answered(self, link: PeerConnection, answer: WriteAck | ReadAck) -> None:
         call = self._calls.get(answer.number)
         if call is None or call.link is not link or answer.life != self._hello.life:
             self._dropped += 1
@@ -272,10 +274,10 @@
             elif isinstance(action, Forget):
                 self._part(action.ip)
             elif action.to is None:
-                links = [link for link in self.registry.ingresses if isinstance(link, Link)]
-                send_all(links, action.message)
+                links = [link for link in self.registry.ingresses if isinstance(link, PeerConnection)]
+                broadcast(links, action.message)
             else:
-                assert isinstance(action.to, Link)
+                assert isinstance(action.to, PeerConnection)
                 action.to.send(action.message)
         if self.registry.urgent:
             self._save()
@@ -318,7 +320,7 @@
             **self.registry.status(),
         }
 
-    def _primary(self) -> Link | None:
+    def _primary(self) -> PeerConnection | None:
         return next(reversed(self._fresh), None)
 
     async def _ask(self, message: Write | Read) -> WriteAck | ReadAck | None:
@@ -340,7 +342,7 @@
 
     async def put(self, version: int, body: bytes) -> Failed | None:
         body = body.strip(AROUND)
-        asked = Write(self._next(), version, msgspec.Raw(body), self._hello.life, digest_of(body))
+        asked = Write(self._next(), version, msgspec.Raw(body), self._hello.life, body_digest(body))
         answer = await self._ask(asked)
         if isinstance(answer, WriteAck):
             if answer.conflict:
--- a/troutdock/registry/registry.py
+++ b/troutdock/registry/registry.py
@@ -49,7 +49,7 @@
     Message,
     Registries,
     Silence,
-    digest_of,
+    body_digest,
 )
 from troutdock.endpoints.endpoint_table import Book
 
@@ -517,7 +517,7 @@
         held = self.config
         if held is not None and config.version < held.version:
             return []
-        digest = digest_of(config.body)
+        digest = body_digest(config.body)
         if config.digest not in ("", digest):
             return [Log(f"Configuration r{config.version} does not fit its digest {config.digest}: dropped.")]
         actions: list[Action] = []
--- a/troutdock/rpc/event_trace.py
+++ b/troutdock/rpc/event_trace.py
@@ -17,10 +17,10 @@
 
 from troutdock.rpc.messages import Instance, Member, Message
 
-MOST_BYTES = 64 * 1024 * 1024  # of a trace: some hours of a store's events
+MAX_TRACE_BYTES = 64 * 1024 * 1024  # of a trace: some hours of a store's events
 _STRUCTS = {kind.__name__: kind for kind in (*get_args(Message), Instance, Member)}
 
-Machine = TypeVar("Machine")
+StateMachine = TypeVar("StateMachine")
 Event = tuple[str, list[Any]]  # a method, and what it was called with
 
 
@@ -28,19 +28,19 @@
     """The file is no trace; it says in which line."""
 
 
-class Traced:
+class EventRecorder:
     """A machine whose named methods are written down before they run; all else is the machine's own."""
 
     def __init__(
-        self, machine: object, file: IO[bytes], made_of: dict[str, Any], methods: Iterable[str]
+        self, machine: object, file: IO[bytes], parameters: dict[str, Any], methods: Iterable[str]
     ) -> None:
         self._machine, self._file, self._methods = machine, file, frozenset(methods)
         self._written = 0
         self._handles: dict[int, object] = {}  # of connections: what they are called is all that decides
-        self._write(made_of)
+        self._write(parameters)
 
     def _write(self, line: object) -> None:
-        if self._written < MOST_BYTES:
+        if self._written < MAX_TRACE_BYTES:
             data = msgspec.json.encode(line) + b"\n"
             self._written += len(data)
             self._file.write(data)
@@ -65,9 +65,11 @@
         return f"link {list(self._handles).index(id(arg))}"
 
 
-def traced(machine: Machine, path: Path, made_of: dict[str, Any], methods: Iterable[str]) -> Machine:
+def record_events(
+    machine: StateMachine, path: Path, parameters: dict[str, Any], methods: Iterable[str]
+) -> StateMachine:
     """The machine with its events going to a new file. OSError where that can't be written."""
-    return cast(Machine, Traced(machine, path.open("wb", buffering=0), made_of, methods))
+    return cast(StateMachine, EventRecorder(machine, path.open("wb", buffering=0), parameters, methods))
 
 
 def read_trace(path: Path) -> tuple[dict[str, Any], Iterator[Event]]:
@@ -103,7 +105,9 @@
     return msgspec.json.decode(fields, type=_STRUCTS[name])
 
 
-def play(machine: object, events: Iterable[Event], methods: Iterable[str]) -> Iterator[tuple[Event, Any]]:
+def replay_events(
+    machine: object, events: Iterable[Event], methods: Iterable[str]
+) -> Iterator[tuple[Event, Any]]:
     """Hand a machine its events again: each with the actions that it gives."""
     allowed = frozenset(methods)
     for name, args in events:
--- a/troutdock/rpc/messages.py
+++ b/troutdock/rpc/messages.py
@@ -11,11 +11,11 @@
 import msgspec
 from msgspec import Struct
 
-NOTHING = msgspec.Raw(b"null")  # in place of a configuration
+NO_BODY = msgspec.Raw(b"null")  # in place of a configuration
 READY, DRAINING, GONE = 0, 1, 2  # states of an instance; they rise only
 
 
-def digest_of(body: bytes | msgspec.Raw) -> str:
+def body_digest(body: bytes | msgspec.Raw) -> str:
     """What tells two configurations of one number apart: 96 bits of the operator's own bytes, in hex.
 
     White space round them does not count: a body that travels inside a message loses it.
@@ -127,7 +127,7 @@
 
 
 class Config(Struct, tag="config", tag_field="t"):
-    """A configuration that is in force. body: the operator's own bytes, JSON; digest: digest_of(body)."""
+    """A configuration that is in force. body: the operator's own bytes, JSON; digest: body_digest(body)."""
 
     version: int
     body: msgspec.Raw
@@ -179,7 +179,7 @@
 
     number: int
     version: int
-    body: msgspec.Raw = NOTHING
+    body: msgspec.Raw = NO_BODY
     why: str = ""
     life: int = 0
 
@@ -202,7 +202,7 @@
     before: list[str] = []
 
     @property
-    def copies(self) -> list[str]:
+    def replicas(self) -> list[str]:
         """The machines that hold every confirmed configuration."""
         return [self.primary, *self.backups]
 
@@ -490,7 +490,7 @@
 
 # ---- datagrams: proxies among themselves (troutdock.proxy.quota_loop)
 
-LIFE_TAGS = 10_000  # a datagram names its sender's life by the last digits
+INCARNATION_TAG_MODULUS = 10_000  # a datagram names its sender's life by the last digits
 
 
 class QuotaDatagram(Struct, array_like=True):
--- a/troutdock/rpc/netstring.py
+++ b/troutdock/rpc/netstring.py
@@ -12,10 +12,12 @@
 from collections import deque
 from collections.abc import Iterator
 
-PART = 64 * 1024  # bytes of a payload that go in one frame; at 100 Mbit/s such a frame takes 5 ms
-MAX_PAYLOAD = 80 * 1024 * 1024  # bytes of a payload: the longest configuration (64 MiB) and what is round it
-MAX_FRAME = PART + 32  # bytes of a frame's payload: a part and its head
-_MOST_DIGITS = len(str(MAX_PAYLOAD))
+CHUNK_BYTES = 64 * 1024  # bytes of a payload that go in one frame; at 100 Mbit/s such a frame takes 5 ms
+MAX_PAYLOAD_BYTES = (
+    80 * 1024 * 1024
+)  # bytes of a payload: the longest configuration (64 MiB) and what is round it
+MAX_FRAME_BYTES = CHUNK_BYTES + 32  # bytes of a frame's payload: a part and its head
+_MOST_DIGITS = len(str(MAX_PAYLOAD_BYTES))
 _MOST_HEAD = 2 * _MOST_DIGITS + 3  # bytes of +OFFSET/TOTAL:
 
 
@@ -23,7 +25,7 @@
     """The peer sent what is no netstring or no next part, or one past the bound."""
 
 
-def frame(payload: bytes) -> bytes:
+def encode_frame(payload: bytes) -> bytes:
     """One netstring."""
     return b"%d:%b," % (len(payload), payload)
 
@@ -35,13 +37,13 @@
     return int(digits)
 
 
-class Deframer:
-    """Feed it what a connection brings; it gives the payloads that are whole. most: bytes of one payload."""
+class FrameDecoder:
+    """Extracts complete payloads from received bytes. max_bytes: the longest payload that is accepted."""
 
-    __slots__ = ("_buffer", "_need", "most")
+    __slots__ = ("_buffer", "_need", "max_bytes")
 
-    def __init__(self, most: int = MAX_FRAME) -> None:
-        self.most = most
+    def __init__(self, max_bytes: int = MAX_FRAME_BYTES) -> None:
+        self.max_bytes = max_bytes
         self._buffer = bytearray()
         self._need = 0  # bytes of the frame that is coming, with its head; 0: not known yet
 
@@ -62,8 +64,8 @@
                 digits = bytes(buffer[:colon])
                 if (length := _number(digits)) < 0:
                     raise FrameError(f"{digits[:20]!r} is no length of a frame")
-                if length > self.most:
-                    raise FrameError(f"a frame of {length} bytes, {self.most} at most")
+                if length > self.max_bytes:
+                    raise FrameError(f"a frame of {length} bytes, {self.max_bytes} at most")
                 self._need = colon + 1 + length + 1
             if len(buffer) < self._need:
                 return
@@ -75,26 +77,26 @@
             yield payload
 
 
-class Assembler:
-    """Puts the parts of long payloads together. most: bytes of one payload.
+class ChunkAssembler:
+    """Puts the parts of long payloads together. max_bytes: bytes of one payload.
 
-    It never holds more than has come, whatever a head announces, and never more than `most`.
+    It never holds more than has come, whatever a head announces, and never more than `max_bytes`.
     """
 
-    __slots__ = ("_parts", "_total", "have", "most")
+    __slots__ = ("_parts", "_total", "max_bytes", "received_bytes")
 
-    def __init__(self, most: int = MAX_PAYLOAD) -> None:
-        self.most = most
-        self.have = 0  # bytes of the payload that is coming
+    def __init__(self, max_bytes: int = MAX_PAYLOAD_BYTES) -> None:
+        self.max_bytes = max_bytes
+        self.received_bytes = 0  # bytes of the payload that is coming
         self._total = 0  # all of them; 0: none is coming
         self._parts: list[bytes] = []
 
     @property
-    def half(self) -> bool:
+    def incomplete(self) -> bool:
         """A payload has begun and is not whole."""
         return self._total > 0
 
-    def take(self, payload: bytes) -> bytes | None:
+    def add(self, payload: bytes) -> bytes | None:
         """The whole payload that this frame's ends, one that is no part as it is; None: more is to come.
 
         FrameError for a part out of order, past its end or of a payload past the bound; all is let go then.
@@ -113,18 +115,18 @@
         offset, total = _number(at), _number(end)
         if not colon or not slash or offset < 0 or total < 0:
             raise FrameError(f"{head[:24]!r} is no head of a part")
-        if total > self.most:
-            raise FrameError(f"a message of {total} bytes in parts, {self.most} at most")
-        if offset != self.have or (self._total and total != self._total):
-            come = f"{self.have} of {self._total} have come"
+        if total > self.max_bytes:
+            raise FrameError(f"a message of {total} bytes in parts, {self.max_bytes} at most")
+        if offset != self.received_bytes or (self._total and total != self._total):
+            come = f"{self.received_bytes} of {self._total} have come"
             raise FrameError(f"a part at {offset} of {total} bytes, where {come}")
         size = len(payload) - len(head) - 1
         if not size or offset + size > total:
             raise FrameError(f"a part of {size} bytes at {offset} of {total}")
         self._parts.append(payload[len(head) + 1 :])
         self._total = total
-        self.have += size
-        if self.have < total:
+        self.received_bytes += size
+        if self.received_bytes < total:
             return None
         whole = b"".join(self._parts)
         self.clear()
@@ -133,37 +135,37 @@
     def clear(self) -> None:
         """Let half a payload go."""
         self._parts.clear()
-        self.have = self._total = 0
+        self.received_bytes = self._total = 0
 
 
-class Outbox:
+class SendQueue:
     """Payloads that wait for a connection, in their order; frames of them, one by one. size: bytes left."""
 
-    __slots__ = ("_at", "_waits", "size")
+    __slots__ = ("_at", "_waits", "queued_bytes")
 
     def __init__(self) -> None:
         self._waits: deque[bytes] = deque()
         self._at = 0  # bytes of the first that have been given out
-        self.size = 0
+        self.queued_bytes = 0
 
     def put(self, payload: bytes) -> None:
         """Behind what waits. The bytes are kept as they are, not copied: one payload may wait in several."""
         self._waits.append(payload)
-        self.size += len(payload)
+        self.queued_bytes += len(payload)
 
-    def take(self) -> bytes | None:
+    def next_frame(self) -> bytes | None:
         """The next frame; None: nothing waits."""
         if not self._waits:
             return None
         payload, at = self._waits[0], self._at
         total = len(payload)
-        if total <= PART:
+        if total <= CHUNK_BYTES:
             self._waits.popleft()
-            self.size -= total
-            return frame(payload)
-        end = min(at + PART, total)
+            self.queued_bytes -= total
+            return encode_frame(payload)
+        end = min(at + CHUNK_BYTES, total)
         head = b"+%d/%d:" % (at, total)
-        self.size -= end - at
+        self.queued_bytes -= end - at
         if end == total:
             self._waits.popleft()
             self._at = 0
@@ -175,4 +177,4 @@
     def clear(self) -> None:
         """Let all go."""
         self._waits.clear()
-        self._at = self.size = 0
+        self._at = self.queued_bytes = 0
--- a/troutdock/settings/boot.py
+++ b/troutdock/settings/boot.py
@@ -13,42 +13,44 @@
 from troutdock.settings.table import (
     Setting,
     SettingsError,
-    Table,
+    SettingsTable,
     address,
-    flag,
+    boolean,
+    integer,
     list_of,
     map_of,
     number,
     one_of,
     or_none,
-    text,
-    whole,
+    string,
 )
 
-ENVIRONMENT = "TROUTDOCK_BOOT"  # the variable with the file's path
-
-BOOT = Table(
-    Setting("nodeName", text, about="the machine, by name"),
-    Setting("role", text, "", "as the deploy file names it"),
-    Setting("machineClass", text, "", "edge or core"),
-    Setting("serves", list_of(text), (), "who may call this process from outside"),
-    Setting("ipAddress", text, about="of the machine"),
-    Setting("zone", text, about="of the machine"),
-    Setting("region", text, "", "of the zone"),
-    Setting("zones", map_of(text), {}, "each zone's region"),
+BOOT_FILE_VARIABLE = "TROUTDOCK_BOOT"  # the variable with the file's path
+
+BOOT_SETTINGS = SettingsTable(
+    Setting("nodeName", string, about="the machine, by name"),
+    Setting("role", string, "", "as the deploy file names it"),
+    Setting("machineClass", string, "", "edge or core"),
+    Setting("serves", list_of(string), (), "who may call this process from outside"),
+    Setting("ipAddress", string, about="of the machine"),
+    Setting("zone", string, about="of the machine"),
+    Setting("region", string, "", "of the zone"),
+    Setting("zones", map_of(string), {}, "each zone's region"),
     Setting("bindAddresses", map_of(address), {}, "where to listen, by what is served"),
-    Setting("internalPortRange", list_of(whole(1), 2), about="first and last port for the system's own talk"),
+    Setting(
+        "internalPortRange", list_of(integer(1), 2), about="first and last port for the system's own talk"
+    ),
     Setting("seedNodes", list_of(address), (), "control-plane addresses of some machines"),
-    Setting("bootstrap", flag, False, "the whole system starts for the first time"),
-    Setting("quorumMember", flag, False, "the machine counts where losses are borne"),
+    Setting("bootstrap", boolean, False, "the whole system starts for the first time"),
+    Setting("quorumMember", boolean, False, "the machine counts where losses are borne"),
     Setting("limits.memoryMb", number(16), 256, "of this process"),
-    Setting("limits.fileDescriptors", whole(64), 1024, "of this process"),
+    Setting("limits.fileDescriptors", integer(64), 1024, "of this process"),
     Setting("limits.diskMb", number(0), 0, "of the data folder"),
-    Setting("dataDirectory", or_none(text), None, "what lasts lies there"),
+    Setting("dataDirectory", or_none(string), None, "what lasts lies there"),
     Setting("heartbeatS", number(0.01), 1.5, "between two calls of a backend"),
-    Setting("faultTolerance.machines", whole(0), 0, "counted machines that may be lost at once"),
-    Setting("faultTolerance.zones", whole(0), 0, "zones that may be lost at once"),
-    Setting("faultTolerance.regions", whole(0), 0, "regions that may be lost at once"),
+    Setting("faultTolerance.machines", integer(0), 0, "counted machines that may be lost at once"),
+    Setting("faultTolerance.zones", integer(0), 0, "zones that may be lost at once"),
+    Setting("faultTolerance.regions", integer(0), 0, "regions that may be lost at once"),
     Setting("bounds.graceS", number(0.1), 6.0, "from SIGTERM to SIGKILL"),
     Setting("bounds.drainS", number(0.01), 2.5, "until nothing reaches a backend that drains"),
     Setting("bounds.contactS", number(0.01), 3.0, "after which a calm machine is in touch"),
@@ -61,7 +63,7 @@
     Setting("bounds.quotaWindowS", number(0.01), 5.0, "quotas hold in any span of this length"),
     Setting("bounds.quotaTolerance", number(0), 0.1, "of a quota that may be passed"),
     Setting("bounds.quotaAllowance", number(0), 20, "requests of a tenant on top"),
-    Setting("traceFile", or_none(text), None, "where the store writes each event down; none: nowhere"),
+    Setting("traceFile", or_none(string), None, "where the store writes each event down; none: nowhere"),
     Setting("configMode", one_of("highest"), "highest", "which configuration prevails"),
 )
 
@@ -90,9 +92,9 @@
     return host, int(port)
 
 
-def boot_of(given: Any) -> Boot:
+def parse_boot(given: Any) -> Boot:
     """The settings of a mapping; SettingsError names what is wrong."""
-    values = BOOT.read(given)
+    values = BOOT_SETTINGS.read(given)
     first, last = values["internalPortRange"][:2]
     if last < first:
         raise SettingsError(f"internalPortRange: {last} is below {first}")
@@ -117,6 +119,6 @@
     except (OSError, UnicodeDecodeError, YAMLError) as error:
         raise SettingsError(f"{path}: {' '.join(str(error).split())}") from error
     try:
-        return boot_of(given)
+        return parse_boot(given)
     except SettingsError as error:
         raise SettingsError(f"{path}: {error}") from error
--- a/troutdock/settings/configuration.py
+++ b/troutdock/settings/configuration.py
@@ -16,34 +16,36 @@
     REQUIRED,
     Setting,
     SettingsError,
-    Table,
-    flag,
+    SettingsTable,
+    boolean,
+    integer,
     list_of,
     number,
     one_of,
     or_none,
-    text,
-    whole,
+    string,
 )
 
-MEMORY_PART = 64  # of a process's memory: reading one takes 14 times its bytes, and proxies have less of it
-LEAST_BOUND = 1 << 20  # bytes that are always taken
+MEMORY_DIVISOR = (
+    64  # of a process's memory: reading one takes 14 times its bytes, and proxies have less of it
+)
+MIN_SIZE_LIMIT_BYTES = 1 << 20  # bytes that are always taken
 
 READ_ONLY, MUTATING = "read_only", "mutating"
 
 
 @dataclass(frozen=True, slots=True)
-class Refused:
+class RejectedConfiguration:
     """Why a configuration is not taken: the place and what is wrong there."""
 
-    place: str
+    location: str
     reason: str
 
     def __str__(self) -> str:
-        return f"{self.place}: {self.reason}"
+        return f"{self.location}: {self.reason}"
 
 
-class _Wrong(Exception):
+class _InvalidConfiguration(Exception):
     pass
 
 
@@ -56,11 +58,11 @@
     prefix: str
     read_only: bool
     timeout_ms: float
-    aim_ms: float
+    target_latency_ms: float
     priority: int
     max_attempts: int
     public: bool
-    to: tuple[tuple[str, float], ...]
+    split: tuple[tuple[str, float], ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -111,63 +113,63 @@
 _split = list_of(
     lambda item: (
         None
-        if isinstance(item, Mapping) and not text(item.get("service")) and not number(0)(item.get("weight"))
+        if isinstance(item, Mapping) and not string(item.get("service")) and not number(0)(item.get("weight"))
         else "no service with a weight of at least 0"
     )
 )
 
-ROUTE = Table(
-    Setting("name", or_none(text), None),
-    Setting("hostname", text),
+ROUTE = SettingsTable(
+    Setting("name", or_none(string), None),
+    Setting("hostname", string),
     Setting("pathPrefix", _prefix),
     Setting("routeType", one_of(READ_ONLY, MUTATING)),
     Setting("timeoutS", number(0.001)),
     Setting("targetLatencyS", or_none(number(0.001)), None),
-    Setting("priority", or_none(whole(0)), None),
+    Setting("priority", or_none(integer(0)), None),
     Setting("trafficSplit", or_none(_split), None),
-    Setting("maxAttempts", or_none(whole(1)), None),
-    Setting("public", or_none(flag), None),
-    Setting("service", or_none(text), None),
+    Setting("maxAttempts", or_none(integer(1)), None),
+    Setting("public", or_none(boolean), None),
+    Setting("service", or_none(string), None),
 )
-SERVICE = Table(
-    Setting("name", text),
-    Setting("healthPath", or_none(text), None),
-    Setting("maxConnections", or_none(whole(1)), None),
+SERVICE = SettingsTable(
+    Setting("name", string),
+    Setting("healthPath", or_none(string), None),
+    Setting("maxConnections", or_none(integer(1)), None),
     Setting("protocol", or_none(one_of("h1")), None),
     Setting("tls", or_none(one_of(False)), None),
 )
-TENANT = Table(
-    Setting("name", text),
-    Setting("apiKeys", list_of(text)),
-    Setting("priority", or_none(whole(0)), None),
+TENANT = SettingsTable(
+    Setting("name", string),
+    Setting("apiKeys", list_of(string)),
+    Setting("priority", or_none(integer(0)), None),
     Setting("ratePerS", or_none(number(0)), None),
     Setting("burst", or_none(number(0)), None),
 )
-LIMITS = Table(
-    Setting("maxHeaderBytes", whole(256), 16_384),
-    Setting("maxBodyBytes", whole(0), 64 * 1024 * 1024),
+LIMITS = SettingsTable(
+    Setting("maxHeaderBytes", integer(256), 16_384),
+    Setting("maxBodyBytes", integer(0), 64 * 1024 * 1024),
     Setting("headerTimeoutS", number(0.01), 3.0),
     Setting("idleTimeoutS", number(0.01), 15.0),
 )
 
 
-def _rows(given: Any, place: str, table: Table) -> Iterable[tuple[str, dict[str, Any]]]:
+def _rows(given: Any, place: str, table: SettingsTable) -> Iterable[tuple[str, dict[str, Any]]]:
     """Each row by its columns, checked, with its place."""
     if not isinstance(given, Mapping):
-        raise _Wrong(place, "not a table of columns and rows")
+        raise _InvalidConfiguration(place, "not a table of columns and rows")
     columns: Any = None
     rows: Any = None
     columns, rows = given.get("columns"), given.get("rows")
-    if wrong := list_of(text)(columns):
-        raise _Wrong(f"{place}.columns", wrong)
+    if wrong := list_of(string)(columns):
+        raise _InvalidConfiguration(f"{place}.columns", wrong)
     if not isinstance(rows, list):
-        raise _Wrong(f"{place}.rows", "not a list")
+        raise _InvalidConfiguration(f"{place}.rows", "not a list")
     if len(set(columns)) != len(columns):
-        raise _Wrong(f"{place}.columns", "a name comes twice")
+        raise _InvalidConfiguration(f"{place}.columns", "a name comes twice")
     for at, row in enumerate(rows):
         where = f"{place}.rows[{at}]"
         if not isinstance(row, list) or len(row) != len(columns):
-            raise _Wrong(where, f"not a list of {len(columns)} values")
+            raise _InvalidConfiguration(where, f"not a list of {len(columns)} values")
         try:
             # nothing stands for what was left out
             yield (
@@ -177,7 +179,7 @@
                 ),
             )
         except SettingsError as error:
-            raise _Wrong(where, str(error)) from error
+            raise _InvalidConfiguration(where, str(error)) from error
 
 
 def _version(value: Any) -> int:
@@ -188,7 +190,7 @@
         or not value[1:].isdigit()
         or len(value) > 19
     ):
-        raise _Wrong("revision", f"{value!r:.40} is not r and a number")
+        raise _InvalidConfiguration("revision", f"{value!r:.40} is not r and a number")
     return int(value[1:])
 
 
@@ -198,7 +200,7 @@
     for where, row in _rows(given, "routes", ROUTE):
         split = row["trafficSplit"]
         if split is None and row["service"] is None:
-            raise _Wrong(where, "neither a service nor a split")
+            raise _InvalidConfiguration(where, "neither a service nor a split")
         to = (
             [(part["service"], float(part["weight"])) for part in split]
             if split is not None
@@ -206,14 +208,14 @@
         )
         for name, _ in to:
             if name not in services:
-                raise _Wrong(where, f"no service {name!r:.60}")
+                raise _InvalidConfiguration(where, f"no service {name!r:.60}")
         if not sum(weight for _, weight in to) > 0:
-            raise _Wrong(where, "the weights add up to 0")
+            raise _InvalidConfiguration(where, "the weights add up to 0")
         host = row["hostname"].lower()
         if (before := places.setdefault((host, row["pathPrefix"]), where)) != where:
-            raise _Wrong(where, f"the host and prefix of {before}")
+            raise _InvalidConfiguration(where, f"the host and prefix of {before}")
         timeout_ms = row["timeoutS"] * 1000
-        aim_ms = row["targetLatencyS"] * 1000 if row["targetLatencyS"] else timeout_ms
+        target_latency_ms = row["targetLatencyS"] * 1000 if row["targetLatencyS"] else timeout_ms
         routes.append(
             Route(
                 row["name"] or f"{host}{row['pathPrefix']}",
@@ -221,7 +223,7 @@
                 row["pathPrefix"],
                 row["routeType"] == READ_ONLY,
                 timeout_ms,
-                aim_ms,
+                target_latency_ms,
                 row["priority"] or 0,
                 row["maxAttempts"] or 1,
                 bool(row["public"]),
@@ -237,10 +239,10 @@
     names: dict[str, str] = {}
     for where, row in _rows(given, "tenants", TENANT):
         if (before := names.setdefault(row["name"], where)) != where:
-            raise _Wrong(where, f"the name of {before}")
+            raise _InvalidConfiguration(where, f"the name of {before}")
         for key in row["apiKeys"]:
             if (before := keys.setdefault(key, where)) != where:
-                raise _Wrong(where, f"a key of {before}")
+                raise _InvalidConfiguration(where, f"a key of {before}")
         tenants.append(
             Tenant(
                 row["name"],
@@ -253,34 +255,34 @@
     return tuple(tenants)
 
 
-def longest(memory_mb: int) -> int:
+def max_configuration_bytes(memory_mb: int) -> int:
     """Bytes of the longest configuration that a process with so much memory takes."""
-    return max(LEAST_BOUND, (memory_mb << 20) // MEMORY_PART)
+    return max(MIN_SIZE_LIMIT_BYTES, (memory_mb << 20) // MEMORY_DIVISOR)
 
 
-def read_configuration(body: bytes) -> Configuration | Refused:
+def read_configuration(body: bytes) -> Configuration | RejectedConfiguration:
     """The configuration of an operator's call, or why it is none."""
     try:
         given = msgspec.json.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        return Refused("body", str(error))
+        return RejectedConfiguration("body", str(error))
     if not isinstance(given, dict):
-        return Refused("body", "not an object")
+        return RejectedConfiguration("body", "not an object")
     try:
         version = _version(given.get("revision"))
         for name in ("routes", "services"):
             if name not in given:
-                raise _Wrong(name, REQUIRED.reason)
+                raise _InvalidConfiguration(name, REQUIRED.reason)
         services: dict[str, Service] = {}
         for where, row in _rows(given["services"], "services", SERVICE):
             if row["name"] in services:
-                raise _Wrong(where, f"{row['name']!r:.60} comes twice")
+                raise _InvalidConfiguration(where, f"{row['name']!r:.60} comes twice")
             services[row["name"]] = Service(row["name"], row["healthPath"] or "", row["maxConnections"] or 0)
         routes = _routes(given["routes"], services)
         try:
             found = LIMITS.read(given.get("limits") or {})
         except SettingsError as error:
-            raise _Wrong("limits", str(error)) from error
+            raise _InvalidConfiguration("limits", str(error)) from error
         limits = Limits(
             found["maxHeaderBytes"],
             found["maxBodyBytes"],
@@ -288,6 +290,6 @@
             found["idleTimeoutS"] * 1000,
         )
         tenants = _tenants(given["tenants"]) if given.get("tenants") is not None else None
-    except _Wrong as wrong:
-        return Refused(*wrong.args)
+    except _InvalidConfiguration as wrong:
+        return RejectedConfiguration(*wrong.args)
     return Configuration(version, routes, services, limits, tenants)
--- a/troutdock/settings/process.py
+++ b/troutdock/settings/process.py
@@ -12,22 +12,22 @@
 import logbook
 import uvloop
 
-from troutdock.settings.boot import ENVIRONMENT, Boot, load_boot
+from troutdock.settings.boot import BOOT_FILE_VARIABLE, Boot, load_boot
 from troutdock.settings.table import SettingsError
 
-COLLECT_AFTER = 10_000  # objects more than before, until the collector of cycles looks: requests leave none
+GC_THRESHOLD = 10_000  # objects more than before, until the collector of cycles looks: requests leave none
 
 
-def life_of_now() -> int:
+def new_incarnation() -> int:
     """A number for this life of the process, higher than those before unless the clock was set back."""
     return time.time_ns() // 1_000_000
 
 
-def run(name: str, main: Callable[[Boot, str], Awaitable[int]]) -> int:
+def run_daemon(name: str, main: Callable[[Boot, str], Awaitable[int]]) -> int:
     """Run a daemon: exit code 2 with one plain line on bad settings, else what main gives."""
-    path = os.environ.get(ENVIRONMENT)
+    path = os.environ.get(BOOT_FILE_VARIABLE)
     if not path:
-        print(f"{name}: {ENVIRONMENT} is not set", file=sys.stderr)
+        print(f"{name}: {BOOT_FILE_VARIABLE} is not set", file=sys.stderr)
         return 2
     try:
         boot = load_boot(path)
@@ -39,7 +39,7 @@
     )
     handler.push_application()
     gc.freeze()
-    gc.set_threshold(COLLECT_AFTER, 20, 20)
+    gc.set_threshold(GC_THRESHOLD, 20, 20)
 
     async def body() -> int:
         return await main(boot, path)
--- a/troutdock/settings/table.py
+++ b/troutdock/settings/table.py
@@ -17,13 +17,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Absent:
+class NoDefault:
     """Why a setting has no default."""
 
     reason: str
 
 
-REQUIRED = Absent("it must be set")
+REQUIRED = NoDefault("it must be set")
 
 Check = Callable[[Any], str | None]
 
@@ -37,7 +37,7 @@
     return lambda value: None if _number(value) and value >= least else f"not a number of at least {least:g}"
 
 
-def whole(least: int = 0) -> Check:
+def integer(least: int = 0) -> Check:
     """A whole number of at least this."""
     return lambda value: (
         None
@@ -46,12 +46,12 @@
     )
 
 
-def text(value: Any) -> str | None:
+def string(value: Any) -> str | None:
     """Some text that is not empty."""
     return None if isinstance(value, str) and value else "not a text"
 
 
-def flag(value: Any) -> str | None:
+def boolean(value: Any) -> str | None:
     """True or false."""
     return None if isinstance(value, bool) else "neither true nor false"
 
@@ -91,7 +91,7 @@
         if not isinstance(value, Mapping):
             return "not a mapping"
         return next(
-            (f"{key}: {wrong}" for key, item in value.items() if (wrong := text(key) or check(item))), None
+            (f"{key}: {wrong}" for key, item in value.items() if (wrong := string(key) or check(item))), None
         )
 
     return checked
@@ -112,7 +112,7 @@
     about: str = ""
 
 
-class Table:
+class SettingsTable:
     """Settings by name."""
 
     def __init__(self, *settings: Setting) -> None:
