--- a/tests/system/test_large_messages.py
+++ b/tests/system/test_large_messages.py
@@ -113,7 +113,7 @@
         )
     )
     assembler, whole = ChunkAssembler(), []
-    with pytest.raises(FrameError, match="a part at"):
+    with pytest.raises(FrameError, match="unexpected chunk at"):
         for part in harm(parts):
             if (found := assembler.add(part)) is not None:
                 whole.append(found)
@@ -341,16 +341,19 @@
 @pytest.mark.parametrize(
     ("wire", "why"),
     [
-        (b"x" * 20, "a frame without a length"),
-        (b"999999999:", "a frame without a length"),
-        (b"65600:", "65600 bytes, 65568 at most"),
-        (b"01:", "is no length of a frame"),
-        (b"1000000:", "1000000 bytes, 65568 at most"),
-        (encode_frame(b"+5/9:x"), "a part at 5 of 9 bytes, where 0 of 0"),
-        (encode_frame(b"+0/99999999:x"), "99999999 bytes in parts"),
+        (b"x" * 20, "frame without a length"),
+        (b"999999999:", "frame without a length"),
+        (b"65600:", "65600 bytes exceeds the limit of 65568"),
+        (b"01:", "is not a frame length"),
+        (b"1000000:", "1000000 bytes exceeds the limit of 65568"),
+        (encode_frame(b"+5/9:x"), "chunk at 5 of 9 bytes, with 0 of 0"),
+        (encode_frame(b"+0/99999999:x"), "message of 99999999 bytes exceeds"),
         (encode_frame(b"garbage"), "JSON"),
-        (encode_frame(encode(YOU)), "a second Hello, of you, life 2"),
-        (encode_frame(encode(Hello("r", "you", "10.0.0.2", "a", 3))), "a second Hello, of you, life 3"),
+        (encode_frame(encode(YOU)), "second Hello, from you, incarnation 2"),
+        (
+            encode_frame(encode(Hello("r", "you", "10.0.0.2", "a", 3))),
+            "second Hello, from you, incarnation 3",
+        ),
     ],
 )
 def test_garbage_ends_the_link_with_a_line_that_names_who(
@@ -361,7 +364,7 @@
         with logbook.TestHandler() as handler:
             world.link.data_received(wire + PING)
         [record] = handler.records
-        assert "Link cut: you" in record.message and why in record.message
+        assert "Connection aborted: you" in record.message and why in record.message
         assert world.pipe.aborted and world.downs == 1 and world.heard == [] and world.ups == 1
 
     asyncio.run(run())
@@ -413,7 +416,7 @@
         with logbook.TestHandler() as handler:
             world.link.data_received(encode_frame(encode(Fresh(True, 7))))
         assert world.heard == [] and not world.link.open and world.downs == 1
-        assert "you has ended it while this process stood for 20.0 s" in handler.records[0].message
+        assert "you has closed it while this process was suspended for 20.0 s" in handler.records[0].message
 
 
 @in_loop
@@ -440,8 +443,10 @@
         up = asyncio.Event()
         dialer = Connector(address, ME, lambda *_: None, lambda _: up.set())
         await asyncio.wait_for(up.wait(), 5)
-        before = PeerConnection(ME, lambda *_: None, lambda _: None, dialer._ended)  # of an earlier try
-        dialer._ended(before)
+        before = PeerConnection(
+            ME, lambda *_: None, lambda _: None, dialer._handle_closed
+        )  # of an earlier try
+        dialer._handle_closed(before)
         current = dialer.connection
         for _ in range(20):
             await asyncio.sleep(0)
--- a/troutdock/rpc/connection.py
+++ b/troutdock/rpc/connection.py
@@ -1,20 +1,23 @@
-"""Connections between the system's own processes: messages in and out, signs of life, bounds.
-
-Theory of operation. A Link is one TCP connection. Each side says something at least every PING_S; one that
-has heard nothing for SILENT_S ends it, as a machine without power or behind a cut says nothing at all. Any
-byte is a sign of life: a long message that is still coming is none of silence. A Dialer keeps a link to one
-address, one at a time, and tries again with a pause that grows; a Listener takes those of others. What is no
-message, no next part or a second Hello ends that link and nothing else; half a message goes with its link.
-
-Messages come in the order in which they were sent, but for those of PASSING: they tell how things stand, not
-what to do next, and go ahead of what waits. What is longer than a part goes in parts, handed to the system
-as the peer takes them, so that at most UNSENT_PARTS bytes of it lie before a sign of life. A peer that does
-not read is cut at MOST_UNSENT bytes.
-
-Silence is counted while this process runs. One that was frozen reads first what waits in the socket, instead
-of ending good links by a timer that is late. But past GONE_S without a byte the other side has certainly
-ended the link, by the same rule, and what lies in the socket is as old as that: it is dropped unread with the
-link, as news of unknown age must not pass for news. Time is the steady clock's only.
+"""TCP connections between the system's own processes: framing, keep-alive, time-outs and send limits.
+
+Theory of operation. A PeerConnection is one TCP connection. Each side sends something at least every
+PING_INTERVAL_S; a side that has received nothing for SILENCE_TIMEOUT_S closes the connection, since a machine
+without power or behind a network partition sends neither data nor a FIN. Any received byte counts, so a long
+message in transit keeps its connection alive. A Connector keeps one connection to one address and reconnects
+with exponential back-off; a Listener accepts connections. Bytes that are no message, a chunk out of sequence
+or a second Hello close that connection and have no other effect. An incomplete message is discarded when its
+connection closes.
+
+Messages are delivered in the order of sending, except the types in EXPEDITED_MESSAGES. These report a current
+state and request nothing, so they are sent ahead of the queue. A payload longer than a chunk is split into
+chunks. They are handed to the transport as the peer reads, so that at most MAX_WRITE_BUFFER_BYTES of it
+precede a ping. A connection whose peer does not read is closed at MAX_UNSENT_BYTES.
+
+Silence is counted only while this process runs. A process that was suspended first reads what is in the
+socket, so that a timer that fires late does not close working connections. After STALE_INPUT_S without a byte,
+however, the other side has certainly closed the connection by the same rule, and the bytes in the socket are
+at least that old: they are discarded unread with the connection, as messages of unknown age must not be taken
+for current ones. All times are those of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -56,23 +59,18 @@
 
 Address = tuple[str, int]
 
-PING_INTERVAL_S = 0.3  # between two signs of life
-SILENCE_TIMEOUT_S = 1.0  # without any: three are lost, or the way is cut
-STALE_INPUT_S = (
-    SILENCE_TIMEOUT_S + 2 * PING_INTERVAL_S
-)  # without any: who is there has ended the link, a beat and the way counted in
-CONNECT_TIMEOUT_S = (
-    0.6  # for a connection to come up: the longest way is some 80 ms, and one lost packet a second
-)
-RECONNECT_DELAY_S, MAX_RECONNECT_DELAY_S = 0.05, 0.5  # between two tries: at first, and at most
-MAX_UNSENT_BYTES = MAX_PAYLOAD_BYTES + (1 << 20)  # bytes that wait for a peer that does not read
-MAX_WRITE_BUFFER_BYTES = (
-    2 * CHUNK_BYTES
-)  # bytes in the connection's own buffer, past which the next part waits
-MAX_HELLO_BYTES = 4096  # bytes of a first message: Hello
-EXPEDITED_MESSAGES = (Ping, Status, Probe, ProbeAck, Fresh)  # may go ahead of others, in their own order
+PING_INTERVAL_S = 0.3
+SILENCE_TIMEOUT_S = 1.0  # three pings in a row are lost, or the network path is down
+# by now the peer has closed the connection; allows for one ping interval and the network delay
+STALE_INPUT_S = SILENCE_TIMEOUT_S + 2 * PING_INTERVAL_S
+CONNECT_TIMEOUT_S = 0.6  # the longest round trip is some 80 ms, and one lost packet per second is allowed for
+RECONNECT_DELAY_S, MAX_RECONNECT_DELAY_S = 0.05, 0.5
+MAX_UNSENT_BYTES = MAX_PAYLOAD_BYTES + (1 << 20)  # queued for a peer that does not read
+MAX_WRITE_BUFFER_BYTES = 2 * CHUNK_BYTES  # in the transport; above this, no further chunk is written
+MAX_HELLO_BYTES = 4096  # limit for the first message of a connection
+EXPEDITED_MESSAGES = (Ping, Status, Probe, ProbeAck, Fresh)  # sent ahead of others, in order among themselves
 
-monotonic_time = time.monotonic  # not the loop's, which stands still while a callback runs
+monotonic_time = time.monotonic  # the time of the event loop does not advance while a callback runs
 
 
 MessageHandler = Callable[["PeerConnection", Message], None]
@@ -80,25 +78,48 @@
 
 
 class PeerConnection(asyncio.Protocol):
-    """One connection; heard, up and down are called with it."""
+    """One connection to another process of the system.
+
+    Attributes:
+        peer: The peer's Hello; None until it has been received.
+        open: Whether the connection is established.
+        last_received_at: When the last byte was received, in seconds of the monotonic clock.
+    """
 
     def __init__(
-        self, me: Hello, heard: MessageHandler, up: ConnectionHandler, down: ConnectionHandler
+        self,
+        hello: Hello,
+        on_message: MessageHandler,
+        on_ready: ConnectionHandler,
+        on_closed: ConnectionHandler,
     ) -> None:
-        self._me, self._heard, self._up, self._down = me, heard, up, down
-        self.peer: Hello | None = None  # who is there, once it has said so
+        """Prepares a connection; asyncio establishes it.
+
+        Args:
+            hello: The first message to send.
+            on_message: Called for each received message except Hello and Ping.
+            on_ready: Called when the peer's Hello has been received.
+            on_closed: Called once when an established connection has closed.
+        """
+        self._hello, self._on_message, self._on_ready, self._on_closed = (
+            hello,
+            on_message,
+            on_ready,
+            on_closed,
+        )
+        self.peer: Hello | None = None
         self._decoder = FrameDecoder(MAX_HELLO_BYTES)
         self._assembler = ChunkAssembler(MAX_HELLO_BYTES)
         self._send_queue = SendQueue()
-        self._write_paused = False  # the connection's own buffer: no next part
+        self._write_paused = False  # the transport's buffer is full
         self._transport: asyncio.Transport | None = None
         self._loop = asyncio.get_running_loop()
         self._timer: asyncio.TimerHandle | None = None
-        self.last_received_at = self._last_beat_at = monotonic_time()
-        self._silent_s = 0.0  # since a byte came, while this process ran
+        self.last_received_at = self._last_check_at = monotonic_time()
+        self._silent_s = 0.0  # time without a received byte, counted only while this process ran
         self._last_sent_at = 0.0
         self.open = False
-        self._aborted = False  # it was cut, maybe before it came up
+        self._aborted = False  # possibly before it was established
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
@@ -111,36 +132,50 @@
             with contextlib.suppress(OSError):
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.open = True
-        self.last_received_at = self._last_beat_at = monotonic_time()
-        self.send(self._me)
-        self._beat()
+        self.last_received_at = self._last_check_at = monotonic_time()
+        self.send(self._hello)
+        self._check_silence()
 
     def send(self, message: Message) -> bool:
-        """Say it; false: the link is down, or has just been cut for a peer that does not read."""
+        """Sends a message.
+
+        Returns:
+            False if the connection is closed, or exceeds MAX_UNSENT_BYTES and is aborted.
+        """
         payload = encode(message)
         return self.send_payload(
             payload, isinstance(message, EXPEDITED_MESSAGES) and len(payload) <= CHUNK_BYTES
         )
 
-    def send_payload(self, payload: bytes, passes: bool = False) -> bool:
-        """The same for one that is encoded already; it is not copied, so several links may share it.
+    def send_payload(self, payload: bytes, expedited: bool = False) -> bool:
+        """Sends an encoded message. The bytes are not copied, so several connections may share them.
+
+        Args:
+            payload: The encoded message.
+            expedited: Whether to send it ahead of the queue.
 
-        passes: it goes ahead of what waits. ValueError: one of more than a part can't.
+        Returns:
+            False if the connection is closed, or exceeds MAX_UNSENT_BYTES and is aborted.
+
+        Raises:
+            ValueError: An expedited payload is longer than a chunk.
         """
-        if passes and len(payload) > CHUNK_BYTES:
-            raise ValueError(f"{len(payload)} bytes can't pass others")
+        if expedited and len(payload) > CHUNK_BYTES:
+            raise ValueError(f"payload of {len(payload)} bytes is too long to be expedited")
         if not self.open or self._transport is None:
             return False
-        if self._transport.is_closing():  # by its own end, which has not been told yet
-            self._ended()
+        if self._transport.is_closing():  # connection_lost has not been called yet
+            self._handle_closed()
             return False
         if (
             self._transport.get_write_buffer_size() + self._send_queue.queued_bytes + len(payload)
             > MAX_UNSENT_BYTES
         ):
-            self._abort_with_warning("does not read")
+            self._abort_with_warning("does not read what is sent to it")
             return False
-        if passes or not (self._send_queue.queued_bytes or self._write_paused or len(payload) > CHUNK_BYTES):
+        if expedited or not (
+            self._send_queue.queued_bytes or self._write_paused or len(payload) > CHUNK_BYTES
+        ):
             self._write(encode_frame(payload))
         else:
             self._send_queue.put(payload)
@@ -169,149 +204,169 @@
         now = monotonic_time()
         if now - self.last_received_at > STALE_INPUT_S:
             self._abort_with_warning(
-                f"has ended it while this process stood for {now - self.last_received_at:.1f} s"
+                f"has closed it while this process was suspended for {now - self.last_received_at:.1f} s"
             )
             return
         self.last_received_at, self._silent_s = now, 0.0
         try:
-            for framed in self._decoder.feed(data):
-                if (payload := self._assembler.add(framed)) is not None:
+            for frame in self._decoder.feed(data):
+                if (payload := self._assembler.add(frame)) is not None:
                     self._dispatch(decode(payload))
                 if not self.open:
                     return
         except (FrameError, MessageError) as error:
-            self._abort_with_warning(f"sent what is none of ours: {error}")
+            self._abort_with_warning(f"sent an invalid message: {error}")
 
     def _dispatch(self, message: Message) -> None:
         if isinstance(message, Hello):
             if self.peer is not None:
-                raise MessageError(f"a second Hello, of {message.name}, life {message.life}")
+                raise MessageError(f"second Hello, from {message.name}, incarnation {message.life}")
             self.peer = message
             self._decoder.max_bytes, self._assembler.max_bytes = MAX_FRAME_BYTES, MAX_PAYLOAD_BYTES
-            self._up(self)
+            self._on_ready(self)
         elif isinstance(message, Ping):
             pass
         elif self.peer is None:
-            raise MessageError("a message before Hello")
+            raise MessageError("message before Hello")
         else:
-            self._heard(self, message)
+            self._on_message(self, message)
 
-    def _beat(self) -> None:
+    def _check_silence(self) -> None:
         if not self.open:
             return
         now = monotonic_time()
-        # what lies in the socket is read before the next beat: one beat that is late says nothing of the peer
-        self._silent_s += min(now - max(self._last_beat_at, self.last_received_at), 2 * PING_INTERVAL_S)
-        self._last_beat_at = now
+        # a late timer says nothing about the peer: bytes in the socket are read before the next check
+        self._silent_s += min(now - max(self._last_check_at, self.last_received_at), 2 * PING_INTERVAL_S)
+        self._last_check_at = now
         if self._silent_s > SILENCE_TIMEOUT_S:
             self.abort()
             return
         if now - self._last_sent_at >= PING_INTERVAL_S * 0.9:
             self.send(Ping())
-        self._timer = self._loop.call_later(PING_INTERVAL_S, self._beat)
+        self._timer = self._loop.call_later(PING_INTERVAL_S, self._check_silence)
 
-    def _abort_with_warning(self, why: str) -> None:
+    def _abort_with_warning(self, reason: str) -> None:
         if self.peer is not None:
-            whom = self.peer.name
+            peer = self.peer.name
         else:
-            found = self._transport.get_extra_info("peername") if self._transport is not None else None
-            whom = f"a stranger at {found[0]}" if found else "a stranger"
-        log.warning("Link cut: {} {}.", whom, why)
+            address = self._transport.get_extra_info("peername") if self._transport is not None else None
+            peer = f"unidentified peer at {address[0]}" if address else "unidentified peer"
+        log.warning("Connection aborted: {} {}.", peer, reason)
         self.abort()
 
     def abort(self) -> None:
-        """End it at once, or as soon as it would come up."""
+        """Closes the connection without flushing; one that is not established yet is closed once it is."""
         self._aborted = True
         if self._transport is not None:
             self._transport.abort()
-        self._ended()
+        self._handle_closed()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._ended()
+        self._handle_closed()
 
-    def _ended(self) -> None:
+    def _handle_closed(self) -> None:
         if self.open:
             self.open = False
             if self._timer is not None:
                 self._timer.cancel()
             self._send_queue.clear()
             self._assembler.clear()
-            self._down(self)
+            self._on_closed(self)
 
 
-def broadcast(links: Iterable[PeerConnection], message: Message) -> None:
-    """Say one thing to many; it is encoded once, and its bytes are shared."""
+def broadcast(connections: Iterable[PeerConnection], message: Message) -> None:
+    """Sends a message on several connections; it is encoded once and its bytes are shared."""
     payload = encode(message)
-    passes = isinstance(message, EXPEDITED_MESSAGES) and len(payload) <= CHUNK_BYTES
-    for link in links:
-        link.send_payload(payload, passes)
+    expedited = isinstance(message, EXPEDITED_MESSAGES) and len(payload) <= CHUNK_BYTES
+    for connection in connections:
+        connection.send_payload(payload, expedited)
 
 
 class Connector:
-    """Keeps a link to an address until it is closed."""
+    """Keeps a connection to an address, with reconnection, until close() is called.
+
+    Attributes:
+        connection: The current connection, established or in progress; None between two attempts.
+        attempted: Whether an attempt has ended or a connection has been closed.
+    """
 
     def __init__(
         self,
         address: Address,
-        me: Hello,
-        heard: MessageHandler,
-        up: ConnectionHandler,
-        down: ConnectionHandler = lambda _: None,
-        failed: Callable[[], None] = lambda: None,
+        hello: Hello,
+        on_message: MessageHandler,
+        on_ready: ConnectionHandler,
+        on_closed: ConnectionHandler = lambda _: None,
+        on_failure: Callable[[], None] = lambda: None,
     ) -> None:
-        """heard, up, down: those of each link. failed: a try has not come to a link."""
+        """Starts connecting.
+
+        Args:
+            address: Host and port.
+            hello: The first message to send on each connection.
+            on_message: As for PeerConnection.
+            on_ready: As for PeerConnection.
+            on_closed: As for PeerConnection.
+            on_failure: Called when an attempt to connect has failed.
+        """
         self.address = address
-        self._failed = failed
-        self._me, self._heard, self._up, self._down = me, heard, up, down
+        self._on_failure = on_failure
+        self._hello, self._on_message, self._on_ready, self._on_closed = (
+            hello,
+            on_message,
+            on_ready,
+            on_closed,
+        )
         self.connection: PeerConnection | None = None
-        self.attempted = False  # once, with whatever came of it
+        self.attempted = False
         self._delay_s = RECONNECT_DELAY_S
         self._closed = False
         self._lost = asyncio.Event()
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     def send(self, message: Message) -> bool:
-        """Say it, if there is a link whose peer has said who it is."""
-        link = self.connection
-        return link is not None and link.peer is not None and link.send(message)
+        """Sends a message if the connection is ready; returns whether it was sent."""
+        connection = self.connection
+        return connection is not None and connection.peer is not None and connection.send(message)
 
     @property
     def is_ready(self) -> bool:
-        """There is a link, and its peer has said who it is."""
+        """Whether the connection is established and the peer's Hello has been received."""
         return self.connection is not None and self.connection.open and self.connection.peer is not None
 
     async def _run(self) -> None:
         loop = asyncio.get_running_loop()
         while not self._closed:
-            self._lost.clear()  # of the link before: this one's end sets it again
-            link = PeerConnection(self._me, self._heard, self._up, self._ended)
-            self.connection = link
+            self._lost.clear()  # set by the previous connection; this one sets it again when it closes
+            connection = PeerConnection(self._hello, self._on_message, self._on_ready, self._handle_closed)
+            self.connection = connection
             try:
                 async with asyncio.timeout(CONNECT_TIMEOUT_S):
-                    await loop.create_connection(lambda link=link: link, *self.address)  # type: ignore[misc]
+                    await loop.create_connection(lambda connection=connection: connection, *self.address)  # type: ignore[misc]
             except (OSError, TimeoutError):
                 self.connection, self.attempted = None, True
-                link.abort()  # it may have come up in the very moment
-                self._failed()
+                connection.abort()  # it may have been established at the moment of the time-out
+                self._on_failure()
                 await asyncio.sleep(self._delay_s)
                 self._delay_s = min(MAX_RECONNECT_DELAY_S, self._delay_s * 2)
                 continue
-            began = loop.time()
+            connected_at = loop.time()
             await self._lost.wait()
             self.connection, self.attempted = None, True
-            if loop.time() - began > SILENCE_TIMEOUT_S * 2:
+            if loop.time() - connected_at > SILENCE_TIMEOUT_S * 2:
                 self._delay_s = RECONNECT_DELAY_S
             await asyncio.sleep(self._delay_s)
             self._delay_s = min(MAX_RECONNECT_DELAY_S, self._delay_s * 2)
 
-    def _ended(self, link: PeerConnection) -> None:
-        if link is self.connection:  # not one before, whose end was told late: the next would be left alive
+    def _handle_closed(self, connection: PeerConnection) -> None:
+        # a late report about a previous connection must not wake _run: it would leave the current one open
+        if connection is self.connection:
             self.attempted = True
             self._lost.set()
-        self._down(link)
+        self._on_closed(connection)
 
     def close(self) -> None:
-        """No more tries, and the link ends."""
+        """Stops reconnecting and closes the connection."""
         self._closed = True
         self._task.cancel()
         if self.connection is not None:
@@ -320,27 +375,35 @@
 
 
 class Listener:
-    """Takes the links of others."""
+    """Accepts connections from other processes."""
 
-    def __init__(self, make: Callable[[], PeerConnection]) -> None:
-        self._make = make
-        self._links: WeakSet[PeerConnection] = WeakSet()
+    def __init__(self, create: Callable[[], PeerConnection]) -> None:
+        """create: returns a new PeerConnection for each accepted connection."""
+        self._create = create
+        self._connections: WeakSet[PeerConnection] = WeakSet()
         self._server: asyncio.Server | None = None
 
     async def listen(self, address: Address) -> Address:
-        """Open it; gives the address, with the port that the system chose for 0. OSError if it is taken."""
+        """Starts listening.
+
+        Returns:
+            The bound address; for port 0, with the port that the operating system chose.
+
+        Raises:
+            OSError: The address is in use.
+        """
         self._server = await asyncio.get_running_loop().create_server(self._accept, *address, backlog=256)
         host, port = self._server.sockets[0].getsockname()[:2]
         return host, port
 
     def _accept(self) -> PeerConnection:
-        link = self._make()
-        self._links.add(link)
-        return link
+        connection = self._create()
+        self._connections.add(connection)
+        return connection
 
     def close(self) -> None:
-        """No more links, and those that were taken end."""
+        """Stops listening and closes all accepted connections."""
         if self._server is not None:
             self._server.close()
-        for link in list(self._links):
-            link.abort()
+        for connection in list(self._connections):
+            connection.abort()
