--- a/tests/system/test_rooms.py
+++ b/tests/system/test_rooms.py
@@ -165,7 +165,7 @@
         (("routes", "rows", 1, 6), None, "neither"),
         (("routes", "columns", 0), "hostname", "columns"),
         (("routes",), 5, "routes"),
-        (("services", "rows", 1, 0), "s", "twice"),
+        (("services", "rows", 1, 0), "s", "duplicate service"),
         (("services", "rows", 0, 4), True, "tls"),
         (("tenants", "rows", 1, 1), ["k1"], "key"),
         (("tenants", "rows", 1, 0), "a", "name"),
--- a/troutdock/rpc/__init__.py
+++ b/troutdock/rpc/__init__.py
@@ -1,1 +1,1 @@
-"""What the system's processes say to each other: netstrings of JSON on TCP, and calls from outside."""
+"""Communication: netstrings of JSON over TCP between the system's processes, and HTTP from outside."""
--- a/troutdock/rpc/connection.py
+++ b/troutdock/rpc/connection.py
@@ -8,16 +8,17 @@
 or a second Hello close that connection and have no other effect. An incomplete message is discarded when its
 connection closes.
 
-Messages are delivered in the order of sending, except the types in EXPEDITED_MESSAGES. These report a current
-state and request nothing, so they are sent ahead of the queue. A payload longer than a chunk is split into
-chunks. They are handed to the transport as the peer reads, so that at most MAX_WRITE_BUFFER_BYTES of it
-precede a ping. A connection whose peer does not read is closed at MAX_UNSENT_BYTES.
+Messages are delivered in the order of sending, except the types in EXPEDITED_MESSAGES. These report a
+current state and request nothing, so they are sent ahead of the queue. A payload longer than a chunk is
+split into chunks. They are handed to the transport as the peer reads, so that at most
+MAX_WRITE_BUFFER_BYTES of it precede a ping. A connection whose peer does not read is closed at
+MAX_UNSENT_BYTES.
 
 Silence is counted only while this process runs. A process that was suspended first reads what is in the
-socket, so that a timer that fires late does not close working connections. After STALE_INPUT_S without a byte,
-however, the other side has certainly closed the connection by the same rule, and the bytes in the socket are
-at least that old: they are discarded unread with the connection, as messages of unknown age must not be taken
-for current ones. All times are those of the monotonic clock.
+socket, so that a timer that fires late does not close working connections. After STALE_INPUT_S without a
+byte, however, the other side has certainly closed the connection by the same rule, and the bytes in the
+socket are at least that old: they are discarded unread with the connection, as messages of unknown age must
+not be taken for current ones. All times are those of the monotonic clock.
 """
 
 from __future__ import annotations
--- a/troutdock/rpc/event_trace.py
+++ b/troutdock/rpc/event_trace.py
@@ -1,9 +1,10 @@
-"""Traces: every event that a state machine was handed, as lines of JSON, to be played against it again.
+"""Traces: records of all events of a state machine as lines of JSON, which can be replayed later.
 
-No I/O but the file. The first line tells what the machine was made of; each further one names a method and
-its arguments, messages as they go over the wire. A machine decides by its events alone, so the same lines
-give the same decisions; `troutdock system replay FILE` does that on any desk, and tests do it with traces of
-days that went wrong. A trace is bounded in bytes, as it is for hours, not for months.
+The trace file is the only I/O. The first line has the parameters that the state machine was created with.
+Each further line has the name of a method and its arguments, with messages encoded as on the wire. A state
+machine depends on its events only, so a replay gives the same actions. `troutdock system replay FILE`
+replays a trace on any computer, and tests replay traces of past incidents. The size of a trace is limited,
+as it is meant to cover hours, not months.
 """
 
 from __future__ import annotations
@@ -17,46 +18,50 @@
 
 from troutdock.rpc.messages import Instance, Member, Message
 
-MAX_TRACE_BYTES = 64 * 1024 * 1024  # of a trace: some hours of a store's events
-_STRUCTS = {kind.__name__: kind for kind in (*get_args(Message), Instance, Member)}
+MAX_TRACE_BYTES = 64 * 1024 * 1024  # some hours of a store's events
+_STRUCT_TYPES = {kind.__name__: kind for kind in (*get_args(Message), Instance, Member)}
 
 StateMachine = TypeVar("StateMachine")
-Event = tuple[str, list[Any]]  # a method, and what it was called with
+Event = tuple[str, list[Any]]  # method name and arguments
 
 
 class TraceError(ValueError):
-    """The file is no trace; it says in which line."""
+    """The file is not a valid trace; the message names the line."""
 
 
 class EventRecorder:
-    """A machine whose named methods are written down before they run; all else is the machine's own."""
+    """Wrapper of a state machine that records calls of the given methods before it delegates them.
+
+    All other attributes are those of the state machine.
+    """
 
     def __init__(
-        self, machine: object, file: IO[bytes], parameters: dict[str, Any], methods: Iterable[str]
+        self, state_machine: object, file: IO[bytes], parameters: dict[str, Any], methods: Iterable[str]
     ) -> None:
-        self._machine, self._file, self._methods = machine, file, frozenset(methods)
-        self._written = 0
-        self._handles: dict[int, object] = {}  # of connections: what they are called is all that decides
+        self._state_machine, self._file, self._methods = state_machine, file, frozenset(methods)
+        self._written_bytes = 0
+        # connections by id, in order of appearance: a trace identifies them by their index
+        self._handles: dict[int, object] = {}
         self._write(parameters)
 
     def _write(self, line: object) -> None:
-        if self._written < MAX_TRACE_BYTES:
+        if self._written_bytes < MAX_TRACE_BYTES:
             data = msgspec.json.encode(line) + b"\n"
-            self._written += len(data)
+            self._written_bytes += len(data)
             self._file.write(data)
 
     def __getattr__(self, name: str) -> Any:
-        found = getattr(self._machine, name)
+        attribute = getattr(self._state_machine, name)
         if name not in self._methods:
-            return found
+            return attribute
 
-        def call(*args: Any) -> Any:
-            self._write([name, *(self._told(arg) for arg in args)])
-            return found(*args)
+        def record_and_call(*args: Any) -> Any:
+            self._write([name, *(self._encode_argument(arg) for arg in args)])
+            return attribute(*args)
 
-        return call
+        return record_and_call
 
-    def _told(self, arg: Any) -> Any:
+    def _encode_argument(self, arg: Any) -> Any:
         if isinstance(arg, msgspec.Struct):
             return {type(arg).__name__: arg}
         if arg is None or isinstance(arg, str | int | float | bool):
@@ -66,51 +71,64 @@
 
 
 def record_events(
-    machine: StateMachine, path: Path, parameters: dict[str, Any], methods: Iterable[str]
+    state_machine: StateMachine, path: Path, parameters: dict[str, Any], methods: Iterable[str]
 ) -> StateMachine:
-    """The machine with its events going to a new file. OSError where that can't be written."""
-    return cast(StateMachine, EventRecorder(machine, path.open("wb", buffering=0), parameters, methods))
+    """Returns the state machine wrapped so that calls of the given methods are recorded in a new file.
+
+    Raises:
+        OSError: The file cannot be written.
+    """
+    return cast(StateMachine, EventRecorder(state_machine, path.open("wb", buffering=0), parameters, methods))
 
 
 def read_trace(path: Path) -> tuple[dict[str, Any], Iterator[Event]]:
-    """What the machine was made of, and its events in order. TraceError, OSError."""
+    """Returns the parameters of the state machine and its events in order.
+
+    Raises:
+        TraceError: The file is not a valid trace; the iterator may raise it, too.
+        OSError: The file cannot be read.
+    """
     lines = path.read_bytes().splitlines()
-    with _placed(path, 1):
-        head = msgspec.json.decode(lines[0] if lines else b"", type=dict[str, Any])
-    return head, _events(path, lines[1:])
+    with _line_context(path, 1):
+        parameters = msgspec.json.decode(lines[0] if lines else b"", type=dict[str, Any])
+    return parameters, _read_events(path, lines[1:])
 
 
 @contextmanager
-def _placed(path: Path, number: int) -> Iterator[None]:
+def _line_context(path: Path, number: int) -> Iterator[None]:
     try:
         yield
     except (ValueError, KeyError, msgspec.MsgspecError) as error:
         raise TraceError(f"{path.name}, line {number}: {error}") from error
 
 
-def _events(path: Path, lines: list[bytes]) -> Iterator[Event]:
+def _read_events(path: Path, lines: list[bytes]) -> Iterator[Event]:
     for number, line in enumerate(lines, 2):
         if number == len(lines) + 1 and not line.endswith(b"]"):
-            return  # the process ended in the middle of it
-        with _placed(path, number):
-            name, *args = msgspec.json.decode(line, type=list[msgspec.Raw])
-            event = msgspec.json.decode(name, type=str), [_arg(arg) for arg in args]
+            return  # an incomplete last line: the process ended while writing it
+        with _line_context(path, number):
+            method, *args = msgspec.json.decode(line, type=list[msgspec.Raw])
+            event = msgspec.json.decode(method, type=str), [_decode_argument(arg) for arg in args]
         yield event
 
 
-def _arg(arg: msgspec.Raw) -> Any:
+def _decode_argument(arg: msgspec.Raw) -> Any:
     if bytes(arg)[:1] != b"{":
         return msgspec.json.decode(arg)
     ((name, fields),) = msgspec.json.decode(arg, type=dict[str, msgspec.Raw]).items()
-    return msgspec.json.decode(fields, type=_STRUCTS[name])
+    return msgspec.json.decode(fields, type=_STRUCT_TYPES[name])
 
 
 def replay_events(
-    machine: object, events: Iterable[Event], methods: Iterable[str]
+    state_machine: object, events: Iterable[Event], methods: Iterable[str]
 ) -> Iterator[tuple[Event, Any]]:
-    """Hand a machine its events again: each with the actions that it gives."""
+    """Calls a state machine with recorded events; yields each event with the actions that it returned.
+
+    Raises:
+        TraceError: An event names a method other than the given ones.
+    """
     allowed = frozenset(methods)
     for name, args in events:
         if name not in allowed:
-            raise TraceError(f"no method {name!r:.40} is recorded")
-        yield (name, args), getattr(machine, name)(*args)
+            raise TraceError(f"method {name!r:.40} cannot be replayed")
+        yield (name, args), getattr(state_machine, name)(*args)
--- a/troutdock/rpc/messages.py
+++ b/troutdock/rpc/messages.py
@@ -1,7 +1,13 @@
-"""All that the system's processes say to each other, as types that both sides import.
+"""The messages that the system's processes exchange, as types that both sides import.
 
-On the wire each is one netstring with a JSON object whose "t" names its type. Times are seconds, and spans,
-never moments: processes share no clock. An unknown field is dropped, so that a newer sender is understood.
+On the wire, a message is one netstring with a JSON object whose "t" names its type. Times are durations in
+seconds, never timestamps, since processes share no clock. Unknown fields are ignored, so that messages of a
+newer sender are understood.
+
+The field `life` is the incarnation number of a process: a later start of the same process has a higher one.
+In a request it is that of the requester, and the response repeats it, so that a restarted requester can
+tell responses to its predecessor apart. `number` identifies a request within an incarnation in the same
+way.
 """
 
 from __future__ import annotations
@@ -11,26 +17,28 @@
 import msgspec
 from msgspec import Struct
 
-NO_BODY = msgspec.Raw(b"null")  # in place of a configuration
-READY, DRAINING, GONE = 0, 1, 2  # states of an instance; they rise only
+NO_BODY = msgspec.Raw(b"null")  # the body where there is no configuration
+READY, DRAINING, GONE = 0, 1, 2  # states of an instance; a state only increases
 
 
 def body_digest(body: bytes | msgspec.Raw) -> str:
-    """What tells two configurations of one number apart: 96 bits of the operator's own bytes, in hex.
+    """Returns a 96-bit digest in hex, which tells two configurations with the same version apart.
 
-    White space round them does not count: a body that travels inside a message loses it.
+    Surrounding white space is ignored, since a body that is sent inside a message loses it.
     """
     return blake2b(bytes(body).strip(), digest_size=12).hexdigest()
 
 
 class MessageError(ValueError):
-    """The payload is none of the messages that both sides know."""
+    """The payload is not a known message."""
 
 
 class Hello(Struct, tag="hello", tag_field="t", omit_defaults=True):
-    """The first on a connection. role: a program's name; ip: its machine; life: of this process, a number.
+    """The first message on a connection.
 
-    leases: it takes part in the leases of quotas; a process of before them would end the link at one.
+    role: the program's name; ip: its machine; life: the incarnation of the process; leases: whether the
+    process takes part in quota leasing (an older process closes a connection on which it receives such a
+    message).
     """
 
     role: str
@@ -42,7 +50,7 @@
 
 
 class Ping(Struct, tag="ping", tag_field="t"):
-    """Nothing but a sign of life."""
+    """Keep-alive; has no content."""
 
 
 # ---- instances and members: registry to registry, and to ingresses
@@ -51,7 +59,7 @@
 class Instance(Struct, array_like=True):
     """A backend.
 
-    warm_s: how much longer it is slow, when this was said; slots: requests it works on at once.
+    slots: requests that it processes concurrently; warm_s: remaining warm-up time at the moment of sending.
     """
 
     id: str
@@ -64,9 +72,9 @@
 
 
 class Instances(Struct, tag="inst", tag_field="t"):
-    """What is known of backends.
+    """The sender's knowledge of backends.
 
-    number: to be confirmed with InstancesAck, where it is not 0; life: of the process that asks for it.
+    number: if not 0, the receiver confirms it with InstancesAck; life: the sender's incarnation.
     """
 
     entries: list[Instance]
@@ -75,10 +83,10 @@
 
 
 class InstancesAck(Struct, tag="instances_ack", tag_field="t"):
-    """The Instances of this number are known here now, and on this disk.
+    """The entries of the Instances message with this number are known to the sender and on its disk.
 
-    life: of who asked, as Instances told it. contact: the sender is in touch with a primary that reaches a
-    majority, so that its word counts.
+    life: copied from Instances; contact: whether the sender is connected to a primary that reaches a
+    majority, without which its confirmation does not count.
     """
 
     number: int
@@ -87,20 +95,20 @@
 
 
 class Beats(Struct, tag="beats", tag_field="t"):
-    """Instances that have called the sender since it last told."""
+    """Instances that sent the sender a heartbeat since its last Beats."""
 
     ids: list[str]
 
 
 class Silence(Struct, tag="silence", tag_field="t"):
-    """Instances whose calls have stopped, and those whose calls have come again."""
+    """Instances whose heartbeats have stopped, and those whose heartbeats have resumed."""
 
     silent: list[str]
     back: list[str]
 
 
 class Member(Struct, array_like=True):
-    """An ingress. port: of its side of the system's own protocol."""
+    """An ingress proxy. port: on which it accepts connections of other processes of the system."""
 
     name: str
     ip: str
@@ -110,7 +118,7 @@
 
 
 class Members(Struct, tag="members", tag_field="t"):
-    """Ingresses that are there. full: all that the sender knows, so that others are gone."""
+    """Ingress proxies that are running. full: entries is complete, so that any other has left."""
 
     entries: list[Member]
     gone: list[str] = []
@@ -118,7 +126,7 @@
 
 
 class Registries(Struct, tag="registries", tag_field="t"):
-    """Registries that the sender has met: zones by address."""
+    """Registries that the sender has been connected to: zones by address."""
 
     zones: dict[str, str]
 
@@ -127,7 +135,7 @@
 
 
 class Config(Struct, tag="config", tag_field="t"):
-    """A configuration that is in force. body: the operator's own bytes, JSON; digest: body_digest(body)."""
+    """A configuration that is in force. body: the operator's JSON, unchanged; digest: body_digest(body)."""
 
     version: int
     body: msgspec.Raw
@@ -135,7 +143,7 @@
 
 
 class Fresh(Struct, tag="fresh", tag_field="t"):
-    """Whether the sender is in touch with the store's primary, whose newest configuration is this version."""
+    """Whether the sender is connected to the store's primary, whose newest configuration is this version."""
 
     fresh: bool
     version: int
@@ -143,7 +151,7 @@
 
 
 class Write(Struct, tag="write", tag_field="t"):
-    """Registry to primary: keep this. number, life: of the call and its caller, for WriteAck."""
+    """Registry to primary: store this configuration. number, life: repeated in WriteAck."""
 
     number: int
     version: int
@@ -153,10 +161,10 @@
 
 
 class WriteAck(Struct, tag="write_ack", tag_field="t"):
-    """It is kept on every copy, or a higher version is; else why it is not.
+    """Response to Write: every replica has stored this version or a higher one; else why not.
 
-    life: the caller's. conflict: its number is taken by another body, whose digest is told: it will never be
-    kept, and asking again is of no use.
+    life: copied from Write; conflict: the version is taken by another body, which has this digest. The write
+    can then never succeed and should not be repeated.
     """
 
     number: int
@@ -168,14 +176,14 @@
 
 
 class Read(Struct, tag="read", tag_field="t"):
-    """Registry to primary: which configuration is the newest, proven now? life: the caller's, for ReadAck."""
+    """Registry to primary: a linearizable read of the newest configuration. life: repeated in ReadAck."""
 
     number: int
     life: int = 0
 
 
 class ReadAck(Struct, tag="read_ack", tag_field="t"):
-    """version 0: there is none yet; below 0: not to be told here, and why."""
+    """Response to Read. version 0: there is no configuration yet; below 0: not answered here, see why."""
 
     number: int
     version: int
@@ -184,15 +192,15 @@
     life: int = 0
 
 
-# ---- replicas of the store among themselves
+# ---- between replicas of the store
 
 
 class Record(Struct, array_like=True):
-    """Who keeps the configurations under an epoch, and whose promises count.
+    """The replicas and the voters of an epoch.
 
-    backups: machines that hold every confirmed configuration beside the primary. voters: none for those of
-    the founding. before: who voted until this record, where it changes that; more than half of each list must
-    have written it down.
+    backups: machines besides the primary that hold every confirmed configuration; voters: empty for the
+    initial voters; before: the previous voters, if this record changes them. More than half of each list
+    must then have stored the record.
     """
 
     epoch: int
@@ -208,12 +216,13 @@
 
 
 class Status(Struct, tag="status", tag_field="t", omit_defaults=True):
-    """What a replica is, several times a second; active: it is the primary, reaches a majority and confirms.
+    """The state of a replica, sent several times a second.
 
-    blank: it has lost its disk and promises nothing; holds: all that was confirmed under its record is there;
-    voters: whose promises count; digest: of the body under version; life: of its process; leaving: its
-    process is about to end, so that nothing new is given to it; elected: a majority has promised it an epoch,
-    and it gives its backups what it has.
+    active: it is the primary, reaches a majority and confirms writes; blank: it has lost its disk and
+    promises nothing; holds: it has everything that was confirmed under its record; voters: whose promises
+    count; digest: that of the body of version; life: the incarnation of its process; leaving: the process is
+    about to stop and takes no new role; elected: a majority has promised it an epoch, and it sends its
+    backups what it has.
     """
 
     promised: int
@@ -230,14 +239,17 @@
 
 
 class Prepare(Struct, tag="prepare", tag_field="t"):
-    """Promise to follow nobody below this epoch. life: of who asks, for the answer."""
+    """Asks for a promise to follow no primary of a lower epoch. life: repeated in Promise."""
 
     epoch: int
     life: int = 0
 
 
 class Promise(Struct, tag="promise", tag_field="t"):
-    """The answer to Prepare; ok false: promised tells what was promised before, 0 that the primary lives."""
+    """Response to Prepare.
+
+    If ok is false, promised is the epoch promised before, or 0 if the current primary is still alive.
+    """
 
     epoch: int
     ok: bool
@@ -247,11 +259,11 @@
 
 
 class Replicate(Struct, tag="replicate", tag_field="t", omit_defaults=True):
-    """Primary to backup: keep this under this epoch. version 0: there is no configuration yet.
+    """Primary to backup: store this configuration under this epoch. version 0: there is none yet.
 
-    whole: it takes the place of whatever is there (a snapshot), and the receiver is a backup from now on; its
-    body is left out where the receiver has said that it has that digest. taken: numbers that are taken from
-    now on, with the digests of their bodies; of a snapshot all. number, life: for the answer.
+    whole: this is a snapshot, which replaces the receiver's state and makes it a backup; the body is left
+    out if the receiver has reported that it has this digest; taken: versions that are taken, with the
+    digests of their bodies (in a snapshot all of them); number, life: repeated in ReplicateAck.
     """
 
     epoch: int
@@ -265,7 +277,11 @@
 
 
 class ReplicateAck(Struct, tag="replicate_ack", tag_field="t", omit_defaults=True):
-    """It is on the backup's disk; ok false: promised tells why not, or lacks: its body has to come too."""
+    """Response to Replicate: the configuration is on the backup's disk.
+
+    If ok is false, promised is the higher epoch that was promised; or lacks is true, and the body must be
+    sent.
+    """
 
     epoch: int
     version: int
@@ -277,14 +293,17 @@
 
 
 class Accept(Struct, tag="accept", tag_field="t"):
-    """Keep this record as the newest. life: of who asks, for the answer."""
+    """Primary to voters: store this record as the newest. life: repeated in Accepted."""
 
     record: Record
     life: int = 0
 
 
 class Accepted(Struct, tag="accepted", tag_field="t"):
-    """The record is on the voter's disk; ok false: promised tells why not."""
+    """Response to Accept: the record is on the voter's disk.
+
+    If ok is false, promised is the higher epoch that was promised.
+    """
 
     epoch: int
     ok: bool
@@ -293,7 +312,7 @@
 
 
 class Probe(Struct, tag="probe", tag_field="t"):
-    """Primary to voters: is this epoch still the newest? number, life: for the answer."""
+    """Primary to voters: is this epoch still the newest? number, life: repeated in ProbeAck."""
 
     epoch: int
     number: int
@@ -301,7 +320,7 @@
 
 
 class ProbeAck(Struct, tag="probe_ack", tag_field="t"):
-    """The answer to Probe."""
+    """Response to Probe."""
 
     epoch: int
     number: int
@@ -309,18 +328,18 @@
     life: int = 0
 
 
-# ---- ingresses among themselves
+# ---- between ingress proxies
 
 
 class Share(Struct, array_like=True):
-    """What one ingress has told of itself since the last time, with names as numbers of the sender's table.
+    """Changes in the load that one ingress proxy reports; names are indexes into the sender's name table.
 
-    origin: its machine. out: instances and their open attempts, as numbers that hold now. tag: the last
-    digits of the life of its process; life: all of them, where the sender tells of that life for the first
-    time. used: of processes before quotas were leased; empty.
+    origin: its machine; out: instances alternating with their numbers of open attempts, as absolute values;
+    tag: the last digits of its incarnation; life: the full incarnation, in the sender's first report of it,
+    else 0; used: from processes that predate quota leasing; empty.
 
-    Where origin is @ and a zone, these are sums of that zone: here is how many ingresses are heard there, 0
-    where that is not told; tag and life are 0.
+    If the name of origin is @ followed by a zone, the entry has the sums of that zone: here is the number of
+    proxies that report from there, or 0 if it is not given; tag and life are 0.
     """
 
     origin: int
@@ -332,9 +351,10 @@
 
 
 class Shares(Struct, tag="shares", tag_field="t", omit_defaults=True):
-    """Shares of one or several ingresses. names: the sender's table from base on; a base of 0 begins it anew.
+    """Shares of one or more ingress proxies.
 
-    full: all of each; level: of processes before quotas were leased; empty.
+    names: entries of the sender's name table from index base on; a base of 0 starts a new table; full: the
+    entries are complete, not changes; level: from processes that predate quota leasing; empty.
     """
 
     entries: list[Share]
@@ -344,14 +364,14 @@
     level: dict[str, float] = {}
 
 
-# ---- quotas: proxies among themselves (troutdock.quota)
+# ---- quotas, between proxies (troutdock.quota)
 
 
 class TokenDemand(Struct, array_like=True):
     """Tokens that the sender needs now.
 
-    number: of the sender, rising for each tenant, for the answer: a demand that comes again under its number
-    is answered again and grants nothing new. returning: how many are for clients at their appointed time.
+    number: increases with each demand of the sender for the tenant; a repeated number is answered again and
+    grants nothing new; returning: how many of the tokens are for clients that retry at their assigned time.
     """
 
     tenant: str
@@ -361,7 +381,7 @@
 
 
 class ReturnedTokens(Struct, array_like=True):
-    """Leased tokens that were not spent. term: of the owner that leased them."""
+    """Leased tokens that were not spent. term: the term of the owner that leased them."""
 
     tenant: str
     tokens: int
@@ -376,7 +396,7 @@
 
 
 class ShardVote(Struct, array_like=True):
-    """A zone takes the receiver for the owner of a shard; weight: its live proxies."""
+    """A zone's vote for the receiver as owner of a shard. weight: the number of live proxies in the zone."""
 
     shard: int
     zone: str
@@ -384,7 +404,7 @@
 
 
 class QuotaRequest(Struct, tag="quota_request", tag_field="t", omit_defaults=True):
-    """To the next proxy on the way to the owner; harmless when it comes twice. hops: how often passed on."""
+    """Sent to the next proxy on the route to the owner; idempotent. hops: how often it was forwarded."""
 
     demands: list[TokenDemand] = []
     votes: list[ShardVote] = []
@@ -392,9 +412,9 @@
 
 
 class QuotaSettlement(Struct, tag="quota_settlement", tag_field="t", omit_defaults=True):
-    """On the same way, on a link, as it counts each time that it comes.
+    """Sent on the same route, always over TCP, since it is not idempotent.
 
-    withdrawn: shards of which the sender's zone takes the receiver for the owner no more.
+    withdrawn: shards for which the sender's zone withdraws its vote for the receiver as owner.
     """
 
     returned: list[ReturnedTokens] = []
@@ -404,9 +424,9 @@
 
 
 class TokenGrant(Struct, array_like=True):
-    """The answer to the demand of that number.
+    """Response to the demand with this number.
 
-    retry_after_s: so long asking again is of no use; term: the owner's, for handing tokens back.
+    retry_after_s: time before which another demand will not succeed; term: the owner's, for returning tokens.
     """
 
     tenant: str
@@ -417,15 +437,15 @@
 
 
 class QuotaGrant(Struct, tag="quota_grant", tag_field="t"):
-    """Leased tokens, back on the way that the demands have come."""
+    """Leased tokens, sent back on the route that the demands took."""
 
     grants: list[TokenGrant]
 
 
 class QuotaHandover(Struct, tag="quota_handover", tag_field="t"):
-    """An owner's buckets, from one that grants nothing of that shard any more to the next.
+    """Token buckets of a shard, from an owner that has stopped granting to its successor.
 
-    backed_s: for how long its term was backed, by the part of the fleet; levels: tokens by tenant.
+    backed_s: how long votes backed its term, weighted by their part of the fleet; levels: tokens by tenant.
     """
 
     shard: int
@@ -434,7 +454,7 @@
 
 
 class QuotaStatus(Struct, tag="quota_status", tag_field="t"):
-    """Whether the sender handles messages so late that others should aggregate and own in its place."""
+    """Whether the sender is so overloaded that other proxies should aggregate and own quotas in its place."""
 
     busy: bool
 
@@ -476,27 +496,28 @@
 
 
 def encode(message: Message) -> bytes:
-    """The payload of a netstring."""
+    """Returns the message as the payload of a netstring."""
     return _encoder.encode(message)
 
 
 def decode(payload: bytes) -> Message:
-    """The message of a payload; MessageError if it is none."""
+    """Returns the message in a payload; raises MessageError if it is not a known message."""
     try:
         return _decoder.decode(payload)
     except msgspec.MsgspecError as error:
         raise MessageError(str(error)) from error
 
 
-# ---- datagrams: proxies among themselves (troutdock.proxy.quota_loop)
+# ---- datagrams, between proxies (troutdock.proxy.quota_loop)
 
-INCARNATION_TAG_MODULUS = 10_000  # a datagram names its sender's life by the last digits
+INCARNATION_TAG_MODULUS = 10_000  # a datagram has only the last digits of its sender's incarnation
 
 
 class QuotaDatagram(Struct, array_like=True):
-    """A QuotaRequest, a QuotaGrant, or both, outside the links: a lost packet on one holds up all behind it.
+    """A QuotaRequest, a QuotaGrant or both over UDP: on TCP, a lost packet delays everything behind it.
 
-    sender: its name; life_tag: of its life, both as its Hello on its link told them.
+    sender: its name; life_tag: the last digits of its incarnation; both as in its Hello on its TCP
+    connection.
     """
 
     sender: str
@@ -511,12 +532,12 @@
 
 
 def encode_datagram(datagram: QuotaDatagram) -> bytes:
-    """The payload of a netstring."""
+    """Returns the datagram as the payload of a netstring."""
     return _encoder.encode(datagram)
 
 
 def decode_datagram(payload: bytes) -> QuotaDatagram:
-    """The datagram of a payload; MessageError if it is none."""
+    """Returns the datagram in a payload; raises MessageError if it is not one."""
     try:
         return _datagram_decoder.decode(payload)
     except msgspec.MsgspecError as error:
--- a/troutdock/rpc/netstring.py
+++ b/troutdock/rpc/netstring.py
@@ -4,8 +4,8 @@
 CHUNK_BYTES bytes is sent as several frames. The payload of each is `+OFFSET/TOTAL:` and the next chunk, as in
 `21:+65536/65540:last,`, which ends a payload of 65540 bytes. Other frames may stand between two chunks, but
 not chunks of another payload: a payload must be complete, or its connection closed, before the next chunked
-one begins. Bytes that cannot be a frame or the next chunk raise FrameError. The connection must then be closed,
-since the start of the next frame is unknown.
+one begins. Bytes that cannot be a frame or the next chunk raise FrameError. The connection must then be
+closed, since the start of the next frame is unknown.
 """
 
 from __future__ import annotations
--- a/troutdock/settings/__init__.py
+++ b/troutdock/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Tables of settings and configurations: name, type, default and check of each value."""
+"""Settings of processes and configurations of operators: name, type, default and check of each value."""
--- a/troutdock/settings/configuration.py
+++ b/troutdock/settings/configuration.py
@@ -1,7 +1,7 @@
-"""The operators' configuration: read whole and checked whole, or refused with the place of what is wrong.
+"""The operators' configuration: parsed and validated as a whole, or rejected with the location of the error.
 
-Routes, services and tenants come as tables of columns and rows. Times are seconds in the file and
-milliseconds here. Fields that are not known are left alone.
+Routes, services and tenants are tables of columns and rows. Times are in seconds in the file and in
+milliseconds here. Unknown fields are ignored.
 """
 
 from __future__ import annotations
@@ -26,17 +26,16 @@
     string,
 )
 
-MEMORY_DIVISOR = (
-    64  # of a process's memory: reading one takes 14 times its bytes, and proxies have less of it
-)
-MIN_SIZE_LIMIT_BYTES = 1 << 20  # bytes that are always taken
+# memory per byte of the longest configuration: parsing takes 14 times its size, and proxies have less memory
+MEMORY_DIVISOR = 64
+MIN_SIZE_LIMIT_BYTES = 1 << 20  # bytes that are accepted however small the memory
 
 READ_ONLY, MUTATING = "read_only", "mutating"
 
 
 @dataclass(frozen=True, slots=True)
 class RejectedConfiguration:
-    """Why a configuration is not taken: the place and what is wrong there."""
+    """Why a configuration is rejected: the location of the error and its description."""
 
     location: str
     reason: str
@@ -51,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Where requests of a host below a path go. to: services with their weights, one or more."""
+    """Routing of requests for a host and a path prefix. split: one or more services with their weights."""
 
     name: str
     host: str
@@ -67,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """max_connections: of one backend, from all callers together; 0: not told."""
+    """A service. max_connections: of one backend, over all clients; 0: not given."""
 
     name: str
     health_path: str
@@ -76,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """rate: requests a second over all ingresses, 0 for no limit; burst: on top of that."""
+    """A tenant. rate: requests per second over all ingress proxies, 0: no limit; burst: requests beyond it."""
 
     name: str
     keys: tuple[str, ...]
@@ -87,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What a client may send, and how long it may take or stand idle."""
+    """Limits on the size of a request, the time to send its header and the idle time of a connection."""
 
     header_bytes: int = 16_384
     body_bytes: int = 64 * 1024 * 1024
@@ -97,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """One version, whole. tenants: None where requests need no key."""
+    """A complete configuration. tenants: None if requests need no API key."""
 
     version: int
     routes: tuple[Route, ...]
@@ -106,46 +105,50 @@
     tenants: tuple[Tenant, ...] | None = None
 
 
-def _prefix(value: Any) -> str | None:
-    return None if isinstance(value, str) and value[:1] == value[-1:] == "/" else "no path between slashes"
+def _check_path_prefix(value: Any) -> str | None:
+    return (
+        None
+        if isinstance(value, str) and value[:1] == value[-1:] == "/"
+        else "not a path that begins and ends with a slash"
+    )
 
 
-_split = list_of(
+_check_split = list_of(
     lambda item: (
         None
         if isinstance(item, Mapping) and not string(item.get("service")) and not number(0)(item.get("weight"))
-        else "no service with a weight of at least 0"
+        else "not a service with a weight of at least 0"
     )
 )
 
-ROUTE = SettingsTable(
+ROUTE_SETTINGS = SettingsTable(
     Setting("name", or_none(string), None),
     Setting("hostname", string),
-    Setting("pathPrefix", _prefix),
+    Setting("pathPrefix", _check_path_prefix),
     Setting("routeType", one_of(READ_ONLY, MUTATING)),
     Setting("timeoutS", number(0.001)),
     Setting("targetLatencyS", or_none(number(0.001)), None),
     Setting("priority", or_none(integer(0)), None),
-    Setting("trafficSplit", or_none(_split), None),
+    Setting("trafficSplit", or_none(_check_split), None),
     Setting("maxAttempts", or_none(integer(1)), None),
     Setting("public", or_none(boolean), None),
     Setting("service", or_none(string), None),
 )
-SERVICE = SettingsTable(
+SERVICE_SETTINGS = SettingsTable(
     Setting("name", string),
     Setting("healthPath", or_none(string), None),
     Setting("maxConnections", or_none(integer(1)), None),
     Setting("protocol", or_none(one_of("h1")), None),
     Setting("tls", or_none(one_of(False)), None),
 )
-TENANT = SettingsTable(
+TENANT_SETTINGS = SettingsTable(
     Setting("name", string),
     Setting("apiKeys", list_of(string)),
     Setting("priority", or_none(integer(0)), None),
     Setting("ratePerS", or_none(number(0)), None),
     Setting("burst", or_none(number(0)), None),
 )
-LIMITS = SettingsTable(
+LIMITS_SETTINGS = SettingsTable(
     Setting("maxHeaderBytes", integer(256), 16_384),
     Setting("maxBodyBytes", integer(0), 64 * 1024 * 1024),
     Setting("headerTimeoutS", number(0.01), 3.0),
@@ -153,36 +156,40 @@
 )
 
 
-def _rows(given: Any, place: str, table: SettingsTable) -> Iterable[tuple[str, dict[str, Any]]]:
-    """Each row by its columns, checked, with its place."""
-    if not isinstance(given, Mapping):
-        raise _InvalidConfiguration(place, "not a table of columns and rows")
+def _parse_rows(data: Any, location: str, table: SettingsTable) -> Iterable[tuple[str, dict[str, Any]]]:
+    """Yields the location of each row and its checked values by column.
+
+    Raises:
+        _InvalidConfiguration: The table or a row is invalid.
+    """
+    if not isinstance(data, Mapping):
+        raise _InvalidConfiguration(location, "not a table of columns and rows")
     columns: Any = None
     rows: Any = None
-    columns, rows = given.get("columns"), given.get("rows")
-    if wrong := list_of(string)(columns):
-        raise _InvalidConfiguration(f"{place}.columns", wrong)
+    columns, rows = data.get("columns"), data.get("rows")
+    if problem := list_of(string)(columns):
+        raise _InvalidConfiguration(f"{location}.columns", problem)
     if not isinstance(rows, list):
-        raise _InvalidConfiguration(f"{place}.rows", "not a list")
+        raise _InvalidConfiguration(f"{location}.rows", "not a list")
     if len(set(columns)) != len(columns):
-        raise _InvalidConfiguration(f"{place}.columns", "a name comes twice")
-    for at, row in enumerate(rows):
-        where = f"{place}.rows[{at}]"
+        raise _InvalidConfiguration(f"{location}.columns", "duplicate column name")
+    for index, row in enumerate(rows):
+        row_location = f"{location}.rows[{index}]"
         if not isinstance(row, list) or len(row) != len(columns):
-            raise _InvalidConfiguration(where, f"not a list of {len(columns)} values")
+            raise _InvalidConfiguration(row_location, f"not a list of {len(columns)} values")
         try:
-            # nothing stands for what was left out
+            # null means that the value is left out
             yield (
-                where,
+                row_location,
                 table.read(
                     {name: value for name, value in zip(columns, row, strict=True) if value is not None}
                 ),
             )
         except SettingsError as error:
-            raise _InvalidConfiguration(where, str(error)) from error
+            raise _InvalidConfiguration(row_location, str(error)) from error
 
 
-def _version(value: Any) -> int:
+def _parse_version(value: Any) -> int:
     if (
         not isinstance(value, str)
         or value[:1] != "r"
@@ -190,30 +197,30 @@
         or not value[1:].isdigit()
         or len(value) > 19
     ):
-        raise _InvalidConfiguration("revision", f"{value!r:.40} is not r and a number")
+        raise _InvalidConfiguration("revision", f"{value!r:.40} is not the letter r followed by a number")
     return int(value[1:])
 
 
-def _routes(given: Any, services: Mapping[str, Service]) -> tuple[Route, ...]:
+def _parse_routes(data: Any, services: Mapping[str, Service]) -> tuple[Route, ...]:
     routes: list[Route] = []
-    places: dict[tuple[str, str], str] = {}
-    for where, row in _rows(given, "routes", ROUTE):
-        split = row["trafficSplit"]
-        if split is None and row["service"] is None:
-            raise _InvalidConfiguration(where, "neither a service nor a split")
-        to = (
-            [(part["service"], float(part["weight"])) for part in split]
-            if split is not None
+    locations: dict[tuple[str, str], str] = {}
+    for row_location, row in _parse_rows(data, "routes", ROUTE_SETTINGS):
+        traffic_split = row["trafficSplit"]
+        if traffic_split is None and row["service"] is None:
+            raise _InvalidConfiguration(row_location, "neither service nor trafficSplit is given")
+        split = (
+            [(part["service"], float(part["weight"])) for part in traffic_split]
+            if traffic_split is not None
             else [(row["service"], 1.0)]
         )
-        for name, _ in to:
+        for name, _ in split:
             if name not in services:
-                raise _InvalidConfiguration(where, f"no service {name!r:.60}")
-        if not sum(weight for _, weight in to) > 0:
-            raise _InvalidConfiguration(where, "the weights add up to 0")
+                raise _InvalidConfiguration(row_location, f"unknown service {name!r:.60}")
+        if not sum(weight for _, weight in split) > 0:
+            raise _InvalidConfiguration(row_location, "the weights add up to 0")
         host = row["hostname"].lower()
-        if (before := places.setdefault((host, row["pathPrefix"]), where)) != where:
-            raise _InvalidConfiguration(where, f"the host and prefix of {before}")
+        if (first := locations.setdefault((host, row["pathPrefix"]), row_location)) != row_location:
+            raise _InvalidConfiguration(row_location, f"same hostname and pathPrefix as {first}")
         timeout_ms = row["timeoutS"] * 1000
         target_latency_ms = row["targetLatencyS"] * 1000 if row["targetLatencyS"] else timeout_ms
         routes.append(
@@ -227,22 +234,22 @@
                 row["priority"] or 0,
                 row["maxAttempts"] or 1,
                 bool(row["public"]),
-                tuple(to),
+                tuple(split),
             )
         )
     return tuple(routes)
 
 
-def _tenants(given: Any) -> tuple[Tenant, ...]:
+def _parse_tenants(data: Any) -> tuple[Tenant, ...]:
     tenants: list[Tenant] = []
     keys: dict[str, str] = {}
     names: dict[str, str] = {}
-    for where, row in _rows(given, "tenants", TENANT):
-        if (before := names.setdefault(row["name"], where)) != where:
-            raise _InvalidConfiguration(where, f"the name of {before}")
+    for row_location, row in _parse_rows(data, "tenants", TENANT_SETTINGS):
+        if (first := names.setdefault(row["name"], row_location)) != row_location:
+            raise _InvalidConfiguration(row_location, f"same name as {first}")
         for key in row["apiKeys"]:
-            if (before := keys.setdefault(key, where)) != where:
-                raise _InvalidConfiguration(where, f"a key of {before}")
+            if (first := keys.setdefault(key, row_location)) != row_location:
+                raise _InvalidConfiguration(row_location, f"API key is used in {first}, too")
         tenants.append(
             Tenant(
                 row["name"],
@@ -256,40 +263,42 @@
 
 
 def max_configuration_bytes(memory_mb: int) -> int:
-    """Bytes of the longest configuration that a process with so much memory takes."""
+    """Returns the size in bytes of the longest configuration that a process with this memory accepts."""
     return max(MIN_SIZE_LIMIT_BYTES, (memory_mb << 20) // MEMORY_DIVISOR)
 
 
 def read_configuration(body: bytes) -> Configuration | RejectedConfiguration:
-    """The configuration of an operator's call, or why it is none."""
+    """Parses a configuration, or returns why it is rejected. body: JSON as the operator sent it."""
     try:
-        given = msgspec.json.decode(body)
+        configuration = msgspec.json.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
         return RejectedConfiguration("body", str(error))
-    if not isinstance(given, dict):
+    if not isinstance(configuration, dict):
         return RejectedConfiguration("body", "not an object")
     try:
-        version = _version(given.get("revision"))
+        version = _parse_version(configuration.get("revision"))
         for name in ("routes", "services"):
-            if name not in given:
+            if name not in configuration:
                 raise _InvalidConfiguration(name, REQUIRED.reason)
         services: dict[str, Service] = {}
-        for where, row in _rows(given["services"], "services", SERVICE):
+        for row_location, row in _parse_rows(configuration["services"], "services", SERVICE_SETTINGS):
             if row["name"] in services:
-                raise _InvalidConfiguration(where, f"{row['name']!r:.60} comes twice")
+                raise _InvalidConfiguration(row_location, f"duplicate service {row['name']!r:.60}")
             services[row["name"]] = Service(row["name"], row["healthPath"] or "", row["maxConnections"] or 0)
-        routes = _routes(given["routes"], services)
+        routes = _parse_routes(configuration["routes"], services)
         try:
-            found = LIMITS.read(given.get("limits") or {})
+            limit_values = LIMITS_SETTINGS.read(configuration.get("limits") or {})
         except SettingsError as error:
             raise _InvalidConfiguration("limits", str(error)) from error
         limits = Limits(
-            found["maxHeaderBytes"],
-            found["maxBodyBytes"],
-            found["headerTimeoutS"] * 1000,
-            found["idleTimeoutS"] * 1000,
+            limit_values["maxHeaderBytes"],
+            limit_values["maxBodyBytes"],
+            limit_values["headerTimeoutS"] * 1000,
+            limit_values["idleTimeoutS"] * 1000,
+        )
+        tenants = (
+            _parse_tenants(configuration["tenants"]) if configuration.get("tenants") is not None else None
         )
-        tenants = _tenants(given["tenants"]) if given.get("tenants") is not None else None
-    except _InvalidConfiguration as wrong:
-        return RejectedConfiguration(*wrong.args)
+    except _InvalidConfiguration as error:
+        return RejectedConfiguration(*error.args)
     return Configuration(version, routes, services, limits, tenants)
--- a/troutdock/settings/process.py
+++ b/troutdock/settings/process.py
@@ -1,4 +1,4 @@
-"""How each daemon of the system begins and ends: settings, logs, the loop, signals."""
+"""Start and end of each daemon of the system: settings, logs, garbage collector, event loop."""
 
 from __future__ import annotations
 
@@ -15,16 +15,28 @@
 from troutdock.settings.boot import BOOT_FILE_VARIABLE, Boot, load_boot
 from troutdock.settings.table import SettingsError
 
-GC_THRESHOLD = 10_000  # objects more than before, until the collector of cycles looks: requests leave none
+# allocations between runs of the cyclic garbage collector; high, since requests leave no reference cycles
+GC_THRESHOLD = 10_000
 
 
 def new_incarnation() -> int:
-    """A number for this life of the process, higher than those before unless the clock was set back."""
+    """Returns an incarnation number for this process.
+
+    It is higher than those of earlier processes unless the clock was set back in between.
+    """
     return time.time_ns() // 1_000_000
 
 
 def run_daemon(name: str, main: Callable[[Boot, str], Awaitable[int]]) -> int:
-    """Run a daemon: exit code 2 with one plain line on bad settings, else what main gives."""
+    """Runs a daemon.
+
+    Args:
+        name: The name of the program, for error messages.
+        main: The body of the daemon; it gets the settings and the path of their file.
+
+    Returns:
+        The exit code: 2 for bad settings, reported in one line; 1 for an OSError; else that of main.
+    """
     path = os.environ.get(BOOT_FILE_VARIABLE)
     if not path:
         print(f"{name}: {BOOT_FILE_VARIABLE} is not set", file=sys.stderr)
@@ -47,7 +59,7 @@
     try:
         return uvloop.run(body())
     except OSError as error:
-        print(f"{name}: can't serve: {error}", file=sys.stderr)
+        print(f"{name}: cannot serve: {error}", file=sys.stderr)
         return 1
     except asyncio.CancelledError:
         return 0
