--- a/tests/system/test_traces.py
+++ b/tests/system/test_event_traces.py
@@ -1,4 +1,4 @@
-"""Recorded traces of the real programs, played against the state machines again."""
+"""Replay of traces that were recorded from the real programs."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 
 
 def replay(path: Path) -> tuple[int, str]:
-    done = CliRunner().invoke(app, ["system", "replay", str(path)])
-    return done.exit_code, done.output
+    result = CliRunner().invoke(app, ["system", "replay", str(path)])
+    return result.exit_code, result.output
 
 
 @pytest.mark.parametrize(
-    ("name", "seen"),
+    ("name", "expected"),
     [
-        # a primary that is lost after r5; its backup leads under a new epoch, and the call of r9 is answered there;
-        # the first machine comes back without its disk and promises nothing until the others have told
+        # the primary fails after r5; its backup becomes primary under a new epoch and answers the write of r9;
+        # the first machine returns without its disk and promises nothing until the others have reported
         (
             "store-first-primary",
             ["Founded", "To be borne: 1", "Primary under epoch 2", "In force: r5.", ": kept."],
@@ -49,34 +49,36 @@
         ("store-wiped", ["No disk of before", "To be borne: 1", "The others have told: epoch 67"]),
     ],
 )
-def test_a_recorded_loss_plays_out_as_it_did(name: str, seen: list[str]) -> None:
+def test_replaying_a_recorded_failure_gives_the_same_actions(name: str, expected: list[str]) -> None:
     code, text = replay(TRACES / f"{name}.jsonl")
     lines = text.splitlines()[:-1]
     assert (
-        code == 0 and len(lines) == len(seen) and all(s in line for s, line in zip(seen, lines, strict=True))
+        code == 0
+        and len(lines) == len(expected)
+        and all(s in line for s, line in zip(expected, lines, strict=True))
     ), text
 
 
 @pytest.mark.parametrize("name", ["store-first-primary", "store-backup-takes-over", "store-wiped"])
-def test_nothing_is_said_before_it_is_kept(name: str) -> None:
-    made, events = read_trace(TRACES / f"{name}.jsonl")
-    replica, kept = again(made), None
+def test_nothing_is_sent_before_it_is_stored(name: str) -> None:
+    parameters, events = read_trace(TRACES / f"{name}.jsonl")
+    replica, saved = again(parameters), None
     for method, args in events:
         assert method in EVENTS
         for action in getattr(replica, method)(*args) or ():
             if isinstance(action, Save):
-                assert kept is None or action.kept.promised >= kept.promised
-                kept = action.kept
-            elif isinstance(action, Send) and isinstance(action.message, Status) and kept is not None:
-                assert action.message.promised <= kept.promised
+                assert saved is None or action.kept.promised >= saved.promised
+                saved = action.kept
+            elif isinstance(action, Send) and isinstance(action.message, Status) and saved is not None:
+                assert action.message.promised <= saved.promised
             elif isinstance(action, InForce):
-                assert kept is not None and kept.version >= action.version
+                assert saved is not None and saved.version >= action.version
             else:
                 assert isinstance(action, Send | Log)
 
 
 @pytest.mark.parametrize(
-    ("change", "place"),
+    ("change", "location"),
     [
         (lambda lines: [], "line 1"),
         (lambda lines: [b"[]"], "line 1"),
@@ -87,21 +89,21 @@
         (lambda lines: [lines[0], b"no", lines[1]], "line 2"),
     ],
 )
-def test_what_is_no_trace_names_the_place(tmp_path: Path, change, place: str) -> None:  # type: ignore[no-untyped-def]
+def test_an_invalid_trace_is_reported_with_its_location(tmp_path: Path, change, location: str) -> None:  # type: ignore[no-untyped-def]
     path = tmp_path / "trace"
     path.write_bytes(b"\n".join(change((TRACES / "store-wiped.jsonl").read_bytes().splitlines())))
     code, text = replay(path)
-    assert code == 2 and place in text and text.count("\n") == 1
+    assert code == 2 and location in text and text.count("\n") == 1
 
 
-def test_a_trace_that_ends_in_the_middle_of_a_line_is_played_so_far(tmp_path: Path) -> None:
+def test_a_trace_with_an_incomplete_last_line_is_replayed_up_to_it(tmp_path: Path) -> None:
     path = tmp_path / "trace"
-    whole = (TRACES / "store-wiped.jsonl").read_bytes()
-    path.write_bytes(whole[:-12])
+    data = (TRACES / "store-wiped.jsonl").read_bytes()
+    path.write_bytes(data[:-12])
     code, text = replay(path)
-    events = len(whole.splitlines()) - 2
+    events = len(data.splitlines()) - 2
     assert (
         code == 0
         and text.endswith(f"{events} events\n")
-        and json.loads(whole.splitlines()[0])["machine"] == "rootstock"
+        and json.loads(data.splitlines()[0])["machine"] == "rootstock"
     )
--- a/tests/test_settings_change.py
+++ b/tests/test_settings_change.py
@@ -1,4 +1,4 @@
-"""Settings that change under a running gateway: in the decision module, and by SIGHUP over loopback."""
+"""Changes of settings in a running gateway: in the admission module, and by SIGHUP over loopback."""
 
 from __future__ import annotations
 
@@ -45,10 +45,10 @@
     return merged
 
 
-# ---- the numbers of classes
+# ---- numbering of request classes
 
 
-def test_classes_that_are_gone_stand_behind_those_in_force_and_go_with_the_next_but_so_many() -> None:
+def test_removed_classes_follow_the_current_ones_and_at_most_retired_most_are_kept() -> None:
     merged = merged_settings(settings(classes=(READ, BOOK)), settings(classes=(NEW, BOOK)))
     assert merged.classes == (NEW, BOOK, READ) and merged.live_classes == 2
     for n in range(3 * RETIRED_MOST):
@@ -56,11 +56,11 @@
     assert len(merged.classes) == 1 + RETIRED_MOST and merged.classes[1].name == f"c{3 * RETIRED_MOST - 2}"
 
 
-def test_one_of_another_effect_is_another_class_and_one_of_other_figures_is_not() -> None:
+def test_a_class_with_another_effect_is_new_and_one_with_other_limits_is_not() -> None:
     unsafe, slower = replace(READ, effect=Effect.UNSAFE), replace(BOOK, deadline_ms=9000)
     merged = merged_settings(settings(classes=(READ, BOOK)), settings(classes=(unsafe, slower)))
     assert merged.classes == (unsafe, slower, READ)
-    assert renumbered((READ, BOOK), merged.classes) == [0, 1, 0]  # what its work takes is known by the name
+    assert renumbered((READ, BOOK), merged.classes) == [0, 1, 0]  # the cost estimate follows the name
     assert renumbered(merged.classes, (READ, BOOK)) == [2, 1]
 
 
@@ -76,7 +76,7 @@
         max_size=6,
     )
 )
-def test_whatever_changes_each_open_request_keeps_its_class(turns: list[list[RequestClass]]) -> None:
+def test_open_requests_keep_their_class_over_any_change(turns: list[list[RequestClass]]) -> None:
     g = gateway(classes=(READ, BOOK, FILE))
     number = 0
     for turn, classes in enumerate(turns):
@@ -86,23 +86,23 @@
             g.handle(now, request(number, cls, left=60_000.0))
         change(g, now + 1, classes=tuple(classes))
         for call in g.calls.values():
-            mine = g.settings.classes[call.event.cls]
-            assert (mine.name, mine.effect) == (call.cls.name, call.cls.effect)
+            current = g.settings.classes[call.event.cls]
+            assert (current.name, current.effect) == (call.cls.name, call.cls.effect)
         for backend in g.backends.values():
             assert len(backend.slowness) == len(g.settings.classes)
             for (call_number, _), sent in backend.out.items():
                 assert sent[3] == g.calls[call_number].event.cls
-        for open_number in list(g.calls)[:3]:  # an answer finds its class
+        for open_number in list(g.calls)[:3]:  # a response finds its class
             for backend in g.backends.values():
                 if (open_number, 0) in backend.out:
                     g.handle(now + 100, ended(open_number, backend.entry.backend))
                     break
 
 
-# ---- what holds for open requests
+# ---- open requests
 
 
-def test_an_open_request_keeps_its_effect_and_a_new_one_has_the_new() -> None:
+def test_an_open_request_keeps_the_old_effect_and_a_new_request_gets_the_new_one() -> None:
     for effect_before, effect_after in ((Effect.SAFE, Effect.UNSAFE), (Effect.UNSAFE, Effect.SAFE)):
         g = gateway(classes=(replace(READ, effect=effect_before),))
         before = g.handle(START, request(1))[0]
@@ -114,7 +114,7 @@
             assert isinstance(then, Send if effect is Effect.SAFE else Fail), (number, effect)
 
 
-def test_fewer_attempts_hold_for_what_comes_and_more_for_nobody_that_is_open() -> None:
+def test_a_lower_attempt_limit_applies_to_new_requests_only() -> None:
     g = gateway(max_attempts=3)
     sent = g.handle(START, request(1))[0]
     change(g, START, max_attempts=1)
@@ -125,7 +125,7 @@
     assert isinstance(g.handle(START + 10, ended(2, sent.backend, Outcome.CONNECT_FAILED))[0], Refuse)
 
 
-def test_a_timer_that_was_set_under_other_settings_finds_its_attempt() -> None:
+def test_a_timer_set_before_a_change_finds_its_attempt() -> None:
     g = gateway(second_copies=True, max_attempts=3)
     sent, timer = g.handle(START, request(1))[:2]
     change(g, START, max_attempts=2, second_copies=True)
@@ -133,7 +133,7 @@
     assert isinstance(again, Send) and again.request == 1 and again.backend != sent.backend
 
 
-def test_a_plan_that_shrinks_takes_what_the_customer_had_saved() -> None:
+def test_a_smaller_plan_reduces_the_saved_tokens_of_its_customer() -> None:
     g = gateway(plans=(Plan(1, 50, name="basis"),))
     assert isinstance(g.handle(START, request(1, width=1))[0], Send)
     change(g, START, plans=(Plan(1, 2, name="basis"),))
@@ -141,7 +141,7 @@
     assert customer.tokens <= 2 and customer.store <= 2 and customer.plan.burst == 2
 
 
-def test_a_ceiling_that_shrinks_holds_at_once() -> None:
+def test_a_lower_ceiling_applies_at_once() -> None:
     wide = Plan(100, 100, ceiling_rate=100, ceiling_burst=100, name="plus")
     g = gateway(plans=(wide,))
     g.handle(START + 60_000, request(1, width=1))
@@ -150,9 +150,9 @@
     assert sent <= 4
 
 
-def test_what_work_takes_is_kept_by_the_class_and_guessed_from_the_others_for_a_new_one() -> None:
+def test_cost_estimates_are_kept_per_class_and_derived_from_the_others_for_a_new_class() -> None:
     g = gateway(classes=(READ, BOOK))
-    g.pools[0].unit_ms = [15.0, 10.0]  # a hundredth of the aim
+    g.pools[0].unit_ms = [15.0, 10.0]  # a hundredth of the latency target
     change(g, START, classes=(NEW, BOOK))
     assert g.pools[0].unit_ms == pytest.approx([5.0, 10.0, 15.0])
     for n in range(1, 4):
@@ -180,7 +180,7 @@
     }
 
 
-def test_a_class_comes_and_one_that_goes_is_taken_for_a_while_under_its_own_rules(
+def test_a_class_is_added_and_a_removed_one_is_accepted_under_its_old_rules_for_a_while(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("troutdock.daemon.RETIRED_S", 0.2)
@@ -189,12 +189,12 @@
         async with world(answer()) as w:
             assert (await w.ask(message("audit", method="GET", body="", Content_Length=None)))[0] == 404
             _read, book, file = w.config["settings"]["categories"]
-            file = file | {"idempotency": "token"}  # vat-filing may be repeated from now on
+            file = file | {"idempotency": "token"}  # vat-filing may be retried from now on
             new = changed(w, categories=[category("audit", "pure"), book, file])
             w.service.reload(read_config(json.dumps(new)))
             assert (await w.ask(message("audit", method="GET", body="", Content_Length=None)))[0] == 200
-            assert (await w.ask(message("ledger-read", 2)))[0] == 200  # gone, and still known
-            assert (await w.ask(message("vat-filing", 3)))[0] == 200  # by its old form
+            assert (await w.ask(message("ledger-read", 2)))[0] == 200  # removed, but still accepted
+            assert (await w.ask(message("vat-filing", 3)))[0] == 200  # under its old rules
             assert (await w.ask(message("vat-filing", 4, Idempotency_Key="ab" * 16)))[0] == 200
             await asyncio.sleep(0.25)
             assert (await w.ask(message("ledger-read", 5)))[0] == 404
@@ -204,15 +204,15 @@
     run(test())
 
 
-def test_an_unsafe_request_that_is_open_is_not_repeated_once_its_class_is_safe() -> None:
+def test_an_open_unsafe_request_is_not_retried_when_its_class_becomes_safe() -> None:
     async def test() -> None:
         release = asyncio.Event()
 
-        async def breaks(peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
+        async def disconnect(peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
             await release.wait()
             writer.transport.abort()
 
-        async with world(breaks, breaks) as w:
+        async with world(disconnect, disconnect) as w:
             client = await w.client()
             client.writer.write(message("vat-filing"))
             await until(lambda: sum(len(b.requests) for b in w.backends) == 1)
@@ -226,9 +226,9 @@
     run(test())
 
 
-def broken_files(config: dict[str, Any]) -> list[tuple[str, str]]:
+def invalid_files(config: dict[str, Any]) -> list[tuple[str, str]]:
     text = json.dumps(config)
-    found = [("", "Expecting value"), (text[: len(text) // 2], "line 1"), (text[:-1], "line 1")]
+    cases = [("", "Expecting value"), (text[: len(text) // 2], "line 1"), (text[:-1], "line 1")]
     for path in (
         "settings.permissions.most_tries",
         "settings.categories",
@@ -240,40 +240,40 @@
         "limits",
         "settings.permissions.retry_after",
     ):
-        lacking = json.loads(text)
-        *way, last = path.split(".")
-        inner = lacking
-        for step in way:
-            inner = inner[step]
+        incomplete = json.loads(text)
+        *parents, last = path.split(".")
+        inner = incomplete
+        for parent in parents:
+            inner = inner[parent]
         del inner[last]
-        found.append((json.dumps(lacking), last))
+        cases.append((json.dumps(incomplete), last))
     for path, value in (("most_tries", 0), ("most_tries", -1)):
-        wrong = json.loads(text)
-        wrong["settings"]["permissions"][path] = value
-        found.append((json.dumps(wrong), "max_attempts"))
+        invalid = json.loads(text)
+        invalid["settings"]["permissions"][path] = value
+        cases.append((json.dumps(invalid), "max_attempts"))
     for value in (0, -5.0):
-        wrong = json.loads(text)
-        wrong["settings"]["categories"][1]["hard_limit"] = value
-        found.append((json.dumps(wrong), "deadline_ms"))
-    lacking = json.loads(text)
-    del lacking["settings"]["categories"][0]["points"]
-    found.append((json.dumps(lacking), "points"))
-    return found
+        invalid = json.loads(text)
+        invalid["settings"]["categories"][1]["hard_limit"] = value
+        cases.append((json.dumps(invalid), "deadline_ms"))
+    incomplete = json.loads(text)
+    del incomplete["settings"]["categories"][0]["points"]
+    cases.append((json.dumps(incomplete), "points"))
+    return cases
 
 
-def test_a_file_that_is_not_whole_changes_nothing_and_the_error_names_what_it_lacks() -> None:
+def test_an_incomplete_file_changes_nothing_and_the_error_names_the_missing_key() -> None:
     async def test() -> None:
         async with world(silence) as w:
             before = w.engine._gateway.settings
-            for text, named in broken_files(w.config):
-                with pytest.raises(ConfigError, match=named):
+            for text, expected in invalid_files(w.config):
+                with pytest.raises(ConfigError, match=expected):
                     w.service.reload(read_config(text))
                 assert w.engine._gateway.settings is before
 
     run(test())
 
 
-def test_keys_of_a_list_are_those_that_all_its_objects_have() -> None:
+def test_keys_of_a_list_are_those_common_to_all_its_objects() -> None:
     assert set(keys_of({"a": [{"x": 1, "y": {"z": 2}}, {"x": 3}], "b": [1, 2], "c": []})) == {
         "a",
         "a[].x",
@@ -282,17 +282,17 @@
     }
 
 
-def test_a_whole_file_may_have_more_keys_than_the_running_one() -> None:
+def test_a_complete_file_may_have_more_keys_than_the_running_one() -> None:
     async def test() -> None:
         async with world(silence) as w:
             running = read_config(json.dumps(w.config))
-            more = changed(w, news={"x": 1})
-            assert complete(read_config(json.dumps(more)), running).settings == running.settings
+            extended = changed(w, news={"x": 1})
+            assert complete(read_config(json.dumps(extended)), running).settings == running.settings
 
     run(test())
 
 
-def test_keyed_requests_keep_their_window_over_a_change() -> None:
+def test_requests_with_an_idempotency_key_keep_their_window_over_a_change() -> None:
     g = gateway(classes=(KEYED_ALL,))
     sent = g.handle(START, request(1))[0]
     change(g, START + 100, classes=(replace(KEYED_ALL, window_ms=60_000),))
--- a/troutdock/settings/configuration.py
+++ b/troutdock/settings/configuration.py
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A tenant. rate: requests per second over all ingress proxies, 0: no limit; burst: requests beyond it."""
+    """A tenant. rate: requests per second over all ingress proxies (0: no limit); burst: extra requests."""
 
     name: str
     keys: tuple[str, ...]
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Limits on the size of a request, the time to send its header and the idle time of a connection."""
+    """Limits on request sizes, on the time to send a header and on the idle time of a connection."""
 
     header_bytes: int = 16_384
     body_bytes: int = 64 * 1024 * 1024
