--- a/troutdock/settings/configuration.py
+++ b/troutdock/settings/configuration.py
@@ -299,6 +299,6 @@
         tenants = (
             _parse_tenants(configuration["tenants"]) if configuration.get("tenants") is not None else None
         )
-    except _InvalidConfiguration as error:
-        return RejectedConfiguration(*error.args)
+    except _InvalidConfiguration as invalid:
+        return RejectedConfiguration(*invalid.args)
     return Configuration(version, routes, services, limits, tenants)
