--- a/tests/system/test_large_messages.py
+++ b/tests/system/test_large_messages.py
@@ -1,4 +1,4 @@
-"""Links: long messages in parts, what passes them, garbage, frozen processes, links that come and go."""
+"""Connections between processes: chunking, expedited messages, invalid input, suspension, reconnection."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 from troutdock.rpc import connection
 from troutdock.rpc.connection import (
-    GONE_S,
-    MOST_UNSENT,
-    PASSING,
-    PING_S,
-    SILENT_S,
-    STRANGER_FRAME,
-    UNSENT_PARTS,
-    Dialer,
-    Link,
+    EXPEDITED_MESSAGES,
+    MAX_HELLO_BYTES,
+    MAX_UNSENT_BYTES,
+    MAX_WRITE_BUFFER_BYTES,
+    PING_INTERVAL_S,
+    SILENCE_TIMEOUT_S,
+    STALE_INPUT_S,
+    Connector,
     Listener,
+    PeerConnection,
 )
 from troutdock.rpc.messages import (
     Accept,
@@ -39,63 +39,77 @@
     decode,
     encode,
 )
-from troutdock.rpc.netstring import MAX_FRAME, PART, Assembler, Deframer, FrameError, Outbox, frame
+from troutdock.rpc.netstring import (
+    CHUNK_BYTES,
+    MAX_FRAME_BYTES,
+    ChunkAssembler,
+    FrameDecoder,
+    FrameError,
+    SendQueue,
+    encode_frame,
+)
 
-ME, YOU = Hello("r", "me", "10.0.0.1", "a", 1), Hello("r", "you", "10.0.0.2", "a", 2)
-PING = frame(encode(Ping()))
+LOCAL_HELLO, PEER_HELLO = Hello("r", "me", "10.0.0.1", "a", 1), Hello("r", "you", "10.0.0.2", "a", 2)
+PING = encode_frame(encode(Ping()))
 
 
-def config(size: int, version: int = 1) -> Config:
+def make_config(size: int, version: int = 1) -> Config:
     return Config(version, Raw(b'"' + b"x" * (size - 2) + b'"'))
 
 
-# ---- parts, without sockets
+# ---- chunking, without sockets
 
 
-def drained(outbox: Outbox) -> list[bytes]:
-    return list(iter(outbox.take, None))  # type: ignore[arg-type]
+def take_all_frames(queue: SendQueue) -> list[bytes]:
+    return list(iter(queue.next_frame, None))  # type: ignore[arg-type]
 
 
 SIZES = st.one_of(
     st.integers(1, 60),
-    st.integers(PART - 2, PART + 2),
-    st.integers(2 * PART - 2, 2 * PART + 2),
-    st.integers(1, 5 * PART),
+    st.integers(CHUNK_BYTES - 2, CHUNK_BYTES + 2),
+    st.integers(2 * CHUNK_BYTES - 2, 2 * CHUNK_BYTES + 2),
+    st.integers(1, 5 * CHUNK_BYTES),
 )
 
 
-FILL = b"".join(b"%d," % i for i in range(70_000))  # no two places of it are alike
+FILL = b"".join(
+    b"%d," % i for i in range(70_000)
+)  # no two positions are alike, so that a misplaced chunk is detected
 
 
 @given(st.lists(SIZES, max_size=6), st.lists(st.integers(0, 2), min_size=1, max_size=9), st.data())
-def test_payloads_come_whole_and_in_order_with_others_between_their_parts(sizes, between, data) -> None:
+def test_payloads_are_reassembled_in_order_with_other_frames_between_their_chunks(
+    sizes, between, data
+) -> None:
     payloads = [b"{%d" % i + FILL[:size] for i, size in enumerate(sizes)]
-    outbox = Outbox()
+    queue = SendQueue()
     for payload in payloads:
-        outbox.put(payload)
-    frames = drained(outbox)
-    assert outbox.size == 0 and max(map(len, frames), default=0) <= MAX_FRAME + 9
+        queue.put(payload)
+    frames = take_all_frames(queue)
+    assert queue.queued_bytes == 0 and max(map(len, frames), default=0) <= MAX_FRAME_BYTES + 9
     wire = b""
-    for i, framed in enumerate(frames):
-        wire += framed + PING * between[i % len(between)]
+    for i, encoded_frame in enumerate(frames):
+        wire += encoded_frame + PING * between[i % len(between)]
     cuts = sorted(data.draw(st.lists(st.integers(0, len(wire)), max_size=5)))
-    deframer, assembler, found = Deframer(), Assembler(), []
+    decoder, assembler, found = FrameDecoder(), ChunkAssembler(), []
     for start, end in zip([0, *cuts], [*cuts, len(wire)], strict=True):
-        for framed in deframer.feed(wire[start:end]):
-            if (whole := assembler.take(framed)) is not None and whole != encode(Ping()):
-                found.append(whole)
-            assert assembler.have <= sum(map(len, payloads))
-    assert found == payloads and not assembler.half
-
-
-@given(st.integers(PART + 1, 6 * PART), st.data())
-def test_parts_that_are_lost_doubled_or_swapped_are_refused_and_let_go(size, data) -> None:
-    outbox = Outbox()
-    outbox.put(b"{" * size)
-    outbox.put(b"[" * size)
-    parts = [framed for data_ in drained(outbox) for framed in Deframer().feed(data_)]
-    at = data.draw(st.integers(0, len(parts) - 2))
-    harm: Callable[[list[bytes]], list[bytes]] = data.draw(
+        for encoded_frame in decoder.feed(wire[start:end]):
+            if (completed := assembler.add(encoded_frame)) is not None and completed != encode(Ping()):
+                found.append(completed)
+            assert assembler.received_bytes <= sum(map(len, payloads))
+    assert found == payloads and not assembler.incomplete
+
+
+@given(st.integers(CHUNK_BYTES + 1, 6 * CHUNK_BYTES), st.data())
+def test_lost_duplicate_and_swapped_chunks_are_rejected_and_buffers_cleared(size, data) -> None:
+    queue = SendQueue()
+    queue.put(b"{" * size)
+    queue.put(b"[" * size)
+    chunks = [
+        encoded_frame for data_ in take_all_frames(queue) for encoded_frame in FrameDecoder().feed(data_)
+    ]
+    at = data.draw(st.integers(0, len(chunks) - 2))
+    corrupt: Callable[[list[bytes]], list[bytes]] = data.draw(
         st.sampled_from(
             [
                 lambda p: p[:at] + p[at + 1 :],
@@ -104,17 +118,17 @@
             ]
         )
     )
-    assembler, whole = Assembler(), []
-    with pytest.raises(FrameError, match="a part at"):
-        for part in harm(parts):
-            if (found := assembler.take(part)) is not None:
-                whole.append(found)
-    assert not assembler.half and assembler.have == 0
-    assert all(found in (b"{" * size, b"[" * size) for found in whole)  # never a mixture
+    assembler, completed = ChunkAssembler(), []
+    with pytest.raises(FrameError, match="unexpected chunk at"):
+        for chunk in corrupt(chunks):
+            if (found := assembler.add(chunk)) is not None:
+                completed.append(found)
+    assert not assembler.incomplete and assembler.received_bytes == 0
+    assert all(found in (b"{" * size, b"[" * size) for found in completed)  # never a mix of two payloads
 
 
 @pytest.mark.parametrize(
-    "part",
+    "chunk",
     [
         b"+",
         b"+0/9",
@@ -134,44 +148,50 @@
         b"+ 0/9:x",
     ],
 )
-def test_what_is_no_part_is_refused(part: bytes) -> None:
-    assembler = Assembler(1000)
+def test_invalid_chunk_headers_are_rejected(chunk: bytes) -> None:
+    assembler = ChunkAssembler(1000)
     with pytest.raises(FrameError):
-        assembler.take(part)
-    assert not assembler.half
+        assembler.add(chunk)
+    assert not assembler.incomplete
 
 
-def test_an_announced_length_takes_no_memory_before_its_bytes_come() -> None:
+def test_an_announced_length_allocates_no_memory_before_its_bytes_arrive() -> None:
     import tracemalloc
 
     tracemalloc.start()
-    assembler = Assembler()
-    assert assembler.take(b"+0/80000000:x") is None
+    assembler = ChunkAssembler()
+    assert assembler.add(b"+0/80000000:x") is None
     assert tracemalloc.get_traced_memory()[1] < 100_000
     tracemalloc.stop()
 
 
-def test_a_payload_that_waits_on_many_links_is_kept_once() -> None:
+def test_a_payload_queued_on_many_connections_is_stored_once() -> None:
     import tracemalloc
 
     payload = b"{" + b"x" * 5_000_000
     tracemalloc.start()
-    for outbox in [Outbox() for _ in range(20)]:
-        outbox.put(payload)
-        outbox.take()
+    for queue in [SendQueue() for _ in range(20)]:
+        queue.put(payload)
+        queue.next_frame()
     assert tracemalloc.get_traced_memory()[1] < 1_000_000
     tracemalloc.stop()
 
 
-# ---- links, with a connection that takes what the test lets it
+# ---- connections, on a simulated transport
 
 
-class Pipe(asyncio.Transport):
-    """A connection whose peer reads `room` bytes more; what it has read stands in `out`."""
+class FakeTransport(asyncio.Transport):
+    """A transport whose peer reads `credit` more bytes; `read_bytes` is what it has read."""
 
-    def __init__(self, link: Link, room: float = 1e12) -> None:
+    def __init__(self, connection: PeerConnection, credit: float = 1e12) -> None:
         super().__init__()
-        self.link, self.room, self.out, self._held, self.aborted = link, room, bytearray(), bytearray(), False
+        self.connection, self.credit, self.read_bytes, self._buffer, self.aborted = (
+            connection,
+            credit,
+            bytearray(),
+            bytearray(),
+            False,
+        )
         self._high, self._paused = 1 << 16, False
 
     def get_extra_info(self, name: str, default: object = None) -> object:
@@ -184,72 +204,74 @@
         self._high, self._low = high or 0, low or 0
 
     def get_write_buffer_size(self) -> int:
-        return len(self._held)
+        return len(self._buffer)
 
     def write(self, data: bytes) -> None:  # type: ignore[override]
-        assert not self.aborted, "written to a connection that is gone"
-        self._held += data
+        assert not self.aborted, "write to a closed transport"
+        self._buffer += data
         self.read(0)
-        if len(self._held) > self._high and not self._paused:
+        if len(self._buffer) > self._high and not self._paused:
             self._paused = True
-            self.link.pause_writing()
+            self.connection.pause_writing()
 
     def read(self, more: int) -> None:
-        """The peer reads so many bytes more."""
-        self.room += more
-        count = int(min(self.room, len(self._held)))
-        self.room -= count
-        self.out += self._held[:count]
-        del self._held[:count]
-        if self._paused and len(self._held) <= self._low:
+        """Lets the peer read this many more bytes."""
+        self.credit += more
+        count = int(min(self.credit, len(self._buffer)))
+        self.credit -= count
+        self.read_bytes += self._buffer[:count]
+        del self._buffer[:count]
+        if self._paused and len(self._buffer) <= self._low:
             self._paused = False
-            self.link.resume_writing()
+            self.connection.resume_writing()
 
     def abort(self) -> None:
         self.aborted = True
-        self._held.clear()
+        self._buffer.clear()
 
 
-class World:
-    """A link on a Pipe, with its clock in the test's hand."""
+class Fixture:
+    """A connection on a FakeTransport, with a simulated clock."""
 
-    def __init__(self, monkeypatch: pytest.MonkeyPatch, room: float = 1e12, hello: bool = True) -> None:
+    def __init__(self, monkeypatch: pytest.MonkeyPatch, credit: float = 1e12, hello: bool = True) -> None:
         self.now, self.timers = 100.0, []
-        monkeypatch.setattr(connection, "steady", lambda: self.now)
+        monkeypatch.setattr(connection, "monotonic_time", lambda: self.now)
         loop = asyncio.get_running_loop()
         monkeypatch.setattr(
             loop, "call_later", lambda s, f: self.timers.append(f) or asyncio.TimerHandle(0, f, (), loop)
         )
-        self.heard: list[Message] = []
-        self.ups = self.downs = 0
-        self.link = Link(ME, lambda _, message: self.heard.append(message), self._up, self._down)
-        self.pipe = Pipe(self.link, room)
-        self.link.connection_made(self.pipe)
+        self.received: list[Message] = []
+        self.ready_count = self.closed_count = 0
+        self.connection = PeerConnection(
+            LOCAL_HELLO, lambda _, message: self.received.append(message), self._on_ready, self._on_closed
+        )
+        self.transport = FakeTransport(self.connection, credit)
+        self.connection.connection_made(self.transport)
         if hello:
-            self.link.data_received(frame(encode(YOU)))
+            self.connection.data_received(encode_frame(encode(PEER_HELLO)))
 
-    def _up(self, _: Link) -> None:
-        self.ups += 1
+    def _on_ready(self, _: PeerConnection) -> None:
+        self.ready_count += 1
 
-    def _down(self, _: Link) -> None:
-        self.downs += 1
+    def _on_closed(self, _: PeerConnection) -> None:
+        self.closed_count += 1
 
-    def beat(self, after: float = PING_S) -> None:
+    def fire_timers(self, after: float = PING_INTERVAL_S) -> None:
         self.now += after
         due, self.timers = self.timers, []
-        for each in due:
-            each()
+        for callback in due:
+            callback()
 
-    def said(self) -> list[Message]:
-        assembler = Assembler()
+    def sent(self) -> list[Message]:
+        assembler = ChunkAssembler()
         return [
-            decode(whole)
-            for framed in Deframer().feed(bytes(self.pipe.out))
-            if (whole := assembler.take(framed)) is not None
+            decode(payload)
+            for encoded_frame in FrameDecoder().feed(bytes(self.transport.read_bytes))
+            if (payload := assembler.add(encoded_frame)) is not None
         ]
 
 
-def in_loop(test: Callable[..., object]) -> Callable[..., None]:
+def run_in_loop(test: Callable[..., object]) -> Callable[..., None]:
     async def run(*given: object) -> None:
         test(*given)
 
@@ -264,11 +286,11 @@
 STATUS = Status(5, Record(4, "a", ["b"]), 9, True, False, True, ["a"])
 
 
-@in_loop
-def test_small_messages_pass_a_long_one_and_nothing_else_does(monkeypatch: pytest.MonkeyPatch) -> None:
-    world = World(monkeypatch, room=100_000)
-    long = config(11_000_000)
-    assert world.link.send(long)
+@run_in_loop
+def test_only_expedited_messages_are_sent_ahead_of_a_long_one(monkeypatch: pytest.MonkeyPatch) -> None:
+    fixture = Fixture(monkeypatch, credit=100_000)
+    long = make_config(11_000_000)
+    assert fixture.connection.send(long)
     order = [
         Write(1, 2, Raw(b"{}")),
         STATUS,
@@ -278,213 +300,251 @@
         Fresh(True, 9),
     ]
     for message in order:
-        assert world.link.send(message)
-    world.pipe.read(2 * UNSENT_PARTS + 2 * PART)  # no more of the long one lies before them
-    early = world.said()[1:]
-    assert early == [m for m in order if isinstance(m, PASSING)]
-    while not world.pipe.room:
-        world.pipe.read(500_000)
-    assert world.said()[1:] == [*early, long, *(m for m in order if not isinstance(m, PASSING))]
-
-
-@in_loop
-def test_signs_of_life_go_on_and_a_link_that_brings_bytes_is_not_silent(
+        assert fixture.connection.send(message)
+    fixture.transport.read(
+        2 * MAX_WRITE_BUFFER_BYTES + 2 * CHUNK_BYTES
+    )  # at most this much of the long message precedes them
+    early = fixture.sent()[1:]
+    assert early == [m for m in order if isinstance(m, EXPEDITED_MESSAGES)]
+    while not fixture.transport.credit:
+        fixture.transport.read(500_000)
+    assert fixture.sent()[1:] == [*early, long, *(m for m in order if not isinstance(m, EXPEDITED_MESSAGES))]
+
+
+@run_in_loop
+def test_pings_continue_during_long_messages_and_any_byte_counts_as_activity(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    world = World(monkeypatch, room=0)
-    world.link.send(config(11_000_000))
-    body = frame(b"+0/200:" + b"x" * 100)
-    for at in range(40):  # 12 s in which the peer takes 3 KB a beat and says nothing whole
-        world.pipe.read(3000)
-        world.link.data_received(body[at : at + 1])
-        world.beat()
-        assert world.link.open
-    world.pipe.read(UNSENT_PARTS + PART)
-    assert world.said().count(Ping()) > 30
+    fixture = Fixture(monkeypatch, credit=0)
+    fixture.connection.send(make_config(11_000_000))
+    body = encode_frame(b"+0/200:" + b"x" * 100)
+    for at in range(40):  # 12 s in which the peer reads 3 kB per interval and sends no complete message
+        fixture.transport.read(3000)
+        fixture.connection.data_received(body[at : at + 1])
+        fixture.fire_timers()
+        assert fixture.connection.open
+    fixture.transport.read(MAX_WRITE_BUFFER_BYTES + CHUNK_BYTES)
+    assert fixture.sent().count(Ping()) > 30
     for _ in range(5):
-        world.beat()
-    assert not world.link.open and world.downs == 1
+        fixture.fire_timers()
+    assert not fixture.connection.open and fixture.closed_count == 1
 
 
-@in_loop
-def test_a_slow_peer_is_given_parts_as_it_takes_them_and_cut_past_the_bound(
+@run_in_loop
+def test_a_slow_peer_gets_chunks_as_it_reads_and_is_disconnected_above_the_limit(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    world = World(monkeypatch, room=0)
-    payload = encode(config(11_000_000))
+    fixture = Fixture(monkeypatch, credit=0)
+    payload = encode(make_config(11_000_000))
     sent = 0
-    while world.link.send_payload(payload):
+    while fixture.connection.send_payload(payload):
         sent += 1
-        assert world.pipe.get_write_buffer_size() <= UNSENT_PARTS + MAX_FRAME + 100
-        assert sent < 100, "no bound"
-    assert sent == MOST_UNSENT // len(payload) and world.pipe.aborted and world.downs == 1
-    assert not world.link.send(Ping()) and not world.link._outbox.size
+        assert fixture.transport.get_write_buffer_size() <= MAX_WRITE_BUFFER_BYTES + MAX_FRAME_BYTES + 100
+        assert sent < 100, "no limit on unsent bytes"
+    assert (
+        sent == MAX_UNSENT_BYTES // len(payload) and fixture.transport.aborted and fixture.closed_count == 1
+    )
+    assert not fixture.connection.send(Ping()) and not fixture.connection._send_queue.queued_bytes
 
 
-@in_loop
-def test_half_a_message_goes_with_its_link(monkeypatch: pytest.MonkeyPatch) -> None:
-    world = World(monkeypatch)
-    world.link.data_received(frame(b"+0/70000:" + b"x" * 60_000))
-    assert world.link._assembler.have == 60_000
-    world.link.connection_lost(None)
-    assert not world.link._assembler.half and world.heard == [] and world.downs == 1
+@run_in_loop
+def test_an_incomplete_message_is_discarded_when_its_connection_closes(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    fixture = Fixture(monkeypatch)
+    fixture.connection.data_received(encode_frame(b"+0/70000:" + b"x" * 60_000))
+    assert fixture.connection._assembler.received_bytes == 60_000
+    fixture.connection.connection_lost(None)
+    assert (
+        not fixture.connection._assembler.incomplete and fixture.received == [] and fixture.closed_count == 1
+    )
 
 
 @pytest.mark.parametrize(
-    ("wire", "why"),
+    ("wire", "reason"),
     [
-        (b"x" * 20, "a frame without a length"),
-        (b"999999999:", "a frame without a length"),
-        (b"65600:", "65600 bytes, 65568 at most"),
-        (b"01:", "is no length of a frame"),
-        (b"1000000:", "1000000 bytes, 65568 at most"),
-        (frame(b"+5/9:x"), "a part at 5 of 9 bytes, where 0 of 0"),
-        (frame(b"+0/99999999:x"), "99999999 bytes in parts"),
-        (frame(b"garbage"), "JSON"),
-        (frame(encode(YOU)), "a second Hello, of you, life 2"),
-        (frame(encode(Hello("r", "you", "10.0.0.2", "a", 3))), "a second Hello, of you, life 3"),
+        (b"x" * 20, "frame without a length"),
+        (b"999999999:", "frame without a length"),
+        (b"65600:", "65600 bytes exceeds the limit of 65568"),
+        (b"01:", "is not a frame length"),
+        (b"1000000:", "1000000 bytes exceeds the limit of 65568"),
+        (encode_frame(b"+5/9:x"), "chunk at 5 of 9 bytes, with 0 of 0"),
+        (encode_frame(b"+0/99999999:x"), "message of 99999999 bytes exceeds"),
+        (encode_frame(b"garbage"), "JSON"),
+        (encode_frame(encode(PEER_HELLO)), "second Hello, from you, incarnation 2"),
+        (
+            encode_frame(encode(Hello("r", "you", "10.0.0.2", "a", 3))),
+            "second Hello, from you, incarnation 3",
+        ),
     ],
 )
-def test_garbage_ends_the_link_with_a_line_that_names_who(
-    monkeypatch: pytest.MonkeyPatch, wire: bytes, why: str
+def test_invalid_input_closes_the_connection_and_the_log_names_the_peer(
+    monkeypatch: pytest.MonkeyPatch, wire: bytes, reason: str
 ) -> None:
     async def run() -> None:
-        world = World(monkeypatch)
+        fixture = Fixture(monkeypatch)
         with logbook.TestHandler() as handler:
-            world.link.data_received(wire + PING)
+            fixture.connection.data_received(wire + PING)
         [record] = handler.records
-        assert "Link cut: you" in record.message and why in record.message
-        assert world.pipe.aborted and world.downs == 1 and world.heard == [] and world.ups == 1
+        assert "Connection aborted: you" in record.message and reason in record.message
+        assert (
+            fixture.transport.aborted
+            and fixture.closed_count == 1
+            and fixture.received == []
+            and fixture.ready_count == 1
+        )
 
     asyncio.run(run())
 
 
 @pytest.mark.parametrize(
-    "wire", [PING + frame(encode(Fresh(True, 1))), frame(b"+0/5000:" + b"x" * 100), b"4097:", frame(b"{}")]
+    "wire",
+    [
+        PING + encode_frame(encode(Fresh(True, 1))),
+        encode_frame(b"+0/5000:" + b"x" * 100),
+        b"4097:",
+        encode_frame(b"{}"),
+    ],
 )
-def test_a_stranger_is_cut_and_named_by_address(monkeypatch: pytest.MonkeyPatch, wire: bytes) -> None:
+def test_an_unidentified_peer_is_disconnected_and_logged_by_address(
+    monkeypatch: pytest.MonkeyPatch, wire: bytes
+) -> None:
     async def run() -> None:
-        world = World(monkeypatch, hello=False)
+        fixture = Fixture(monkeypatch, hello=False)
         with logbook.TestHandler() as handler:
-            world.link.data_received(wire)
+            fixture.connection.data_received(wire)
         [record] = handler.records
-        assert "10.9.9.9" in record.message and not world.link.open and world.heard == [] and world.ups == 0
-        assert STRANGER_FRAME == 4096
+        assert (
+            "10.9.9.9" in record.message
+            and not fixture.connection.open
+            and fixture.received == []
+            and fixture.ready_count == 0
+        )
+        assert MAX_HELLO_BYTES == 4096
 
     asyncio.run(run())
 
 
-# ---- frozen processes
+# ---- suspended processes
 
 
-@in_loop
-def test_a_process_that_stood_short_reads_what_waits_before_it_judges(
+@run_in_loop
+def test_after_a_short_suspension_waiting_input_is_read_before_the_timeout_applies(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    world = World(monkeypatch)
-    world.beat(SILENT_S + 0.3)  # its timer fires first
-    assert world.link.open
-    world.link.data_received(frame(encode(Fresh(True, 7))))
-    assert world.heard == [Fresh(True, 7)]
+    fixture = Fixture(monkeypatch)
+    fixture.fire_timers(SILENCE_TIMEOUT_S + 0.3)  # the timer fires before the input is read
+    assert fixture.connection.open
+    fixture.connection.data_received(encode_frame(encode(Fresh(True, 7))))
+    assert fixture.received == [Fresh(True, 7)]
 
 
-@in_loop
-def test_what_waited_while_a_process_stood_long_is_never_heard(monkeypatch: pytest.MonkeyPatch) -> None:
+@run_in_loop
+def test_after_a_long_suspension_waiting_input_is_discarded(monkeypatch: pytest.MonkeyPatch) -> None:
     for timer_first in (True, False):
-        world = World(monkeypatch)
+        fixture = Fixture(monkeypatch)
         if timer_first:
-            world.beat(20.0)
+            fixture.fire_timers(20.0)
         else:
-            world.now += 20.0
+            fixture.now += 20.0
         with logbook.TestHandler() as handler:
-            world.link.data_received(frame(encode(Fresh(True, 7))))
-        assert world.heard == [] and not world.link.open and world.downs == 1
-        assert "you has ended it while this process stood for 20.0 s" in handler.records[0].message
+            fixture.connection.data_received(encode_frame(encode(Fresh(True, 7))))
+        assert fixture.received == [] and not fixture.connection.open and fixture.closed_count == 1
+        assert "you has closed it while this process was suspended for 20.0 s" in handler.records[0].message
 
 
-@in_loop
-def test_silence_is_noticed_as_soon_as_before(monkeypatch: pytest.MonkeyPatch) -> None:
-    world, began = World(monkeypatch), 100.0
-    while world.link.open:
-        world.beat()
-    assert SILENT_S < world.now - began <= SILENT_S + PING_S < GONE_S
+@run_in_loop
+def test_silence_closes_the_connection_after_the_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
+    fixture, started_at = Fixture(monkeypatch), 100.0
+    while fixture.connection.open:
+        fixture.fire_timers()
+    assert SILENCE_TIMEOUT_S < fixture.now - started_at <= SILENCE_TIMEOUT_S + PING_INTERVAL_S < STALE_INPUT_S
 
 
-# ---- dialers, over sockets of this machine
+# ---- connectors, on loopback sockets
 
 
-def test_an_end_that_is_told_late_does_not_leave_two_links_alive() -> None:
+def test_a_late_close_notification_does_not_leave_two_connections_open() -> None:
     async def run() -> None:
-        taken: list[Link] = []
+        accepted: list[PeerConnection] = []
         listener = Listener(
-            lambda: taken.append(Link(YOU, lambda *_: None, lambda _: None, lambda _: None)) or taken[-1]
+            lambda: (
+                accepted.append(PeerConnection(PEER_HELLO, lambda *_: None, lambda _: None, lambda _: None))
+                or accepted[-1]
+            )
         )
         address = await listener.listen(("127.0.0.1", 0))
-        up = asyncio.Event()
-        dialer = Dialer(address, ME, lambda *_: None, lambda _: up.set())
-        await asyncio.wait_for(up.wait(), 5)
-        before = Link(ME, lambda *_: None, lambda _: None, dialer._ended)  # of an earlier try
-        dialer._ended(before)
-        current = dialer.link
+        ready = asyncio.Event()
+        connector = Connector(address, LOCAL_HELLO, lambda *_: None, lambda _: ready.set())
+        await asyncio.wait_for(ready.wait(), 5)
+        previous = PeerConnection(
+            LOCAL_HELLO, lambda *_: None, lambda _: None, connector._handle_closed
+        )  # of an earlier attempt
+        connector._handle_closed(previous)
+        current = connector.connection
         for _ in range(20):
             await asyncio.sleep(0)
-        assert dialer.link is current and dialer.up and len(taken) == 1
-        dialer.close()
+        assert connector.connection is current and connector.is_ready and len(accepted) == 1
+        connector.close()
         listener.close()
 
     asyncio.run(run())
 
 
 @pytest.mark.parametrize("error", [TimeoutError, OSError])
-def test_a_connection_that_comes_up_as_its_try_ends_is_cut(
+def test_a_connection_established_as_its_attempt_ends_is_closed(
     monkeypatch: pytest.MonkeyPatch, error: type[OSError]
 ) -> None:
     async def run() -> None:
-        loop, made = asyncio.get_running_loop(), []
+        loop, created = asyncio.get_running_loop(), []
 
-        async def connect(make: Callable[[], Link], *_: object) -> None:
-            made.append(make())
-            made[-1].connection_made(Pipe(made[-1]))
+        async def connect(create: Callable[[], PeerConnection], *_: object) -> None:
+            created.append(create())
+            created[-1].connection_made(FakeTransport(created[-1]))
             raise error
 
         monkeypatch.setattr(loop, "create_connection", connect)
-        dialer = Dialer(("10.0.0.9", 1), ME, lambda *_: None, lambda _: None)
+        connector = Connector(("10.0.0.9", 1), LOCAL_HELLO, lambda *_: None, lambda _: None)
         await asyncio.sleep(0)
         await asyncio.sleep(0)
-        assert len(made) == 1 and not made[0].open and dialer.link is None
-        dialer.close()
+        assert len(created) == 1 and not created[0].open and connector.connection is None
+        connector.close()
 
     asyncio.run(run())
 
 
-def test_a_closed_dialer_says_nothing_on_a_connection_that_comes_up_afterwards() -> None:
+def test_an_aborted_connection_sends_nothing_when_it_is_established_afterwards() -> None:
     async def run() -> None:
-        link = Link(ME, lambda *_: None, lambda _: None, lambda _: None)
-        link.cut()
-        pipe = Pipe(link)
-        link.connection_made(pipe)
-        assert pipe.aborted and not pipe.out and not link.open
+        connection = PeerConnection(LOCAL_HELLO, lambda *_: None, lambda _: None, lambda _: None)
+        connection.abort()
+        transport = FakeTransport(connection)
+        connection.connection_made(transport)
+        assert transport.aborted and not transport.read_bytes and not connection.open
 
     asyncio.run(run())
 
 
-def test_eleven_megabytes_and_signs_of_life_cross_a_true_connection() -> None:
+def test_an_11_megabyte_message_and_expedited_messages_over_a_socket() -> None:
     async def run() -> None:
-        heard: asyncio.Queue[Message] = asyncio.Queue()
+        received: asyncio.Queue[Message] = asyncio.Queue()
         listener = Listener(
-            lambda: Link(YOU, lambda _, m: heard.put_nowait(m), lambda _: None, lambda _: None)
+            lambda: PeerConnection(
+                PEER_HELLO, lambda _, m: received.put_nowait(m), lambda _: None, lambda _: None
+            )
         )
         address = await listener.listen(("127.0.0.1", 0))
-        up = asyncio.Event()
-        dialer = Dialer(address, ME, lambda *_: None, lambda _: up.set())
-        await asyncio.wait_for(up.wait(), 5)
-        long = config(11_000_000, 3)
+        ready = asyncio.Event()
+        connector = Connector(address, LOCAL_HELLO, lambda *_: None, lambda _: ready.set())
+        await asyncio.wait_for(ready.wait(), 5)
+        long = make_config(11_000_000, 3)
         assert (
-            dialer.send(long) and dialer.send(Fresh(True, 3)) and dialer.send(Accept(Record(1, "a", ["b"])))
+            connector.send(long)
+            and connector.send(Fresh(True, 3))
+            and connector.send(Accept(Record(1, "a", ["b"])))
         )
-        found = [await asyncio.wait_for(heard.get(), 10) for _ in range(3)]
+        found = [await asyncio.wait_for(received.get(), 10) for _ in range(3)]
         assert found == [Fresh(True, 3), long, Accept(Record(1, "a", ["b"]))]
-        dialer.close()
+        connector.close()
         listener.close()
 
     asyncio.run(run())
--- a/troutdock/rpc/connection.py
+++ b/troutdock/rpc/connection.py
@@ -1,20 +1,24 @@
-"""Connections between the system's own processes: messages in and out, signs of life, bounds.
-
-Theory of operation. A Link is one TCP connection. Each side says something at least every PING_S; one that
-has heard nothing for SILENT_S ends it, as a machine without power or behind a cut says nothing at all. Any
-byte is a sign of life: a long message that is still coming is none of silence. A Dialer keeps a link to one
-address, one at a time, and tries again with a pause that grows; a Listener takes those of others. What is no
-message, no next part or a second Hello ends that link and nothing else; half a message goes with its link.
-
-Messages come in the order in which they were sent, but for those of PASSING: they tell how things stand, not
-what to do next, and go ahead of what waits. What is longer than a part goes in parts, handed to the system
-as the peer takes them, so that at most UNSENT_PARTS bytes of it lie before a sign of life. A peer that does
-not read is cut at MOST_UNSENT bytes.
-
-Silence is counted while this process runs. One that was frozen reads first what waits in the socket, instead
-of ending good links by a timer that is late. But past GONE_S without a byte the other side has certainly
-ended the link, by the same rule, and what lies in the socket is as old as that: it is dropped unread with the
-link, as news of unknown age must not pass for news. Time is the steady clock's only.
+"""TCP connections between the system's own processes: framing, keep-alive, time-outs and send limits.
+
+Theory of operation. A PeerConnection is one TCP connection. Each side sends something at least every
+PING_INTERVAL_S; a side that has received nothing for SILENCE_TIMEOUT_S closes the connection, since a machine
+without power or behind a network partition sends neither data nor a FIN. Any received byte counts, so a long
+message in transit keeps its connection alive. A Connector keeps one connection to one address and reconnects
+with exponential back-off; a Listener accepts connections. Bytes that are no message, a chunk out of sequence
+or a second Hello close that connection and have no other effect. An incomplete message is discarded when its
+connection closes.
+
+Messages are delivered in the order of sending, except the types in EXPEDITED_MESSAGES. These report a
+current state and request nothing, so they are sent ahead of the queue. A payload longer than a chunk is
+split into chunks. They are handed to the transport as the peer reads, so that at most
+MAX_WRITE_BUFFER_BYTES of it precede a ping. A connection whose peer does not read is closed at
+MAX_UNSENT_BYTES.
+
+Silence is counted only while this process runs. A process that was suspended first reads what is in the
+socket, so that a timer that fires late does not close working connections. After STALE_INPUT_S without a
+byte, however, the other side has certainly closed the connection by the same rule, and the bytes in the
+socket are at least that old: they are discarded unread with the connection, as messages of unknown age must
+not be taken for current ones. All times are those of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -42,290 +46,365 @@
     encode,
 )
 from troutdock.rpc.netstring import (
-    MAX_FRAME,
-    MAX_PAYLOAD,
-    PART,
-    Assembler,
-    Deframer,
+    CHUNK_BYTES,
+    MAX_FRAME_BYTES,
+    MAX_PAYLOAD_BYTES,
+    ChunkAssembler,
+    FrameDecoder,
     FrameError,
-    Outbox,
-    frame,
+    SendQueue,
+    encode_frame,
 )
 
 log = logbook.Logger("furrow")
 
 Address = tuple[str, int]
 
-PING_S = 0.3  # between two signs of life
-SILENT_S = 1.0  # without any: three are lost, or the way is cut
-GONE_S = SILENT_S + 2 * PING_S  # without any: who is there has ended the link, a beat and the way counted in
-CONNECT_S = 0.6  # for a connection to come up: the longest way is some 80 ms, and one lost packet a second
-PAUSE_S, PAUSE_MOST_S = 0.05, 0.5  # between two tries: at first, and at most
-MOST_UNSENT = MAX_PAYLOAD + (1 << 20)  # bytes that wait for a peer that does not read
-UNSENT_PARTS = 2 * PART  # bytes in the connection's own buffer, past which the next part waits
-STRANGER_FRAME = 4096  # bytes of a first message: Hello
-PASSING = (Ping, Status, Probe, ProbeAck, Fresh)  # may go ahead of others, in their own order
+PING_INTERVAL_S = 0.3
+SILENCE_TIMEOUT_S = 1.0  # three pings in a row are lost, or the network path is down
+# by now the peer has closed the connection; allows for one ping interval and the network delay
+STALE_INPUT_S = SILENCE_TIMEOUT_S + 2 * PING_INTERVAL_S
+CONNECT_TIMEOUT_S = 0.6  # the longest round trip is some 80 ms, and one lost packet per second is allowed for
+RECONNECT_DELAY_S, MAX_RECONNECT_DELAY_S = 0.05, 0.5
+MAX_UNSENT_BYTES = MAX_PAYLOAD_BYTES + (1 << 20)  # queued for a peer that does not read
+MAX_WRITE_BUFFER_BYTES = 2 * CHUNK_BYTES  # in the transport; above this, no further chunk is written
+MAX_HELLO_BYTES = 4096  # limit for the first message of a connection
+EXPEDITED_MESSAGES = (Ping, Status, Probe, ProbeAck, Fresh)  # sent ahead of others, in order among themselves
 
-steady = time.monotonic  # not the loop's, which stands still while a callback runs
+monotonic_time = time.monotonic  # the time of the event loop does not advance while a callback runs
 
 
-Heard = Callable[["Link", Message], None]
-Told = Callable[["Link"], None]
+MessageHandler = Callable[["PeerConnection", Message], None]
+ConnectionHandler = Callable[["PeerConnection"], None]
 
 
-class Link(asyncio.Protocol):
-    """One connection; heard, up and down are called with it."""
+class PeerConnection(asyncio.Protocol):
+    """One connection to another process of the system.
 
-    def __init__(self, me: Hello, heard: Heard, up: Told, down: Told) -> None:
-        self._me, self._heard, self._up, self._down = me, heard, up, down
-        self.peer: Hello | None = None  # who is there, once it has said so
-        self._deframer = Deframer(STRANGER_FRAME)
-        self._assembler = Assembler(STRANGER_FRAME)
-        self._outbox = Outbox()
-        self._full = False  # the connection's own buffer: no next part
+    Attributes:
+        peer: The peer's Hello; None until it has been received.
+        open: Whether the connection is established.
+        last_received_at: When the last byte was received, in seconds of the monotonic clock.
+    """
+
+    def __init__(
+        self,
+        hello: Hello,
+        on_message: MessageHandler,
+        on_ready: ConnectionHandler,
+        on_closed: ConnectionHandler,
+    ) -> None:
+        """Prepares a connection; asyncio establishes it.
+
+        Args:
+            hello: The first message to send.
+            on_message: Called for each received message except Hello and Ping.
+            on_ready: Called when the peer's Hello has been received.
+            on_closed: Called once when an established connection has closed.
+        """
+        self._hello, self._on_message, self._on_ready, self._on_closed = (
+            hello,
+            on_message,
+            on_ready,
+            on_closed,
+        )
+        self.peer: Hello | None = None
+        self._decoder = FrameDecoder(MAX_HELLO_BYTES)
+        self._assembler = ChunkAssembler(MAX_HELLO_BYTES)
+        self._send_queue = SendQueue()
+        self._write_paused = False  # the transport's buffer is full
         self._transport: asyncio.Transport | None = None
         self._loop = asyncio.get_running_loop()
         self._timer: asyncio.TimerHandle | None = None
-        self.heard_at = self._beat_at = steady()
-        self._quiet_s = 0.0  # since a byte came, while this process ran
-        self._said_at = 0.0
+        self.last_received_at = self._last_check_at = monotonic_time()
+        self._silent_s = 0.0  # time without a received byte, counted only while this process ran
+        self._last_sent_at = 0.0
         self.open = False
-        self._over = False  # it was cut, maybe before it came up
+        self._aborted = False  # possibly before it was established
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
-        if self._over:
+        if self._aborted:
             self._transport.abort()
             return
-        self._transport.set_write_buffer_limits(UNSENT_PARTS, PART)
+        self._transport.set_write_buffer_limits(MAX_WRITE_BUFFER_BYTES, CHUNK_BYTES)
         sock = transport.get_extra_info("socket")
         if sock is not None:
             with contextlib.suppress(OSError):
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.open = True
-        self.heard_at = self._beat_at = steady()
-        self.send(self._me)
-        self._beat()
+        self.last_received_at = self._last_check_at = monotonic_time()
+        self.send(self._hello)
+        self._check_silence()
 
     def send(self, message: Message) -> bool:
-        """Say it; false: the link is down, or has just been cut for a peer that does not read."""
+        """Sends a message.
+
+        Returns:
+            False if the connection is closed, or exceeds MAX_UNSENT_BYTES and is aborted.
+        """
         payload = encode(message)
-        return self.send_payload(payload, isinstance(message, PASSING) and len(payload) <= PART)
+        return self.send_payload(
+            payload, isinstance(message, EXPEDITED_MESSAGES) and len(payload) <= CHUNK_BYTES
+        )
 
-    def send_payload(self, payload: bytes, passes: bool = False) -> bool:
-        """The same for one that is encoded already; it is not copied, so several links may share it.
+    def send_payload(self, payload: bytes, expedited: bool = False) -> bool:
+        """Sends an encoded message. The bytes are not copied, so several connections may share them.
 
-        passes: it goes ahead of what waits. ValueError: one of more than a part can't.
+        Args:
+            payload: The encoded message.
+            expedited: Whether to send it ahead of the queue.
+
+        Returns:
+            False if the connection is closed, or exceeds MAX_UNSENT_BYTES and is aborted.
+
+        Raises:
+            ValueError: An expedited payload is longer than a chunk.
         """
-        if passes and len(payload) > PART:
-            raise ValueError(f"{len(payload)} bytes can't pass others")
+        if expedited and len(payload) > CHUNK_BYTES:
+            raise ValueError(f"payload of {len(payload)} bytes is too long to be expedited")
         if not self.open or self._transport is None:
             return False
-        if self._transport.is_closing():  # by its own end, which has not been told yet
-            self._ended()
+        if self._transport.is_closing():  # connection_lost has not been called yet
+            self._handle_closed()
             return False
-        if self._transport.get_write_buffer_size() + self._outbox.size + len(payload) > MOST_UNSENT:
-            self._cut_for("does not read")
+        if (
+            self._transport.get_write_buffer_size() + self._send_queue.queued_bytes + len(payload)
+            > MAX_UNSENT_BYTES
+        ):
+            self._abort_with_warning("does not read what is sent to it")
             return False
-        if passes or not (self._outbox.size or self._full or len(payload) > PART):
-            self._write(frame(payload))
+        if expedited or not (
+            self._send_queue.queued_bytes or self._write_paused or len(payload) > CHUNK_BYTES
+        ):
+            self._write(encode_frame(payload))
         else:
-            self._outbox.put(payload)
-            self._pump()
+            self._send_queue.put(payload)
+            self._flush()
         return True
 
     def _write(self, data: bytes) -> None:
         if self._transport is not None:
-            self._said_at = steady()
+            self._last_sent_at = monotonic_time()
             self._transport.write(data)
 
-    def _pump(self) -> None:
-        while self.open and not self._full and (data := self._outbox.take()) is not None:
+    def _flush(self) -> None:
+        while self.open and not self._write_paused and (data := self._send_queue.next_frame()) is not None:
             self._write(data)
 
     def pause_writing(self) -> None:
-        self._full = True
+        self._write_paused = True
 
     def resume_writing(self) -> None:
-        self._full = False
-        self._pump()
+        self._write_paused = False
+        self._flush()
 
     def data_received(self, data: bytes) -> None:
         if not self.open:
             return
-        now = steady()
-        if now - self.heard_at > GONE_S:
-            self._cut_for(f"has ended it while this process stood for {now - self.heard_at:.1f} s")
+        now = monotonic_time()
+        if now - self.last_received_at > STALE_INPUT_S:
+            self._abort_with_warning(
+                f"has closed it while this process was suspended for {now - self.last_received_at:.1f} s"
+            )
             return
-        self.heard_at, self._quiet_s = now, 0.0
+        self.last_received_at, self._silent_s = now, 0.0
         try:
-            for framed in self._deframer.feed(data):
-                if (payload := self._assembler.take(framed)) is not None:
-                    self._take(decode(payload))
+            for frame in self._decoder.feed(data):
+                if (payload := self._assembler.add(frame)) is not None:
+                    self._dispatch(decode(payload))
                 if not self.open:
                     return
         except (FrameError, MessageError) as error:
-            self._cut_for(f"sent what is none of ours: {error}")
+            self._abort_with_warning(f"sent an invalid message: {error}")
 
-    def _take(self, message: Message) -> None:
+    def _dispatch(self, message: Message) -> None:
         if isinstance(message, Hello):
             if self.peer is not None:
-                raise MessageError(f"a second Hello, of {message.name}, life {message.life}")
+                raise MessageError(f"second Hello, from {message.name}, incarnation {message.life}")
             self.peer = message
-            self._deframer.most, self._assembler.most = MAX_FRAME, MAX_PAYLOAD
-            self._up(self)
+            self._decoder.max_bytes, self._assembler.max_bytes = MAX_FRAME_BYTES, MAX_PAYLOAD_BYTES
+            self._on_ready(self)
         elif isinstance(message, Ping):
             pass
         elif self.peer is None:
-            raise MessageError("a message before Hello")
+            raise MessageError("message before Hello")
         else:
-            self._heard(self, message)
+            self._on_message(self, message)
 
-    def _beat(self) -> None:
+    def _check_silence(self) -> None:
         if not self.open:
             return
-        now = steady()
-        # what lies in the socket is read before the next beat: one beat that is late says nothing of the peer
-        self._quiet_s += min(now - max(self._beat_at, self.heard_at), 2 * PING_S)
-        self._beat_at = now
-        if self._quiet_s > SILENT_S:
-            self.cut()
+        now = monotonic_time()
+        # a late timer says nothing about the peer: bytes in the socket are read before the next check
+        self._silent_s += min(now - max(self._last_check_at, self.last_received_at), 2 * PING_INTERVAL_S)
+        self._last_check_at = now
+        if self._silent_s > SILENCE_TIMEOUT_S:
+            self.abort()
             return
-        if now - self._said_at >= PING_S * 0.9:
+        if now - self._last_sent_at >= PING_INTERVAL_S * 0.9:
             self.send(Ping())
-        self._timer = self._loop.call_later(PING_S, self._beat)
+        self._timer = self._loop.call_later(PING_INTERVAL_S, self._check_silence)
 
-    def _cut_for(self, why: str) -> None:
+    def _abort_with_warning(self, reason: str) -> None:
         if self.peer is not None:
-            whom = self.peer.name
+            peer = self.peer.name
         else:
-            found = self._transport.get_extra_info("peername") if self._transport is not None else None
-            whom = f"a stranger at {found[0]}" if found else "a stranger"
-        log.warning("Link cut: {} {}.", whom, why)
-        self.cut()
-
-    def cut(self) -> None:
-        """End it at once, or as soon as it would come up."""
-        self._over = True
+            address = self._transport.get_extra_info("peername") if self._transport is not None else None
+            peer = f"unidentified peer at {address[0]}" if address else "unidentified peer"
+        log.warning("Connection aborted: {} {}.", peer, reason)
+        self.abort()
+
+    def abort(self) -> None:
+        """Closes the connection without flushing; one that is not established yet is closed once it is."""
+        self._aborted = True
         if self._transport is not None:
             self._transport.abort()
-        self._ended()
+        self._handle_closed()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._ended()
+        self._handle_closed()
 
-    def _ended(self) -> None:
+    def _handle_closed(self) -> None:
         if self.open:
             self.open = False
             if self._timer is not None:
                 self._timer.cancel()
-            self._outbox.clear()
+            self._send_queue.clear()
             self._assembler.clear()
-            self._down(self)
+            self._on_closed(self)
 
 
-def send_all(links: Iterable[Link], message: Message) -> None:
-    """Say one thing to many; it is encoded once, and its bytes are shared."""
+def broadcast(connections: Iterable[PeerConnection], message: Message) -> None:
+    """Sends a message on several connections; it is encoded once and its bytes are shared."""
     payload = encode(message)
-    passes = isinstance(message, PASSING) and len(payload) <= PART
-    for link in links:
-        link.send_payload(payload, passes)
+    expedited = isinstance(message, EXPEDITED_MESSAGES) and len(payload) <= CHUNK_BYTES
+    for connection in connections:
+        connection.send_payload(payload, expedited)
 
 
-class Dialer:
-    """Keeps a link to an address until it is closed."""
+class Connector:
+    """Keeps a connection to an address, with reconnection, until close() is called.
+
+    Attributes:
+        connection: The current connection, established or in progress; None between two attempts.
+        attempted: Whether an attempt has ended or a connection has been closed.
+    """
 
     def __init__(
         self,
         address: Address,
-        me: Hello,
-        heard: Heard,
-        up: Told,
-        down: Told = lambda _: None,
-        failed: Callable[[], None] = lambda: None,
+        hello: Hello,
+        on_message: MessageHandler,
+        on_ready: ConnectionHandler,
+        on_closed: ConnectionHandler = lambda _: None,
+        on_failure: Callable[[], None] = lambda: None,
     ) -> None:
-        """heard, up, down: those of each link. failed: a try has not come to a link."""
+        """Starts connecting.
+
+        Args:
+            address: Host and port.
+            hello: The first message to send on each connection.
+            on_message: As for PeerConnection.
+            on_ready: As for PeerConnection.
+            on_closed: As for PeerConnection.
+            on_failure: Called when an attempt to connect has failed.
+        """
         self.address = address
-        self._failed = failed
-        self._me, self._heard, self._up, self._down = me, heard, up, down
-        self.link: Link | None = None
-        self.tried = False  # once, with whatever came of it
-        self._pause_s = PAUSE_S
+        self._on_failure = on_failure
+        self._hello, self._on_message, self._on_ready, self._on_closed = (
+            hello,
+            on_message,
+            on_ready,
+            on_closed,
+        )
+        self.connection: PeerConnection | None = None
+        self.attempted = False
+        self._delay_s = RECONNECT_DELAY_S
         self._closed = False
-        self._gone = asyncio.Event()
+        self._lost = asyncio.Event()
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     def send(self, message: Message) -> bool:
-        """Say it, if there is a link whose peer has said who it is."""
-        link = self.link
-        return link is not None and link.peer is not None and link.send(message)
+        """Sends a message if the connection is ready; returns whether it was sent."""
+        connection = self.connection
+        return connection is not None and connection.peer is not None and connection.send(message)
 
     @property
-    def up(self) -> bool:
-        """There is a link, and its peer has said who it is."""
-        return self.link is not None and self.link.open and self.link.peer is not None
+    def is_ready(self) -> bool:
+        """Whether the connection is established and the peer's Hello has been received."""
+        return self.connection is not None and self.connection.open and self.connection.peer is not None
 
     async def _run(self) -> None:
         loop = asyncio.get_running_loop()
         while not self._closed:
-            self._gone.clear()  # of the link before: this one's end sets it again
-            link = Link(self._me, self._heard, self._up, self._ended)
-            self.link = link
+            self._lost.clear()  # set by the previous connection; this one sets it again when it closes
+            connection = PeerConnection(self._hello, self._on_message, self._on_ready, self._handle_closed)
+            self.connection = connection
             try:
-                async with asyncio.timeout(CONNECT_S):
-                    await loop.create_connection(lambda link=link: link, *self.address)  # type: ignore[misc]
+                async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                    await loop.create_connection(lambda connection=connection: connection, *self.address)  # type: ignore[misc]
             except (OSError, TimeoutError):
-                self.link, self.tried = None, True
-                link.cut()  # it may have come up in the very moment
-                self._failed()
-                await asyncio.sleep(self._pause_s)
-                self._pause_s = min(PAUSE_MOST_S, self._pause_s * 2)
+                self.connection, self.attempted = None, True
+                connection.abort()  # it may have been established at the moment of the time-out
+                self._on_failure()
+                await asyncio.sleep(self._delay_s)
+                self._delay_s = min(MAX_RECONNECT_DELAY_S, self._delay_s * 2)
                 continue
-            began = loop.time()
-            await self._gone.wait()
-            self.link, self.tried = None, True
-            if loop.time() - began > SILENT_S * 2:
-                self._pause_s = PAUSE_S
-            await asyncio.sleep(self._pause_s)
-            self._pause_s = min(PAUSE_MOST_S, self._pause_s * 2)
-
-    def _ended(self, link: Link) -> None:
-        if link is self.link:  # not one before, whose end was told late: the next would be left alive
-            self.tried = True
-            self._gone.set()
-        self._down(link)
+            connected_at = loop.time()
+            await self._lost.wait()
+            self.connection, self.attempted = None, True
+            if loop.time() - connected_at > SILENCE_TIMEOUT_S * 2:
+                self._delay_s = RECONNECT_DELAY_S
+            await asyncio.sleep(self._delay_s)
+            self._delay_s = min(MAX_RECONNECT_DELAY_S, self._delay_s * 2)
+
+    def _handle_closed(self, connection: PeerConnection) -> None:
+        # a late report about a previous connection must not wake _run: it would leave the current one open
+        if connection is self.connection:
+            self.attempted = True
+            self._lost.set()
+        self._on_closed(connection)
 
     def close(self) -> None:
-        """No more tries, and the link ends."""
+        """Stops reconnecting and closes the connection."""
         self._closed = True
         self._task.cancel()
-        if self.link is not None:
-            self.link.cut()
-            self.link = None
+        if self.connection is not None:
+            self.connection.abort()
+            self.connection = None
 
 
 class Listener:
-    """Takes the links of others."""
+    """Accepts connections from other processes."""
 
-    def __init__(self, make: Callable[[], Link]) -> None:
-        self._make = make
-        self._links: WeakSet[Link] = WeakSet()
+    def __init__(self, create: Callable[[], PeerConnection]) -> None:
+        """create: returns a new PeerConnection for each accepted connection."""
+        self._create = create
+        self._connections: WeakSet[PeerConnection] = WeakSet()
         self._server: asyncio.Server | None = None
 
     async def listen(self, address: Address) -> Address:
-        """Open it; gives the address, with the port that the system chose for 0. OSError if it is taken."""
-        self._server = await asyncio.get_running_loop().create_server(self._taken, *address, backlog=256)
+        """Starts listening.
+
+        Returns:
+            The bound address; for port 0, with the port that the operating system chose.
+
+        Raises:
+            OSError: The address is in use.
+        """
+        self._server = await asyncio.get_running_loop().create_server(self._accept, *address, backlog=256)
         host, port = self._server.sockets[0].getsockname()[:2]
         return host, port
 
-    def _taken(self) -> Link:
-        link = self._make()
-        self._links.add(link)
-        return link
+    def _accept(self) -> PeerConnection:
+        connection = self._create()
+        self._connections.add(connection)
+        return connection
 
     def close(self) -> None:
-        """No more links, and those that were taken end."""
+        """Stops listening and closes all accepted connections."""
         if self._server is not None:
             self._server.close()
-        for link in list(self._links):
-            link.cut()
+        for connection in list(self._connections):
+            connection.abort()
--- a/troutdock/settings/process.py
+++ b/troutdock/settings/process.py
@@ -1,4 +1,4 @@
-"""How each daemon of the system begins and ends: settings, logs, the loop, signals."""
+"""Start and end of each daemon of the system: settings, logs, garbage collector, event loop."""
 
 from __future__ import annotations
 
@@ -12,22 +12,34 @@
 import logbook
 import uvloop
 
-from troutdock.settings.boot import ENVIRONMENT, Boot, load_boot
+from troutdock.settings.boot import BOOT_FILE_VARIABLE, Boot, load_boot
 from troutdock.settings.table import SettingsError
 
-COLLECT_AFTER = 10_000  # objects more than before, until the collector of cycles looks: requests leave none
+# allocations between runs of the cyclic garbage collector; high, since requests leave no reference cycles
+GC_THRESHOLD = 10_000
 
 
-def life_of_now() -> int:
-    """A number for this life of the process, higher than those before unless the clock was set back."""
+def new_incarnation() -> int:
+    """Returns an incarnation number for this process.
+
+    It is higher than those of earlier processes unless the clock was set back in between.
+    """
     return time.time_ns() // 1_000_000
 
 
-def run(name: str, main: Callable[[Boot, str], Awaitable[int]]) -> int:
-    """Run a daemon: exit code 2 with one plain line on bad settings, else what main gives."""
-    path = os.environ.get(ENVIRONMENT)
+def run_daemon(name: str, main: Callable[[Boot, str], Awaitable[int]]) -> int:
+    """Runs a daemon.
+
+    Args:
+        name: The name of the program, for error messages.
+        main: The body of the daemon; it gets the settings and the path of their file.
+
+    Returns:
+        The exit code: 2 for bad settings, reported in one line; 1 for an OSError; else that of main.
+    """
+    path = os.environ.get(BOOT_FILE_VARIABLE)
     if not path:
-        print(f"{name}: {ENVIRONMENT} is not set", file=sys.stderr)
+        print(f"{name}: {BOOT_FILE_VARIABLE} is not set", file=sys.stderr)
         return 2
     try:
         boot = load_boot(path)
@@ -39,7 +51,7 @@
     )
     handler.push_application()
     gc.freeze()
-    gc.set_threshold(COLLECT_AFTER, 20, 20)
+    gc.set_threshold(GC_THRESHOLD, 20, 20)
 
     async def body() -> int:
         return await main(boot, path)
@@ -47,7 +59,7 @@
     try:
         return uvloop.run(body())
     except OSError as error:
-        print(f"{name}: can't serve: {error}", file=sys.stderr)
+        print(f"{name}: cannot serve: {error}", file=sys.stderr)
         return 1
     except asyncio.CancelledError:
         return 0
