--- a/tests/system/test_large_messages.py
+++ b/tests/system/test_large_messages.py
@@ -361,7 +361,7 @@
 
 
 @pytest.mark.parametrize(
-    ("wire", "reason"),
+    ("wire", "why"),
     [
         (b"x" * 20, "frame without a length"),
         (b"999999999:", "frame without a length"),
@@ -379,14 +379,14 @@
     ],
 )
 def test_invalid_input_closes_the_connection_and_the_log_names_the_peer(
-    monkeypatch: pytest.MonkeyPatch, wire: bytes, reason: str
+    monkeypatch: pytest.MonkeyPatch, wire: bytes, why: str
 ) -> None:
     async def run() -> None:
         fixture = Fixture(monkeypatch)
         with logbook.TestHandler() as handler:
             fixture.connection.data_received(wire + PING)
         [record] = handler.records
-        assert "Connection aborted: you" in record.message and reason in record.message
+        assert "Connection aborted: you" in record.message and why in record.message
         assert (
             fixture.transport.aborted
             and fixture.closed_count == 1
