--- a/benchmarks/hollow/core.py
+++ b/benchmarks/hollow/core.py
@@ -1,7 +1,7 @@
 """The core in simulated time: registries and stores whole, ingresses as their followers, one of them in full.
 
 What goes to all followers of a registry is the same bytes: encoded once, as by the real program
-(troutdock.rpc.connection.send_all), counted for each of them and decoded by one.
+(troutdock.rpc.connection.broadcast), counted for each of them and decoded by one.
 Messages wait for the sender's link (1,000 Mbit/s) and the slowest follower's (2 Mbit/s). Sockets, HTTP and
 the disk's work are not in processor times; a sync takes 5 ms.
 """
