--- a/benchmarks/hollow/ingress.py
+++ b/benchmarks/hollow/ingress.py
@@ -10,7 +10,7 @@
 from troutdock.proxy.load_exchange import Exchange
 from troutdock.rpc.messages import GONE, Config, Instances, Members, Silence
 from troutdock.endpoints.endpoint_table import Book
-from troutdock.admission.proxy_admission import Fabric
+from troutdock.admission.proxy_admission import ProxyAdmission
 from troutdock.admission.interface import (
     BackendEntry,
     Company,
@@ -26,7 +26,7 @@
 
     def __init__(self, name: str, ip: str, zone: str) -> None:
         self.book = Book()
-        self.fabric = Fabric(NOTHING, 1, int(zone[1:]))
+        self.fabric = ProxyAdmission(NOTHING, 1, int(zone[1:]))
         self.exchange = Exchange(name, ip, zone, 1, self.book)
         self.table: Table | None = None
         self.numbers: dict[str, int] = {}
--- a/tests/engine/test_engine_fabric.py
+++ b/tests/engine/test_engine_fabric.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 from simulated import SimulatedTime, SimulatedTransport, SimulatedWorld, Told, need
 
-from troutdock.admission.proxy_admission import Call, Fabric
+from troutdock.admission.proxy_admission import Call, ProxyAdmission
 from troutdock.admission.interface import BackendState, Effect, ListKind, Outcome, RequestArrived
 from troutdock.engine import Engine, Request
 
@@ -77,7 +77,7 @@
     def __init__(self) -> None:
         super().__init__(counter=False)
         self.time = SimulatedTime()
-        fabric = Fabric(self.settings, 7, allowance=1000.0)
+        fabric = ProxyAdmission(self.settings, 7, allowance=1000.0)
         self.engine = Engine(self.settings, 7, self.time, self.time, fabric)
         self.transports = [FabricTransport(self)]
         self.engine.add_pool(self.transports[0])
@@ -137,7 +137,7 @@
     if fault == "sent again":
         monkeypatch.setattr(Call, "may_have_run", property(lambda call: False, lambda call, value: None))
     else:
-        monkeypatch.setattr(Fabric, "_fail", lambda fabric, call: fabric._refuse(0.0, call))
+        monkeypatch.setattr(ProxyAdmission, "_fail", lambda fabric, call: fabric._refuse(0.0, call))
     with pytest.raises(AssertionError, match=r"again after|refused after|unsafe again"):
         test_any_legal_order_sends_once_what_may_not_be_repeated_and_refuses_only_what_never_ran()
 
@@ -146,18 +146,18 @@
 def test_a_long_answer_that_outlives_its_copys_time_costs_no_other_backend_its_place(copies: int) -> None:
     """A copy that was due while the answer was being passed on was told as moot, as by a backend that has ended."""
     world = FabricWorld()
-    fabric: Fabric = world.engine._gateway
-    fabric.pools[0].further = 5.0
+    fabric: ProxyAdmission = world.engine._gateway
+    fabric.pools[0].retry_budget = 5.0
     world.ask(0, 20_000)
     if copies == 2:  # one is out already when the first begins
         world.time.advance(1500)
         while len(world.out) < 2:
             world.time.advance(10)
-    spent = fabric.pools[0].further
+    spent = fabric.pools[0].retry_budget
     first = world.out[0]
     world.transport(first).begin(first)
     world.time.advance(10_000)
-    assert set(fabric.pools[0].ready) == set(IDS) and fabric.pools[0].further == spent
+    assert set(fabric.pools[0].ready) == set(IDS) and fabric.pools[0].retry_budget == spent
     assert world.out == [first] and world.time.pending <= 1  # its deadline
     world.transport(first).end(first, Outcome.OK)
     assert world.told[0].final == "served"
--- a/tests/support/company.py
+++ b/tests/support/company.py
@@ -1,6 +1,6 @@
 """Ingresses of the whole gateway in simulated time: their decisions and what they tell each other, no sockets.
 
-Each has a Fabric and an Exchange; messages go within a zone in a few milliseconds and between homes in some
+Each has a ProxyAdmission and an Exchange; messages go within a zone in a few milliseconds and between homes in some
 tens, as peer_connections.py does it. Its quotas go by a Process of quota_network, over links that are dialled and end.
 """
 
@@ -14,7 +14,7 @@
 
 from troutdock.proxy.load_exchange import ALIVE
 from troutdock.rpc.messages import encode
-from troutdock.admission.proxy_admission import LABELS, QUOTA_LABEL, Fabric
+from troutdock.admission.proxy_admission import TIMERS_PER_REQUEST, QUOTA_TIMER, ProxyAdmission
 from troutdock.admission.interface import (
     Actions,
     BackendEntry,
@@ -83,14 +83,14 @@
 
 
 class Ingress(Process):
-    """One of them: a process whose requests are decided by a Fabric."""
+    """One of them: a process whose requests are decided by a ProxyAdmission."""
 
     def __init__(self, town: Town, name: str, zone: str, first: bool) -> None:
         ip = f"10.{zone}.{len(town.ingresses):04}"
         super().__init__(town.network, name, zone, ip, town.network.new_life(), first, Two())
         self.town = town
         seed = self.life * 1000 + crc32(name.encode()) % 1000
-        self.fabric = Fabric(town.settings, seed, quotas=self.node)
+        self.fabric = ProxyAdmission(town.settings, seed, quotas=self.node)
 
     @property
     def now_ms(self) -> float:
@@ -104,7 +104,7 @@
             if isinstance(action, Send):
                 self.town.admitted.append(self.town.now)
                 self._forget(action.request)
-            elif isinstance(action, SetTimer) and action.label % LABELS == QUOTA_LABEL:
+            elif isinstance(action, SetTimer) and action.label % TIMERS_PER_REQUEST == QUOTA_TIMER:
                 fired = TimerFired(action.label)
                 self.network.later(
                     action.after_ms / 1000, lambda fired=fired: self.do(lambda: self.handle(fired))
--- a/tests/system/test_fabric.py
+++ b/tests/system/test_fabric.py
@@ -5,7 +5,7 @@
 import pytest
 from company import arrival, ready, terms
 
-from troutdock.admission.proxy_admission import Fabric
+from troutdock.admission.proxy_admission import ProxyAdmission
 from troutdock.admission.interface import (
     AttemptEnded,
     BackendEntry,
@@ -34,8 +34,8 @@
 MAY_HAVE_RUN = [Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT]
 
 
-def fabric(effect: Effect = Effect.SAFE, backends: int = 4, **more: float) -> Fabric:
-    f = Fabric(terms(effect=effect, **more), 7)
+def fabric(effect: Effect = Effect.SAFE, backends: int = 4, **more: float) -> ProxyAdmission:
+    f = ProxyAdmission(terms(effect=effect, **more), 7)
     f.handle(0.0, ready(*range(1, backends + 1)))
     return f
 
@@ -48,7 +48,7 @@
     return [a for a in actions if isinstance(a, kind)]
 
 
-def set_tokens(f: Fabric, now_ms: float, tokens: float) -> None:
+def set_tokens(f: ProxyAdmission, now_ms: float, tokens: float) -> None:
     """What the owner's bucket holds; f is the owner."""
     owner = f.quotas._owned._owners[shard_of("tenant")]
     owner.advance(now_ms / 1000)
@@ -57,10 +57,10 @@
     bucket.level = tokens
 
 
-def asking_fabric(**more: float) -> Fabric:
+def asking_fabric(**more: float) -> ProxyAdmission:
     """One whose quotas are owned by the peer "owner" in its zone."""
     node = QuotaNode("asker", "zone", 1, 0.0)
-    f = Fabric(terms(**more), 7, quotas=node)
+    f = ProxyAdmission(terms(**more), 7, quotas=node)
     f.handle(0.0, ready(1, 2, 3, 4))
     node.update_peers(
         0.0,
@@ -75,13 +75,15 @@
     return f
 
 
-def demands(f: Fabric) -> list[TokenDemand]:
+def demands(f: ProxyAdmission) -> list[TokenDemand]:
     """What was asked of the owner since the last look."""
     messages = [m for peer, m in f.quotas.take_messages() if peer == "owner" and isinstance(m, QuotaRequest)]
     return [demand for message in messages for demand in message.demands]
 
 
-def answer(f: Fabric, now_ms: float, demand: TokenDemand, granted: int, retry_after_s: float = 0.0) -> list:
+def answer(
+    f: ProxyAdmission, now_ms: float, demand: TokenDemand, granted: int, retry_after_s: float = 0.0
+) -> list:
     """The owner's answer, and what the ingress does then."""
     grant = TokenGrant(demand.tenant, demand.number, granted, retry_after_s, "term")
     f.quotas.receive(now_ms / 1000, "owner", QuotaGrant([grant]))
@@ -93,7 +95,7 @@
 def test_further_attempts_by_effect_and_outcome(effect: Effect, outcome: Outcome) -> None:
     f = fabric(effect)
     for pool in f.pools.values():
-        pool.further = 1.0
+        pool.retry_budget = 1.0
     (send,) = of(Send, f.handle(1.0, arrival(1)))
     actions = f.handle(51.0, ended(send, outcome))
     if effect is Effect.UNSAFE and not outcome.never_ran:
@@ -112,11 +114,11 @@
 def test_without_a_budget_no_second_sending_but_after_a_failed_connection() -> None:
     f = fabric()
     (send,) = of(Send, f.handle(1.0, arrival(1)))
-    f.pools[0].further = 0.0
+    f.pools[0].retry_budget = 0.0
     (refused,) = of(Refuse, f.handle(2.0, ended(send, Outcome.FULL)))
     assert refused.retry_after_ms > 0
     (send,) = of(Send, f.handle(3.0, arrival(2)))
-    f.pools[0].further = 0.0
+    f.pools[0].retry_budget = 0.0
     assert of(Send, f.handle(4.0, ended(send, Outcome.CONNECT_FAILED)))
 
 
@@ -129,7 +131,7 @@
         for call in list(f.calls):
             f.handle(
                 number * 10.0 + 2,
-                AttemptEnded(call, 1, f.calls[call].tried[1].entry.backend, Outcome.OK, 1, True),
+                AttemptEnded(call, 1, f.calls[call].attempted[1].entry.backend, Outcome.OK, 1, True),
             )
     assert 0.1 * number < second <= 0.2 * number
 
@@ -138,12 +140,12 @@
     f = fabric()
     actions = f.handle(1.0, arrival(1))
     (send,), (timer,) = of(Send, actions), of(SetTimer, actions)
-    f.pools[0].further = 1.0
+    f.pools[0].retry_budget = 1.0
     (copy,) = of(Send, f.handle(1.0 + timer.after_ms, TimerFired(timer.label)))
     assert copy.backend != send.backend
     g = fabric()
     (timer,) = of(SetTimer, g.handle(1.0, arrival(1)))
-    g.pools[0].further = 1.0
+    g.pools[0].retry_budget = 1.0
     g.handle(2.0, OthersLoad("x", dict.fromkeys(range(1, 5), 2)))
     assert not of(Send, g.handle(1.0 + timer.after_ms, TimerFired(timer.label)))
 
@@ -189,11 +191,11 @@
     for n, took in enumerate((100.0, 300.0)):
         f.handle(3.0, AttemptEnded(n + 1, 0, sends[n][0].backend, Outcome.OK, took, True))
     tenant = f.tenants[1]
-    assert tenant.answers == pytest.approx(1.995)
+    assert tenant.sample_weight == pytest.approx(1.995)
     f2 = fabric(rate=20.0, burst=1.0)
     f2.handle(1.0, arrival(1))
     t = f2.tenants[1]
-    t.answers, t.job_sum, t.job_squares = 2.0, 400.0, 100_000.0  # 100 and 300: mean 200, deviation 100
+    t.sample_weight, t.job_sum, t.job_squares = 2.0, 400.0, 100_000.0  # 100 and 300: mean 200, deviation 100
     (refused,) = f2.handle(1.0, arrival(2))
     assert refused.retry_after_ms == pytest.approx(1000 / (20 * 1.5), rel=0.01)
 
@@ -292,14 +294,14 @@
 
 def test_second_sendings_that_may_run_are_charged_to_the_quota() -> None:
     f = fabric(rate=10.0, burst=10.0)
-    f.pools[0].further = 9.0
+    f.pools[0].retry_budget = 9.0
     (send,) = of(Send, f.handle(1.0, arrival(1)))
     owner = f.quotas._owned._owners[shard_of("tenant")]
     assert of(Send, f.handle(2.0, ended(send, Outcome.RESET)))
     f.quotas.tick(0.002)
     assert owner._buckets["tenant"].level == pytest.approx(8.0, abs=0.1)
     (send,) = of(Send, f.handle(3.0, arrival(2)))
-    f.pools[0].further = 9.0
+    f.pools[0].retry_budget = 9.0
     assert of(Send, f.handle(4.0, ended(send, Outcome.FULL)))  # the first has not run
     f.quotas.tick(0.004)
     assert owner._buckets["tenant"].level == pytest.approx(7.0, abs=0.1)
@@ -307,7 +309,7 @@
 
 def test_a_backend_whose_address_is_anothers_is_left_until_it_is_heard_of() -> None:
     f = fabric(backends=2)
-    f.pools[0].further = 9.0
+    f.pools[0].retry_budget = 9.0
     (send,) = of(Send, f.handle(1.0, arrival(1)))
     f.handle(2.0, ended(send, Outcome.MOOT))
     for n in range(2, 6):
--- a/tests/system/test_proxy_outcomes.py
+++ b/tests/system/test_proxy_outcomes.py
@@ -607,7 +607,7 @@
         [Entry(id, f"s{run.number}", "{}:{}".format(*backend.address), "z", 2, 0, 0.0, now, now)]
     )
     number = ingress._numbers[id]
-    ingress.fabric.backends[number].speed = speed
+    ingress.fabric.backends[number].latency_factor = speed
     return number
 
 
@@ -623,7 +623,7 @@
         number = introduce(ingress, run, "i-first-", first, 1.0)
         introduce(ingress, run, "i-second-", second, 2.5)
         pool = ingress.fabric.pools[ingress._pools[f"s{run.number}"]]
-        pool.further = 5.0
+        pool.retry_budget = 5.0
         await client.open()
         nonce = f"n{run.number}"
         if run.kept:
@@ -639,7 +639,7 @@
         if run.alone:
             second.armed, second.at_door = True, row.at_door
         got = await client.ask(run.request(nonce, body=LONG if row.long else b"pay"))
-        pool.further = 5.0
+        pool.retry_budget = 5.0
         broken = broken_rules(run, got, first, second)
         # whoever comes next gets its own answer, on the client's connection and on whatever was kept to backends
         first.armed = second.armed = False
@@ -811,7 +811,7 @@
 
 
 def refuses_what_may_have_run(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(proxy_admission.Fabric, "_fail", lambda fabric, call: fabric._refuse(0.0, call))
+    patch.setattr(proxy_admission.ProxyAdmission, "_fail", lambda fabric, call: fabric._refuse(0.0, call))
 
 
 def reads_answers(change: Callable[[Response], None]) -> Plant:
@@ -1037,7 +1037,7 @@
             await backend.start()
             introduce(ingress, calls[number % 2], f"i{number}-", backend, 1.0)
         for pool in ingress.fabric.pools.values():
-            pool.further = 1000.0
+            pool.retry_budget = 1000.0
         await asyncio.gather(*map(client, range(CLIENTS)))
         return asked, backends
     finally:
--- a/tests/system/test_three_programs.py
+++ b/tests/system/test_three_programs.py
@@ -103,9 +103,9 @@
         await served(w, bad, fine)
         ingress = w.ingresses[w.edge[0]]
         number = {id: n for n, id in ingress._instance_of.items()}
-        ingress.fabric.backends[number[b"i-fine"]].speed = 3.0  # so that the bad one is asked first
+        ingress.fabric.backends[number[b"i-fine"]].latency_factor = 3.0  # so that the bad one is asked first
         for pool in ingress.fabric.pools.values():
-            pool.further = 5.0
+            pool.retry_budget = 5.0
         found, _, body = await call(
             w.http(w.edge[0]), "POST" if path == "/write/" else "GET", path, b"", *KEY, "Attempt-Id: a1"
         )
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -14,10 +14,22 @@
 from lab.gateways import Counter
 from lab.quotas import PLANS, Account, Quotas, customers
 from troutdock.admission import Gateway, snapshot
-from troutdock.admission.owner_query_codec import PARTS, STEPS, Answer, Question, read_answer, read_question
-from troutdock.admission.bucket_replication import COPY_MS, FRESH, NOBODY, Copies
-from troutdock.admission.usage_digest_codec import write
-from troutdock.admission.bucket_owner import CROWD, REPEAT_MS, Homes
+from troutdock.admission.owner_query_codec import (
+    LEVEL_SCALE,
+    BOUND_SCALE,
+    OwnerReply,
+    OwnerQuery,
+    decode_reply,
+    decode_query,
+)
+from troutdock.admission.bucket_replication import (
+    REPLICATION_MS,
+    RECOVERY_REQUEST,
+    NO_STANDBY,
+    BucketReplicas,
+)
+from troutdock.admission.usage_digest_codec import encode_digest
+from troutdock.admission.bucket_owner import REJECTION_SHARE, REPLY_CACHE_MS, BucketOwner
 from troutdock.admission.interface import (
     Count,
     PeerMessage,
@@ -29,7 +41,13 @@
     Settled,
     Tell,
 )
-from troutdock.admission.owner_queries import DEAF, PROBE_MS, RANKS, TRIES, Questions
+from troutdock.admission.owner_queries import (
+    UNREACHABLE_AFTER,
+    PROBE_MS,
+    OWNER_RANKS,
+    MAX_ATTEMPTS,
+    OwnerQueries,
+)
 
 PLAN = Plan(1.6, 16.0, name="basis")
 FILL = PLAN.rate / PLAN.burst
@@ -40,7 +58,7 @@
 
     def __init__(self, settings: Settings, seed: int) -> None:
         super().__init__(settings, seed)
-        self.asks.on = False
+        self.asks.enabled = False
 
 
 # ---- fleets, judged by the true stores
@@ -94,7 +112,11 @@
 @pytest.mark.parametrize(
     ("trouble", "bursts", "rates"),
     [
-        (mass_death, 3.0, 0.0),  # a burst more at each move of a home: away, and back; RANKS of them at most
+        (
+            mass_death,
+            3.0,
+            0.0,
+        ),  # a burst more at each move of a home: away, and back; OWNER_RANKS of them at most
         (cut_in_two, 3.0, 6.0),  # and while there are two halves, what one more quota gives
     ],
 )
@@ -115,7 +137,7 @@
     """A try whose homes are all dead, and what it settles afterwards, also where the counter answers just in time."""
     f = Quotas(100, customers(100, 120, Random(3)), 1, counter=Counter(500, way_ms))
     mass_death(f)
-    assert 0 < f.judgement(23).most_calls_per_s < 2 * 0.7**RANKS * f.tries / 23
+    assert 0 < f.judgement(23).most_calls_per_s < 2 * 0.7**OWNER_RANKS * f.tries / 23
 
 
 @examples(max_examples=12)
@@ -169,7 +191,9 @@
 )
 def test_homes_are_asked_where_digests_would_be_late(gateways: int, intake: float, on: bool) -> None:
     g = one(gateways=gateways, peer_in_per_s=intake)
-    assert g.asks.on == on and (g.word.every_ms == float("inf")) == (on or gateways == 1 or not intake)
+    assert g.asks.enabled == on and (g.word.interval_ms == float("inf")) == (
+        on or gateways == 1 or not intake
+    )
 
 
 def test_a_customer_of_one_gateway_has_its_home_there() -> None:
@@ -179,9 +203,9 @@
     assert len([a for a in told if isinstance(a, Send)]) == 4  # 16 units
 
 
-def ask_of(actions: list[object]) -> tuple[int, int, Question]:
+def ask_of(actions: list[object]) -> tuple[int, int, OwnerQuery]:
     (tell,) = [a for a in actions if isinstance(a, Tell)]
-    number, question = read_question(tell.body)
+    number, question = decode_query(tell.body)
     return tell.gateway, number, question
 
 
@@ -190,11 +214,11 @@
     granted: bool, level: float, then: type
 ) -> None:
     g = one()
-    home, number, question = ask_of(g.handle(START, request(1, units=4.0, width=150)))
-    assert question.need == PARTS * 4 // 16 and question.told == 0 and question.most == 1.0
-    done = g.handle(START + 20, PeerMessage(home, Answer(granted, level).bytes(number)))
+    home, number, query = ask_of(g.handle(START, request(1, units=4.0, width=150)))
+    assert query.requested == LEVEL_SCALE * 4 // 16 and query.used == 0 and query.level_bound == 1.0
+    done = g.handle(START + 20, PeerMessage(home, OwnerReply(granted, level).encode(number)))
     assert [type(a) for a in done] == [then]
-    assert not g.handle(START + 21, PeerMessage(home, Answer(True, 1.0).bytes(number)))  # it came twice
+    assert not g.handle(START + 21, PeerMessage(home, OwnerReply(True, 1.0).encode(number)))  # it came twice
     again = g.handle(START + 100, request(2, units=4.0, width=150))
     asked = [a for a in again if isinstance(a, Tell)]
     assert bool(asked) == granted and bool([a for a in again if isinstance(a, Refuse)]) != granted
@@ -207,28 +231,28 @@
     seen, now = [], START
     actions = g.handle(now, request(1, units=4.0, width=150, left=4000.0))
     while not (counted := [a for a in actions if isinstance(a, Count)]) and now < START + 1500:
-        seen += [(a.gateway, read_question(a.body)[0]) for a in actions if isinstance(a, Tell)]
+        seen += [(a.gateway, decode_query(a.body)[0]) for a in actions if isinstance(a, Tell)]
         now += 60.0
         actions = g.handle(
             now, PeerMessage(7, b"\x10\x00\x00\x00\x00")
         )  # others are heard, so it is not deaf
     homes = [home for home, _ in seen]
-    assert counted and len(dict.fromkeys(homes)) == RANKS and len(homes) == RANKS * TRIES
-    assert len(dict.fromkeys(seen)) == RANKS  # the same question at each home
+    assert counted and len(dict.fromkeys(homes)) == OWNER_RANKS and len(homes) == OWNER_RANKS * MAX_ATTEMPTS
+    assert len(dict.fromkeys(seen)) == OWNER_RANKS  # the same question at each home
 
 
 def test_a_gateway_that_has_been_replaced_keeps_no_stores_and_ends_what_it_held() -> None:
     g = one()
     home, number, question = ask_of(g.handle(START, request(1, units=4.0, width=150)))
     snapshot.take(g)  # an upgrade: the state is another process's from here on
-    assert not g.handle(START + 5, PeerMessage(9, question.bytes(5)))
-    done = g.handle(START + 20, PeerMessage(home, Answer(True, 0.5).bytes(number)))
+    assert not g.handle(START + 5, PeerMessage(9, question.encode(5)))
+    done = g.handle(START + 20, PeerMessage(home, OwnerReply(True, 0.5).encode(number)))
     assert [type(a) for a in done] == [Send, Settled]  # its units were taken: nobody else may use them
     assert [type(a) for a in g.handle(START + 30, request(2, units=4.0, width=150))] == [Refuse]
     successor = one()
     snapshot.restore(successor, snapshot.take(g))
     assert (
-        ask_of(successor.handle(START + 60, request(3, units=4.0, width=150)))[2].most < 1.0
+        ask_of(successor.handle(START + 60, request(3, units=4.0, width=150)))[2].level_bound < 1.0
     )  # what it was told is known
 
 
@@ -236,22 +260,22 @@
     g = one()
     home, number, _ = ask_of(g.handle(START, request(1, units=4.0, width=150)))
     g.handle(START + 5, RequestWithdrawn(1))
-    back_home, _, back = ask_of(g.handle(START + 20, PeerMessage(home, Answer(True, 0.5).bytes(number))))
-    assert back_home == home and back.told == -PARTS * 4 // 16 and back.need == 0
+    back_home, _, back = ask_of(g.handle(START + 20, PeerMessage(home, OwnerReply(True, 0.5).encode(number))))
+    assert back_home == home and back.used == -LEVEL_SCALE * 4 // 16 and back.requested == 0
 
 
 def test_a_width_that_changes_asks_the_new_home_with_what_the_old_one_told() -> None:
     g = one()
     home, number, _ = ask_of(g.handle(START, request(1, units=4.0, width=150)))
-    g.handle(START + 20, PeerMessage(home, Answer(True, 0.3).bytes(number)))
-    other, _, question = ask_of(g.handle(START + 100, request(2, units=1.0, width=90)))
-    assert other != home and question.most == pytest.approx(0.3, abs=0.02)
+    g.handle(START + 20, PeerMessage(home, OwnerReply(True, 0.3).encode(number)))
+    other, _, query = ask_of(g.handle(START + 100, request(2, units=1.0, width=90)))
+    assert other != home and query.level_bound == pytest.approx(0.3, abs=0.02)
 
 
 def test_digests_of_an_older_version_change_nothing_in_a_large_fleet() -> None:
     g = one()
-    g.handle(START, PeerMessage(5, write(3, [(77, 100, 0.0)])))
-    assert not g.word.hearing(START) and ask_of(g.handle(START, request(1, units=4.0, width=150)))
+    g.handle(START, PeerMessage(5, encode_digest(3, [(77, 100, 0.0)])))
+    assert not g.word.is_receiving(START) and ask_of(g.handle(START, request(1, units=4.0, width=150)))
 
 
 # ---- a home
@@ -259,18 +283,18 @@
 
 def question(
     told: float = 0.0, need: float = 0.0, kept: int = 0, mark: int = 77, most: float = 1.0
-) -> Question:
-    return Question(mark, FILL, round(told * PARTS), round(need * PARTS), kept, most)
+) -> OwnerQuery:
+    return OwnerQuery(mark, FILL, round(told * LEVEL_SCALE), round(need * LEVEL_SCALE), kept, most)
 
 
 def test_a_question_that_comes_twice_counts_once() -> None:
-    home = Homes(100.0)
-    body = question(0.25, 0.25).bytes(9)
-    said = [home.asked(START + n * 60, 3, body) for n in range(4)]
-    assert len(dict.fromkeys(said)) == 1 and read_answer(said[0])[1].level == pytest.approx(0.5, abs=0.002)
-    home.asked(START, 4, body)  # another's question of that number is another one
-    assert read_answer(home.asked(START + REPEAT_MS + 300, 3, question().bytes(10)))[1].level < 0.5
-    assert len(home.said) == 1  # what is old is forgotten
+    home = BucketOwner(100.0)
+    body = question(0.25, 0.25).encode(9)
+    said = [home.answer(START + n * 60, 3, body) for n in range(4)]
+    assert len(dict.fromkeys(said)) == 1 and decode_reply(said[0])[1].level == pytest.approx(0.5, abs=0.002)
+    home.answer(START, 4, body)  # another's question of that number is another one
+    assert decode_reply(home.answer(START + REPLY_CACHE_MS + 300, 3, question().encode(10)))[1].level < 0.5
+    assert len(home.replies) == 1  # what is old is forgotten
 
 
 @pytest.mark.parametrize(
@@ -284,29 +308,31 @@
         (question(need=0.3, most=0.4), True),
     ],
 )
-def test_a_home_lets_in_what_is_there_beside_what_is_to_stay(asked: Question, granted: bool) -> None:
-    answer = Homes(100.0).take(START, asked)
+def test_a_home_lets_in_what_is_there_beside_what_is_to_stay(asked: OwnerQuery, granted: bool) -> None:
+    answer = BucketOwner(100.0).apply(START, asked)
     assert answer.granted == granted
     assert answer.level == pytest.approx(
-        min(1.0, min(asked.most, 1.0) - asked.told / PARTS) - asked.need / PARTS * granted, abs=0.01
+        min(1.0, min(asked.level_bound, 1.0) - asked.used / LEVEL_SCALE)
+        - asked.requested / LEVEL_SCALE * granted,
+        abs=0.01,
     )
 
 
 def test_what_askers_knew_counts_only_until_the_store_has_filled() -> None:
-    home = Homes(100.0)
-    assert home.take(START, question(most=0.0)).level == 0.0
+    home = BucketOwner(100.0)
+    assert home.apply(START, question(most=0.0)).level == 0.0
     later = START + 1100 / FILL
-    assert home.take(later, question(most=0.2)).level == pytest.approx(1.0, abs=0.01)
+    assert home.apply(later, question(most=0.2)).level == pytest.approx(1.0, abs=0.01)
 
 
 def test_those_refused_stay_away_while_too_many_ask_and_come_back_when_they_are_few() -> None:
-    home, now = Homes(100.0), START
-    home.take(now, question(1.0))
+    home, now = BucketOwner(100.0), START
+    home.apply(now, question(1.0))
     holds = []
-    for per_s in (2 * CROWD * 100, 5.0):
+    for per_s in (2 * REJECTION_SHARE * 100, 5.0):
         for _ in range(int(per_s * 8)):
             now += 1000 / per_s
-            hold = home.take(now, question(need=0.9)).hold_ms
+            hold = home.apply(now, question(need=0.9)).hold_ms
         holds.append(hold)
     assert holds[0] > 500 and holds[1] < holds[0] / 4
 
@@ -316,13 +342,13 @@
 
 @given(st.binary(max_size=40) | st.binary(min_size=14, max_size=14).map(lambda b: b"\x12" + b[1:]))
 def test_any_bytes_are_a_question_an_answer_or_neither(body: bytes) -> None:
-    for read in (read_question, read_answer):
+    for read in (decode_query, decode_reply):
         with suppress(ValueError):
             number, _ = read(body)
             assert 0 <= number < 1 << 16
     g = one()
     g.handle(START, PeerMessage(3, body))  # harmless
-    assert not g.asks.open
+    assert not g.asks.pending
 
 
 @given(
@@ -337,23 +363,31 @@
 def test_questions_are_read_as_they_were_written(
     mark: int, fill: float, told: int, need: int, kept: int, most: float, number: int
 ) -> None:
-    read_number, read = read_question(Question(mark, fill, told, need, kept, most).bytes(number))
-    assert (read_number, read.mark, read.told, read.need, read.kept) == (number, mark, told, need, kept)
-    assert read.fill == pytest.approx(fill, rel=0.001) and read.most == pytest.approx(most, abs=1 / STEPS)
+    read_number, read = decode_query(OwnerQuery(mark, fill, told, need, kept, most).encode(number))
+    assert (read_number, read.key, read.used, read.requested, read.reserve) == (
+        number,
+        mark,
+        told,
+        need,
+        kept,
+    )
+    assert read.fill_rate == pytest.approx(fill, rel=0.001) and read.level_bound == pytest.approx(
+        most, abs=1 / BOUND_SCALE
+    )
 
 
 def test_deaf_gateways_probe_now_and_then_and_hear_again() -> None:
-    asks: Questions[None] = Questions(200, 0, 100.0, Random(1))
+    asks: OwnerQueries[None] = OwnerQueries(200, 0, 100.0, Random(1))
     now, asked = START, 0
     for _ in range(600):
         now += 10.0
-        list(asks.overdue(now))
-        if (home := asks.home(now, int(now) * 31, 1, 199)) is not None:
-            asks.ask(now, home, question(), None)
+        list(asks.pop_overdue(now))
+        if (home := asks.owner(now, int(now) * 31, 1, 199)) is not None:
+            asks.start(now, home, question(), None)
             asked += 1
-    assert DEAF <= asked <= 6000 / PROBE_MS + 2 * DEAF + 8
-    asks.heard(5)
-    assert sum(asks.home(now, n * 7919, 1, 199) is not None for n in range(50)) == 50
+    assert UNREACHABLE_AFTER <= asked <= 6000 / PROBE_MS + 2 * UNREACHABLE_AFTER + 8
+    asks.record_contact(5)
+    assert sum(asks.owner(now, n * 7919, 1, 199) is not None for n in range(50)) == 50
 
 
 # ---- copies
@@ -364,7 +398,7 @@
 
     def __init__(self, settings: Settings, seed: int) -> None:
         super().__init__(settings, seed)
-        self.homes.copies.touched = lambda mark, level, other: None  # type: ignore[method-assign]
+        self.homes.replicas.record = lambda mark, level, other: None  # type: ignore[method-assign]
 
 
 def rolled(make: type[Gateway], seed: int) -> float:
@@ -389,25 +423,27 @@
 
 
 def test_a_fresh_gateway_is_told_what_others_hold_of_it_with_its_age() -> None:
-    home, buddy, fresh = Copies(), Copies(), Copies()
-    assert list(home.due(START)) == [(None, FRESH)]
-    home.touched(77, 0.25, 4)
-    home.touched(78, 0.9, 4)  # nearly full: not worth telling
-    home.touched(79, 0.5, NOBODY)
-    assert not list(home.due(START + COPY_MS / 2))
-    ((to, body),) = home.due(START + COPY_MS)
-    assert to == 4 and not list(buddy.hear(START + COPY_MS, 9, body))
-    assert not list(buddy.hear(START + COPY_MS, 3, FRESH))  # another's
-    (back,) = buddy.hear(START + 3 * COPY_MS, 9, FRESH)
-    fresh.hear(START + 3 * COPY_MS, 4, back)
-    assert fresh.missing(START + 3 * COPY_MS, 77, 0.0001) == pytest.approx(0.75 - 0.2, abs=0.01)
-    assert fresh.missing(START + 3 * COPY_MS, 77, 0.0001) == 0.0  # once
-    assert not list(buddy.hear(START + 60 * COPY_MS, 9, FRESH))  # too old to be worth anything
+    home, buddy, fresh = BucketReplicas(), BucketReplicas(), BucketReplicas()
+    assert list(home.due(START)) == [(None, RECOVERY_REQUEST)]
+    home.record(77, 0.25, 4)
+    home.record(78, 0.9, 4)  # nearly full: not worth telling
+    home.record(79, 0.5, NO_STANDBY)
+    assert not list(home.due(START + REPLICATION_MS / 2))
+    ((to, body),) = home.due(START + REPLICATION_MS)
+    assert to == 4 and not list(buddy.receive(START + REPLICATION_MS, 9, body))
+    assert not list(buddy.receive(START + REPLICATION_MS, 3, RECOVERY_REQUEST))  # another's
+    (back,) = buddy.receive(START + 3 * REPLICATION_MS, 9, RECOVERY_REQUEST)
+    fresh.receive(START + 3 * REPLICATION_MS, 4, back)
+    assert fresh.take_deficit(START + 3 * REPLICATION_MS, 77, 0.0001) == pytest.approx(0.75 - 0.2, abs=0.01)
+    assert fresh.take_deficit(START + 3 * REPLICATION_MS, 77, 0.0001) == 0.0  # once
+    assert not list(
+        buddy.receive(START + 60 * REPLICATION_MS, 9, RECOVERY_REQUEST)
+    )  # too old to be worth anything
 
 
 @given(st.binary(max_size=300) | st.binary(max_size=40).map(lambda b: b"\x15" + b))
 def test_any_bytes_are_copies_or_none(body: bytes) -> None:
-    copies = Copies()
+    copies = BucketReplicas()
     with suppress(ValueError):
-        list(copies.hear(START, 1, body))
-    assert 0 <= copies.missing(START, 77, 0.001) <= 1
+        list(copies.receive(START, 1, body))
+    assert 0 <= copies.take_deficit(START, 77, 0.001) <= 1
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -13,9 +13,15 @@
 
 from lab.gateways import Gateways
 from troutdock.admission.interface import BackendState, ListKind, ListWatched
-from troutdock.admission.usage_digest_codec import MOST
-from troutdock.admission.backend_gossip import ASK_MS, ASKED, GONE_MS, SUSPECT_MS, News
-from troutdock.admission.backend_gossip_codec import ANSWER, ASK, HEAD, ROW
+from troutdock.admission.usage_digest_codec import MAX_DATAGRAM_BYTES
+from troutdock.admission.backend_gossip import (
+    QUERY_MS,
+    PEERS_PER_QUERY,
+    REMOVED_MS,
+    SUSPECT_MS,
+    BackendGossip,
+)
+from troutdock.admission.backend_gossip_codec import REPLY, QUERY, HEADER, ROW
 
 GATEWAYS, BACKENDS = 40, tuple(range(1, 61))
 LEFT, DRAINING = tuple(range(1, 10)), tuple(range(10, 19))
@@ -35,7 +41,7 @@
         for gone, state in ((LEFT, BackendState.GONE), (DRAINING, BackendState.DRAINING)):
             if n >= blind:
                 w.give(n, replace(fleet(*gone, state=state, kind=ListKind.CHANGES), version=7))
-    assert all(g.news.blind == (n < blind) for n, g in enumerate(w.gateways))
+    assert all(g.news.isolated == (n < blind) for n, g in enumerate(w.gateways))
     for n in range(int(seconds * 400)):
         w.time.run(START + n * 2.5)
         w.give(n * 7 % GATEWAYS, request(10_000 + n, customer=n % 90))
@@ -55,8 +61,8 @@
     """18 of 60 backends, that is 0.3 of all that is sent; without peers they go on sending there."""
     w, late = play(blind, 6, peers)
     assert least <= sum(late) / len(late) < most
-    assert len(w.singly) <= 2 * blind * ASKED * (6 * 1000 / ASK_MS + 1)
-    assert max(map(len, w.singly + w.everybody), default=0) <= MOST
+    assert len(w.singly) <= 2 * blind * PEERS_PER_QUERY * (6 * 1000 / QUERY_MS + 1)
+    assert max(map(len, w.singly + w.everybody), default=0) <= MAX_DATAGRAM_BYTES
 
 
 def test_where_all_are_blind_nobody_is_suspected_and_all_are_served() -> None:
@@ -66,13 +72,13 @@
 
 
 def told(*backends: int, version: int = 9) -> bytes:
-    return HEAD.pack(ANSWER, version) + b"".join(ROW.pack(b) for b in backends)
+    return HEADER.pack(REPLY, version) + b"".join(ROW.pack(b) for b in backends)
 
 
-def blind(gateways: int = GATEWAYS, version: int = 5) -> News:
-    news = News(gateways, 0, True, Random(1))
+def blind(gateways: int = GATEWAYS, version: int = 5) -> BackendGossip:
+    news = BackendGossip(gateways, 0, True, Random(1))
     news.version = version
-    news.watched(START, False)
+    news.set_discovery(START, False)
     return news
 
 
@@ -90,49 +96,51 @@
 def test_what_peers_say_is_worth(said: list[tuple[int, bytes]], suspected: tuple[int, ...]) -> None:
     news = blind()
     for sender, body in said:
-        news.hear(START, sender, body)
+        news.receive(START, sender, body)
     assert news.suspects(START, 60) == frozenset(suspected)
 
 
 def test_a_suspicion_ends_with_time_and_with_discoverys_next_word() -> None:
     news = blind()
     for sender in (1, 2):
-        news.hear(START, sender, told(3))
+        news.receive(START, sender, told(3))
     assert news.suspects(START + SUSPECT_MS, 60) and not news.suspects(START + SUSPECT_MS + 1, 60)
-    news.watched(START, True)
+    news.set_discovery(START, True)
     assert not news.suspects(START, 60)
 
 
 def test_who_is_asked_and_when() -> None:
     """Once discovery has been silent for a moment, and a few at a time; one peer's word is enough where there is one."""
     news = blind()
-    news.watched(START + 100, False)  # another call that failed: it is as blind as before
-    assert news.ask(START + ASK_MS - 1)[0] == []
-    peers, words = news.ask(START + ASK_MS)
-    assert len(peers) == ASKED and 0 not in peers and words == HEAD.pack(ASK, 5)
-    assert news.ask(START + ASK_MS + 1)[0] == []
+    news.set_discovery(START + 100, False)  # another call that failed: it is as blind as before
+    assert news.query(START + QUERY_MS - 1)[0] == []
+    peers, words = news.query(START + QUERY_MS)
+    assert len(peers) == PEERS_PER_QUERY and 0 not in peers and words == HEADER.pack(QUERY, 5)
+    assert news.query(START + QUERY_MS + 1)[0] == []
     pair = blind(gateways=2)
-    pair.hear(START, 1, told(3))
+    pair.receive(START, 1, told(3))
     assert pair.suspects(START, 60) == {3}
-    assert blind(gateways=1).ask(START + ASK_MS) == ([], b"")
+    assert blind(gateways=1).query(START + QUERY_MS) == ([], b"")
 
 
 def test_who_answers_tells_what_its_list_says_now() -> None:
-    news = News(GATEWAYS, 0, True, Random(1))
+    news = BackendGossip(GATEWAYS, 0, True, Random(1))
     news.version = 9
-    news.left(START, 3)
-    news.left(START + 5, 4)
-    news.there(3)  # it is back
-    assert news.hear(START, 1, HEAD.pack(ASK, 9)) and not news.hear(START, 1, HEAD.pack(ASK, 10))
-    assert news.answer(START + 10, [8]) == told(8, 4)
-    assert news.answer(START + 10 + GONE_MS, []) == b""
-    news.watched(START, False)
-    assert not news.hear(START, 1, HEAD.pack(ASK, 5))  # a blind one can't help
+    news.record_removed(START, 3)
+    news.record_removed(START + 5, 4)
+    news.record_listed(3)  # it is back
+    assert news.receive(START, 1, HEADER.pack(QUERY, 9)) and not news.receive(
+        START, 1, HEADER.pack(QUERY, 10)
+    )
+    assert news.reply(START + 10, [8]) == told(8, 4)
+    assert news.reply(START + 10 + REMOVED_MS, []) == b""
+    news.set_discovery(START, False)
+    assert not news.receive(START, 1, HEADER.pack(QUERY, 5))  # a blind one can't help
 
 
 @given(st.binary(max_size=300))
 def test_any_bytes_are_news_or_none(body: bytes) -> None:
     news = blind()
     with suppress(ValueError):
-        news.hear(START, 1, body)
+        news.receive(START, 1, body)
     assert news.suspects(START, 60) == frozenset()
--- a/tests/test_word.py
+++ b/tests/test_word.py
@@ -20,8 +20,15 @@
     SettingsChanged,
     Tell,
 )
-from troutdock.admission.usage_digest_codec import ENTRY, HEAD, MOST, UNSURE, VERSION, mark_of
-from troutdock.admission.usage_gossip import DEAF_MS, INTAKE, MARKS, Word
+from troutdock.admission.usage_digest_codec import (
+    ENTRY,
+    HEADER,
+    MAX_DATAGRAM_BYTES,
+    UNKNOWN_LEVEL,
+    VERSION,
+    customer_key,
+)
+from troutdock.admission.usage_gossip import SILENCE_LIMIT_MS, INTAKE_SHARE, MAX_BUCKETS, UsageGossip
 
 GATEWAYS = 14  # the most that digests are told among
 PLAN = Plan(1.2, 16, name="basis")  # each gateway's even part of it is less than a request
@@ -102,34 +109,34 @@
         f.ask(now, random.randrange(GATEWAYS), 2.0, customer=random.randrange(400))
     seconds = (now - START) / 1000
     assert max(f.taken_in) / seconds <= 100
-    assert max(map(len, f.everybody)) <= MOST
+    assert max(map(len, f.everybody)) <= MAX_DATAGRAM_BYTES
     assert f.bytes <= 7.0 * GATEWAYS * 6000  # of each try, to each gateway
     assert len(f.counted) / seconds < 30  # those of the first moments, when nobody had been heard yet
 
 
 def test_a_gateway_that_has_just_started_believes_a_peer_that_knows() -> None:
-    old, fresh = Word(40, 100.0, Random(1)), Word(40, 100.0, Random(2))
+    old, fresh = UsageGossip(40, 100.0, Random(1)), UsageGossip(40, 100.0, Random(2))
     fill = PLAN.rate / PLAN.burst / 1000
-    old.hear(START, 5, HEAD.pack(VERSION, 1) + ENTRY.pack(1, 0, 0, UNSURE))
+    old.receive(START, 5, HEADER.pack(VERSION, 1) + ENTRY.pack(1, 0, 0, UNKNOWN_LEVEL))
     now = START
     for _ in range(150):  # for longer than the store takes to fill
         now += 100.0
-        old.hear(now, 5, HEAD.pack(VERSION, 2 + int(now) % 60000) + ENTRY.pack(1, 0, 0, UNSURE))
-    old.used(now, 9, fill, 0.75)
-    fresh.hear(now, 7, old.digest(now))
-    assert fresh.store(now, 9, fill).level(now) == pytest.approx(0.25, abs=0.01)
-    fresh.used(now, 9, fill, 0.1)
-    unsure = Word(40, 100.0, Random(3))
-    unsure.used(now, 9, fill, 0.5)
-    was = fresh.store(now, 9, fill).level(now)
-    fresh.hear(now, 8, unsure.digest(now))  # it has heard nobody: its use counts, its level does not
-    assert fresh.store(now, 9, fill).level(now) == pytest.approx(max(0.0, was - 0.5), abs=0.03)
+        old.receive(now, 5, HEADER.pack(VERSION, 2 + int(now) % 60000) + ENTRY.pack(1, 0, 0, UNKNOWN_LEVEL))
+    old.record_use(now, 9, fill, 0.75)
+    fresh.receive(now, 7, old.next_digest(now))
+    assert fresh.bucket(now, 9, fill).level(now) == pytest.approx(0.25, abs=0.01)
+    fresh.record_use(now, 9, fill, 0.1)
+    unsure = UsageGossip(40, 100.0, Random(3))
+    unsure.record_use(now, 9, fill, 0.5)
+    was = fresh.bucket(now, 9, fill).level(now)
+    fresh.receive(now, 8, unsure.next_digest(now))  # it has heard nobody: its use counts, its level does not
+    assert fresh.bucket(now, 9, fill).level(now) == pytest.approx(max(0.0, was - 0.5), abs=0.03)
 
 
 def test_where_peers_fall_silent_the_counter_is_asked_again() -> None:
     f = Fleet(2)
-    f.give(0, PeerMessage(1, HEAD.pack(VERSION, 1) + ENTRY.pack(1, 0, 5, UNSURE)))
-    for after, called in ((0.0, False), (DEAF_MS, True)):
+    f.give(0, PeerMessage(1, HEADER.pack(VERSION, 1) + ENTRY.pack(1, 0, 5, UNKNOWN_LEVEL)))
+    for after, called in ((0.0, False), (SILENCE_LIMIT_MS, True)):
         for n in range(6):
             f.ask(START + after + 300.0 * n, 0, 1.0)
         assert bool(f.counted) == called
@@ -139,13 +146,15 @@
     g = Fleet(2).gateways[0]
     g.handle(
         START,
-        PeerMessage(1, HEAD.pack(VERSION, 1) + ENTRY.pack(mark_of(77) & 0xFFFF, mark_of(77) >> 16, 100, 0)),
+        PeerMessage(
+            1, HEADER.pack(VERSION, 1) + ENTRY.pack(customer_key(77) & 0xFFFF, customer_key(77) >> 16, 100, 0)
+        ),
     )
     assert [a for a in g.handle(START, request(1, customer=9, units=2.0)) if isinstance(a, Send)]
     assert [a for a in g.handle(START, request(2, customer=77, units=2.0)) if isinstance(a, Refuse)]
 
 
-GOOD = HEAD.pack(VERSION, 7) + ENTRY.pack(1, 2, 3, 4)
+GOOD = HEADER.pack(VERSION, 7) + ENTRY.pack(1, 2, 3, 4)
 
 
 @pytest.mark.parametrize(
@@ -154,10 +163,10 @@
         b"",
         GOOD[:2],
         GOOD[:-1],
-        HEAD.pack(VERSION, 7),
+        HEADER.pack(VERSION, 7),
         b"\x02" + GOOD[1:],
         GOOD * 40,
-        GOOD[:-1] + bytes([UNSURE - 1]),
+        GOOD[:-1] + bytes([UNKNOWN_LEVEL - 1]),
     ],
 )
 def test_what_is_no_digest_changes_nothing_and_is_named_once_for_each_sender(bad: bytes) -> None:
@@ -169,41 +178,41 @@
         for a in g.handle(START, PeerMessage(sender, bad))
         if isinstance(a, Log)
     ]
-    assert len(logs) == 2 and g.word.bad == {1: 3, 2: 3}
-    assert not g.word.stores and not g.word.hearing(START)
+    assert len(logs) == 2 and g.word.malformed == {1: 3, 2: 3}
+    assert not g.word.buckets and not g.word.is_receiving(START)
 
 
 @given(st.binary(max_size=300))
 def test_any_bytes_are_a_digest_or_none(body: bytes) -> None:
-    word = Word(40, 100.0, Random(1))
+    word = UsageGossip(40, 100.0, Random(1))
     try:
-        word.hear(START, 1, body)
+        word.receive(START, 1, body)
     except ValueError:
-        assert not word.stores
+        assert not word.buckets
     else:
-        assert all(-3 <= known.level(START) <= 1 for known in word.stores.values())
+        assert all(-3 <= bucket.level(START) <= 1 for bucket in word.buckets.values())
 
 
 def test_a_digest_that_comes_twice_counts_once_and_memory_is_bounded() -> None:
-    word = Word(40, 100.0, Random(1))
-    body = HEAD.pack(VERSION, 7) + ENTRY.pack(1, 0, 30, UNSURE)
+    word = UsageGossip(40, 100.0, Random(1))
+    body = HEADER.pack(VERSION, 7) + ENTRY.pack(1, 0, 30, UNKNOWN_LEVEL)
     for _ in range(3):
-        word.hear(START, 1, body)
-    assert next(iter(word.stores.values())).level(START) == pytest.approx(0.7)
-    for n in range(MARKS + 100):
-        word.store(START, n)
-    assert len(word.stores) == MARKS
+        word.receive(START, 1, body)
+    assert next(iter(word.buckets.values())).level(START) == pytest.approx(0.7)
+    for n in range(MAX_BUCKETS + 100):
+        word.bucket(START, n)
+    assert len(word.buckets) == MAX_BUCKETS
 
 
 @pytest.mark.parametrize(
     ("gateways", "intake", "tells"), [(40, 0.0, False), (1, 100.0, False), (40, 100.0, True)]
 )
 def test_nothing_is_told_where_nobody_may_hear_it(gateways: int, intake: float, tells: bool) -> None:
-    word = Word(gateways, intake, Random(1))
-    word.used(START, 9, 0.0001, 0.5)
+    word = UsageGossip(gateways, intake, Random(1))
+    word.record_use(START, 9, 0.0001, 0.5)
     assert word.due(START + 1e6) == tells
     if tells:
-        assert word.every_ms * intake * INTAKE == pytest.approx(1000 * (gateways - 1))
+        assert word.interval_ms * intake * INTAKE_SHARE == pytest.approx(1000 * (gateways - 1))
 
 
 def test_no_fewer_peers_are_told_after_other_settings() -> None:
--- a/troutdock/admission/backend_gossip_codec.py
+++ b/troutdock/admission/backend_gossip_codec.py
@@ -1,7 +1,7 @@
-"""The bytes by which gateways ask one another for news of the list; see backend_gossip.py (no I/O).
+"""Encoding of queries and replies about the list of backends; see backend_gossip.py (no I/O).
 
-A datagram: kind (u8), the version of the sender's list (u32); in an answer, for each backend that drains or
-is gone, the low 32 bits of its id.
+A datagram: kind (u8), the version of the sender's list (u32); in a reply, for each backend that is draining
+or gone, the low 32 bits of its id.
 """
 
 from __future__ import annotations
@@ -9,27 +9,29 @@
 from collections.abc import Iterable
 from struct import Struct
 
-from troutdock.admission.usage_digest_codec import MOST
+from troutdock.admission.usage_digest_codec import MAX_DATAGRAM_BYTES
 
-ASK, ANSWER = 16, 17  # kinds; a digest's version stands in their place
-KINDS = (bytes([ASK]), bytes([ANSWER]))
-HEAD, ROW = Struct("<BI"), Struct("<I")
-ROWS = (MOST - HEAD.size) // ROW.size
+QUERY, REPLY = 16, 17  # kinds; a usage digest has its version in the same byte
+KINDS = (bytes([QUERY]), bytes([REPLY]))
+HEADER, ROW = Struct("<BI"), Struct("<I")
+MAX_BACKENDS = (MAX_DATAGRAM_BYTES - HEADER.size) // ROW.size
 
 
-def low(backend: int) -> int:
-    """The bits of a backend's id that are told; two of 1,000 share them with chance 1 in 8,000."""
+def short_id(backend: int) -> int:
+    """Returns the low 32 bits of a backend's id; among 1,000, two collide with a chance of 1 in 8,000."""
     return backend & 0xFFFFFFFF
 
 
-def write(kind: int, version: int, backends: Iterable[int]) -> bytes:
-    """An ask or an answer, of ROWS backends at most."""
-    return HEAD.pack(kind, low(version)) + b"".join(ROW.pack(low(backend)) for backend in backends)
+def encode(kind: int, version: int, backends: Iterable[int]) -> bytes:
+    """Encodes a query or a reply with at most MAX_BACKENDS backends."""
+    return HEADER.pack(kind, short_id(version)) + b"".join(
+        ROW.pack(short_id(backend)) for backend in backends
+    )
 
 
-def read(body: bytes) -> tuple[int, int, list[int]]:
-    """Kind, version and the low bits of backends; ValueError if it is neither."""
-    if not HEAD.size <= len(body) <= MOST or (len(body) - HEAD.size) % ROW.size:
-        raise ValueError(f"{len(body)} bytes are no news")
-    kind, version = HEAD.unpack_from(body)
-    return kind, version, [backend for (backend,) in ROW.iter_unpack(body[HEAD.size :])]
+def decode(body: bytes) -> tuple[int, int, list[int]]:
+    """Returns kind, version and short ids of backends; ValueError if the length is invalid."""
+    if not HEADER.size <= len(body) <= MAX_DATAGRAM_BYTES or (len(body) - HEADER.size) % ROW.size:
+        raise ValueError(f"not a backend query or reply: {len(body)} bytes")
+    kind, version = HEADER.unpack_from(body)
+    return kind, version, [backend for (backend,) in ROW.iter_unpack(body[HEADER.size :])]
--- a/troutdock/admission/backend_list.py
+++ b/troutdock/admission/backend_list.py
@@ -21,7 +21,7 @@
         named = {entry.backend: entry for entry in event.entries}
         for gone in [n for n, b in gateway.backends.items() if b.pool is pool and n not in named]:
             place(gateway.backends.pop(gone), False)
-            gateway.news.left(now, gone)
+            gateway.news.record_removed(now, gone)
     if pool is gateway.pools[0]:  # whose list it is that peers tell of
         gateway.news.version = event.version
     for entry in event.entries:
@@ -31,9 +31,9 @@
             known = Backend(entry, pool)
         known.entry = entry
         if entry.state is BackendState.GONE:
-            gateway.news.left(now, entry.backend)
+            gateway.news.record_removed(now, entry.backend)
         else:
-            gateway.news.there(entry.backend)
+            gateway.news.record_listed(entry.backend)
             gateway.backends[entry.backend] = known
             place(known, entry.state is BackendState.READY)
 
--- a/troutdock/admission/backend_selection.py
+++ b/troutdock/admission/backend_selection.py
@@ -1,10 +1,13 @@
-"""Which backend, and when another is tried: what an ingress knows of backends that many ingresses share.
+"""Selection of a backend for a request, where many proxies share the backends (no I/O, no clock).
 
-No I/O, no clock; times are milliseconds. Backends have few slots and works are long, so what counts is how
-many requests stand where, over all ingresses. Each tells the others its open attempts (OthersLoad); with
-these the time of a send is expected, and put beside what else it costs: bytes to another zone, a new
-connection, the doubt in a backend that has failed. All of it is one figure, the part of the request's worth
-that is likely lost.
+Times are milliseconds. Backends have few slots and requests take long, so the deciding figure is the number
+of requests at each backend, from all proxies. Proxies report their open attempts to each other (OthersLoad).
+From these the response time of a send is predicted; other costs are added to it: traffic to another zone, a
+new connection, recent failures of the backend. All costs are on one scale: the expected loss, as a fraction
+of the request's value. The backend with the lowest loss is selected, at random among near ties.
+
+Learnt from responses: the service time of each route (ServiceTime) and a latency factor for each backend.
+Only attempts that found a free slot count, so that queueing is not learnt as service time.
 """
 
 from __future__ import annotations
@@ -16,124 +19,126 @@
 from troutdock.admission.circuit_breaker import Circuit
 from troutdock.admission.interface import BackendEntry
 
-SLOPE = 4.0  # how steeply the loss rises with the expected part of the aim: half of it 0.06, all of it 1
-AWAY = 0.04  # of a request's worth: its bytes to another zone and back, some kilobytes
-FRESH = 0.03  # the same for a new connection
-COLD = 2.0  # a backend that has just started takes that much longer
-DOUBT, DOUBT_MS = 0.25, 3000.0  # loss that a failure makes expected there, and when a third of it is left
-SILENT = 0.4  # the same where its beats have stopped and no answer has come since
-OVERDUE = 2.5  # of what was expected: without any sign for so long it may be gone
-QUEUE = 5  # requests beyond its slots that are sent to a backend: it refuses some more than that
-FIRST_GUESS = 0.3  # of a route's aim: its work, before any answer
-LEARN, LEARN_SPEED = 0.03, 0.15  # how far an answer moves what a route's work is, and a backend's speed
-SLOWEST, QUICKEST = 3.0, 0.4
-IDLE_MS = 6000.0  # a connection that has stood for longer is not used again
-TIE = 0.004  # losses this near are alike
-
-
-class Work:
-    """What a route's requests take at an idle backend of usual speed.
-
-    dev: of the times over what is expected.
+# of the loss over the predicted time as a fraction of the latency target: 0.06 at half of it, 1 at all of it
+LOSS_EXPONENT = 4.0
+CROSS_ZONE_COST = 0.04  # of a request's value: some kilobytes to another zone and back
+NEW_CONNECTION_COST = 0.03  # of a request's value
+COLD_FACTOR = 2.0  # on response times of a backend that is still warming up
+FAILURE_COST, FAILURE_DECAY_MS = 0.25, 3000.0  # added loss per failure; time until a third of it is left
+HEARTBEAT_LOST_COST = 0.4  # added loss while heartbeats are missing and no response has arrived
+UNRESPONSIVE_FACTOR = 2.5  # of the predicted time: a backend silent for longer may have failed
+MAX_QUEUED = 5  # requests sent to a backend beyond its slots; it rejects only somewhat above that
+INITIAL_SERVICE_SHARE = 0.3  # of a route's latency target: its service time before any response
+SERVICE_TIME_GAIN, LATENCY_FACTOR_GAIN = 0.03, 0.15  # weight of one response in the moving averages
+MAX_LATENCY_FACTOR, MIN_LATENCY_FACTOR = 3.0, 0.4
+IDLE_CONNECTION_MS = 6000.0  # a connection idle for longer is not reused
+LOSS_TOLERANCE = 0.004  # losses this close are ties
+
+
+class ServiceTime:
+    """A route's service time at an idle backend of average speed.
+
+    deviation: mean absolute deviation of actual over predicted time, as a ratio.
     """
 
-    __slots__ = ("dev", "mean", "usual_ms")
+    __slots__ = ("deviation", "max_timeout_ms", "mean_ms")
 
     def __init__(self, aim_ms: float) -> None:
-        self.mean, self.dev = aim_ms * FIRST_GUESS, 0.5
-        self.usual_ms = 0.0  # how long clients wait at their first try
+        self.mean_ms, self.deviation = aim_ms * INITIAL_SERVICE_SHARE, 0.5
+        self.max_timeout_ms = 0.0  # the time-out of clients on their first attempt
 
-    def learn(self, took: float, expected: float) -> None:
-        """One answer."""
-        ratio = min(5.0, took / expected)
-        self.mean *= 1 + (ratio - 1) * LEARN
-        self.dev += (abs(ratio - 1) - self.dev) * LEARN
+    def record(self, took_ms: float, expected_ms: float) -> None:
+        """Records the time of one response and the time predicted for it."""
+        ratio = min(5.0, took_ms / expected_ms)
+        self.mean_ms *= 1 + (ratio - 1) * SERVICE_TIME_GAIN
+        self.deviation += (abs(ratio - 1) - self.deviation) * SERVICE_TIME_GAIN
 
     @property
-    def late(self) -> float:
-        """Times what is expected, after which an answer is overdue: few take that long."""
-        return min(4.0, max(1.8, 1 + 3.5 * self.dev))
+    def overdue_factor(self) -> float:
+        """Multiple of the predicted time after which a response is overdue; few take that long."""
+        return min(4.0, max(1.8, 1 + 3.5 * self.deviation))
 
 
 class Backend:
-    """One backend as this ingress knows it."""
+    """One backend as this proxy knows it."""
 
     __slots__ = (
         "circuit",
-        "doubt",
-        "doubt_at",
         "entry",
-        "heard_at",
-        "idle",
-        "others",
-        "others_sum",
+        "failure_cost",
+        "failure_cost_at",
+        "heartbeat_lost",
+        "idle_since",
+        "last_response_at",
+        "latency_factor",
         "out",
+        "peer_load_total",
+        "peer_loads",
         "pool",
-        "silent",
         "slots",
-        "speed",
     )
 
     def __init__(self, entry: BackendEntry, pool: Pool) -> None:
         self.entry, self.pool, self.slots = entry, pool, max(1, round(entry.size))
-        self.out: dict[
-            tuple[int, int], tuple[float, float]
-        ] = {}  # own open attempts: when, and expected to take
-        self.others: dict[str, int] = {}  # open attempts of other ingresses
-        self.others_sum = 0
-        self.speed = 1.0
-        self.doubt, self.doubt_at = 0.0, 0.0
-        self.heard_at = -inf
-        self.silent = False
-        self.idle: list[
-            float
-        ] = []  # since when connections stand that can take a request, as far as is known
+        # of this proxy, by request and attempt: the time of the send and the predicted duration
+        self.out: dict[tuple[int, int], tuple[float, float]] = {}
+        self.peer_loads: dict[str, int] = {}  # open attempts of other proxies
+        self.peer_load_total = 0
+        self.latency_factor = 1.0
+        self.failure_cost, self.failure_cost_at = 0.0, 0.0
+        self.last_response_at = -inf
+        self.heartbeat_lost = False
+        self.idle_since: list[float] = []  # of idle connections, as far as this module can tell
         self.circuit = Circuit()
 
     @property
     def load(self) -> int:
-        """Requests that stand there, from all ingresses."""
-        return len(self.out) + self.others_sum
+        """Open requests of all proxies."""
+        return len(self.out) + self.peer_load_total
 
-    def tell_others(self, origin: str, count: int) -> None:
-        """So many of another ingress's are open here."""
-        self.others_sum += count - self.others.pop(origin, 0)
+    def set_peer_load(self, origin: str, count: int) -> None:
+        """Sets the number of another proxy's open attempts."""
+        self.peer_load_total += count - self.peer_loads.pop(origin, 0)
         if count:
-            self.others[origin] = count
-
-    def expected(self, now: float, work_ms: float, load: int) -> float:
-        """The time of a request of so much work with so many before it."""
-        drag = self.speed * (COLD if now < self.entry.warm_at_ms else 1.0)
-        ahead = max(0, load + 1 - self.slots)
-        return drag * (work_ms + ahead * self.pool.mean_work / self.slots)
-
-    def connects(self, now: float) -> None:
-        """A request goes there, on a connection that stands or on a new one."""
-        self.idle = [since for since in self.idle if now - since < IDLE_MS][:-1]
-
-    def keeps(self, now: float) -> None:
-        """An answer has come: its connection can take the next request."""
-        self.idle.append(now)
-
-    def connected(self, now: float) -> bool:
-        """A connection stands ready."""
-        return bool(self.idle) and now - self.idle[-1] < IDLE_MS
-
-    def fails(self, now: float, weight: float) -> None:
-        """A bad sign."""
-        self.doubt = min(1.0, self.doubting(now) + weight)
-        self.doubt_at = now
-
-    def doubting(self, now: float) -> float:
-        """What is left of bad signs."""
-        return self.doubt * 3 ** ((self.doubt_at - now) / DOUBT_MS) if self.doubt else 0.0
-
-    def overdue(self, now: float) -> bool:
-        """The oldest attempt should have had its answer long ago, and nothing has come since it was sent."""
+            self.peer_loads[origin] = count
+
+    def expected_ms(self, now: float, service_ms: float, load: int) -> float:
+        """Predicts the response time of a request with the given service time behind `load` others."""
+        factor = self.latency_factor * (COLD_FACTOR if now < self.entry.warm_at_ms else 1.0)
+        queued = max(0, load + 1 - self.slots)
+        return factor * (service_ms + queued * self.pool.mean_service_ms / self.slots)
+
+    def take_connection(self, now: float) -> None:
+        """Records a send, which takes an idle connection if there is one."""
+        self.idle_since = [since for since in self.idle_since if now - since < IDLE_CONNECTION_MS][:-1]
+
+    def return_connection(self, now: float) -> None:
+        """Records a response, which leaves its connection idle."""
+        self.idle_since.append(now)
+
+    def has_idle_connection(self, now: float) -> bool:
+        """Whether an idle connection is available."""
+        return bool(self.idle_since) and now - self.idle_since[-1] < IDLE_CONNECTION_MS
+
+    def record_failure(self, now: float, weight: float) -> None:
+        """Adds a failure to the cost."""
+        self.failure_cost = min(1.0, self.current_failure_cost(now) + weight)
+        self.failure_cost_at = now
+
+    def current_failure_cost(self, now: float) -> float:
+        """The cost of earlier failures, after decay."""
+        return (
+            self.failure_cost * 3 ** ((self.failure_cost_at - now) / FAILURE_DECAY_MS)
+            if self.failure_cost
+            else 0.0
+        )
+
+    def is_unresponsive(self, now: float) -> bool:
+        """Whether the oldest attempt is long overdue and no response has arrived since it was sent."""
         if not self.out:
             return False
-        sent_at, expected = next(iter(self.out.values()))
-        return self.heard_at < sent_at and now - sent_at > OVERDUE * expected
+        sent_at, expected_ms = next(iter(self.out.values()))
+        return self.last_response_at < sent_at and now - sent_at > UNRESPONSIVE_FACTOR * expected_ms
 
 
 class Pool:
@@ -142,63 +147,75 @@
     def __init__(self, number: int) -> None:
         self.number = number
         self.ready: dict[int, Backend] = {}
-        self.mean_work = 100.0  # of what is sent there
-        self.further = 0.0  # second sendings that may still be made, see budget.py
+        self.mean_service_ms = 100.0  # moving average over the requests sent
+        self.retry_budget = 0.0  # further attempts that may still be made
 
 
-class Choice:
-    """A backend, the loss that is expected of it, and the time."""
+class Selection:
+    """A backend with its expected loss and predicted response time."""
 
-    __slots__ = ("backend", "expected", "loss")
+    __slots__ = ("backend", "expected_ms", "loss")
 
-    def __init__(self, backend: Backend, loss: float, expected: float) -> None:
-        self.backend, self.loss, self.expected = backend, loss, expected
+    def __init__(self, backend: Backend, loss: float, expected_ms: float) -> None:
+        self.backend, self.loss, self.expected_ms = backend, loss, expected_ms
 
 
-def choose(
+def select_backend(
     now: float,
     pool: Pool,
-    work: Work,
-    left_ms: float,
+    service_time: ServiceTime,
+    remaining_ms: float,
     zone: int,
-    but: Iterable[Backend],
+    exclude: Iterable[Backend],
     random: Random,
     idle_only: bool = False,
-) -> Choice | None:
-    """The backend with the least loss for a request that has so long until its aim; None: all are full.
-
-    idle_only: only those with a free slot count, for a copy of what may be under way.
+) -> Selection | None:
+    """Returns the backend with the lowest loss, or None if all are full or excluded.
+
+    A backend whose circuit is open is returned only if there is no other.
+
+    Args:
+        now: The time.
+        pool: Candidates are its ready backends.
+        service_time: Of the request's route.
+        remaining_ms: Time until the request's latency target.
+        zone: The proxy's zone.
+        exclude: Backends that the request was sent to before.
+        random: Breaks ties.
+        idle_only: Requires a free slot, for a copy of a request that may still be running.
     """
-    best: list[Choice] = []
-    least = inf
-    shunned = list(but)
-    spare: Choice | None = None
-    left_ms = max(left_ms, 1.0)
+    best: list[Selection] = []
+    lowest = inf
+    excluded = list(exclude)
+    fallback: Selection | None = None
+    remaining_ms = max(remaining_ms, 1.0)
     for backend in pool.ready.values():
-        if backend in shunned:
+        if backend in excluded:
             continue
         load = backend.load
-        if load >= backend.slots + (0 if idle_only else QUEUE):
+        if load >= backend.slots + (0 if idle_only else MAX_QUEUED):
             continue
-        expected = backend.expected(now, work.mean, load)
-        part = expected / left_ms
-        loss = part**SLOPE if part < 1 else part
+        expected_ms = backend.expected_ms(now, service_time.mean_ms, load)
+        fraction = expected_ms / remaining_ms
+        loss = fraction**LOSS_EXPONENT if fraction < 1 else fraction
         if backend.entry.zone != zone:
-            loss += AWAY
-        if not backend.connected(now):
-            loss += FRESH
-        if backend.doubt:
-            loss += backend.doubting(now)
-        if backend.overdue(now) or (backend.silent and now - backend.heard_at > 1000.0):
-            loss += SILENT
+            loss += CROSS_ZONE_COST
+        if not backend.has_idle_connection(now):
+            loss += NEW_CONNECTION_COST
+        if backend.failure_cost:
+            loss += backend.current_failure_cost(now)
+        if backend.is_unresponsive(now) or (
+            backend.heartbeat_lost and now - backend.last_response_at > 1000.0
+        ):
+            loss += HEARTBEAT_LOST_COST
         if not backend.circuit.lets(now):
-            if spare is None or loss < spare.loss:
-                spare = Choice(backend, loss, expected)
+            if fallback is None or loss < fallback.loss:
+                fallback = Selection(backend, loss, expected_ms)
             continue
-        if loss < least - TIE:
-            best = [c for c in best if c.loss <= loss + TIE]
-        least = min(least, loss)
-        if loss <= least + TIE:
-            best.append(Choice(backend, loss, expected))
-    best = [c for c in best if c.loss <= least + TIE]
-    return random.choice(best) if best else spare
+        if loss < lowest - LOSS_TOLERANCE:
+            best = [c for c in best if c.loss <= loss + LOSS_TOLERANCE]
+        lowest = min(lowest, loss)
+        if loss <= lowest + LOSS_TOLERANCE:
+            best.append(Selection(backend, loss, expected_ms))
+    best = [c for c in best if c.loss <= lowest + LOSS_TOLERANCE]
+    return random.choice(best) if best else fallback
--- a/troutdock/admission/bucket_owner.py
+++ b/troutdock/admission/bucket_owner.py
@@ -1,74 +1,77 @@
-"""What a customer's home decides: stores of quotas in a large fleet, each at one gateway (no I/O, no clock).
+"""Owner side of shared quotas in a large fleet: one gateway keeps a customer's bucket (no I/O, no clock).
 
-Theory of operation. Digests to all grow with gateways times tries, and come seconds apart where a gateway
-takes in but so many a second. Where they would be late each customer has a home (owner_queries.py says
-which). A gateway tells it what it sent on from its slice, and asks before it sends on what its slice lacks.
-The level in an answer, and what fills since, bound the store from above: until there can be room nothing is
-asked.
+Theory of operation. The traffic of digests to all peers grows with gateways times requests. As a gateway
+takes in a limited number of datagrams a second, digests of a large fleet would be seconds apart. There,
+each customer has one owner instead (owner_queries.py selects it). A gateway reports to the owner what it
+admitted from its local slice, and queries it before it admits more than its slice holds. The level in the
+reply plus the refill since then is an upper bound: no query is sent until that bound allows the request.
 
-Rules. A question that comes twice counts once. A store heard of for the first time is believed to be full,
-but as long as that takes no fuller than askers were told: so much passes at each move of a home, and no less.
+Invariants. A repeated query counts once. A bucket without history starts full, but until it had time to
+fill it is held to the level that askers know: each change of owner admits that much extra, and no less.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
-from troutdock.admission.owner_query_codec import Answer, Question, read_question
-from troutdock.admission.bucket_replication import Copies
-from troutdock.admission.shared_bucket import Store
-from troutdock.admission.usage_gossip import MARKS
+from troutdock.admission.owner_query_codec import OwnerReply, OwnerQuery, decode_query
+from troutdock.admission.bucket_replication import BucketReplicas
+from troutdock.admission.shared_bucket import SharedBucket
+from troutdock.admission.usage_gossip import MAX_BUCKETS
 
-REPEAT_MS = 2000.0  # a question is known for so long: longer than it is repeated
-CROWD, CROWD_MS = 0.4, 1000.0  # of the intake: beyond it those refused are told to stay away; counted over
-HOLD_LEAST_MS, HOLD_MOST_MS, HOLD_STEP = 20.0, 5000.0, 1.05  # for how long, and its change with each refusal
+REPLY_CACHE_MS = 2000.0  # longer than a query is repeated
+REJECTION_SHARE, REJECTION_WINDOW_MS = 0.4, 1000.0  # of the intake: above it rejections carry a hold-off
+MIN_HOLD_MS, MAX_HOLD_MS, HOLD_STEP = 20.0, 5000.0, 1.05  # the hold-off; its factor at each rejection
 
 
-class Homes:
-    """The stores that one gateway keeps as a home."""
+class BucketOwner:
+    """The buckets that one gateway owns."""
 
     def __init__(self, intake_per_s: float) -> None:
-        """intake_per_s: the datagrams that a gateway takes in."""
-        self.most_asks = CROWD * intake_per_s
-        self.stores: dict[int, tuple[Store, float]] = {}  # by mark, and since when; the longest unheard first
-        self.said: dict[tuple[int, int], Answer] = {}  # by sender and number
-        self.said_at: deque[tuple[float, tuple[int, int]]] = deque()
-        self.copies = Copies()
-        self.flow, self.flow_at, self.hold_ms = 0.0, 0.0, HOLD_LEAST_MS  # refusals a second
+        """intake_per_s: datagrams that a gateway can take in."""
+        self.max_rejections = REJECTION_SHARE * intake_per_s
+        self.buckets: dict[int, tuple[SharedBucket, float]] = {}  # by key: bucket, first query; LRU order
+        self.replies: dict[tuple[int, int], OwnerReply] = {}  # by sender and query number
+        self.reply_times: deque[tuple[float, tuple[int, int]]] = deque()
+        self.replicas = BucketReplicas()
+        self.rejection_rate, self.rejection_rate_at, self.hold_ms = 0.0, 0.0, MIN_HOLD_MS  # rate: per second
 
-    def asked(self, now: float, sender: int, body: bytes) -> bytes:
-        """What a peer is answered; the same where it asks the same again. ValueError if it is no question."""
-        number, question = read_question(body)
-        while self.said_at and now - self.said_at[0][0] > REPEAT_MS:
-            self.said.pop(self.said_at.popleft()[1], None)
-        if (said := self.said.get((sender, number))) is None:
-            said = self.said[sender, number] = self.take(now, question)
-            self.said_at.append((now, (sender, number)))
-        return said.bytes(number)
+    def answer(self, now: float, sender: int, body: bytes) -> bytes:
+        """Returns the reply to a peer's query, the same one if it is repeated; ValueError if malformed."""
+        number, query = decode_query(body)
+        while self.reply_times and now - self.reply_times[0][0] > REPLY_CACHE_MS:
+            self.replies.pop(self.reply_times.popleft()[1], None)
+        if (reply := self.replies.get((sender, number))) is None:
+            reply = self.replies[sender, number] = self.apply(now, query)
+            self.reply_times.append((now, (sender, number)))
+        return reply.encode(number)
 
-    def take(self, now: float, question: Question) -> Answer:
-        """Take off what was used, and what is asked for if so much is there beside what is to stay."""
-        mark, fill, need = question.mark, question.fill / 1000, question.need / 1000
-        known, since = self.stores.pop(mark, (None, now))
-        if known is None:
-            known = Store(now, fill, 0.0)
-            known.missing = self.copies.missing(now, mark, fill)
-        self.stores[mark] = known, since
-        if len(self.stores) > MARKS:
-            del self.stores[next(iter(self.stores))]
-        known.level(now)
-        known.fill = fill
-        if now - since < 1 / fill:
-            known.missing = max(known.missing, 1 - question.most)
-        known.take(now, question.told / 1000)
-        granted = known.level(now) - question.kept / 100 >= need
-        known.take(now, need * granted)
-        self.copies.touched(mark, known.level(now), question.other)
-        return Answer(granted, known.level(now), 0.0 if granted else self.crowded(now))
+    def apply(self, now: float, query: OwnerQuery) -> OwnerReply:
+        """Deducts the reported use, and the requested units if the reserve for others remains."""
+        key, fill_rate, requested = query.key, query.fill_rate / 1000, query.requested / 1000
+        bucket, first_seen = self.buckets.pop(key, (None, now))
+        if bucket is None:
+            bucket = SharedBucket(now, fill_rate, 0.0)
+            bucket.deficit = self.replicas.take_deficit(now, key, fill_rate)
+        self.buckets[key] = bucket, first_seen
+        if len(self.buckets) > MAX_BUCKETS:
+            del self.buckets[next(iter(self.buckets))]
+        bucket.level(now)
+        bucket.fill_rate = fill_rate
+        if now - first_seen < 1 / fill_rate:
+            bucket.deficit = max(bucket.deficit, 1 - query.level_bound)
+        bucket.consume(now, query.used / 1000)
+        granted = bucket.level(now) - query.reserve / 100 >= requested
+        bucket.consume(now, requested * granted)
+        self.replicas.record(key, bucket.level(now), query.standby)
+        return OwnerReply(granted, bucket.level(now), 0.0 if granted else self.next_hold_ms(now))
 
-    def crowded(self, now: float) -> float:
-        """Guards the intake: how long one that is refused stays away, and does not see that there is room."""
-        self.flow, self.flow_at = max(0.0, self.flow * (1 - (now - self.flow_at) / CROWD_MS)) + 1, now
-        over = self.flow > self.most_asks
-        self.hold_ms = min(HOLD_MOST_MS, max(HOLD_LEAST_MS, self.hold_ms * HOLD_STEP ** (1 if over else -1)))
-        return self.hold_ms if self.hold_ms > HOLD_LEAST_MS else 0.0
+    def next_hold_ms(self, now: float) -> float:
+        """Limits the intake: returns how long a rejected asker sends no query, even if tokens return."""
+        self.rejection_rate, self.rejection_rate_at = (
+            max(0.0, self.rejection_rate * (1 - (now - self.rejection_rate_at) / REJECTION_WINDOW_MS)) + 1,
+            now,
+        )
+        over = self.rejection_rate > self.max_rejections
+        self.hold_ms = min(MAX_HOLD_MS, max(MIN_HOLD_MS, self.hold_ms * HOLD_STEP ** (1 if over else -1)))
+        return self.hold_ms if self.hold_ms > MIN_HOLD_MS else 0.0
--- a/troutdock/admission/gateway.py
+++ b/troutdock/admission/gateway.py
@@ -10,11 +10,12 @@
 from random import Random
 from typing import Any
 
-from troutdock.admission.owner_query_codec import ASK, KINDS as ASKING, PARTS, Answer, Question, read_answer
+from troutdock.admission.owner_query_codec import LEVEL_SCALE, QUERY, KINDS as ASKING
+from troutdock.admission.owner_query_codec import OwnerQuery, OwnerReply, decode_reply
 from troutdock.admission.bucket_replication import KINDS as COPIES
-from troutdock.admission.usage_digest_codec import mark_of
+from troutdock.admission.usage_digest_codec import customer_key
 from troutdock.admission.backend_health import BLAME, RETRY_MOST, Backend, Pool, Sent
-from troutdock.admission.bucket_owner import Homes
+from troutdock.admission.bucket_owner import BucketOwner
 from troutdock.admission.interface import Actions, AnswerBegan, AttemptEnded, BackendState, Cancel, Count
 from troutdock.admission.interface import CountAnswered, Effect, Event, Fail, FleetUpdate, Group, ListWatched
 from troutdock.admission.interface import Log, Outcome, PeerMessage, PlanAssigned, Refuse, RequestArrived
@@ -22,13 +23,13 @@
 from troutdock.admission.interface import Settings, SettingsChanged, Settled, Tell, TimerFired
 from troutdock.admission.backend_list import followed
 from troutdock.admission.counter_names import NAME_TTL_MS, counter_name
-from troutdock.admission.backend_gossip import News
-from troutdock.admission.backend_gossip_codec import KINDS, low
-from troutdock.admission.owner_queries import Questions
+from troutdock.admission.backend_gossip import BackendGossip
+from troutdock.admission.backend_gossip_codec import KINDS, short_id
+from troutdock.admission.owner_queries import OwnerQueries
 from troutdock.admission.customer_quota import Customer
 from troutdock.admission.request_records import Booked, Call
 from troutdock.admission.state_handover import configured, settled, settlement
-from troutdock.admission.usage_gossip import Word
+from troutdock.admission.usage_gossip import UsageGossip
 
 # ---- tuned constants
 RESERVE = 0.02  # of the slice's burst: what only marked retries may take that can still be in time
@@ -80,12 +81,12 @@
         self.adopted = 0
         self.usual_ms: dict[int, float] = {}  # by class: the time-out of first tries
         intake = settings.peer_in_per_s * settings.peers
-        self.homes = Homes(intake)  # the stores kept here; asks: of those kept elsewhere
-        self.asks: Questions[tuple[Customer, Call | None, float]] = Questions(
+        self.homes = BucketOwner(intake)  # the stores kept here; asks: of those kept elsewhere
+        self.asks: OwnerQueries[tuple[Customer, Call | None, float]] = OwnerQueries(
             settings.gateways, settings.index, intake, Random(seed + 3)
         )
-        self.word = Word(settings.gateways, intake * (not self.asks.on), Random(seed + 1))
-        self.news = News(settings.gateways, settings.index, settings.peers, Random(seed + 2))
+        self.word = UsageGossip(settings.gateways, intake * (not self.asks.enabled), Random(seed + 1))
+        self.news = BackendGossip(settings.gateways, settings.index, settings.peers, Random(seed + 2))
         self.crowded_at = -inf  # the last sign of a crowded counter
         self.started = inf  # when the first event came
         self.follow(settings)
@@ -133,41 +134,41 @@
         self.started = min(self.started, now)
         if handler := self.handlers.get(type(event)):
             handler(now, event)
-        if self.asks.open:
+        if self.asks.pending:
             self.chase(now)
-        if self.asks.on and not self.retired:
-            self.actions += [Tell(gateway, body) for gateway, body in self.homes.copies.due(now)]
+        if self.asks.enabled and not self.retired:
+            self.actions += [Tell(gateway, body) for gateway, body in self.homes.replicas.due(now)]
         if self.word.due(now) and not self.retired:
-            self.actions.append(Tell(None, self.word.digest(now)))
-        if self.news.blind and not self.retired:
-            peers, words = self.news.ask(now)
+            self.actions.append(Tell(None, self.word.next_digest(now)))
+        if self.news.isolated and not self.retired:
+            peers, words = self.news.query(now)
             self.actions += [Tell(peer, words) for peer in peers]
         return self.actions
 
     def heard(self, now: float, event: PeerMessage) -> None:
         """A peer tells what it has sent; what can't be read is counted, and named once for each sender."""
         try:
-            self.asks.heard(event.sender)
+            self.asks.record_contact(event.sender)
             if event.body[:1] in ASKING:
                 self.home_heard(now, event)
             elif event.body[:1] in COPIES:
-                answers = self.homes.copies.hear(now, event.sender, event.body)
+                answers = self.homes.replicas.receive(now, event.sender, event.body)
                 self.actions += [Tell(event.sender, body) for body in answers]
             elif event.body[:1] not in KINDS:
-                self.word.hear(now, event.sender, event.body)
-            elif self.news.hear(now, event.sender, event.body):
+                self.word.receive(now, event.sender, event.body)
+            elif self.news.receive(now, event.sender, event.body):
                 draining = [n for n, b in self.backends.items() if b.entry.state is BackendState.DRAINING]
-                if answer := self.news.answer(now, draining):
+                if answer := self.news.reply(now, draining):
                     self.actions.append(Tell(event.sender, answer))
         except ValueError as error:
-            bad = self.word.bad.get(event.sender, 0)
-            self.word.bad[event.sender] = bad + 1
+            bad = self.word.malformed.get(event.sender, 0)
+            self.word.malformed[event.sender] = bad + 1
             if not bad:
                 self.actions.append(Log(f"gateway {event.sender} tells what can't be read: {error}"))
 
     def watched(self, now: float, event: ListWatched) -> None:
         """Discovery answers or does not: without it peers are asked, with it nobody is suspected."""
-        self.news.watched(now, event.heard)
+        self.news.set_discovery(now, event.heard)
 
     def withdrawn(self, now: float, event: RequestWithdrawn | AttemptEnded) -> None:
         self.calls.pop(event.request, None)
@@ -180,12 +181,12 @@
         if known is None:
             plan, width = self.settings.plans[event.plan], max(1, min(event.width, self.settings.gateways))
             # so that rare reports are right on average
-            debt = -self.random.random() * LUMP * plan.burst * (not self.asks.on)
-            known = Customer(plan, width, now, event.customer, debt, self.started, self.asks.on)
+            debt = -self.random.random() * LUMP * plan.burst * (not self.asks.enabled)
+            known = Customer(plan, width, now, event.customer, debt, self.started, self.asks.enabled)
         self.customers[event.customer] = known  # the longest unseen stand first
         known.refill(now)
-        if (plan := known.plan).rate and plan.burst and self.word.hearing(now):
-            level = self.word.store(now, event.customer, plan.rate / plan.burst / 1000).level(now)
+        if (plan := known.plan).rate and plan.burst and self.word.is_receiving(now):
+            level = self.word.bucket(now, event.customer, plan.rate / plan.burst / 1000).level(now)
             known.store, known.told_at = level * plan.burst, now
             known.tokens = min(known.tokens, max(0.0, known.store))
         for _ in range(2):  # more than can have come
@@ -235,12 +236,12 @@
             return self.refuse(now, call)
         if plan.over_worth > plan.over_cost:
             return self.admit(now, call, full < event.units)
-        if plan.rate and self.word.hearing(now):  # peers tell what is left of the quota
+        if plan.rate and self.word.is_receiving(now):  # peers tell what is left of the quota
             kept = plan.burst * (TARDY if tardy else UNHEARD + (FIRST if marks and not event.retry else 0.0))
             if customer.store - kept >= event.units:
                 return self.admit(now, call, True)
             return self.refuse(now, call)
-        if plan.rate and self.asks.on:
+        if plan.rate and self.asks.enabled:
             kept = plan.burst * (TARDY if tardy else FIRST if marks and not event.retry else 0.0)
             if now < customer.shut_until or customer.most(now) - kept < event.units:
                 return self.refuse(now, call)
@@ -327,14 +328,14 @@
     def used(self, now: float, customer: Customer, units: float) -> None:
         """The shared store as peers tell it lacks own use at once."""
         if (plan := customer.plan).rate and plan.burst:
-            self.word.used(now, customer.number, plan.rate / plan.burst / 1000, units / plan.burst)
+            self.word.record_use(now, customer.number, plan.rate / plan.burst / 1000, units / plan.burst)
 
     def settle(self, now: float, customer: Customer, call: Call | None = None) -> None:
         """Report own use, or take back what was counted in vain, in whole lumps."""
         lump = LUMP * customer.plan.burst
-        if call is None and self.asks.on and self.ask(now, customer):
+        if call is None and self.asks.enabled and self.ask(now, customer):
             return
-        if self.word.hearing(now):
+        if self.word.is_receiving(now):
             customer.debt = 0.0  # peers are told
             return
         lumps = ceil(customer.debt / lump) * lump if lump and self.counting else 0.0
@@ -345,57 +346,57 @@
     def ask(self, now: float, customer: Customer, call: Call | None = None, kept: float = 0.0) -> bool:
         """Tell the customer's home what was used, and ask it for a held try; false: none can be reached."""
         plan, number = customer.plan, customer.number
-        part = PARTS / plan.burst if plan.rate and plan.burst else 0.0
+        part = LEVEL_SCALE / plan.burst if plan.rate and plan.burst else 0.0
         told = round(customer.debt * part)
-        place = self.asks.home(now, number, customer.first, customer.width) if part else None
-        if place is None or (call is None and abs(told) < PARTS * TOLD):
+        place = self.asks.owner(now, number, customer.first, customer.width) if part else None
+        if place is None or (call is None and abs(told) < LEVEL_SCALE * TOLD):
             return place is not None
         home, other = place
         customer.debt -= told / part
         need, stay = ceil(call.event.units * part) if call else 0, ceil(100 * kept / plan.burst)
         most = customer.most(now) / plan.burst
-        question = Question(mark_of(number), plan.rate / plan.burst, told, need, stay, most, other)
+        question = OwnerQuery(customer_key(number), plan.rate / plan.burst, told, need, stay, most, other)
         if home == self.settings.index:
-            self.home_said(now, customer, call, self.homes.take(now, question))
+            self.home_said(now, customer, call, self.homes.apply(now, question))
             return True
-        self.actions.append(Tell(home, self.asks.ask(now, home, question, (customer, call, kept))))
+        self.actions.append(Tell(home, self.asks.start(now, home, question, (customer, call, kept))))
         if call:
             self.look_again(call)
         return True
 
     def look_again(self, call: Call) -> None:
         """Any event has questions chased; one that a held try waits for has an event of its own."""
-        request, wait_ms = call.event.request, self.asks.patience_ms + self.settings.tick_ms
+        request, wait_ms = call.event.request, self.asks.timeout_ms + self.settings.tick_ms
         self.actions.append(SetTimer(wait_ms, request * LABELS + LABELS - 1, request))
 
     def chase(self, now: float) -> None:
         """Ask again what was not answered: the same home once, then the next one, and last the counter."""
-        for number, asked in self.asks.overdue(now):
-            customer, call, kept = asked.holder
+        for number, asked in self.asks.pop_overdue(now):
+            customer, call, kept = asked.context
             held = call if call and call.event.request in self.calls else None
             if held and now > held.aim - held.work:
                 self.guess(now, held, False)
-            elif (body := self.asks.again(now, number, asked)) is not None:
-                self.actions.append(Tell(asked.home, body))
+            elif (body := self.asks.resend(now, number, asked)) is not None:
+                self.actions.append(Tell(asked.owner, body))
                 if held:
                     self.look_again(held)
             else:
-                customer.debt += asked.question.told * customer.plan.burst / PARTS
+                customer.debt += asked.query.used * customer.plan.burst / LEVEL_SCALE
                 if held and not self.ask(now, customer, held, kept):
                     self.guess(now, held, False)
 
     def home_heard(self, now: float, event: PeerMessage) -> None:
         """A peer asks this gateway as a home, or answers as one."""
-        if event.body[0] == ASK:
+        if event.body[0] == QUERY:
             if not self.retired:
-                self.actions.append(Tell(event.sender, self.homes.asked(now, event.sender, event.body)))
+                self.actions.append(Tell(event.sender, self.homes.answer(now, event.sender, event.body)))
             return
-        number, answer = read_answer(event.body)
-        if asked := self.asks.answered(now, event.sender, number):
-            customer, call, _ = asked.holder
+        number, answer = decode_reply(event.body)
+        if asked := self.asks.complete(now, event.sender, number):
+            customer, call, _ = asked.context
             self.home_said(now, customer, call, answer)
 
-    def home_said(self, now: float, customer: Customer, call: Call | None, answer: Answer) -> None:
+    def home_said(self, now: float, customer: Customer, call: Call | None, answer: OwnerReply) -> None:
         """What the home knows is believed; a held try that it lets in has its units already."""
         customer.refill(now)
         customer.believe(now, answer.level * customer.plan.burst)
@@ -514,8 +515,8 @@
         """
         mine = self.near(call)
         room = [b for b in mine if self.cold_room(now, b, call.work)]
-        suspects = self.news.suspects(now, len(self.backends)) if self.news.blind else ()
-        sound = [b for b in room if b.circuit.lets(now) and low(b.entry.backend) not in suspects]
+        suspects = self.news.suspects(now, len(self.backends)) if self.news.isolated else ()
+        sound = [b for b in room if b.circuit.lets(now) and short_id(b.entry.backend) not in suspects]
         if len(sound) >= FEW or len(mine) < NEAR:
             return sound or room
         ring = call.pool.rings[call.ran_group or (Group.ALL, 0)]
@@ -525,7 +526,7 @@
             for b in self.along(ring, range(width, min(len(ring), width + LOOK)))
             if b.warmth(now, self.settings) >= 1
             and b.circuit.lets(now)
-            and low(b.entry.backend) not in suspects
+            and short_id(b.entry.backend) not in suspects
         )
         return [*sound, *islice(further, NEAR - len(sound))] or room
 
@@ -660,7 +661,7 @@
                 more = 0.0 if call.event.reserved else units - call.event.units
                 call.customer.took(more, units)
                 self.used(now, call.customer, more)
-                if self.asks.on:
+                if self.asks.enabled:
                     self.settle(now, call.customer)
         if event.attempt in call.out:
             call.out.remove(event.attempt)
--- a/troutdock/admission/owner_query_codec.py
+++ b/troutdock/admission/owner_query_codec.py
@@ -1,11 +1,10 @@
-"""The bytes of questions to a customer's home and of its answers; see bucket_owner.py (no I/O).
-
-A question: kind (u8), number (u16, one more each time), the customer's mark (3 bytes), what its burst fills
-in a second (f16, parts of the burst), what was used and not told before (i16, thousandths of the burst),
-what is asked for (u16, thousandths), what is to stay for others (u8, hundredths), what the asker knows the
-store to hold at most (u8, STEPS of the burst), and the home that stands in for this one (u16). An answer:
-kind, the question's number, the level after it (i16, thousandths), and how long not to ask again (u8, HOLD_MS
-each).
+"""Encoding of queries to a customer's bucket owner and of its replies; see bucket_owner.py (no I/O).
+
+A query: kind (u8), number (u16, incremented by one), the customer's key (3 bytes), the refill per second
+(f16, fractions of the burst), the use not reported before (i16, thousandths of the burst), the units
+requested (u16, thousandths), the reserve to leave for others (u8, hundredths), the asker's upper bound of the
+level (u8, 1/BOUND_SCALE of the burst), and the standby owner (u16). A reply: kind, the query's number, the
+level afterwards (i16, thousandths), and how long not to query again (u8, HOLD_UNIT_MS each).
 """
 
 from __future__ import annotations
@@ -14,84 +13,90 @@
 from math import isfinite
 from struct import Struct
 
-from troutdock.admission.bucket_replication import NOBODY
+from troutdock.admission.bucket_replication import NO_STANDBY
 
-ASK, GRANTED, REFUSED = (
-    18,
-    19,
-    20,
-)  # kinds, beside those of backend_gossip.py; a digest's version stands in their place
-PARTS = 1000  # of the burst: what uses and levels are told in
-HOLD_MS = 20.0  # the unit of how long not to ask again; 5.1 s at most
-STEPS = 250  # of the burst: what bounds are told in
-_QUESTION, _ANSWER = Struct("<BHHBehHBBH"), Struct("<BHhB")
-KINDS = (bytes([ASK]), bytes([GRANTED]), bytes([REFUSED]))
+# kinds, distinct from those of backend_gossip_codec.py; a usage digest has its version in the same byte
+QUERY, GRANTED, REFUSED = 18, 19, 20
+LEVEL_SCALE = 1000  # units of use and levels per burst
+HOLD_UNIT_MS = 20.0  # unit of the hold-off, at most 5.1 s
+BOUND_SCALE = 250  # units of level bounds per burst
+_QUERY, _REPLY = Struct("<BHHBehHBBH"), Struct("<BHhB")
+KINDS = (bytes([QUERY]), bytes([GRANTED]), bytes([REFUSED]))
 
 
 @dataclass(frozen=True, slots=True)
-class Question:
-    """What is told and asked of one customer; told, need: thousandths of its burst, kept: hundredths.
-
-    fill: what the burst gets back in a second, as a part of it, over 0 and 1,000 at most. most: the level
-    that the store can have at most by what the asker was told last, 1 where it knows nothing. other: the
-    gateway that is asked if this one is silent, or was before it.
+class OwnerQuery:
+    """A report of one customer's use and a request for units.
+
+    Attributes:
+        key: The customer's key.
+        fill_rate: Refill per second as a fraction of the burst, above 0 and at most 1,000.
+        used: Use to report, in thousandths of the burst.
+        requested: Units requested, in thousandths of the burst.
+        reserve: What is to remain for others, in hundredths of the burst.
+        level_bound: Upper bound of the level by the last reply to the asker, 1 if it knows nothing.
+        standby: The gateway that is queried if this one does not answer, or was queried before it.
     """
 
-    mark: int
-    fill: float
-    told: int
-    need: int
-    kept: int
-    most: float = 1.0
-    other: int = NOBODY
-
-    def bytes(self, number: int) -> bytes:
-        """As a datagram."""
-        told, need = max(-32768, min(32767, self.told)), min(65535, self.need)
-        return _QUESTION.pack(
-            ASK,
+    key: int
+    fill_rate: float
+    used: int
+    requested: int
+    reserve: int
+    level_bound: float = 1.0
+    standby: int = NO_STANDBY
+
+    def encode(self, number: int) -> bytes:
+        """Returns the datagram."""
+        used, requested = max(-32768, min(32767, self.used)), min(65535, self.requested)
+        return _QUERY.pack(
+            QUERY,
             number,
-            self.mark & 0xFFFF,
-            self.mark >> 16,
-            self.fill,
-            told,
-            need,
-            min(100, self.kept),
-            round(max(0.0, min(1.0, self.most)) * STEPS),
-            self.other,
+            self.key & 0xFFFF,
+            self.key >> 16,
+            self.fill_rate,
+            used,
+            requested,
+            min(100, self.reserve),
+            round(max(0.0, min(1.0, self.level_bound)) * BOUND_SCALE),
+            self.standby,
         )
 
 
-def read_question(body: bytes) -> tuple[int, Question]:
-    """Its number and what it says; ValueError if it is none."""
-    if len(body) != _QUESTION.size or body[0] != ASK:
-        raise ValueError(f"{len(body)} bytes are no question")
-    _, number, low, high, fill, told, need, kept, most, other = _QUESTION.unpack(body)
-    if not (isfinite(fill) and 0 < fill <= 1000) or kept > 100 or most > STEPS:
-        raise ValueError(f"a question of a burst that fills {fill} times a second, {kept} of 100 kept")
-    return number, Question(high << 16 | low, fill, told, need, kept, most / STEPS, other)
+def decode_query(body: bytes) -> tuple[int, OwnerQuery]:
+    """Returns the query's number and content; ValueError if malformed."""
+    if len(body) != _QUERY.size or body[0] != QUERY:
+        raise ValueError(f"not an owner query: {len(body)} bytes")
+    _, number, low, high, fill_rate, used, requested, reserve, level_bound, standby = _QUERY.unpack(body)
+    if not (isfinite(fill_rate) and 0 < fill_rate <= 1000) or reserve > 100 or level_bound > BOUND_SCALE:
+        raise ValueError(
+            f"owner query out of range: burst refills {fill_rate} times per second, reserve {reserve} of 100"
+        )
+    return number, OwnerQuery(
+        high << 16 | low, fill_rate, used, requested, reserve, level_bound / BOUND_SCALE, standby
+    )
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
-    """What a home says: whether the units asked for are taken, and the level then, in parts of the burst."""
+class OwnerReply:
+    """An owner's reply: whether the requested units were deducted, and the level (fraction of the burst)."""
 
     granted: bool
     level: float
     hold_ms: float = 0.0
 
-    def bytes(self, number: int) -> bytes:
-        """As a datagram."""
-        level = max(-32768, min(32767, int(self.level * PARTS // 1)))
-        hold = max(0, min(255, round(self.hold_ms / HOLD_MS)))
-        return _ANSWER.pack(GRANTED if self.granted else REFUSED, number, level, hold)
-
-
-def read_answer(body: bytes) -> tuple[int, Answer]:
-    """The question's number and what is said to it; ValueError if it is no answer."""
-    if len(body) != _ANSWER.size or body[0] not in (GRANTED, REFUSED):
-        raise ValueError(f"{len(body)} bytes are no answer")
-    kind, number, level, hold = _ANSWER.unpack(body)
-    if level > PARTS:
-        raise ValueError("a level beyond the rim")
-    return number, Answer(kind == GRANTED, level / PARTS, hold * HOLD_MS)
+    def encode(self, number: int) -> bytes:
+        """Returns the datagram."""
+        level = max(-32768, min(32767, int(self.level * LEVEL_SCALE // 1)))
+        hold = max(0, min(255, round(self.hold_ms / HOLD_UNIT_MS)))
+        return _REPLY.pack(GRANTED if self.granted else REFUSED, number, level, hold)
+
+
+def decode_reply(body: bytes) -> tuple[int, OwnerReply]:
+    """Returns the query's number and the reply; ValueError if malformed."""
+    if len(body) != _REPLY.size or body[0] not in (GRANTED, REFUSED):
+        raise ValueError(f"not an owner reply: {len(body)} bytes")
+    kind, number, level, hold = _REPLY.unpack(body)
+    if level > LEVEL_SCALE:
+        raise ValueError("level in owner reply exceeds the burst")
+    return number, OwnerReply(kind == GRANTED, level / LEVEL_SCALE, hold * HOLD_UNIT_MS)
--- a/troutdock/admission/proxy_admission.py
+++ b/troutdock/admission/proxy_admission.py
@@ -1,19 +1,32 @@
-"""The decisions of one ingress of the whole gateway: its way through the events (no I/O, no clock).
-
-What gateway.Gateway is for one site, with a list of servers and a counter given, this is where ingresses
-know each other only by what they tell: the engine hands either its events and carries out the actions.
-Tenants' quotas are leased from their owners (troutdock.quota), return times are tenant.py's, backends
-backend_selection.py's; here are attempts, the budget of second sendings,
-and refusals.
-
-    waits             for a token of its tenant's quota, a part of its aim at most; nothing of it has run
-    repeatable        another attempt after any failure, and a copy once the answer is overdue
-    not repeatable    another attempt only while it is certain that none has run
-    given up          refused with a return time where nothing has run or may be repeated; failed otherwise
-
-The budget of second sendings holds over all ingresses without talk: each spends a part of its own requests,
-and the parts add up to that part of all. What a service's allowance gives on top is split by the ingresses
-that are there, and a restarted one begins with none of it.
+"""Admission and retry decisions of one proxy in a fleet of proxies (no I/O, no clock).
+
+Theory of operation. gateway.Gateway decides for one site, where the list of backends and a counter are given.
+ProxyAdmission decides for one of many proxies that know of each other only by messages. The engine passes
+events to either and carries out the actions that they return. Tenants' quotas are leased from their owners
+(troutdock.quota), tenant.py computes retry times and backend_selection.py selects backends. This module
+decides on admission, attempts, the retry budget and rejections. All times are milliseconds.
+
+A request (Call) goes through these states:
+
+    arrived         tenants with a quota need a token; without one at hand the request waits for it
+    awaiting quota  nothing has been sent. A token admits it, a refusal rejects it, and after
+                    QUOTA_WAIT_SHARE of its latency target it is rejected
+    admitted        sent to a backend that is predicted to respond in time, or rejected and its token returned
+    sent            one or more attempts are open. If an attempt fails:
+                      safe effect     another attempt after any failure, and a copy to another backend once
+                                      the response is overdue
+                      other effects   another attempt only while it is certain that none has run
+    concluded       served; or rejected with a retry time where nothing has run or a repeat is safe; or failed
+
+Invariants:
+    - A request whose effect is not safe is never sent again, and never rejected as retryable, once an attempt
+      may have run.
+    - Every attempt beyond the first that may reach a backend costs one unit of the retry budget. The budget
+      holds over all proxies without coordination: each spends a share of its own requests, and these add up
+      to the same share of all. A service's extra allowance is divided by the number of proxies, and a
+      restarted proxy starts with none of it.
+    - A token whose request reached no backend is returned; an attempt that may run a second time on one token
+      is charged to the quota.
 """
 
 from __future__ import annotations
@@ -50,53 +63,54 @@
     TimerFired,
 )
 from troutdock.admission.backend_selection import (
-    DOUBT,
-    LEARN_SPEED,
-    QUICKEST,
-    SLOWEST,
+    FAILURE_COST,
+    LATENCY_FACTOR_GAIN,
+    MIN_LATENCY_FACTOR,
+    MAX_LATENCY_FACTOR,
     Backend,
-    Choice,
+    Selection,
     Pool,
-    Work,
-    choose,
+    ServiceTime,
+    select_backend,
 )
 from troutdock.admission.tenant import Tenant
 from troutdock.quota.bucket import QuotaLimit
 from troutdock.quota.leases import QuotaLeases, Verdict
 from troutdock.quota.node import QuotaNode
 
-# of the budget's ratio that is spent: repeats of repeats and calls by others' ways are not seen here
-PART = 0.75
-ALLOWANCE_PART = 0.5  # of its allowance, split by ingresses
-UNCONNECTED = 3  # backends that can't be connected to, after which a try is given up
-PRESSED = 0.15  # of the aim, a rank: how much less of it a lower priority may be expected to take
-HOPE = 0.85  # of the time left: what a client that returned may be expected to take; a second refusal is dear
-WAIT_PART = 0.25  # of the aim: what waited longer for this process may not be served in time
-USUAL = 0.9995  # how slowly the longest time that clients wait is forgotten, a request of the route
-WHOLE = 0.97  # of it: a client with less of it has tried before
-LABELS = 64  # timers of one request: more than it can have attempts
-QUOTA_LABEL = LABELS - 1  # the timer of a request that waits for a token
-QUOTA_WAIT_PART = 0.2  # of the aim: within a quarter of it a refusal costs little
-UNSERVED_RETRY_MS = 250.0  # a return time where no owner answered: about as long as a new one takes
+# of the configured ratio: retries of retries and calls that bypass the proxies are not visible here
+RETRY_BUDGET_SHARE = 0.75
+RETRY_ALLOWANCE_SHARE = 0.5  # of the allowance, divided by the number of proxies
+MAX_CONNECT_FAILURES = 3  # failed connections after which a request is given up
+PRIORITY_STEP = 0.15  # of the latency target: how much less each lower priority rank may be predicted to take
+# of the time left: what a client at its retry time may be predicted to take; a second rejection is expensive
+SCHEDULED_RETRY_SHARE = 0.85
+MAX_LOCAL_WAIT_SHARE = 0.25  # of the latency target: a request that waited longer may be late
+MAX_TIMEOUT_DECAY = 0.9995  # of the longest client time-out seen, per request of the route
+FIRST_ATTEMPT_SHARE = 0.97  # of the longest client time-out: a client with less time left is on a retry
+TIMERS_PER_REQUEST = 64  # timer labels of one request: more than it can have attempts
+QUOTA_TIMER = TIMERS_PER_REQUEST - 1  # the timer of a request that waits for a token
+QUOTA_WAIT_SHARE = 0.2  # of the latency target: a rejection within a quarter of it costs little
+NO_OWNER_RETRY_MS = 250.0  # retry time if no quota owner answered: about the time to elect a new one
 
 
 class Call:
-    """A request that is not answered yet."""
+    """A request without its final answer yet."""
 
     __slots__ = (
-        "aim",
+        "attempted",
         "awaits_quota",
         "cls",
+        "connect_failures",
+        "deadline",
         "event",
-        "give_up",
         "may_have_run",
-        "out",
-        "returning",
-        "sendings",
+        "open_attempts",
+        "scheduled_retry",
+        "sent_attempts",
+        "service_time",
+        "target_at",
         "tenant",
-        "tried",
-        "unconnected",
-        "work",
     )
 
     def __init__(
@@ -104,24 +118,26 @@
         event: RequestArrived,
         cls: RequestClass,
         tenant: Tenant,
-        work: Work,
+        service_time: ServiceTime,
         now: float,
-        usual_ms: float,
+        max_timeout_ms: float,
     ) -> None:
-        self.event, self.cls, self.tenant, self.work = event, cls, tenant, work
-        self.give_up = now + event.time_left_ms
-        # what a client waits less than it usually does has gone by since its first try
-        self.aim = now + min(cls.aim_ms - max(0.0, usual_ms - event.time_left_ms), event.time_left_ms)
-        self.tried: list[Backend] = []
-        self.out: list[int] = []  # the attempts that have not ended
-        self.sendings = 0  # those that may have arrived
-        self.unconnected = 0
-        self.may_have_run = self.returning = False
+        self.event, self.cls, self.tenant, self.service_time = event, cls, tenant, service_time
+        self.deadline = now + event.time_left_ms
+        # time missing from the usual client time-out has passed since the client's first attempt
+        self.target_at = now + min(
+            cls.aim_ms - max(0.0, max_timeout_ms - event.time_left_ms), event.time_left_ms
+        )
+        self.attempted: list[Backend] = []
+        self.open_attempts: list[int] = []  # numbers of the attempts that have not ended
+        self.sent_attempts = 0  # attempts that may have reached a backend
+        self.connect_failures = 0
+        self.may_have_run = self.scheduled_retry = False
         self.awaits_quota = False
 
 
-class Fabric:
-    """Decides for one ingress; hand it every event and carry out the actions it gives back."""
+class ProxyAdmission:
+    """Decides for one proxy: pass it every event and carry out the actions that it returns."""
 
     def __init__(
         self,
@@ -132,82 +148,82 @@
         allowance: float = 0.0,
         quotas: QuotaNode | None = None,
     ) -> None:
-        """Decide for one ingress.
+        """Creates the decision module of one proxy.
 
         Args:
-            settings: Classes of requests and tenants' quotas.
-            seed: Of what is drawn by lot.
-            zone: Where it stands.
-            ratio: Second sendings by the requests for a service.
-            allowance: Second sendings beyond that, over all ingresses.
-            quotas: Its part in the fleet's quotas; by default it is the only ingress.
+            settings: Request classes and tenants' quotas.
+            seed: Of the random choices.
+            zone: The proxy's zone.
+            ratio: Retry budget per service, as a fraction of its requests.
+            allowance: Retries beyond that, summed over all proxies.
+            quotas: The proxy's node in the quota system; by default it is the only proxy.
         """
         self.settings, self.random, self.zone = settings, Random(seed), zone
-        self._ratio, self._allowance = ratio * PART, allowance * ALLOWANCE_PART
+        self._ratio, self._allowance = ratio * RETRY_BUDGET_SHARE, allowance * RETRY_ALLOWANCE_SHARE
         self.quotas = quotas or QuotaNode.standalone()
         self.leases = QuotaLeases(self.quotas)
-        self.company = Company(1, 1)
+        self.membership = Company(1, 1)
         self.tenants: dict[int, Tenant] = {}
         self.backends: dict[int, Backend] = {}
         self.pools: dict[int, Pool] = {}
-        self.works: dict[str, Work] = {}
+        self.service_times: dict[str, ServiceTime] = {}
         self.calls: dict[int, Call] = {}
-        self.loads_changed: dict[int, None] = {}  # backends whose own open attempts others don't know yet
+        self.loads_changed: dict[int, None] = {}  # backends with unreported open attempts
         self.actions: Actions = []
         self._handlers: dict[type, Callable[[float, Any], None]] = {
             RequestArrived: self._arrived,
             RequestWaited: self._waited,
-            AttemptEnded: self._ended,
-            AnswerBegan: self._began,
+            AttemptEnded: self._attempt_ended,
+            AnswerBegan: self._response_started,
             RequestWithdrawn: self._withdrawn,
-            TimerFired: self._overdue,
-            FleetUpdate: self._fleet,
-            SettingsChanged: self._changed,
-            Company: self._company,
-            OthersLoad: self._others_load,
+            TimerFired: self._timer_fired,
+            FleetUpdate: self._backends_changed,
+            SettingsChanged: self._settings_changed,
+            Company: self._membership_changed,
+            OthersLoad: self._peer_load_changed,
             LeasesDue: self._leases_due,
-            Suspected: self._suspected,
+            Suspected: self._heartbeat_changed,
         }
         if any(plan.rate for plan in settings.plans):
-            self._follow_limits(0.0)
+            self._apply_limits(0.0)
 
     def handle(self, now: float, event: Event) -> Actions:
-        """Take in one event; the actions are to be carried out in order."""
+        """Processes one event; the actions are to be carried out in order."""
         self.actions = []
         if handler := self._handlers.get(type(event)):
             handler(now, event)
         return self.actions
 
-    # ---- the quota
+    # ---- quotas and admission
 
-    def _follow_limits(self, now: float) -> None:
+    def _apply_limits(self, now: float) -> None:
         plans = [plan for plan in self.settings.plans if plan.rate]
         limits = {plan.name: QuotaLimit(plan.rate, plan.burst) for plan in plans}
         self.quotas.set_limits(now / 1000, limits)
 
     def _tenant(self, now: float, number: int, plan: Plan) -> Tenant:
-        known = self.tenants.get(number)
-        if known is None:
-            known = self.tenants[number] = Tenant(plan, now)
-        known.plan = plan
-        return known
+        tenant = self.tenants.get(number)
+        if tenant is None:
+            tenant = self.tenants[number] = Tenant(plan, now)
+        tenant.plan = plan
+        return tenant
 
     @property
     def _even_share(self) -> float:
-        return 1 / max(1, self.company.ingresses)
+        return 1 / max(1, self.membership.ingresses)
 
     def _arrived(self, now: float, event: RequestArrived) -> None:
         tenant = self._tenant(now, event.customer, self.settings.plans[event.plan])
         cls = self.settings.classes[event.cls]
-        work = self.works.get(cls.name)
-        if work is None:
-            work = self.works[cls.name] = Work(cls.aim_ms)
-        work.usual_ms = max(work.usual_ms * USUAL, event.time_left_ms)
-        call = Call(event, cls, tenant, work, now, work.usual_ms * WHOLE)
+        service_time = self.service_times.get(cls.name)
+        if service_time is None:
+            service_time = self.service_times[cls.name] = ServiceTime(cls.aim_ms)
+        service_time.max_timeout_ms = max(service_time.max_timeout_ms * MAX_TIMEOUT_DECAY, event.time_left_ms)
+        call = Call(event, cls, tenant, service_time, now, service_time.max_timeout_ms * FIRST_ATTEMPT_SHARE)
         pool = self._pool(event.pool)
         self.calls[event.request] = call
-        pool.further = min(self._most_further, pool.further + self._ratio)
-        call.returning = tenant.take_appointment(now)
+        pool.retry_budget = min(self._max_retry_budget, pool.retry_budget + self._ratio)
+        call.scheduled_retry = tenant.claim_appointment(now)
         tenant.record_arrival(now)
         verdict = self._request_token(now, call) if tenant.is_limited else Verdict.GRANTED
         if verdict is Verdict.GRANTED:
@@ -220,22 +236,24 @@
     def _request_token(self, now: float, call: Call) -> Verdict:
         plan, number = call.tenant.plan, call.event.request
         limit = QuotaLimit(plan.rate, plan.burst)
-        return self.leases.request(now / 1000, plan.name, limit, self._even_share, number, call.returning)
+        return self.leases.request(
+            now / 1000, plan.name, limit, self._even_share, number, call.scheduled_retry
+        )
 
     def _await_quota(self, now: float, call: Call) -> None:
         call.awaits_quota = True
         self._take_results(now)
         if call.awaits_quota:
-            wait_ms = min(QUOTA_WAIT_PART * call.cls.aim_ms, call.event.time_left_ms / 2)
+            wait_ms = min(QUOTA_WAIT_SHARE * call.cls.aim_ms, call.event.time_left_ms / 2)
             request = call.event.request
-            self.actions.append(SetTimer(wait_ms, request * LABELS + QUOTA_LABEL, request))
+            self.actions.append(SetTimer(wait_ms, request * TIMERS_PER_REQUEST + QUOTA_TIMER, request))
 
     def _leases_due(self, now: float, event: LeasesDue) -> None:
         self.leases.tick(now / 1000)
         self._take_results(now)
 
     def _take_results(self, now: float) -> None:
-        """Go on with the requests whose quota has answered."""
+        """Admits or rejects the requests for which a quota decision has arrived."""
         for result in self.leases.results(now / 1000):
             call = self.calls.get(result.request)
             if call is None:
@@ -247,247 +265,254 @@
                 self._refuse(now, call)
 
     def _admit(self, now: float, call: Call) -> None:
-        """The quota lets it in: send it, where a backend can be expected to answer in time."""
-        choice = self._choose(now, call)
-        if choice is not None and not self._hopeless(now, call, choice):
-            return self._send(now, call, choice)
+        """Sends a request within its quota if a backend is predicted to respond in time."""
+        selection = self._select(now, call)
+        if selection is not None and not self._is_too_late(now, call, selection):
+            return self._send(now, call, selection)
         if call.tenant.is_limited:
             self.leases.put_back(now / 1000, call.tenant.plan.name)
         return self._refuse(now, call)
 
-    def _quota_unserved(self, now: float, call: Call) -> None:
-        """Nobody has answered for the quota: better told at once to come back when there is an owner."""
+    def _quota_timed_out(self, now: float, call: Call) -> None:
+        """Rejects a request for which no quota owner answered, to be retried once there is an owner."""
         self.leases.withdraw(call.tenant.plan.name, call.event.request)
-        self.actions.append(Refuse(call.event.request, UNSERVED_RETRY_MS))
+        self.actions.append(Refuse(call.event.request, NO_OWNER_RETRY_MS))
         self.calls.pop(call.event.request, None)
 
     def _waited(self, now: float, event: RequestWaited) -> None:
-        """Guards this process: what waited past its part of the aim is refused before work is spent on it."""
-        if event.waited_ms > WAIT_PART * self.settings.classes[event.cls].aim_ms:
+        """Overload protection: rejects a request that waited too long before work is spent on it."""
+        if event.waited_ms > MAX_LOCAL_WAIT_SHARE * self.settings.classes[event.cls].aim_ms:
             tenant = self._tenant(now, event.customer, self.settings.plans[event.plan])
-            self.actions.append(Refuse(0, self._return_time(now, tenant)))
-
-    def _hopeless(self, now: float, call: Call, choice: Choice) -> bool:
-        """Nobody can be expected to answer in time: better told at once to come back."""
-        if call.returning or call.aim <= now:  # told to come, or late already: any answer is better than none
-            return choice.expected > (call.give_up - now) * HOPE
-        # a rank only counts where somebody else could have the place: a slot that is free is nobody's
-        free = choice.backend.load < choice.backend.slots
-        part = 1.0 if free else max(0.3, 1 - PRESSED * call.event.priority)
-        return choice.expected > (call.aim - now) * part
+            self.actions.append(Refuse(0, self._retry_after_ms(now, tenant)))
+
+    def _is_too_late(self, now: float, call: Call, selection: Selection) -> bool:
+        """Whether no backend can be expected to respond in time, so that an early rejection is better."""
+        # a client at its retry time, or already late: any response is better than none
+        if call.scheduled_retry or call.target_at <= now:
+            return selection.expected_ms > (call.deadline - now) * SCHEDULED_RETRY_SHARE
+        # priority matters only if another request could use the slot: a free slot has no other taker
+        free = selection.backend.load < selection.backend.slots
+        fraction = 1.0 if free else max(0.3, 1 - PRIORITY_STEP * call.event.priority)
+        return selection.expected_ms > (call.target_at - now) * fraction
 
     @property
-    def _most_further(self) -> float:
-        return 1.0 + self._allowance / max(1, self.company.ingresses)
+    def _max_retry_budget(self) -> float:
+        return 1.0 + self._allowance / max(1, self.membership.ingresses)
 
     def _refuse(self, now: float, call: Call) -> None:
-        self.actions.append(Refuse(call.event.request, self._return_time(now, call.tenant)))
+        self.actions.append(Refuse(call.event.request, self._retry_after_ms(now, call.tenant)))
         self.calls.pop(call.event.request, None)
 
-    def _return_time(self, now: float, tenant: Tenant) -> float:
+    def _retry_after_ms(self, now: float, tenant: Tenant) -> float:
         share = 1.0
         if tenant.is_limited:
             share = self.leases.share(now / 1000, tenant.plan.name, self._even_share)
-        return tenant.return_time(now, share)
+        return tenant.retry_after_ms(now, share)
 
     def _fail(self, call: Call) -> None:
         self.actions.append(Fail(call.event.request))
         self.calls.pop(call.event.request, None)
 
-    def _company(self, now: float, event: Company) -> None:
-        self.company = event
+    def _membership_changed(self, now: float, event: Company) -> None:
+        self.membership = event
 
     # ---- backends
 
     def _pool(self, number: int) -> Pool:
-        known = self.pools.get(number)
-        if known is None:
-            known = self.pools[number] = Pool(number)
-        return known
+        pool = self.pools.get(number)
+        if pool is None:
+            pool = self.pools[number] = Pool(number)
+        return pool
 
-    def _fleet(self, now: float, event: FleetUpdate) -> None:
-        """Follow the list; what it does not name as ready gets nothing new from this moment on."""
+    def _backends_changed(self, now: float, event: FleetUpdate) -> None:
+        """Applies changes of the list; backends that are not ready get no new attempts from now on."""
         if event.kind is not ListKind.CHANGES:
-            raise ValueError("backends are told by their changes here")
+            raise ValueError("only FleetUpdate events of kind CHANGES are supported")
         for entry in event.entries:
-            known = self.backends.get(entry.backend)
+            backend = self.backends.get(entry.backend)
             if entry.state is BackendState.GONE:
-                if known is not None:
-                    known.pool.ready.pop(entry.backend, None)
-                    if not known.out:
+                if backend is not None:
+                    backend.pool.ready.pop(entry.backend, None)
+                    if not backend.out:
                         del self.backends[entry.backend]
-                    known.entry = entry
+                    backend.entry = entry
                 continue
-            if known is None:
-                known = self.backends[entry.backend] = Backend(entry, self._pool(event.pool))
-            known.entry = entry
+            if backend is None:
+                backend = self.backends[entry.backend] = Backend(entry, self._pool(event.pool))
+            backend.entry = entry
             if entry.state is BackendState.READY:
-                known.pool.ready[entry.backend] = known
+                backend.pool.ready[entry.backend] = backend
             else:
-                known.pool.ready.pop(entry.backend, None)
+                backend.pool.ready.pop(entry.backend, None)
 
-    def _others_load(self, now: float, event: OthersLoad) -> None:
+    def _peer_load_changed(self, now: float, event: OthersLoad) -> None:
         if event.whole:
             for number, backend in self.backends.items():
-                if event.origin in backend.others and number not in event.out:
-                    backend.tell_others(event.origin, 0)
+                if event.origin in backend.peer_loads and number not in event.out:
+                    backend.set_peer_load(event.origin, 0)
         for number, count in event.out.items():
             if (known := self.backends.get(number)) is not None:
-                known.tell_others(event.origin, count)
+                known.set_peer_load(event.origin, count)
 
-    def _suspected(self, now: float, event: Suspected) -> None:
+    def _heartbeat_changed(self, now: float, event: Suspected) -> None:
         if (backend := self.backends.get(event.backend)) is not None:
-            backend.silent = event.silent
+            backend.heartbeat_lost = event.silent
             if not event.silent and backend.entry.state is BackendState.READY:
                 backend.pool.ready[event.backend] = backend
 
-    def _changed(self, now: float, event: SettingsChanged) -> None:
+    def _settings_changed(self, now: float, event: SettingsChanged) -> None:
         self.settings = event.settings
         plans = {plan.name for plan in event.settings.plans}
         for number in [n for n, t in self.tenants.items() if t.plan.name not in plans]:
             del self.tenants[number]
-        self._follow_limits(now)
+        self._apply_limits(now)
 
     # ---- attempts
 
-    def _choose(self, now: float, call: Call, idle_only: bool = False) -> Choice | None:
-        return choose(
+    def _select(self, now: float, call: Call, idle_only: bool = False) -> Selection | None:
+        return select_backend(
             now,
             self._pool(call.event.pool),
-            call.work,
-            call.aim - now,
+            call.service_time,
+            call.target_at - now,
             self.zone,
-            call.tried,
+            call.attempted,
             self.random,
             idle_only,
         )
 
-    def _send(self, now: float, call: Call, choice: Choice) -> None:
-        backend, number = choice.backend, len(call.tried)
+    def _send(self, now: float, call: Call, selection: Selection) -> None:
+        backend, number = selection.backend, len(call.attempted)
         pool = backend.pool
-        pool.mean_work += (call.work.mean - pool.mean_work) * 0.05
-        backend.out[call.event.request, number] = now, choice.expected
-        backend.connects(now)
+        pool.mean_service_ms += (call.service_time.mean_ms - pool.mean_service_ms) * 0.05
+        backend.out[call.event.request, number] = now, selection.expected_ms
+        backend.take_connection(now)
         backend.circuit.sent(now)
         self.loads_changed[backend.entry.backend] = None
-        call.tried.append(backend)
-        call.out.append(number)
-        call.sendings += 1
+        call.attempted.append(backend)
+        call.open_attempts.append(number)
+        call.sent_attempts += 1
         self.actions.append(Send(call.event.request, backend.entry.backend))
         if call.cls.effect is Effect.SAFE and number + 1 < call.event.max_attempts:
-            late = choice.expected * call.work.late
-            last_call = call.aim - now - 1.3 * call.work.mean  # a copy then is still in time
-            due = max(1.5 * choice.expected, min(late, last_call))
-            if now + due < call.give_up:
-                self.actions.append(SetTimer(due, call.event.request * LABELS + number, call.event.request))
-
-    def _overdue(self, now: float, event: TimerFired) -> None:
-        """A copy goes elsewhere while the first may still answer, where a slot stands free."""
-        request, number = divmod(event.label, LABELS)
+            overdue_ms = selection.expected_ms * call.service_time.overdue_factor
+            latest_ms = call.target_at - now - 1.3 * call.service_time.mean_ms  # still in time
+            copy_after_ms = max(1.5 * selection.expected_ms, min(overdue_ms, latest_ms))
+            if now + copy_after_ms < call.deadline:
+                self.actions.append(
+                    SetTimer(
+                        copy_after_ms, call.event.request * TIMERS_PER_REQUEST + number, call.event.request
+                    )
+                )
+
+    def _timer_fired(self, now: float, event: TimerFired) -> None:
+        """Sends a copy of an overdue request to a backend with a free slot; the first may still respond."""
+        request, number = divmod(event.label, TIMERS_PER_REQUEST)
         call = self.calls.get(request)
-        if number == QUOTA_LABEL:
+        if number == QUOTA_TIMER:
             if call is not None and call.awaits_quota:
-                self._quota_unserved(now, call)
+                self._quota_timed_out(now, call)
             return
-        if call is None or number not in call.out or number != len(call.tried) - 1:
+        if call is None or number not in call.open_attempts or number != len(call.attempted) - 1:
             return
-        call.tried[number].fails(now, DOUBT / 4)
-        self._again(now, call, copy=True)
+        call.attempted[number].record_failure(now, FAILURE_COST / 4)
+        self._retry(now, call, copy=True)
 
-    def _again(self, now: float, call: Call, copy: bool = False) -> None:
-        """The one table of further attempts."""
-        harmless = call.cls.effect is Effect.SAFE or not call.may_have_run
+    def _retry(self, now: float, call: Call, copy: bool = False) -> None:
+        """Decides what follows a failed or overdue attempt: another one, a rejection or a failure."""
+        repeatable = call.cls.effect is Effect.SAFE or not call.may_have_run
         pool = self._pool(call.event.pool)
-        cost = 1.0 if call.sendings else 0.0  # one that never arrived is no second arrival
-        may = (
-            harmless
-            and call.sendings < call.event.max_attempts
-            and call.unconnected < UNCONNECTED
-            and pool.further >= cost
-            and now < call.give_up - self.settings.tick_ms
+        cost = 1.0 if call.sent_attempts else 0.0  # attempts that reached no backend are free
+        allowed = (
+            repeatable
+            and call.sent_attempts < call.event.max_attempts
+            and call.connect_failures < MAX_CONNECT_FAILURES
+            and pool.retry_budget >= cost
+            and now < call.deadline - self.settings.tick_ms
         )
-        choice = self._choose(now, call, copy) if may else None
-        if choice is not None and now + choice.expected / 2 < call.give_up:
-            pool.further -= cost
-            if call.tenant.is_limited and (call.out or call.may_have_run):
-                self.quotas.charge(call.tenant.plan.name)  # it may run a second time, on one token
-            return self._send(now, call, choice)
-        if call.out:
-            return None  # what is out may still answer
-        if not harmless:
+        selection = self._select(now, call, copy) if allowed else None
+        if selection is not None and now + selection.expected_ms / 2 < call.deadline:
+            pool.retry_budget -= cost
+            if call.tenant.is_limited and (call.open_attempts or call.may_have_run):
+                self.quotas.charge(call.tenant.plan.name)  # it may run twice on one token
+            return self._send(now, call, selection)
+        if call.open_attempts:
+            return None  # an open attempt may still succeed
+        if not repeatable:
             return self._fail(call)
-        if not call.sendings and call.tried and call.tenant.is_limited:
+        if not call.sent_attempts and call.attempted and call.tenant.is_limited:
             self.leases.put_back(now / 1000, call.tenant.plan.name)
         return self._refuse(now, call)
 
-    def _ended(self, now: float, event: AttemptEnded) -> None:
+    def _attempt_ended(self, now: float, event: AttemptEnded) -> None:
         backend = self.backends.get(event.backend)
         sent = backend.out.pop((event.request, event.attempt), None) if backend is not None else None
         call = self.calls.get(event.request)
         if backend is not None and sent is not None:
             self.loads_changed[event.backend] = None
-            self._learn(now, backend, event, sent, call)
+            self._record_outcome(now, backend, event, sent, call)
             if backend.entry.state is BackendState.GONE and not backend.out:
                 self.backends.pop(event.backend, None)
         if call is None:
             return
-        if event.attempt in call.out:
-            call.out.remove(event.attempt)
+        if event.attempt in call.open_attempts:
+            call.open_attempts.remove(event.attempt)
         if event.over:
             self.calls.pop(event.request, None)
             return
         if event.outcome is Outcome.CONNECT_FAILED:
-            call.unconnected += 1
-            call.sendings -= 1
+            call.connect_failures += 1
+            call.sent_attempts -= 1
         elif not event.outcome.never_ran:
             call.may_have_run = True
-        if not call.out or event.attempt == len(call.tried) - 1:
-            self._again(now, call)
+        if not call.open_attempts or event.attempt == len(call.attempted) - 1:
+            self._retry(now, call)
 
-    def _learn(
+    def _record_outcome(
         self, now: float, backend: Backend, event: AttemptEnded, sent: tuple[float, float], call: Call | None
     ) -> None:
         outcome = event.outcome
         if outcome in (Outcome.OK, Outcome.ERROR, Outcome.FULL):
-            backend.heard_at = now
+            backend.last_response_at = now
             backend.circuit.answered()
-            backend.keeps(now)
+            backend.return_connection(now)
         elif outcome is Outcome.CONNECT_FAILED:
             backend.circuit.could_not_connect(now)
         else:
             backend.circuit.unknown()
-        if outcome is Outcome.MOOT:  # another one serves at its address: it has ended, whatever the list says
+        if outcome is Outcome.MOOT:  # its address has a new instance: it has ended, even if still listed
             backend.pool.ready.pop(event.backend, None)
         if outcome is Outcome.OK:
-            backend.silent = False
-            took = event.elapsed_ms - event.lag_ms
-            if call is None or took <= 0:
+            backend.heartbeat_lost = False
+            took_ms = event.elapsed_ms - event.lag_ms
+            if call is None or took_ms <= 0:
                 return
-            call.tenant.record_answer(event.elapsed_ms)
-            if (
-                backend.load < backend.slots and sent[1] <= call.work.mean * SLOWEST * 2
-            ):  # nothing stood before it
-                call.work.learn(took, max(1.0, sent[1]))
+            call.tenant.record_response(event.elapsed_ms)
+            # it did not queue behind other requests
+            if backend.load < backend.slots and sent[1] <= call.service_time.mean_ms * MAX_LATENCY_FACTOR * 2:
+                call.service_time.record(took_ms, max(1.0, sent[1]))
                 if now >= backend.entry.warm_at_ms:
-                    ratio = min(SLOWEST, max(QUICKEST, took / max(1.0, sent[1]) * backend.speed))
-                    backend.speed += (ratio - backend.speed) * LEARN_SPEED
+                    ratio = min(
+                        MAX_LATENCY_FACTOR,
+                        max(MIN_LATENCY_FACTOR, took_ms / max(1.0, sent[1]) * backend.latency_factor),
+                    )
+                    backend.latency_factor += (ratio - backend.latency_factor) * LATENCY_FACTOR_GAIN
         elif outcome in (Outcome.RESET, Outcome.TIMEOUT, Outcome.CONNECT_FAILED):
-            backend.fails(now, DOUBT)
+            backend.record_failure(now, FAILURE_COST)
         elif outcome is Outcome.FULL:
-            backend.fails(now, DOUBT / 2)
+            backend.record_failure(now, FAILURE_COST / 2)
 
-    def _began(self, now: float, event: AnswerBegan) -> None:
+    def _response_started(self, now: float, event: AnswerBegan) -> None:
         if (backend := self.backends.get(event.backend)) is not None:
-            backend.heard_at = now
+            backend.last_response_at = now
 
     def _withdrawn(self, now: float, event: RequestWithdrawn) -> None:
         call = self.calls.pop(event.request, None)
         if call is not None and call.awaits_quota:
             self.leases.withdraw(call.tenant.plan.name, event.request)
 
-    # ---- what others are told
+    # ---- reports to peers
 
-    def load(self, backend: int) -> int:
-        """Own open attempts there."""
+    def own_load(self, backend: int) -> int:
+        """Returns the number of this proxy's open attempts at a backend."""
         known = self.backends.get(backend)
         return len(known.out) if known is not None else 0
--- a/troutdock/admission/shared_bucket.py
+++ b/troutdock/admission/shared_bucket.py
@@ -1,22 +1,31 @@
-"""The arithmetic of a shared store that fills with time (no I/O, no clock)."""
+"""Token bucket arithmetic for a customer's quota that several gateways share (no I/O, no clock)."""
 
 from __future__ import annotations
 
 
-class Store:
-    """A customer's shared store as this gateway believes it, in parts of its burst."""
+class SharedBucket:
+    """One gateway's estimate of a customer's shared token bucket, in fractions of its burst."""
 
-    __slots__ = ("at", "fill", "missing", "sure", "untold")
+    __slots__ = ("deficit", "fill_rate", "synced", "unreported", "updated_at")
 
-    def __init__(self, now: float, fill: float, untold: float) -> None:
-        self.missing, self.at, self.fill, self.sure, self.untold = 0.0, now, fill, False, untold
+    def __init__(self, now: float, fill_rate: float, unreported: float) -> None:
+        self.deficit, self.updated_at, self.fill_rate, self.synced, self.unreported = (
+            0.0,
+            now,
+            fill_rate,
+            False,
+            unreported,
+        )
 
     def level(self, now: float) -> float:
-        """What is there, from 0 to 1 and below nought after true units that were more than guessed."""
-        self.missing, self.at = max(0.0, self.missing - (now - self.at) * self.fill), max(now, self.at)
-        return 1.0 - self.missing
+        """Returns the level: at most 1, and negative if actual use exceeded the estimates."""
+        self.deficit, self.updated_at = (
+            max(0.0, self.deficit - (now - self.updated_at) * self.fill_rate),
+            max(now, self.updated_at),
+        )
+        return 1.0 - self.deficit
 
-    def take(self, now: float, part: float) -> None:
-        """So much was sent on, or given back; what is beyond the quota takes nothing."""
+    def consume(self, now: float, amount: float) -> None:
+        """Takes an amount, or returns one if it is negative; use beyond the quota takes nothing."""
         self.level(now)
-        self.missing = max(0.0, min(max(1.0, self.missing), self.missing + part))
+        self.deficit = max(0.0, min(max(1.0, self.deficit), self.deficit + amount))
--- a/troutdock/admission/tenant.py
+++ b/troutdock/admission/tenant.py
@@ -1,7 +1,7 @@
-"""What one ingress remembers of a tenant beside its leases: DIBA's queue and sums (no I/O, no clock).
+"""One proxy's state of a tenant beside its quota leases: DIBA's queue and job times (no I/O, no clock).
 
-Times are milliseconds, rates requests a second. A refused try's return time is DIBA's, with the sums of job
-times; the part of the quota that it is reckoned with is the tenant's share here (troutdock.quota.leases).
+Times are milliseconds, rates requests per second. DIBA computes the retry time of a rejected request from the
+sums of job times; the quota that it assumes is the tenant's share at this proxy (troutdock.quota.leases).
 """
 
 from __future__ import annotations
@@ -9,36 +9,39 @@
 from troutdock.admission.diba import VirtualQueue, spread_of
 from troutdock.admission.interface import Plan
 
-EARLY_MS, NO_SHOW_MS = 60.0, 1500.0  # a try so long before or after a return time is the one that was told it
-PACE_MS = 2000.0  # over how long the pace of a tenant without a limit is taken
-AGE = 0.995  # weight of the past in the sums of job times: some 200 answers count
+EARLY_MS, NO_SHOW_MS = 60.0, 1500.0  # a request this close before or after a retry time counts as that retry
+ARRIVAL_WINDOW_MS = 2000.0  # window for the arrival rate of a tenant without a limit
+JOB_TIME_DECAY = 0.995  # weight of the past in the sums of job times: some 200 responses count
 
 
 class Tenant(VirtualQueue):
-    """One tenant at one ingress."""
+    """One tenant at one proxy."""
 
-    __slots__ = ("answers", "job_squares", "job_sum", "pace", "paced_at", "plan")
+    __slots__ = ("arrival_rate", "arrival_rate_at", "job_squares", "job_sum", "plan", "sample_weight")
 
     def __init__(self, plan: Plan, now: float) -> None:
-        """Begin with nothing known of its jobs."""
+        """Starts without job times."""
         super().__init__(now)
         self.plan = plan
-        self.pace, self.paced_at = 0.0, now  # tries a second, for a tenant without a limit
-        self.answers, self.job_sum, self.job_squares = 0.0, 0.0, 0.0
+        self.arrival_rate, self.arrival_rate_at = (
+            0.0,
+            now,
+        )  # requests per second, for a tenant without a limit
+        self.sample_weight, self.job_sum, self.job_squares = 0.0, 0.0, 0.0
 
     @property
     def is_limited(self) -> bool:
-        """Whether there is a quota to keep."""
+        """Whether the tenant has a quota."""
         return self.plan.rate > 0
 
     def record_arrival(self, now: float) -> None:
-        """A try has come."""
-        self.pace *= max(0.0, 1 - (now - self.paced_at) / PACE_MS)
-        self.pace += 1000 / PACE_MS
-        self.paced_at = now
+        """Records the arrival of a request."""
+        self.arrival_rate *= max(0.0, 1 - (now - self.arrival_rate_at) / ARRIVAL_WINDOW_MS)
+        self.arrival_rate += 1000 / ARRIVAL_WINDOW_MS
+        self.arrival_rate_at = now
 
-    def take_appointment(self, now: float) -> bool:
-        """Whether a try is one that was told to come back now; its place in the queue is free then."""
+    def claim_appointment(self, now: float) -> bool:
+        """Returns whether a request is a retry expected now, and frees its slot in the queue."""
         queue = self.appointments
         while queue and queue[0] < now - NO_SHOW_MS:
             queue.popleft()
@@ -47,14 +50,18 @@
             return True
         return False
 
-    def record_answer(self, job_ms: float) -> None:
-        """A job's time, for DIBA's sums; old ones age."""
-        self.answers = self.answers * AGE + 1
-        self.job_sum = self.job_sum * AGE + job_ms
-        self.job_squares = self.job_squares * AGE + job_ms * job_ms
-
-    def return_time(self, now: float, share: float) -> float:
-        """DIBA: for how many milliseconds a refused try is to stay away; share: of the quota, here."""
-        fill = self.plan.rate * share if self.is_limited else max(1.0, self.pace)
-        spread = spread_of(int(self.answers), self.job_sum, self.job_squares) if self.answers >= 2 else 0.0
-        return self.appoint(now, fill * (1 + spread), NO_SHOW_MS)
+    def record_response(self, job_ms: float) -> None:
+        """Adds a job time to DIBA's sums and ages the earlier ones."""
+        self.sample_weight = self.sample_weight * JOB_TIME_DECAY + 1
+        self.job_sum = self.job_sum * JOB_TIME_DECAY + job_ms
+        self.job_squares = self.job_squares * JOB_TIME_DECAY + job_ms * job_ms
+
+    def retry_after_ms(self, now: float, share: float) -> float:
+        """Returns the milliseconds until a rejected request is to be retried; share: of the quota, here."""
+        refill_rate = self.plan.rate * share if self.is_limited else max(1.0, self.arrival_rate)
+        spread = (
+            spread_of(int(self.sample_weight), self.job_sum, self.job_squares)
+            if self.sample_weight >= 2
+            else 0.0
+        )
+        return self.appoint(now, refill_rate * (1 + spread), NO_SHOW_MS)
--- a/troutdock/admission/usage_digest_codec.py
+++ b/troutdock/admission/usage_digest_codec.py
@@ -1,10 +1,10 @@
-"""The bytes of digests, by which gateways of a small fleet tell one another of use (no I/O).
+"""Encoding of the digests by which gateways of a small fleet report quota use to each other (no I/O).
 
-usage_gossip.py says what they mean.
+usage_gossip.py explains their meaning.
 
-A digest: version (u8), number (u16, one more each time), then for each customer its mark (3 bytes), its
-use in hundredths of the burst (i8; below nought: given back), and the store in STEPS of its burst (u8;
-UNSURE: not known).
+A digest: version (u8), number (u16, incremented by one), then for each customer its key (3 bytes), its use in
+hundredths of the burst (i8; negative: given back), and the bucket's level (u8, 1/LEVEL_SCALE of its burst;
+UNKNOWN_LEVEL: not known).
 """
 
 from __future__ import annotations
@@ -13,37 +13,42 @@
 from struct import Struct
 
 VERSION = 1
-MOST = 256  # bytes, as PROTOCOL allows a datagram
-HEAD, ENTRY = Struct("<BH"), Struct("<HBbB")
-FITTING = (MOST - HEAD.size) // ENTRY.size
-STEPS, UNSURE = 250, 255
-MOST_USE = 127  # hundredths of the burst in one entry
+MAX_DATAGRAM_BYTES = 256  # the longest datagram that the protocol allows
+HEADER, ENTRY = Struct("<BH"), Struct("<HBbB")
+MAX_ENTRIES = (MAX_DATAGRAM_BYTES - HEADER.size) // ENTRY.size
+LEVEL_SCALE, UNKNOWN_LEVEL = 250, 255
+MAX_ENTRY_USE = 127  # hundredths of the burst in one entry
 
 
-def mark_of(customer: int) -> int:
-    """24 bits for a customer: 1,000 at a time share one with chance 1 in 17,000 each."""
+def customer_key(customer: int) -> int:
+    """Returns a 24-bit hash of a customer; among 1,000, each collides with a chance of 1 in 17,000."""
     return (customer * 0x9E3779B97F4A7C15 & 0xFFFFFFFFFFFFFFFF) >> 40
 
 
-def write(number: int, rows: Iterable[tuple[int, int, float | None]]) -> bytes:
-    """A digest of marks, uses in hundredths, and levels from 0 to 1 (None: not known), FITTING at most."""
-    return HEAD.pack(VERSION, number) + b"".join(
-        ENTRY.pack(mark & 0xFFFF, mark >> 16, hundredths, UNSURE if level is None else round(level * STEPS))
-        for mark, hundredths, level in rows
+def encode_digest(number: int, rows: Iterable[tuple[int, int, float | None]]) -> bytes:
+    """Encodes at most MAX_ENTRIES rows: customer key, use in hundredths, level or None if unknown."""
+    return HEADER.pack(VERSION, number) + b"".join(
+        ENTRY.pack(
+            key & 0xFFFF,
+            key >> 16,
+            hundredths,
+            UNKNOWN_LEVEL if level is None else round(level * LEVEL_SCALE),
+        )
+        for key, hundredths, level in rows
     )
 
 
-def read(body: bytes) -> tuple[int, list[tuple[int, int, float | None]]]:
-    """Its number and rows, as they were written; ValueError if it is none."""
-    if not HEAD.size < len(body) <= MOST or (len(body) - HEAD.size) % ENTRY.size:
-        raise ValueError(f"{len(body)} bytes are no digest")
-    version, number = HEAD.unpack_from(body)
+def decode_digest(body: bytes) -> tuple[int, list[tuple[int, int, float | None]]]:
+    """Returns the number and rows of a digest; ValueError if malformed."""
+    if not HEADER.size < len(body) <= MAX_DATAGRAM_BYTES or (len(body) - HEADER.size) % ENTRY.size:
+        raise ValueError(f"not a usage digest: {len(body)} bytes")
+    version, number = HEADER.unpack_from(body)
     if version != VERSION:
-        raise ValueError(f"version {version} of a digest is not known")
+        raise ValueError(f"unknown version {version} of a usage digest")
     rows = [
-        (high << 16 | low, hundredths, None if level == UNSURE else level / STEPS)
-        for low, high, hundredths, level in ENTRY.iter_unpack(body[HEAD.size :])
+        (high << 16 | low, hundredths, None if level == UNKNOWN_LEVEL else level / LEVEL_SCALE)
+        for low, high, hundredths, level in ENTRY.iter_unpack(body[HEADER.size :])
     ]
     if any(level is not None and level > 1 for *_, level in rows):
-        raise ValueError("a level beyond the rim")
+        raise ValueError("level in usage digest exceeds the burst")
     return number, rows
--- a/troutdock/engine/ports.py
+++ b/troutdock/engine/ports.py
@@ -30,7 +30,7 @@
 
 
 class Decides(Protocol):
-    """The decision module: gateway.Gateway, or proxy_admission.Fabric where ingresses know one another."""
+    """The decision module: gateway.Gateway, or proxy_admission.ProxyAdmission in a fleet of proxies."""
 
     @property
     def settings(self) -> Settings:
--- a/troutdock/proxy/daemon.py
+++ b/troutdock/proxy/daemon.py
@@ -38,7 +38,7 @@
     Silence,
 )
 from troutdock.endpoints.endpoint_table import Book, Entry
-from troutdock.admission.proxy_admission import Fabric
+from troutdock.admission.proxy_admission import ProxyAdmission
 from troutdock.admission.interface import (
     Actions,
     BackendEntry,
@@ -95,7 +95,7 @@
 class Recorder:
     """The decision module, and after each event what it has changed that others are to know."""
 
-    def __init__(self, fabric: Fabric) -> None:
+    def __init__(self, fabric: ProxyAdmission) -> None:
         self.fabric = fabric
         self.mesh: Mesh | None = None
         self.quotas: QuotaLoop | None = None
@@ -111,7 +111,7 @@
         if mesh is not None and fabric.loads_changed:
             for backend in fabric.loads_changed:
                 if (instance := self.instance_of.get(backend)) is not None:
-                    mesh.load(instance.decode(), fabric.load(backend))
+                    mesh.load(instance.decode(), fabric.own_load(backend))
             fabric.loads_changed.clear()
         if self.quotas is not None:
             self.quotas.flush_soon()
@@ -131,7 +131,7 @@
         self._zones = {zone: number for number, zone in enumerate(zones)}
         self.clock = SystemClock()
         node = QuotaNode(boot.name, boot.zone, life, self.clock.now() / 1000, boot.bootstrap)
-        self.fabric = Fabric(
+        self.fabric = ProxyAdmission(
             NOTHING,
             random.getrandbits(32),
             self._zones[boot.zone],
