--- a/troutdock/admission/proxy_admission.py
+++ b/troutdock/admission/proxy_admission.py
@@ -351,8 +351,8 @@
                 if event.origin in backend.peer_loads and number not in event.out:
                     backend.set_peer_load(event.origin, 0)
         for number, count in event.out.items():
-            if (known := self.backends.get(number)) is not None:
-                known.set_peer_load(event.origin, count)
+            if (reported := self.backends.get(number)) is not None:
+                reported.set_peer_load(event.origin, count)
 
     def _heartbeat_changed(self, now: float, event: Suspected) -> None:
         if (backend := self.backends.get(event.backend)) is not None:
--- a/troutdock/admission/simulator_adapter.py
+++ b/troutdock/admission/simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: the simulator's wire on standard input and output, one Gateway for each instance."""
+"""Adapter of the simulator: its protocol on standard input and output, one Gateway per instance."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from troutdock.admission.gateway import Gateway
 
 
-def _exactly(source: BinaryIO, count: int, what: str) -> bytes:
+def _read_exactly(source: BinaryIO, count: int, what: str) -> bytes:
     data = source.read(count)
     if len(data) != count:
         raise simulator_wire.WireError(f"{what}: input ends after {len(data)} of {count} bytes")
@@ -17,7 +17,7 @@
 
 
 def answer_batch(gateways: dict[int, Gateway], now: float, count: int, body: bytes) -> bytes:
-    """Hand each event to its instance and collect the reply's records."""
+    """Passes each event to its instance and returns the reply's records."""
     out: list[bytes] = []
     at = 0
     for number in range(1, count + 1):
@@ -51,19 +51,19 @@
 
 
 def run(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends."""
+    """Answers batches until the input ends."""
     gateways: dict[int, Gateway] = {}
     while head := source.read(simulator_wire.BATCH_HEAD.size):
         if len(head) < simulator_wire.BATCH_HEAD.size:
             raise simulator_wire.WireError(f"batch header: input ends after {len(head)} bytes")
         length, now, count = simulator_wire.BATCH_HEAD.unpack(head)
-        reply = answer_batch(gateways, now, count, _exactly(source, length, "batch"))
+        reply = answer_batch(gateways, now, count, _read_exactly(source, length, "batch"))
         sink.write(simulator_wire.REPLY_HEAD.pack(len(reply)) + reply)
         sink.flush()
 
 
 def main() -> int:
-    """Exit 0 at the end of input, 2 with one plain line on malformed input."""
+    """Returns 0 at the end of input, or 2 after a one-line message on malformed input."""
     try:
         run(sys.stdin.buffer, sys.stdout.buffer)
     except simulator_wire.WireError as error:
--- a/troutdock/admission/simulator_wire.py
+++ b/troutdock/admission/simulator_wire.py
@@ -1,4 +1,4 @@
-"""The simulator's binary wire: frames, records and the settings text."""
+"""Encoding of the simulator's binary protocol: frames, records and the settings text (no I/O)."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 class WireError(ValueError):
-    """Malformed input: what is wrong and where."""
+    """Malformed input; the message states what is wrong and where."""
 
 
 PROVISION, STOPPED = 1000, 1080
@@ -72,23 +72,23 @@
 _OUT_COUNT = Struct("<HIIQfd")
 _OUT_TEXT = Struct("<HIIH")
 LOG_CODE, FAULT_CODE = 1030, 1090
-EVERY_PEER = 0xFFFFFFFF
+ALL_PEERS = 0xFFFFFFFF
 RETRY_BIT = 2
 
 
-def _backend(address: int, port: int) -> int:
+def _backend_id(address: int, port: int) -> int:
     return address << 16 | port
 
 
-def _fixed(shape: Struct, body: bytes, what: str) -> tuple[Any, ...]:
-    """Unpack a record that has no variable part."""
+def _unpack_fixed(shape: Struct, body: bytes, what: str) -> tuple[Any, ...]:
+    """Unpacks a record without a variable part."""
     if len(body) != shape.size:
         raise WireError(f"{what}: {len(body)} bytes of fields, {shape.size} expected")
     return shape.unpack(body)
 
 
-def _counted(shape: Struct, body: bytes, item_size: int, what: str) -> tuple[tuple[Any, ...], bytes]:
-    """Unpack a record whose last fixed field counts the items that follow."""
+def _unpack_counted(shape: Struct, body: bytes, item_size: int, what: str) -> tuple[tuple[Any, ...], bytes]:
+    """Unpacks a record whose last fixed field counts the items that follow."""
     if len(body) < shape.size:
         raise WireError(f"{what}: {len(body)} bytes of fields, at least {shape.size} expected")
     head = shape.unpack_from(body)
@@ -98,110 +98,112 @@
     return head, rest
 
 
-def _number(value: float, what: str, least: float = 0.0) -> float:
-    if not (math.isfinite(value) and value >= least):
-        raise WireError(f"{what}: {value!r} is not a finite number of at least {least:g}")
+def _check_number(value: float, what: str, minimum: float = 0.0) -> float:
+    if not (math.isfinite(value) and value >= minimum):
+        raise WireError(f"{what}: {value!r} is not a finite number of at least {minimum:g}")
     return value
 
 
-def _choice(kind: Callable[[Any], Any], value: Any, what: str) -> Any:
+def _parse_enum(kind: Callable[[Any], Any], value: Any, what: str) -> Any:
     try:
         return kind(value)
     except ValueError:
         raise WireError(f"{what}: {value!r} is unknown") from None
 
 
-def _floats(data: bytes, what: str) -> tuple[float, ...]:
+def _unpack_floats(data: bytes, what: str) -> tuple[float, ...]:
     values = Struct(f"<{len(data) // 4}f").unpack(data)
     for value in values:
-        _number(value, what, -math.inf)
+        _check_number(value, what, -math.inf)
     return values
 
 
 def _read_view(body: bytes) -> Event:
-    (_, form, serial, _), rest = _counted(_VIEW, body, _ENTRY.size, "VIEW")
+    (_, form, serial, _), rest = _unpack_counted(_VIEW, body, _ENTRY.size, "VIEW")
     entries = []
-    for address, port, zone, kind, cell, state, size, up in _ENTRY.iter_unpack(rest):
-        ready = _choice(BackendState, state, "VIEW availability")
+    for address, port, zone, kind, cell, state, size, up_since in _ENTRY.iter_unpack(rest):
+        ready = _parse_enum(BackendState, state, "VIEW availability")
         entries.append(
             BackendEntry(
-                _backend(address, port),
+                _backend_id(address, port),
                 ready,
                 zone,
                 kind,
                 cell,
-                _number(size, "VIEW size"),
-                _number(up, "VIEW up_since"),
+                _check_number(size, "VIEW size"),
+                _check_number(up_since, "VIEW up_since"),
             )
         )
-    return FleetUpdate(_choice(ListKind, form, "VIEW form"), entries, serial)
+    return FleetUpdate(_parse_enum(ListKind, form, "VIEW form"), entries, serial)
 
 
 def _read_accept(body: bytes) -> Event:
-    _, call, units, first, width, cls, left, customer, plan, bits = _fixed(_ACCEPT, body, "ACCEPT")
+    _, call, units, first, width, cls, time_left, customer, plan, bits = _unpack_fixed(
+        _ACCEPT, body, "ACCEPT"
+    )
     return RequestArrived(
         call,
         customer,
         plan,
         cls,
-        _number(units, "ACCEPT price_units"),
-        int(_number(first, "ACCEPT set_from")),
-        int(_number(width, "ACCEPT width", 1)),
-        _number(left, "ACCEPT time_left"),
+        _check_number(units, "ACCEPT price_units"),
+        int(_check_number(first, "ACCEPT set_from")),
+        int(_check_number(width, "ACCEPT width", 1)),
+        _check_number(time_left, "ACCEPT time_left"),
         bool(bits & RETRY_BIT),
     )
 
 
 def _read_begun(body: bytes) -> Event:
-    _, call, n, address, port, spent = _fixed(_BEGUN, body, "BEGUN")
-    return AnswerBegan(call, n, _backend(address, port), _number(spent, "BEGUN spent"))
+    _, call, attempt, address, port, elapsed = _unpack_fixed(_BEGUN, body, "BEGUN")
+    return AnswerBegan(call, attempt, _backend_id(address, port), _check_number(elapsed, "BEGUN spent"))
 
 
 def _read_ended(body: bytes) -> Event:
-    head, rest = _counted(_ENDED, body, 4, "COMPLETED")
-    _, call, n, address, port, verdict, spent, over, used, units, _ = head
+    head, rest = _unpack_counted(_ENDED, body, 4, "COMPLETED")
+    _, call, attempt, address, port, verdict, elapsed, over, used, units, _ = head
     return AttemptEnded(
         call,
-        n,
-        _backend(address, port),
-        _choice(Outcome, verdict, "COMPLETED verdict"),
-        _number(spent, "COMPLETED spent"),
+        attempt,
+        _backend_id(address, port),
+        _parse_enum(Outcome, verdict, "COMPLETED verdict"),
+        _check_number(elapsed, "COMPLETED spent"),
         bool(over),
         used - 1.0 if used else None,
         float(units),
-        _floats(rest, "COMPLETED telemetry"),
+        _unpack_floats(rest, "COMPLETED telemetry"),
     )
 
 
 def _read_withdrawn(body: bytes) -> Event:
-    return RequestWithdrawn(_fixed(_WITHDRAWN, body, "WITHDRAWN")[1])
+    return RequestWithdrawn(_unpack_fixed(_WITHDRAWN, body, "WITHDRAWN")[1])
 
 
 def _read_fired(body: bytes) -> Event:
-    return TimerFired(_fixed(_FIRED, body, "DEADLINE_HIT")[1])
+    return TimerFired(_unpack_fixed(_FIRED, body, "DEADLINE_HIT")[1])
 
 
 def _read_probed(body: bytes) -> Event:
-    (_, address, port, verdict, spent, _), rest = _counted(_PROBED, body, 4, "STATUS_BACK")
+    (_, address, port, verdict, elapsed, _), rest = _unpack_counted(_PROBED, body, 4, "STATUS_BACK")
     return ProbeEnded(
-        _backend(address, port),
-        _choice(Outcome, verdict, "STATUS_BACK verdict"),
-        _number(spent, "STATUS_BACK spent"),
-        _floats(rest, "STATUS_BACK telemetry"),
+        _backend_id(address, port),
+        _parse_enum(Outcome, verdict, "STATUS_BACK verdict"),
+        _check_number(elapsed, "STATUS_BACK spent"),
+        _unpack_floats(rest, "STATUS_BACK telemetry"),
     )
 
 
 def _read_peer(body: bytes) -> Event:
-    (_, author, _), rest = _counted(_PEER, body, 1, "MESSAGE")
+    (_, author, _), rest = _unpack_counted(_PEER, body, 1, "MESSAGE")
     return PeerMessage(author, rest)
 
 
 def _read_counted(body: bytes) -> Event:
-    _, key, verdict, spent, reading = _fixed(_COUNTED, body, "LEDGER_REPLY")
-    outcome = _choice(Outcome, verdict, "LEDGER_REPLY verdict")
+    _, key, verdict, elapsed, reading = _unpack_fixed(_COUNTED, body, "LEDGER_REPLY")
+    outcome = _parse_enum(Outcome, verdict, "LEDGER_REPLY verdict")
     if outcome is Outcome.OK:
-        _number(reading, "LEDGER_REPLY reading", -math.inf)
-    return CountAnswered(key, outcome, _number(spent, "LEDGER_REPLY spent"), reading)
+        _check_number(reading, "LEDGER_REPLY reading", -math.inf)
+    return CountAnswered(key, outcome, _check_number(elapsed, "LEDGER_REPLY spent"), reading)
 
 
 _READERS: dict[int, Callable[[bytes], Event]] = {
@@ -218,7 +220,7 @@
 
 
 def read_event(code: int, body: bytes, settings: Settings) -> Event:
-    """The event in a record that is neither a start nor a stop."""
+    """Decodes the event of a record that neither starts nor stops an instance."""
     reader = _READERS.get(code)
     if reader is None:
         raise WireError(f"unknown event code {code}")
@@ -234,8 +236,8 @@
 
 
 def read_provision(body: bytes) -> tuple[int, Settings]:
-    """Seed and settings of an instance that starts."""
-    (_, seed, _), text = _counted(_PROVISION, body, 1, "PROVISION")
+    """Decodes the seed and the settings of an instance to start."""
+    (_, seed, _), text = _unpack_counted(_PROVISION, body, 1, "PROVISION")
     try:
         return seed, parse_settings(text.decode())
     except UnicodeDecodeError:
@@ -243,7 +245,7 @@
 
 
 def write_action(instance: int, action: Action) -> bytes:
-    """One action as a record."""
+    """Encodes an action as a record."""
     match action:
         case Send(call, backend, timeout):
             return _OUT_SEND.pack(1070, 26, instance, call, timeout, backend >> 16, backend & 0xFFFF)
@@ -260,16 +262,16 @@
         case Probe(backend):
             return _OUT_PROBE.pack(1000, 10, instance, backend >> 16, backend & 0xFFFF)
         case Tell(gateway, message):
-            whom = EVERY_PEER if gateway is None else gateway
-            return _OUT_TELL.pack(1120, 10 + len(message), instance, whom, len(message)) + message
+            target = ALL_PEERS if gateway is None else gateway
+            return _OUT_TELL.pack(1120, 10 + len(message), instance, target, len(message)) + message
         case Log(text):
             return write_text(LOG_CODE, instance, text)
         case Settled():
-            raise WireError("the simulator has no successors to tell")
+            raise WireError("the simulator protocol has no record for Settled actions")
 
 
 def write_text(code: int, instance: int, text: str) -> bytes:
-    """A log line or a fault as a record."""
+    """Encodes a log line or a fault as a record."""
     data = text.encode()[:60_000]
     return _OUT_TEXT.pack(code, 6 + len(data), instance, len(data)) + data
 
@@ -279,8 +281,8 @@
 _EFFECTS = {"pure": Effect.SAFE, "token": Effect.KEYED, "side_effect": Effect.UNSAFE}
 
 
-class _Reader:
-    """Typed look-ups in the settings text; missing or malformed values are named."""
+class _SettingsReader:
+    """Typed look-ups in the settings text; errors name the missing or malformed key."""
 
     def __init__(self, text: str) -> None:
         self.values: dict[str, str] = {}
@@ -303,85 +305,85 @@
         except ValueError:
             raise WireError(f"settings: {key}: {value!r} is not a number") from None
 
-    def whole(self, key: str, default: int | None = None) -> int:
+    def integer(self, key: str, default: int | None = None) -> int:
         value = self.number(key, default)
         if not value.is_integer():
             raise WireError(f"settings: {key}: {value!r} is not a whole number")
         return int(value)
 
-    def truth(self, key: str) -> bool:
+    def boolean(self, key: str) -> bool:
         value = self.text(key, "false")
         if value not in ("true", "false"):
             raise WireError(f"settings: {key}: {value!r} is neither true nor false")
         return value == "true"
 
-    def items(self, key: str) -> list[str]:
-        return [f"{key}.{i}." for i in range(self.whole(f"{key}.count"))]
+    def prefixes(self, key: str) -> list[str]:
+        return [f"{key}.{i}." for i in range(self.integer(f"{key}.count"))]
 
 
 def parse_settings(text: str) -> Settings:
-    """Read the settings text; unknown keys are ignored."""
-    r = _Reader(text)
+    """Parses the settings text; unknown keys are ignored."""
+    reader = _SettingsReader(text)
     classes = []
-    for c in r.items("categories"):
-        effect = r.text(c + "idempotency")
+    for c in reader.prefixes("categories"):
+        effect = reader.text(c + "idempotency")
         if effect not in _EFFECTS:
             raise WireError(f"settings: {c}idempotency: {effect!r} is unknown")
         classes.append(
             RequestClass(
-                r.number(c + "aim"),
-                r.number(c + "hard_limit"),
-                r.number(c + "points"),
+                reader.number(c + "aim"),
+                reader.number(c + "hard_limit"),
+                reader.number(c + "points"),
                 _EFFECTS[effect],
-                _choice(Group, r.text(c + "group", "all"), f"settings: {c}group"),
-                r.number(c + "dedup_window", 0),
-                r.number(c + "late_worth", 0),
-                r.text(c + "name", ""),
+                _parse_enum(Group, reader.text(c + "group", "all"), f"settings: {c}group"),
+                reader.number(c + "dedup_window", 0),
+                reader.number(c + "late_worth", 0),
+                reader.text(c + "name", ""),
             )
         )
     plans = [
         Plan(
-            r.number(p + "per_second"),
-            r.number(p + "peak_units"),
-            r.whole(p + "at_once", 0),
-            r.number(p + "price", 1),
-            r.number(p + "over_worth", 0),
-            r.number(p + "excess_cost", 0),
-            r.number(p + "cap_rate", 0),
-            r.number(p + "ceiling_burst", 0),
-            r.number(p + "tolerance", 0),
-            r.text(p + "name", ""),
+            reader.number(p + "per_second"),
+            reader.number(p + "peak_units"),
+            reader.integer(p + "at_once", 0),
+            reader.number(p + "price", 1),
+            reader.number(p + "over_worth", 0),
+            reader.number(p + "excess_cost", 0),
+            reader.number(p + "cap_rate", 0),
+            reader.number(p + "ceiling_burst", 0),
+            reader.number(p + "tolerance", 0),
+            reader.text(p + "name", ""),
         )
-        for p in r.items("plans")
+        for p in reader.prefixes("plans")
     ]
-    reported = r.text("telemetry.via", "off") != "off" and r.text("telemetry.fields", "")
+    reported = reader.text("telemetry.via", "off") != "off" and reader.text("telemetry.fields", "")
     return Settings(
-        gateways=r.whole("balancers"),
-        index=r.whole("index"),
+        gateways=reader.integer("balancers"),
+        index=reader.integer("index"),
         classes=tuple(classes),
         plans=tuple(plans),
-        max_attempts=r.whole("permissions.most_tries"),
-        start_capacity=r.number("safety.start_capacity"),
-        cold_ms=r.number("safety.cold"),
-        fall_multiple=r.number("safety.fall_multiple"),
-        overload_ms=r.number("safety.overload_for"),
-        drain_grace_ms=r.number("safety.stop_sending_within"),
-        answer_grace_ms=r.number("safety.grace_to_answer", 0),
-        zone=r.whole("locality", 0),
-        tick_ms=r.number("quantum", 1),
-        most_units=r.number("extra.units_top", 1),
-        marks_retry=r.truth("clients.marks_retry"),
-        retry_after=r.truth("permissions.retry_after"),
-        max_retry_after_ms=r.number("permissions.max_retry_after", 0),
-        second_copies=r.truth("permissions.parallel_tries"),
-        cancel=r.truth("permissions.cancel"),
-        probes=r.truth("permissions.probes"),
-        peers=r.truth("permissions.may_tell"),
-        peer_in_per_s=r.number("extra.peer_intake", 0),
-        counter=r.truth("extra.has_counter"),
-        counter_timeout_ms=r.number("extra.count_wait", 0),
-        counter_price=r.number("extra.counter_price", 0),
-        meter_ms=r.number("extra.meter", 0),
-        settled_after=r.truth("extra.cost_after"),
+        max_attempts=reader.integer("permissions.most_tries"),
+        start_capacity=reader.number("safety.start_capacity"),
+        cold_ms=reader.number("safety.cold"),
+        fall_multiple=reader.number("safety.fall_multiple"),
+        overload_ms=reader.number("safety.overload_for"),
+        drain_grace_ms=reader.number("safety.stop_sending_within"),
+        answer_grace_ms=reader.number("safety.grace_to_answer", 0),
+        zone=reader.integer("locality", 0),
+        tick_ms=reader.number("quantum", 1),
+        most_units=reader.number("extra.units_top", 1),
+        marks_retry=reader.boolean("clients.marks_retry"),
+        retry_after=reader.boolean("permissions.retry_after"),
+        max_retry_after_ms=reader.number("permissions.max_retry_after", 0),
+        second_copies=reader.boolean("permissions.parallel_tries"),
+        cancel=reader.boolean("permissions.cancel"),
+        probes=reader.boolean("permissions.probes"),
+        peers=reader.boolean("permissions.may_tell"),
+        peer_in_per_s=reader.number("extra.peer_intake", 0),
+        counter=reader.boolean("extra.has_counter"),
+        counter_timeout_ms=reader.number("extra.count_wait", 0),
+        counter_price=reader.number("extra.counter_price", 0),
+        meter_ms=reader.number("extra.meter", 0),
+        settled_after=reader.boolean("extra.cost_after"),
         report_fields=tuple(reported.split(",")) if reported else (),
     )
