--- a/benchmarks/exchange.py
+++ b/benchmarks/exchange.py
@@ -13,14 +13,16 @@
 
 sys.path[:0] = [str(Path(__file__).parent.parent), str(Path(__file__).parent.parent / "tests" / "peers")]
 
-from company import Town, terms  # noqa: E402
+from proxy_fleet import SimulatedFleet, proxy_settings  # noqa: E402
 
 PER_INGRESS, WORK_MS, SECONDS = 10.0, 150.0, 3.0
 
 
 def measure(count: int) -> dict[str, float]:
     """Bytes a second that all and the busiest one send, in zones of a quarter each."""
-    town = Town(1, {zone: (count + n) // 4 for n, zone in enumerate("abcd")}, terms(1e6, 1e6))
+    town = SimulatedFleet(
+        1, {zone: (count + n) // 4 for n, zone in enumerate("abcd")}, proxy_settings(1e6, 1e6)
+    )
     names, began = list(town.ingresses), time.perf_counter()
 
     def ended(name: str, instance: str) -> None:
--- a/tests/engine/test_engine_fabric.py
+++ b/tests/engine/test_engine_proxy_admission.py
@@ -1,6 +1,6 @@
-"""The engine with the decision module of many ingresses, in simulated time: any legal order of events.
+"""The engine with ProxyAdmission in simulated time: random legal orders of events.
 
-Beside what test_engine.py asks of any: a request that may not be repeated is refused only where it never ran.
+In addition to the checks of test_engine.py: a request that may not be repeated is rejected only if it never ran.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
 
 
 class Refusal(Told):
-    """An exchange that knows what was sent of its request."""
+    """An exchange that knows the attempts of its request."""
 
     effect = Effect.SAFE
 
@@ -56,8 +56,8 @@
         super().refused(retry_after_ms)
 
 
-class FabricTransport(SimulatedTransport):
-    """Keyed requests may not be repeated either: the fabric knows no keys."""
+class CheckingTransport(SimulatedTransport):
+    """Checks that keyed requests are not repeated either, as ProxyAdmission does not use keys."""
 
     def start(self, attempt: Any) -> None:
         told: Refusal = attempt.owner.exchange
@@ -73,13 +73,13 @@
         return left_ms
 
 
-class FabricWorld(SimulatedWorld):
+class ProxyWorld(SimulatedWorld):
     def __init__(self) -> None:
         super().__init__(counter=False)
         self.time = SimulatedTime()
-        fabric = ProxyAdmission(self.settings, 7, allowance=1000.0)
-        self.engine = Engine(self.settings, 7, self.time, self.time, fabric)
-        self.transports = [FabricTransport(self)]
+        decisions = ProxyAdmission(self.settings, 7, allowance=1000.0)
+        self.engine = Engine(self.settings, 7, self.time, self.time, decisions)
+        self.transports = [CheckingTransport(self)]
         self.engine.add_pool(self.transports[0])
         self.fleet(list(IDS), kind=ListKind.CHANGES)
 
@@ -91,7 +91,7 @@
         self.calls.append(self.engine.arrive(OneRequest(b"", arrival, told.effect is Effect.SAFE), told))
 
 
-def play(world: FabricWorld, steps: list[tuple[str, int]]) -> None:
+def play(world: ProxyWorld, steps: list[tuple[str, int]]) -> None:
     for what, pick in steps:
         out, begun = world.out, [a for t in world.transports for a in t.begun]
         if what == "arrive":
@@ -126,38 +126,38 @@
 
 @given(STEPS)
 @hypothesis_settings(derandomize=True, max_examples=400, deadline=None)
-def test_any_legal_order_sends_once_what_may_not_be_repeated_and_refuses_only_what_never_ran(
+def test_unsafe_requests_are_sent_once_and_rejected_only_if_they_never_ran(
     steps: list[tuple[str, int]],
 ) -> None:
-    play(FabricWorld(), steps)
+    play(ProxyWorld(), steps)
 
 
 @pytest.mark.parametrize("fault", ("sent again", "refused"))
-def test_a_planted_fault_is_found(fault: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_injected_fault_is_found(fault: str, monkeypatch: pytest.MonkeyPatch) -> None:
     if fault == "sent again":
         monkeypatch.setattr(Call, "may_have_run", property(lambda call: False, lambda call, value: None))
     else:
-        monkeypatch.setattr(ProxyAdmission, "_fail", lambda fabric, call: fabric._refuse(0.0, call))
+        monkeypatch.setattr(ProxyAdmission, "_fail", lambda decisions, call: decisions._refuse(0.0, call))
     with pytest.raises(AssertionError, match=r"again after|refused after|unsafe again"):
-        test_any_legal_order_sends_once_what_may_not_be_repeated_and_refuses_only_what_never_ran()
+        test_unsafe_requests_are_sent_once_and_rejected_only_if_they_never_ran()
 
 
 @pytest.mark.parametrize("copies", (1, 2))
-def test_a_long_answer_that_outlives_its_copys_time_costs_no_other_backend_its_place(copies: int) -> None:
-    """A copy that was due while the answer was being passed on was told as moot, as by a backend that has ended."""
-    world = FabricWorld()
-    fabric: ProxyAdmission = world.engine._gateway
-    fabric.pools[0].retry_budget = 5.0
+def test_a_response_longer_than_the_copy_timer_removes_no_other_backend(copies: int) -> None:
+    """Guards against a copy due while a response is streamed being reported as MOOT, like an ended backend."""
+    world = ProxyWorld()
+    decisions: ProxyAdmission = world.engine._gateway
+    decisions.pools[0].retry_budget = 5.0
     world.ask(0, 20_000)
-    if copies == 2:  # one is out already when the first begins
+    if copies == 2:  # a copy is already open when the first response begins
         world.time.advance(1500)
         while len(world.out) < 2:
             world.time.advance(10)
-    spent = fabric.pools[0].retry_budget
+    spent = decisions.pools[0].retry_budget
     first = world.out[0]
     world.transport(first).begin(first)
     world.time.advance(10_000)
-    assert set(fabric.pools[0].ready) == set(IDS) and fabric.pools[0].retry_budget == spent
+    assert set(decisions.pools[0].ready) == set(IDS) and decisions.pools[0].retry_budget == spent
     assert world.out == [first] and world.time.pending <= 1  # its deadline
     world.transport(first).end(first, Outcome.OK)
     assert world.told[0].final == "served"
--- a/tests/support/company.py
+++ b/tests/support/proxy_fleet.py
@@ -1,7 +1,8 @@
-"""Ingresses of the whole gateway in simulated time: their decisions and what they tell each other, no sockets.
+"""A fleet of proxies in simulated time: their decisions and their messages to each other, without sockets.
 
-Each has a ProxyAdmission and an Exchange; messages go within a zone in a few milliseconds and between homes in some
-tens, as peer_connections.py does it. Its quotas go by a Process of quota_network, over links that are dialled and end.
+Each proxy has a ProxyAdmission and an Exchange. Messages take a few milliseconds within a zone and some tens of
+milliseconds between zones, as in peer_connections.py. Quotas use a Process of quota_network, over connections
+that are opened and closed.
 """
 
 from __future__ import annotations
@@ -36,7 +37,7 @@
 )
 
 
-def terms(
+def proxy_settings(
     rate: float = 0.0,
     burst: float = 0.0,
     aim_ms: float = 800.0,
@@ -69,8 +70,8 @@
     )
 
 
-class Two:
-    """Backends of two services, as the book of instances tells them."""
+class TwoServices:
+    """The instances of two services, with the interface of the endpoint table."""
 
     def services(self) -> list[str]:
         return ["odd", "even"]
@@ -83,27 +84,27 @@
 
 
 class Ingress(Process):
-    """One of them: a process whose requests are decided by a ProxyAdmission."""
+    """A process whose requests are decided by a ProxyAdmission."""
 
-    def __init__(self, town: Town, name: str, zone: str, first: bool) -> None:
-        ip = f"10.{zone}.{len(town.ingresses):04}"
-        super().__init__(town.network, name, zone, ip, town.network.new_life(), first, Two())
-        self.town = town
+    def __init__(self, fleet: SimulatedFleet, name: str, zone: str, first: bool) -> None:
+        ip = f"10.{zone}.{len(fleet.ingresses):04}"
+        super().__init__(fleet.network, name, zone, ip, fleet.network.new_life(), first, TwoServices())
+        self.fleet = fleet
         seed = self.life * 1000 + crc32(name.encode()) % 1000
-        self.fabric = ProxyAdmission(town.settings, seed, quotas=self.node)
+        self.fabric = ProxyAdmission(fleet.settings, seed, quotas=self.node)
 
     @property
     def now_ms(self) -> float:
-        """As the decision module counts them."""
+        """The time in the unit of the decision module."""
         return self.now * 1000
 
     def handle(self, event: Event) -> Actions:
-        """Hand the decision module an event, and do what it says."""
+        """Passes an event to the decision module and carries out its actions."""
         actions = self.fabric.handle(self.now_ms, event)
         for action in actions:
             if isinstance(action, Send):
-                self.town.admitted.append(self.town.now)
-                self._forget(action.request)
+                self.fleet.admitted.append(self.fleet.now)
+                self._complete(action.request)
             elif isinstance(action, SetTimer) and action.label % TIMERS_PER_REQUEST == QUOTA_TIMER:
                 fired = TimerFired(action.label)
                 self.network.later(
@@ -111,8 +112,8 @@
                 )
         return actions
 
-    def _forget(self, request: int) -> None:
-        """It was answered at once."""
+    def _complete(self, request: int) -> None:
+        """Drops a request's state, as if it had been answered at once."""
         self.fabric.calls.pop(request, None)
         for backend in self.fabric.backends.values():
             for attempt in [attempt for attempt in backend.out if attempt[0] == request]:
@@ -122,8 +123,8 @@
         self.handle(LeasesDue())
 
 
-class Town:
-    """Ingresses by name, and the ways between them. admitted: the times at which one was let in; ms."""
+class SimulatedFleet:
+    """Proxies by name and the network between them; admitted: times of admission in ms."""
 
     def __init__(self, seed: int, zones: dict[str, int], settings: Settings, first: bool = True) -> None:
         self.random, self.settings = Random(seed), settings
@@ -131,14 +132,14 @@
         self.ingresses: dict[str, Ingress] = {}
         self.admitted: list[float] = []
         self._linked: set[frozenset[tuple[str, int]]] = set()
-        self.sent = self.sent_away = 0  # bytes of messages, and of those to other zones
+        self.sent = self.sent_away = 0  # bytes of all messages, and of those to other zones
         self.sent_by: dict[str, int] = {}
         self._number = 0
         for zone, count in zones.items():
             for n in range(count):
                 self.add(f"{zone}-{n}", zone, first)
-        self.later(0.0, self._tell_zone)
-        self.later(0.0, self._tell_away)
+        self.later(0.0, self._send_to_zone)
+        self.later(0.0, self._send_to_other_zones)
 
     @property
     def now(self) -> float:
@@ -147,7 +148,7 @@
 
     @property
     def cut(self) -> set[tuple[str, str]]:
-        """Pairs of names, from one to the other, between which nothing comes through."""
+        """Pairs of names, from sender to receiver, between which all messages are lost."""
         return self.network.cuts
 
     @cut.setter
@@ -155,14 +156,14 @@
         self.network.cuts = cut
 
     def add(self, name: str, zone: str, first: bool = False) -> Ingress:
-        """A process starts; the list of all is known to everybody at once."""
+        """Starts a process; all others learn the new member list at once."""
         ingress = Ingress(self, name, zone, first)
         self.ingresses[name] = self.network.processes[name] = ingress
         self.network.register(ingress)
         ingress.handle(ready(1, 2, 3, slots=10_000))
         for other in self.ingresses.values():
             other.do(lambda other=other: other.listed(self.network.members()))
-            self._company(other)
+            self._report_membership(other)
         for other in self.ingresses.values():
             if (
                 other is not ingress
@@ -174,32 +175,32 @@
         return ingress
 
     def kill(self, name: str) -> None:
-        """The process ends at once; its links end, and the list is without it from the next change on."""
+        """Kills a process; its links close, and the member list omits it from the next change on."""
         ingress = self.ingresses[name]
         self.network.kill(ingress)
         self.network.unregister(ingress)
 
     def _link(self, one: Ingress, two: Ingress) -> None:
-        """A link begins with all, each way."""
+        """Opens a link, which starts with the full state in both directions."""
         self._linked.add(frozenset([(one.name, one.exchange.life), (two.name, two.exchange.life)]))
         for sender, other in ((one, two), (two, one)):
             shares = sender.exchange.full(sender.now, other.name, sender.zone != other.zone)
             self.sent += len(encode(shares))
-            self._heard(other, sender, shares)
+            self._receive(other, sender, shares)
 
-    def _company(self, ingress: Ingress) -> None:
+    def _report_membership(self, ingress: Ingress) -> None:
         ingress.handle(Company(*ingress.exchange.company(ingress.now)))
 
     def later(self, at: float, what: Any) -> None:
-        """at: milliseconds."""
+        """Schedules a call; at: milliseconds."""
         self.network.at(at / 1000, what)
 
     def run(self, until: float) -> None:
-        """until: milliseconds."""
+        """Runs the simulation; until: milliseconds."""
         self.network.clock.run(until / 1000)
 
     def ask(self, name: str) -> None:
-        """A request comes there."""
+        """A request arrives at the named proxy."""
         self._number += 1
         event = arrival(self._number)
         ingress = self.ingresses[name]
@@ -211,9 +212,9 @@
             self.sent += size
             self.sent_away += size if other.zone != ingress.zone else 0
             self.sent_by[ingress.name] = self.sent_by.get(ingress.name, 0) + size
-            self.later(self.now + delay, lambda other=other: self._heard(other, ingress, shares))
+            self.later(self.now + delay, lambda other=other: self._receive(other, ingress, shares))
 
-    def _near(self, ingress: Ingress) -> list[Ingress]:
+    def _zone_peers(self, ingress: Ingress) -> list[Ingress]:
         return [
             o
             for o in self.ingresses.values()
@@ -223,18 +224,18 @@
             and (ingress.name, o.name) not in self.cut
         ]
 
-    def _heard(self, other: Ingress, sender: Ingress, shares: Any) -> None:
+    def _receive(self, other: Ingress, sender: Ingress, shares: Any) -> None:
         if not other.alive:
             return
-        news = other.exchange.hear(other.now, shares, sender.name, sender.zone)
-        for origin, out in news.out.items():
+        update = other.exchange.hear(other.now, shares, sender.name, sender.zone)
+        for origin, out in update.out.items():
             other.handle(OthersLoad(origin, {int(i): n for i, n in out.items()}))
 
     def speaks(self, ingress: Ingress, duty: str = ALIVE) -> bool:
-        return ingress.exchange.home(duty, [o.name for o in self._near(ingress)])
+        return ingress.exchange.home(duty, [o.name for o in self._zone_peers(ingress)])
 
-    def _away(self, ingress: Ingress) -> list[Ingress]:
-        """Those of other zones that it is linked to: homes link to homes."""
+    def _remote_peers(self, ingress: Ingress) -> list[Ingress]:
+        """Proxies of other zones that it is linked to; only the proxies responsible for a duty have such links."""
         duties = [d for d in ingress.exchange.duties() if self.speaks(ingress, d)]
         return [
             o
@@ -245,20 +246,20 @@
             and any(self.speaks(o, d) for d in duties)
         ]
 
-    def _tell_zone(self) -> None:
+    def _send_to_zone(self) -> None:
         for ingress in self.ingresses.values():
             if ingress.alive:
-                near = self._near(ingress)
+                near = self._zone_peers(ingress)
                 for other in near:
                     ingress.exchange.alive(ingress.now, other.name)
                 if (shares := ingress.exchange.for_zone()) is not None:
                     self._deliver(ingress, shares, near, 1.0)
-        self.later(self.now + 8, self._tell_zone)
+        self.later(self.now + 8, self._send_to_zone)
 
-    def _tell_away(self) -> None:
+    def _send_to_other_zones(self) -> None:
         for ingress in self.ingresses.values():
             if ingress.alive:
-                near, away = self._near(ingress), self._away(ingress)
+                near, away = self._zone_peers(ingress), self._remote_peers(ingress)
                 for other in away:
                     if (
                         frozenset([(ingress.name, ingress.exchange.life), (other.name, other.exchange.life)])
@@ -271,12 +272,12 @@
                 if (shares := ingress.exchange.passed_on()) is not None:
                     self._deliver(ingress, shares, near, 1.0)
                 ingress.exchange.forget(ingress.now)
-                self._company(ingress)
-        self.later(self.now + 40, self._tell_away)
+                self._report_membership(ingress)
+        self.later(self.now + 40, self._send_to_other_zones)
 
 
-def most_in(times: list[float], window_ms: float) -> int:
-    """The most that any window of that length holds."""
+def max_in_window(times: list[float], window_ms: float) -> int:
+    """Returns the largest number of times within any window of that length."""
     most = first = 0
     for n, at in enumerate(times):
         while times[first] < at - window_ms:
--- a/tests/system/test_homes_of_services.py
+++ b/tests/system/test_homes_of_services.py
@@ -5,17 +5,17 @@
 from random import Random
 
 import pytest
-from company import Town, Two, terms
+from proxy_fleet import SimulatedFleet, TwoServices, proxy_settings
 
 from troutdock.proxy.load_exchange import Exchange
 
 ZONES = {"a": 4, "b": 3, "c": 3}
 
 
-def busy(seed: int, deaths: int) -> Town:
+def busy(seed: int, deaths: int) -> SimulatedFleet:
     """Loads by lot for eight seconds, while some end and others start; then three seconds of calm."""
     random = Random(seed)
-    town = Town(seed, ZONES, terms(4000.0, 4000.0))
+    town = SimulatedFleet(seed, ZONES, proxy_settings(4000.0, 4000.0))
     at = sorted(random.uniform(1000, 7000) for _ in range(deaths))
     while town.now < 8000:
         town.run(town.now + random.expovariate(250) * 1000)
@@ -62,7 +62,7 @@
     """Twice the ingresses for the same requests: no ingress says more than a third more."""
     most = []
     for count in (8, 16):
-        town = Town(1, {"a": count, "b": count}, terms(4000.0, 4000.0))
+        town = SimulatedFleet(1, {"a": count, "b": count}, proxy_settings(4000.0, 4000.0))
         while town.now < 2000:
             town.run(town.now + town.random.expovariate(300) * 1000)
             name = town.random.choice(list(town.ingresses))
@@ -76,12 +76,12 @@
 
 
 def test_who_becomes_home_tells_all_of_its_duty_again() -> None:
-    e = Exchange("a-1", "10.0.0.1", "a", 1, Two())
+    e = Exchange("a-1", "10.0.0.1", "a", 1, TwoServices())
     e.load("1", 3)
     crowd = [f"a-{n}" for n in range(2, 200)]
     assert e.for_away(0.0, crowd, [("b-1", "b")]) == []  # home for nothing: another one tells it
     e.load("2", 4)
-    g = Exchange("b-1", "10.0.1.1", "b", 2, Two())
+    g = Exchange("b-1", "10.0.1.1", "b", 2, TwoServices())
     for names, shares in e.for_away(5.0, [], [("b-1", "b")]):  # alone now
         assert names == ["b-1"]
         g.hear(5.0, shares, "a-1", "a")
@@ -89,17 +89,17 @@
 
 
 def test_a_restart_after_the_clock_was_set_back_is_heard() -> None:
-    e = Exchange("a-1", "10.0.0.1", "a", 1, Two())
+    e = Exchange("a-1", "10.0.0.1", "a", 1, TwoServices())
     for life, out in ((5_000, 2), (4_000, 1)):
-        other = Exchange("a-2", "10.0.0.2", "a", life, Two())
+        other = Exchange("a-2", "10.0.0.2", "a", life, TwoServices())
         other.load("1", out)
         e.hear(0.0, other.full(0.0, "a-1", False), "a-2", "a")
         assert e.origins["a-2"].out == e.zone_out == {"1": out}
     other.load("1", 5)
     shares = other.for_zone()
     assert shares is not None and e.hear(0.1, shares, "a-2", "a").out == {"a-2": {"1": 5}}
-    third = Exchange("a-3", "10.0.0.3", "a", 9, Two())  # who has heard of the life before only
-    stale = Exchange("a-2", "10.0.0.2", "a", 3_000, Two())
+    third = Exchange("a-3", "10.0.0.3", "a", 9, TwoServices())  # who has heard of the life before only
+    stale = Exchange("a-2", "10.0.0.2", "a", 3_000, TwoServices())
     third.hear(0.0, stale.full(0.0, "a-3", False), "a-2", "a")
     e.hear(0.2, third.full(0.0, "a-1", False), "a-3", "a")
     assert e.origins["a-2"].life == 4_000
--- a/tests/system/test_lives_of_ingresses.py
+++ b/tests/system/test_lives_of_ingresses.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable
 
-from company import Two
+from proxy_fleet import TwoServices
 
 from troutdock.settings.boot import boot_of
 from troutdock.proxy.peer_connections import ROLE, Mesh
@@ -46,7 +46,7 @@
     """Another ingress's exchange, and what it tells."""
 
     def __init__(self, name: str, life: int, **out: int) -> None:
-        self.exchange = Exchange(name, "10.0.0.9", "a", life, Two())
+        self.exchange = Exchange(name, "10.0.0.9", "a", life, TwoServices())
         for instance, count in out.items():
             self.exchange.load(instance.removeprefix("i"), count)
 
@@ -74,7 +74,9 @@
             }
         )
         heard: list[News] = []
-        mesh = Mesh(boot, Hello(ROLE, "a-1", "10.0.0.1", "a", 50), heard.append, lambda *_: None, Two())
+        mesh = Mesh(
+            boot, Hello(ROLE, "a-1", "10.0.0.1", "a", 50), heard.append, lambda *_: None, TwoServices()
+        )
         mesh._closed = True  # nobody is dialled
         story(mesh, heard)
 
@@ -194,7 +196,7 @@
 
 
 def exchange() -> Exchange:
-    return Exchange("a-1", "10.0.0.1", "a", 50, Two())
+    return Exchange("a-1", "10.0.0.1", "a", 50, TwoServices())
 
 
 def test_another_lifes_word_of_itself_on_a_link_is_dropped() -> None:
@@ -209,7 +211,7 @@
 ):
     """a-2 has restarted with its clock set back; a-3 has not noticed, and links up with us."""
     e, before, now = exchange(), Other("a-2", 9_000, i1=7), Other("a-2", 4_000, i2=1)
-    third = Exchange("a-3", "10.0.0.3", "a", 9, Two())
+    third = Exchange("a-3", "10.0.0.3", "a", 9, TwoServices())
     third.hear(0.0, before.full(), "a-2", "a", 9_000)
     e.hear(0.0, before.full(), "a-2", "a", 9_000)
     e.hear(0.1, now.full(), "a-2", "a", 4_000)
@@ -224,7 +226,7 @@
     e, other = exchange(), Other("a-2", 1, i1=7)
     e.hear(0.0, other.full(), "a-2", "a", 1)
     e.forget(0.1, "a-2")
-    third = Exchange("a-3", "10.0.0.3", "a", 9, Two())
+    third = Exchange("a-3", "10.0.0.3", "a", 9, TwoServices())
     third.hear(0.0, other.full(), "a-2", "a", 1)
     e.hear(0.2, third.full(0.2, "a-1", False), "a-3", "a", 9)
     assert e.origins["a-2"].out == {"1": 7}
--- a/tests/system/test_fabric.py
+++ b/tests/system/test_proxy_admission.py
@@ -1,9 +1,9 @@
-"""The decisions of one ingress: what is tried again, what is refused with which time, and what never is."""
+"""ProxyAdmission: which requests are retried, rejected with which retry time, or failed."""
 
 from __future__ import annotations
 
 import pytest
-from company import arrival, ready, terms
+from proxy_fleet import arrival, ready, proxy_settings
 
 from troutdock.admission.proxy_admission import ProxyAdmission
 from troutdock.admission.interface import (
@@ -34,8 +34,8 @@
 MAY_HAVE_RUN = [Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT]
 
 
-def fabric(effect: Effect = Effect.SAFE, backends: int = 4, **more: float) -> ProxyAdmission:
-    f = ProxyAdmission(terms(effect=effect, **more), 7)
+def proxy(effect: Effect = Effect.SAFE, backends: int = 4, **more: float) -> ProxyAdmission:
+    f = ProxyAdmission(proxy_settings(effect=effect, **more), 7)
     f.handle(0.0, ready(*range(1, backends + 1)))
     return f
 
@@ -49,7 +49,7 @@
 
 
 def set_tokens(f: ProxyAdmission, now_ms: float, tokens: float) -> None:
-    """What the owner's bucket holds; f is the owner."""
+    """Sets the level of the owner's bucket; f is the owner."""
     owner = f.quotas._owned._owners[shard_of("tenant")]
     owner.advance(now_ms / 1000)
     bucket = owner._buckets["tenant"]
@@ -57,10 +57,10 @@
     bucket.level = tokens
 
 
-def asking_fabric(**more: float) -> ProxyAdmission:
-    """One whose quotas are owned by the peer "owner" in its zone."""
+def proxy_with_remote_owner(**more: float) -> ProxyAdmission:
+    """Returns a proxy whose quotas are owned by the peer "owner" in its zone."""
     node = QuotaNode("asker", "zone", 1, 0.0)
-    f = ProxyAdmission(terms(**more), 7, quotas=node)
+    f = ProxyAdmission(proxy_settings(**more), 7, quotas=node)
     f.handle(0.0, ready(1, 2, 3, 4))
     node.update_peers(
         0.0,
@@ -76,7 +76,7 @@
 
 
 def demands(f: ProxyAdmission) -> list[TokenDemand]:
-    """What was asked of the owner since the last look."""
+    """Returns the token demands sent to the owner since the last call."""
     messages = [m for peer, m in f.quotas.take_messages() if peer == "owner" and isinstance(m, QuotaRequest)]
     return [demand for message in messages for demand in message.demands]
 
@@ -84,7 +84,7 @@
 def answer(
     f: ProxyAdmission, now_ms: float, demand: TokenDemand, granted: int, retry_after_s: float = 0.0
 ) -> list:
-    """The owner's answer, and what the ingress does then."""
+    """Delivers the owner's reply and returns the proxy's actions."""
     grant = TokenGrant(demand.tenant, demand.number, granted, retry_after_s, "term")
     f.quotas.receive(now_ms / 1000, "owner", QuotaGrant([grant]))
     return f.handle(now_ms, LeasesDue())
@@ -93,7 +93,7 @@
 @pytest.mark.parametrize("outcome", [*NEVER_RAN, *MAY_HAVE_RUN])
 @pytest.mark.parametrize("effect", [Effect.SAFE, Effect.UNSAFE])
 def test_further_attempts_by_effect_and_outcome(effect: Effect, outcome: Outcome) -> None:
-    f = fabric(effect)
+    f = proxy(effect)
     for pool in f.pools.values():
         pool.retry_budget = 1.0
     (send,) = of(Send, f.handle(1.0, arrival(1)))
@@ -105,14 +105,14 @@
         assert again.backend != send.backend
         last = f.handle(101.0, ended(again, outcome, 1))
         if outcome is Outcome.CONNECT_FAILED:
-            assert of(Send, last)  # none of them was sent anywhere
-        else:  # as many as the route allows
+            assert of(Send, last)  # neither attempt reached a backend
+        else:  # the route's limit of attempts
             (refused,) = of(Refuse, last)
             assert refused.retry_after_ms > 0
 
 
-def test_without_a_budget_no_second_sending_but_after_a_failed_connection() -> None:
-    f = fabric()
+def test_without_retry_budget_only_a_failed_connection_is_retried() -> None:
+    f = proxy()
     (send,) = of(Send, f.handle(1.0, arrival(1)))
     f.pools[0].retry_budget = 0.0
     (refused,) = of(Refuse, f.handle(2.0, ended(send, Outcome.FULL)))
@@ -122,8 +122,8 @@
     assert of(Send, f.handle(4.0, ended(send, Outcome.CONNECT_FAILED)))
 
 
-def test_second_sendings_stay_a_part_of_the_requests() -> None:
-    f, second, number = fabric(), 0, 0
+def test_retries_stay_a_fraction_of_the_requests() -> None:
+    f, second, number = proxy(), 0, 0
     f.handle(0.0, Company(11, 11))
     for number in range(1, 2001):
         (send,) = of(Send, f.handle(number * 10.0, arrival(number)))
@@ -137,62 +137,64 @@
 
 
 def test_a_copy_goes_where_a_slot_is_free_once_the_answer_is_overdue() -> None:
-    f = fabric()
+    f = proxy()
     actions = f.handle(1.0, arrival(1))
     (send,), (timer,) = of(Send, actions), of(SetTimer, actions)
     f.pools[0].retry_budget = 1.0
     (copy,) = of(Send, f.handle(1.0 + timer.after_ms, TimerFired(timer.label)))
     assert copy.backend != send.backend
-    g = fabric()
+    g = proxy()
     (timer,) = of(SetTimer, g.handle(1.0, arrival(1)))
     g.pools[0].retry_budget = 1.0
     g.handle(2.0, OthersLoad("x", dict.fromkeys(range(1, 5), 2)))
     assert not of(Send, g.handle(1.0 + timer.after_ms, TimerFired(timer.label)))
 
 
-def test_what_is_not_repeatable_gets_no_copy() -> None:
-    assert not of(SetTimer, fabric(Effect.UNSAFE).handle(1.0, arrival(1)))
+def test_requests_that_are_not_repeatable_get_no_copy() -> None:
+    assert not of(SetTimer, proxy(Effect.UNSAFE).handle(1.0, arrival(1)))
 
 
-def test_a_draining_or_gone_backend_gets_nothing_new_from_then_on() -> None:
-    f = fabric(backends=3)
+def test_a_draining_or_gone_backend_gets_no_new_requests() -> None:
+    f = proxy(backends=3)
     for backend, state in ((1, BackendState.DRAINING), (2, BackendState.GONE)):
         f.handle(1.0, FleetUpdate(ListKind.CHANGES, [BackendEntry(backend, state, size=2)]))
     chosen = {of(Send, f.handle(2.0 + n, arrival(n)))[0].backend for n in range(1, 4)}
     assert chosen == {3}
 
 
-def test_where_others_have_filled_the_slots_it_goes_elsewhere() -> None:
-    f = fabric(backends=2)
+def test_a_backend_whose_slots_are_used_by_other_proxies_is_avoided() -> None:
+    f = proxy(backends=2)
     f.handle(1.0, OthersLoad("x", {1: 2}))
     assert {of(Send, f.handle(2.0, arrival(n)))[0].backend for n in (1, 2)} == {2}
     f.handle(3.0, OthersLoad("x", {}, whole=True))
     assert f.backends[1].load == 0
 
 
-def test_a_pressed_fleet_refuses_at_once_with_a_return_time() -> None:
-    f = fabric(backends=1)
+def test_an_overloaded_fleet_rejects_at_once_with_a_retry_time() -> None:
+    f = proxy(backends=1)
     f.handle(1.0, OthersLoad("x", {1: 40}))
     (refused,) = f.handle(2.0, arrival(1))
     assert isinstance(refused, Refuse) and refused.retry_after_ms > 0 and not f.calls
 
 
-# ---- the design's return times
+# ---- retry times
 
 
-def test_return_times_are_dibas_with_job_times() -> None:
-    f = fabric(rate=20.0, burst=20.0)
+def test_retry_times_follow_diba_with_job_times() -> None:
+    f = proxy(rate=20.0, burst=20.0)
     f.handle(0.0, Company(4, 4))
     sends = [of(Send, f.handle(1.0, arrival(n))) for n in range(1, 21)]
-    assert list(map(len, sends)) == [1] * 19 + [0]  # new tries leave a small reserve: the first appointment
+    assert list(map(len, sends)) == [1] * 19 + [
+        0
+    ]  # new requests leave a small reserve: the first appointment
     waits = [f.handle(2.0, arrival(100 + n))[0].retry_after_ms for n in range(3)]
-    # the slice fills at 20/4 a second, sigma is 0 until two answers: 200 ms between appointments
+    # the slice refills at 20/4 per second, sigma is 0 until two responses: 200 ms between appointments
     assert waits == pytest.approx([399, 599, 799], abs=0.01)
     for n, took in enumerate((100.0, 300.0)):
         f.handle(3.0, AttemptEnded(n + 1, 0, sends[n][0].backend, Outcome.OK, took, True))
     tenant = f.tenants[1]
     assert tenant.sample_weight == pytest.approx(1.995)
-    f2 = fabric(rate=20.0, burst=1.0)
+    f2 = proxy(rate=20.0, burst=1.0)
     f2.handle(1.0, arrival(1))
     t = f2.tenants[1]
     t.sample_weight, t.job_sum, t.job_squares = 2.0, 400.0, 100_000.0  # 100 and 300: mean 200, deviation 100
@@ -200,8 +202,8 @@
     assert refused.retry_after_ms == pytest.approx(1000 / (20 * 1.5), rel=0.01)
 
 
-def test_a_try_at_its_return_time_may_take_the_reserve() -> None:
-    f = fabric(rate=10.0, burst=10.0)
+def test_a_request_at_its_retry_time_may_take_the_reserve() -> None:
+    f = proxy(rate=10.0, burst=10.0)
     for n in range(1, 30):
         f.handle(1.0, arrival(n))
     appointment = f.tenants[1].appointments[9]
@@ -214,7 +216,7 @@
 
 
 def test_a_share_grows_by_half_each_second_that_ran_dry_and_falls_back_when_over() -> None:
-    f = fabric(rate=100.0, burst=100.0)
+    f = proxy(rate=100.0, burst=100.0)
     f.handle(0.0, Company(10, 10))
     shares = []
     for second in range(4):
@@ -227,12 +229,12 @@
 
 
 def test_a_raised_limit_gives_no_second_burst_and_a_lower_one_binds_at_once() -> None:
-    f = fabric(rate=10.0, burst=10.0)
+    f = proxy(rate=10.0, burst=10.0)
     sent = sum(bool(of(Send, f.handle(1.0, arrival(n)))) for n in range(1, 12))
     assert sent == 9
-    f.handle(1.0, SettingsChanged(terms(rate=10.0, burst=50.0)))
+    f.handle(1.0, SettingsChanged(proxy_settings(rate=10.0, burst=50.0)))
     assert not of(Send, f.handle(1.0, arrival(20)))
-    f.handle(60_000.0, SettingsChanged(terms(rate=10.0, burst=5.0)))
+    f.handle(60_000.0, SettingsChanged(proxy_settings(rate=10.0, burst=5.0)))
     sent = sum(bool(of(Send, f.handle(60_000.0, arrival(n)))) for n in range(30, 60))
     assert sent == 4  # five, less the reserve
 
@@ -241,7 +243,7 @@
 
 
 def test_a_request_waits_for_its_token_and_is_sent_with_it() -> None:
-    f = asking_fabric(rate=10.0, burst=10.0)
+    f = proxy_with_remote_owner(rate=10.0, burst=10.0)
     assert not of(Send, f.handle(1.0, arrival(1))) and 1 in f.calls
     assert not of(Send, f.handle(1.5, arrival(2)))
     (demand,) = demands(f)
@@ -251,8 +253,8 @@
     assert [a.request for a in of(Send, answer(f, 5.0, demand, 1))] == [2]
 
 
-def test_who_is_refused_a_token_is_told_to_come_back_and_others_are_not_asked_about() -> None:
-    f = asking_fabric(rate=10.0, burst=10.0)
+def test_a_refused_token_rejects_the_request_and_suspends_demands_until_the_retry_time() -> None:
+    f = proxy_with_remote_owner(rate=10.0, burst=10.0)
     f.handle(1.0, arrival(1))
     (demand,) = demands(f)
     (refused,) = of(Refuse, answer(f, 3.0, demand, 0, 0.2))
@@ -261,8 +263,8 @@
     assert not of(Refuse, f.handle(204.0, arrival(3))) and demands(f)
 
 
-def test_where_nobody_answers_for_the_quota_a_request_is_refused_within_a_quarter_of_its_aim() -> None:
-    f = asking_fabric(rate=10.0, burst=10.0)
+def test_without_a_reply_of_the_owner_a_request_is_rejected_within_a_quarter_of_its_target() -> None:
+    f = proxy_with_remote_owner(rate=10.0, burst=10.0)
     (timer,) = of(SetTimer, f.handle(1.0, arrival(1)))
     assert timer.after_ms < 800.0 / 4
     (refused,) = f.handle(1.0 + timer.after_ms, TimerFired(timer.label))
@@ -272,8 +274,8 @@
     assert of(Send, f.handle(220.0, arrival(2)))  # a token that comes late is the next request's
 
 
-def test_a_client_that_leaves_while_its_request_waits_leaves_its_token_to_the_next() -> None:
-    f = asking_fabric(rate=10.0, burst=10.0)
+def test_a_token_for_a_withdrawn_request_goes_to_the_next_one() -> None:
+    f = proxy_with_remote_owner(rate=10.0, burst=10.0)
     f.handle(1.0, arrival(1))
     f.handle(1.5, arrival(2))
     (demand,) = demands(f)
@@ -282,7 +284,7 @@
 
 
 def test_a_token_that_no_backend_could_use_goes_back_to_the_owner() -> None:
-    f = asking_fabric(rate=10.0, burst=10.0)
+    f = proxy_with_remote_owner(rate=10.0, burst=10.0)
     f.handle(0.5, OthersLoad("x", dict.fromkeys(range(1, 5), 99)))
     f.handle(1.0, arrival(1))
     (demand,) = demands(f)
@@ -292,8 +294,8 @@
     assert [(r.tokens, r.term) for m in messages for r in m.returned] == [(1, "term")]
 
 
-def test_second_sendings_that_may_run_are_charged_to_the_quota() -> None:
-    f = fabric(rate=10.0, burst=10.0)
+def test_retries_that_may_run_are_charged_to_the_quota() -> None:
+    f = proxy(rate=10.0, burst=10.0)
     f.pools[0].retry_budget = 9.0
     (send,) = of(Send, f.handle(1.0, arrival(1)))
     owner = f.quotas._owned._owners[shard_of("tenant")]
@@ -307,8 +309,8 @@
     assert owner._buckets["tenant"].level == pytest.approx(7.0, abs=0.1)
 
 
-def test_a_backend_whose_address_is_anothers_is_left_until_it_is_heard_of() -> None:
-    f = fabric(backends=2)
+def test_a_backend_whose_address_was_reused_is_avoided_until_its_next_heartbeat() -> None:
+    f = proxy(backends=2)
     f.pools[0].retry_budget = 9.0
     (send,) = of(Send, f.handle(1.0, arrival(1)))
     f.handle(2.0, ended(send, Outcome.MOOT))
@@ -318,7 +320,7 @@
     assert send.backend in f.pools[0].ready
 
 
-def test_what_others_leased_counts_before_a_tenant_has_asked_here() -> None:
-    f = fabric(rate=10.0, burst=10.0)
+def test_tokens_leased_by_other_proxies_count_before_the_first_local_request() -> None:
+    f = proxy(rate=10.0, burst=10.0)
     f.quotas.receive(0.001, "other", QuotaRequest([TokenDemand("tenant", 1, 14, 14)]))
     assert of(Refuse, f.handle(2.0, arrival(1)))
--- a/tests/system/test_quotas_in_company.py
+++ b/tests/system/test_quotas_in_company.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from company import Town, Two, most_in, terms
+from proxy_fleet import SimulatedFleet, TwoServices, max_in_window, proxy_settings
 
 from troutdock.proxy.load_exchange import ALIVE, LINKS_TO_OWNERS, Exchange
 from troutdock.rpc.messages import Member
@@ -15,18 +15,18 @@
 ZONES = {"a": 4, "b": 4, "c": 3}
 
 
-class NoServices(Two):
+class NoServices(TwoServices):
     """No backends yet: telling how many are heard is the only duty."""
 
     def services(self) -> list[str]:
         return []
 
 
-def town(seed: int, first: bool = True) -> Town:
-    return Town(seed, ZONES, terms(RATE, BURST), first)
+def town(seed: int, first: bool = True) -> SimulatedFleet:
+    return SimulatedFleet(seed, ZONES, proxy_settings(RATE, BURST), first)
 
 
-def press(town: Town, until: float, per_s: float, only: list[str] | None = None) -> None:
+def press(town: SimulatedFleet, until: float, per_s: float, only: list[str] | None = None) -> None:
     """Tries come evenly in time, to ingresses drawn by lot."""
     while town.now < until:
         town.run(town.now + town.random.expovariate(per_s) * 1000)
@@ -37,7 +37,7 @@
 def test_beyond_the_quota_all_together_stay_within_it(seed: int) -> None:
     t = town(seed)
     press(t, 12_000, 300)
-    assert most_in(t.admitted, WINDOW_S * 1000) <= ALLOWED
+    assert max_in_window(t.admitted, WINDOW_S * 1000) <= ALLOWED
     assert len(t.admitted) >= 0.95 * (RATE * 12)  # and it is used up
 
 
@@ -61,10 +61,10 @@
     press(t, 9000, 300)
     t.cut = set()
     press(t, 14_000, 300)
-    assert most_in(t.admitted, WINDOW_S * 1000) <= ALLOWED
+    assert max_in_window(t.admitted, WINDOW_S * 1000) <= ALLOWED
 
 
-def owner(town: Town) -> str:
+def owner(town: SimulatedFleet) -> str:
     """Who leases the tenant's tokens."""
     (name,) = [
         i.name for i in town.ingresses.values() if i.alive and shard_of("tenant") in i.node.owned_shards()
@@ -82,7 +82,7 @@
     press(t, 5000, 300)
     t.kill(owner(t))
     press(t, 10_000, 300)
-    assert most_in(t.admitted, WINDOW_S * 1000) <= ALLOWED
+    assert max_in_window(t.admitted, WINDOW_S * 1000) <= ALLOWED
     left = sum(i.alive for i in t.ingresses.values()) / len(
         t.ingresses
     )  # the lost ones' part may still be in use
@@ -98,7 +98,7 @@
     for name in ["a-0", "b-0", "b-1", "c-0", "c-1", "a-3", "a-9", "b-9"]:
         t.add(name, name[0])
     press(t, 10_000, 300)
-    assert most_in(t.admitted, WINDOW_S * 1000) <= ALLOWED
+    assert max_in_window(t.admitted, WINDOW_S * 1000) <= ALLOWED
 
 
 def test_the_check_finds_ingresses_that_tell_nothing() -> None:
@@ -107,12 +107,12 @@
     for ingress in t.ingresses.values():  # each takes itself for the only one
         ingress.exchange.company = lambda now: (1, 1)  # type: ignore[method-assign]
     press(t, 6000, 300)
-    assert most_in(t.admitted, WINDOW_S * 1000) > ALLOWED
+    assert max_in_window(t.admitted, WINDOW_S * 1000) > ALLOWED
 
 
 def test_whom_an_ingress_dials() -> None:
     """In the zone the lower address; other zones by the home of a duty or the owner of a shard, once its own zone is linked."""
-    e = Exchange("a-1", "10.0.0.2", "a", 1, Two())
+    e = Exchange("a-1", "10.0.0.2", "a", 1, TwoServices())
     e.listed(
         0.0,
         [
--- a/tests/system/test_rooms.py
+++ b/tests/system/test_system_inputs.py
@@ -1,4 +1,4 @@
-"""Netstrings, messages, settings, configurations, the disk: bad input is named, and nothing is lost by it."""
+"""Malformed netstrings, messages, settings, configurations and files: errors name the place, no data is lost."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 @given(st.lists(st.binary(max_size=300)), st.data())
-def test_frames_come_whole_however_they_are_cut(payloads: list[bytes], data: st.DataObject) -> None:
+def test_frames_are_complete_however_the_bytes_are_split(payloads: list[bytes], data: st.DataObject) -> None:
     wire = b"".join(map(frame, payloads))
     cuts = sorted(data.draw(st.lists(st.integers(0, len(wire)), max_size=8)))
     deframer, found = Deframer(), []
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize("wire", [b"x:1,", b"01:a,", b"-1:,", b"1:ab", b"99999999999", b"2000:", b":,"])
-def test_what_is_no_frame_is_refused(wire: bytes) -> None:
+def test_malformed_frames_are_rejected(wire: bytes) -> None:
     with pytest.raises(FrameError):
         list(Deframer(1000).feed(wire))
 
@@ -50,12 +50,12 @@
         b'{"t":"put","number":1,"version":"x","body":{}}',
     ],
 )
-def test_what_is_no_message_is_refused(payload: bytes) -> None:
+def test_malformed_messages_are_rejected(payload: bytes) -> None:
     with pytest.raises(MessageError):
         decode(payload)
 
 
-def test_messages_come_back_as_they_were_and_unknown_fields_are_dropped() -> None:
+def test_messages_round_trip_and_unknown_fields_are_dropped() -> None:
     message = Instances([Instance("i", "s", "10.0.0.1:80", "a", 2, 1, 0.5)], 4)
     assert decode(encode(message)) == message
     assert decode(b'{"t":"beats","ids":["i"],"later":1}') == Beats(["i"])
@@ -74,7 +74,7 @@
 }
 
 
-def test_boot_settings_take_defaults_and_leave_the_unknown_alone() -> None:
+def test_boot_settings_take_defaults_and_ignore_unknown_keys() -> None:
     boot = boot_of(BOOT)
     assert boot.values["bounds.graceS"] == 6.0 and boot.seeds == (("10.0.0.2", 81),) and boot.port(9) == 7003
 
@@ -92,13 +92,13 @@
         ({"heartbeatS": float("nan")}, "heartbeatS"),
     ],
 )
-def test_bad_boot_settings_name_the_place(change: dict, place: str) -> None:
+def test_errors_in_boot_settings_name_the_key(change: dict, place: str) -> None:
     with pytest.raises(SettingsError, match=place):
         boot_of({**BOOT, **change})
 
 
 @pytest.mark.parametrize("text", [b"a: [", b"\xff\xfe", b"- 1", b""])
-def test_a_file_that_is_no_settings_names_itself(tmp_path: Path, text: bytes) -> None:
+def test_errors_in_a_settings_file_name_the_file(tmp_path: Path, text: bytes) -> None:
     path = tmp_path / "boot.yaml"
     path.write_bytes(text)
     with pytest.raises(SettingsError, match=r"boot\.yaml"):
@@ -137,7 +137,7 @@
     }
 
 
-def test_a_proper_configuration_is_read_whole() -> None:
+def test_a_valid_configuration_is_read() -> None:
     found = read_configuration(json.dumps(configuration()).encode())
     assert isinstance(found, Configuration)
     assert (
@@ -174,7 +174,7 @@
         (("tenants", "rows", 0, 1), "k1", "apiKeys"),
     ],
 )
-def test_a_bad_configuration_names_the_place(where: tuple, value: object, place: str) -> None:
+def test_errors_in_a_configuration_name_the_place(where: tuple, value: object, place: str) -> None:
     given = configuration()
     at: object = given
     for step in where[:-1]:
@@ -187,9 +187,9 @@
     assert re.search(place, str(found))
 
 
-def test_a_configuration_that_is_cut_short_anywhere_is_none() -> None:
-    whole = json.dumps(configuration()).encode()
-    assert all(isinstance(read_configuration(whole[:n]), Refused) for n in range(len(whole)))
+def test_a_truncated_configuration_is_rejected() -> None:
+    complete = json.dumps(configuration()).encode()
+    assert all(isinstance(read_configuration(complete[:n]), Refused) for n in range(len(complete)))
 
 
 # ---- the disk
@@ -207,7 +207,7 @@
     disk.close()
 
 
-def test_what_was_saved_is_there_and_history_is_bounded(tmp_path: Path) -> None:
+def test_saved_state_is_read_back_and_history_is_bounded(tmp_path: Path) -> None:
     store(tmp_path)
     disk = Disk(tmp_path)
     assert disk.open() == KEPT
@@ -218,19 +218,19 @@
     assert count <= 32
 
 
-def test_a_file_truncated_or_spoilt_anywhere_is_read_whole_or_set_aside(tmp_path: Path) -> None:
+def test_a_truncated_or_corrupted_file_is_read_completely_or_rejected(tmp_path: Path) -> None:
     store(tmp_path / "good")
     path = tmp_path / "good" / FILE
-    whole = path.read_bytes()
+    complete = path.read_bytes()
     outcomes = set()
-    for at in range(0, len(whole), 512):
-        for spoilt in (
-            whole[:at],
-            whole[:at] + bytes(b ^ 0x5A for b in whole[at : at + 64]) + whole[at + 64 :],
+    for at in range(0, len(complete), 512):
+        for corrupted in (
+            complete[:at],
+            complete[:at] + bytes(b ^ 0x5A for b in complete[at : at + 64]) + complete[at + 64 :],
         ):
             folder = tmp_path / "bad"
             folder.mkdir()
-            (folder / FILE).write_bytes(spoilt)
+            (folder / FILE).write_bytes(corrupted)
             disk = Disk(folder)
             try:
                 found = disk.open()
@@ -245,7 +245,7 @@
     assert outcomes == {True, False}
 
 
-def test_a_disk_that_refuses_is_an_error_and_nothing_is_taken_for_kept(tmp_path: Path) -> None:
+def test_a_write_error_is_reported_and_the_old_state_remains(tmp_path: Path) -> None:
     store(tmp_path)
     disk = Disk(tmp_path)
     disk.open()
@@ -258,7 +258,7 @@
     disk.close()
 
 
-def test_a_newer_schema_is_left_alone(tmp_path: Path) -> None:
+def test_a_newer_schema_is_not_touched(tmp_path: Path) -> None:
     store(tmp_path)
     base = sqlite3.connect(tmp_path / FILE)
     base.execute("PRAGMA user_version = 99")
--- a/tests/test_homes.py
+++ b/tests/test_bucket_owner.py
@@ -1,4 +1,4 @@
-"""Quotas over large fleets: homes that are asked and told, judged by the customers' true stores."""
+"""Quotas of large fleets: bucket owners and their queries, judged by the customers' true buckets."""
 
 from __future__ import annotations
 
@@ -53,24 +53,24 @@
 FILL = PLAN.rate / PLAN.burst
 
 
-class Alone(Gateway):
-    """A gateway that reaches no home."""
+class NoOwners(Gateway):
+    """A gateway that reaches no owner."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         super().__init__(settings, seed)
         self.asks.enabled = False
 
 
-# ---- fleets, judged by the true stores
+# ---- fleets, judged by the true buckets
 
 
 @pytest.mark.parametrize(
     ("gateways", "count", "counter"), [(40, 50, None), (200, 60, None), (200, 60, Counter(500, 40.0))]
 )
-def test_quotas_are_used_and_held_for_few_bytes_and_without_the_counter(
+def test_quotas_are_used_and_kept_with_few_bytes_and_without_the_counter(
     gateways: int, count: int, counter: Counter | None
 ) -> None:
-    """Silent or slow, it is hardly asked."""
+    """The counter is hardly called, whether it does not answer or is slow."""
     f = Quotas(gateways, customers(gateways, count, Random(1)), 1, counter=counter)
     f.play(20)
     j = f.judgement(20)
@@ -78,19 +78,19 @@
     assert j.bytes_per_try < 4 * 15 and j.calls_per_try < 0.01 and j.most_taken_in_per_s < 100
 
 
-def test_the_same_fleet_without_homes_passes_its_quotas() -> None:
-    """The judgement can fail, both ways: the counter is silent, so each gateway goes by what it knows itself."""
-    f = Quotas(200, customers(200, 60, Random(1)), 1, make=Alone)
+def test_the_same_fleet_without_owners_exceeds_its_quotas() -> None:
+    """Shows that the test above can fail both ways: without a counter, each gateway knows only its own use."""
+    f = Quotas(200, customers(200, 60, Random(1)), 1, make=NoOwners)
     f.play(20)
     j = f.judgement(20)
     assert j.over_use > 0.05 and j.wrong_refusals > 0.2 and j.served_of_fair < 0.9
 
 
-def hard(gateways: int, width: int, times: float = 4.0) -> list[Account]:
+def overusers(gateways: int, width: int, times: float = 4.0) -> list[Account]:
     return [Account(n * 7919, 0, n * 3 % gateways, width, times) for n in range(1, 9)]
 
 
-def mass_death(f: Quotas) -> None:
+def mass_failure(f: Quotas) -> None:
     f.play(10)
     dead = range(0, 100, 10)
     for index in [n for tens in dead for n in range(tens, tens + 7)]:
@@ -101,7 +101,7 @@
     f.play(10)
 
 
-def cut_in_two(f: Quotas) -> None:
+def partition(f: Quotas) -> None:
     f.play(10)
     f.reaches = lambda sender, other: sender % 2 == other % 2
     f.play(6)
@@ -113,18 +113,18 @@
     ("trouble", "bursts", "rates"),
     [
         (
-            mass_death,
+            mass_failure,
             3.0,
             0.0,
-        ),  # a burst more at each move of a home: away, and back; OWNER_RANKS of them at most
-        (cut_in_two, 3.0, 6.0),  # and while there are two halves, what one more quota gives
+        ),  # an extra burst at each change of owner, away and back; at most OWNER_RANKS of them
+        (partition, 3.0, 6.0),  # and during the partition, a second quota
     ],
 )
 @pytest.mark.parametrize("seed", [1, 2])
-def test_moves_of_homes_let_through_no_more_than_is_stated(
+def test_changes_of_owner_admit_no_more_than_stated(
     trouble: object, bursts: float, rates: float, seed: int
 ) -> None:
-    f = Quotas(100, hard(100, 80), seed, counter=Counter(500))
+    f = Quotas(100, overusers(100, 80), seed, counter=Counter(500))
     trouble(f)  # type: ignore[operator]
     for account in f.accounts:
         plan = PLANS[account.plan]
@@ -133,10 +133,10 @@
 
 
 @pytest.mark.parametrize("way_ms", [1.0, 40.0])
-def test_calls_of_the_counter_after_a_mass_death_are_those_of_tries_that_reach_no_home(way_ms: float) -> None:
-    """A try whose homes are all dead, and what it settles afterwards, also where the counter answers just in time."""
+def test_after_a_mass_failure_only_requests_without_an_owner_call_the_counter(way_ms: float) -> None:
+    """Requests whose owners have all failed, and their settlement, also if the counter answers just in time."""
     f = Quotas(100, customers(100, 120, Random(3)), 1, counter=Counter(500, way_ms))
-    mass_death(f)
+    mass_failure(f)
     assert 0 < f.judgement(23).most_calls_per_s < 2 * 0.7**OWNER_RANKS * f.tries / 23
 
 
@@ -146,11 +146,14 @@
     st.floats(0.0, 0.6),
     st.lists(st.tuples(st.integers(0, 19), st.booleans()), max_size=6),
 )
-def test_no_loss_or_restart_loses_quota_or_passes_a_ceiling(
+def test_no_loss_or_restart_loses_quota_or_exceeds_a_ceiling(
     seed: int, loss: float, moves: list[tuple[int, bool]]
 ) -> None:
-    """Whatever is lost, a customer at half of its rate is served, and one far beyond it gets what it has at least."""
-    calm, plus = Account(1, 0, 18, 20, 0.5), Account(2, 2, 19, 4, 3.0)  # both sets wrap round the last number
+    """At any loss, a customer at half its rate is served, and one far beyond it gets at least part of its quota."""
+    calm, plus = (
+        Account(1, 0, 18, 20, 0.5),
+        Account(2, 2, 19, 4, 3.0),
+    )  # both sets wrap around the last gateway number
     f = Quotas(20, [calm, plus], seed, counter=Counter(500), loss=loss)
     for index, dies in moves:
         f.play(1)
@@ -189,43 +192,43 @@
         (200, 0.0, False),
     ],
 )
-def test_homes_are_asked_where_digests_would_be_late(gateways: int, intake: float, on: bool) -> None:
+def test_owners_are_queried_if_digests_would_be_late(gateways: int, intake: float, on: bool) -> None:
     g = one(gateways=gateways, peer_in_per_s=intake)
     assert g.asks.enabled == on and (g.word.interval_ms == float("inf")) == (
         on or gateways == 1 or not intake
     )
 
 
-def test_a_customer_of_one_gateway_has_its_home_there() -> None:
+def test_a_customer_of_one_gateway_has_its_owner_there() -> None:
     g = one()
     told = [a for n in range(9) for a in g.handle(START, request(n + 1, units=4.0, width=1))]
     assert not [a for a in told if isinstance(a, Tell | Count)]
     assert len([a for a in told if isinstance(a, Send)]) == 4  # 16 units
 
 
-def ask_of(actions: list[object]) -> tuple[int, int, OwnerQuery]:
+def sent_query(actions: list[object]) -> tuple[int, int, OwnerQuery]:
     (tell,) = [a for a in actions if isinstance(a, Tell)]
-    number, question = decode_query(tell.body)
-    return tell.gateway, number, question
+    number, query = decode_query(tell.body)
+    return tell.gateway, number, query
 
 
 @pytest.mark.parametrize(("granted", "level", "then"), [(True, 0.5, Send), (False, 0.1, Refuse)])
-def test_a_held_try_goes_by_the_answer_and_nothing_is_asked_until_there_can_be_room(
+def test_a_pending_request_follows_the_reply_and_no_query_is_sent_without_possible_room(
     granted: bool, level: float, then: type
 ) -> None:
     g = one()
-    home, number, query = ask_of(g.handle(START, request(1, units=4.0, width=150)))
+    home, number, query = sent_query(g.handle(START, request(1, units=4.0, width=150)))
     assert query.requested == LEVEL_SCALE * 4 // 16 and query.used == 0 and query.level_bound == 1.0
     done = g.handle(START + 20, PeerMessage(home, OwnerReply(granted, level).encode(number)))
     assert [type(a) for a in done] == [then]
-    assert not g.handle(START + 21, PeerMessage(home, OwnerReply(True, 1.0).encode(number)))  # it came twice
+    assert not g.handle(START + 21, PeerMessage(home, OwnerReply(True, 1.0).encode(number)))  # duplicate
     again = g.handle(START + 100, request(2, units=4.0, width=150))
     asked = [a for a in again if isinstance(a, Tell)]
     assert bool(asked) == granted and bool([a for a in again if isinstance(a, Refuse)]) != granted
     assert [a for a in g.handle(START + 2000, request(3, units=4.0, width=150)) if isinstance(a, Tell)]
 
 
-def test_a_home_that_is_silent_is_asked_twice_then_the_next_and_last_the_counter() -> None:
+def test_an_unresponsive_owner_is_queried_twice_then_the_next_and_last_the_counter() -> None:
     g = one()
     g.handle(START, PeerMessage(7, b"\x10\x00\x00\x00\x00"))
     seen, now = [], START
@@ -235,80 +238,84 @@
         now += 60.0
         actions = g.handle(
             now, PeerMessage(7, b"\x10\x00\x00\x00\x00")
-        )  # others are heard, so it is not deaf
+        )  # other peers are received, so owners count as reachable
     homes = [home for home, _ in seen]
     assert counted and len(dict.fromkeys(homes)) == OWNER_RANKS and len(homes) == OWNER_RANKS * MAX_ATTEMPTS
-    assert len(dict.fromkeys(seen)) == OWNER_RANKS  # the same question at each home
+    assert len(dict.fromkeys(seen)) == OWNER_RANKS  # the same query at each owner
 
 
-def test_a_gateway_that_has_been_replaced_keeps_no_stores_and_ends_what_it_held() -> None:
+def test_a_replaced_gateway_owns_no_buckets_and_completes_pending_requests() -> None:
     g = one()
-    home, number, question = ask_of(g.handle(START, request(1, units=4.0, width=150)))
-    snapshot.take(g)  # an upgrade: the state is another process's from here on
-    assert not g.handle(START + 5, PeerMessage(9, question.encode(5)))
+    home, number, query = sent_query(g.handle(START, request(1, units=4.0, width=150)))
+    snapshot.take(g)  # upgrade: the state belongs to another process from here on
+    assert not g.handle(START + 5, PeerMessage(9, query.encode(5)))
     done = g.handle(START + 20, PeerMessage(home, OwnerReply(True, 0.5).encode(number)))
-    assert [type(a) for a in done] == [Send, Settled]  # its units were taken: nobody else may use them
+    assert [type(a) for a in done] == [Send, Settled]  # its units were deducted: nobody else may use them
     assert [type(a) for a in g.handle(START + 30, request(2, units=4.0, width=150))] == [Refuse]
     successor = one()
     snapshot.restore(successor, snapshot.take(g))
     assert (
-        ask_of(successor.handle(START + 60, request(3, units=4.0, width=150)))[2].level_bound < 1.0
-    )  # what it was told is known
+        sent_query(successor.handle(START + 60, request(3, units=4.0, width=150)))[2].level_bound < 1.0
+    )  # the last reply is known
 
 
-def test_a_client_that_leaves_while_its_home_is_asked_has_its_units_given_back() -> None:
+def test_units_granted_for_a_withdrawn_request_are_returned() -> None:
     g = one()
-    home, number, _ = ask_of(g.handle(START, request(1, units=4.0, width=150)))
+    home, number, _ = sent_query(g.handle(START, request(1, units=4.0, width=150)))
     g.handle(START + 5, RequestWithdrawn(1))
-    back_home, _, back = ask_of(g.handle(START + 20, PeerMessage(home, OwnerReply(True, 0.5).encode(number))))
+    back_home, _, back = sent_query(
+        g.handle(START + 20, PeerMessage(home, OwnerReply(True, 0.5).encode(number)))
+    )
     assert back_home == home and back.used == -LEVEL_SCALE * 4 // 16 and back.requested == 0
 
 
-def test_a_width_that_changes_asks_the_new_home_with_what_the_old_one_told() -> None:
+def test_after_a_change_of_width_the_new_owner_gets_the_level_bound_of_the_old_one() -> None:
     g = one()
-    home, number, _ = ask_of(g.handle(START, request(1, units=4.0, width=150)))
+    home, number, _ = sent_query(g.handle(START, request(1, units=4.0, width=150)))
     g.handle(START + 20, PeerMessage(home, OwnerReply(True, 0.3).encode(number)))
-    other, _, query = ask_of(g.handle(START + 100, request(2, units=1.0, width=90)))
+    other, _, query = sent_query(g.handle(START + 100, request(2, units=1.0, width=90)))
     assert other != home and query.level_bound == pytest.approx(0.3, abs=0.02)
 
 
 def test_digests_of_an_older_version_change_nothing_in_a_large_fleet() -> None:
     g = one()
     g.handle(START, PeerMessage(5, encode_digest(3, [(77, 100, 0.0)])))
-    assert not g.word.is_receiving(START) and ask_of(g.handle(START, request(1, units=4.0, width=150)))
+    assert not g.word.is_receiving(START) and sent_query(g.handle(START, request(1, units=4.0, width=150)))
 
 
-# ---- a home
+# ---- an owner
 
 
-def question(
-    told: float = 0.0, need: float = 0.0, kept: int = 0, mark: int = 77, most: float = 1.0
+def query(
+    used: float = 0.0, requested: float = 0.0, reserve: int = 0, key: int = 77, level_bound: float = 1.0
 ) -> OwnerQuery:
-    return OwnerQuery(mark, FILL, round(told * LEVEL_SCALE), round(need * LEVEL_SCALE), kept, most)
+    return OwnerQuery(
+        key, FILL, round(used * LEVEL_SCALE), round(requested * LEVEL_SCALE), reserve, level_bound
+    )
 
 
-def test_a_question_that_comes_twice_counts_once() -> None:
+def test_a_repeated_query_counts_once() -> None:
     home = BucketOwner(100.0)
-    body = question(0.25, 0.25).encode(9)
+    body = query(0.25, 0.25).encode(9)
     said = [home.answer(START + n * 60, 3, body) for n in range(4)]
     assert len(dict.fromkeys(said)) == 1 and decode_reply(said[0])[1].level == pytest.approx(0.5, abs=0.002)
-    home.answer(START, 4, body)  # another's question of that number is another one
-    assert decode_reply(home.answer(START + REPLY_CACHE_MS + 300, 3, question().encode(10)))[1].level < 0.5
-    assert len(home.replies) == 1  # what is old is forgotten
+    home.answer(START, 4, body)  # the same number of another sender is another query
+    assert decode_reply(home.answer(START + REPLY_CACHE_MS + 300, 3, query().encode(10)))[1].level < 0.5
+    assert len(home.replies) == 1  # old replies are dropped
 
 
 @pytest.mark.parametrize(
     ("asked", "granted"),
     [
-        (question(need=1.0), True),
-        (question(need=0.5, kept=60), False),
-        (question(told=0.7, need=0.4), False),
-        (question(told=-0.5, need=1.0), True),
-        (question(need=0.5, most=0.4), False),
-        (question(need=0.3, most=0.4), True),
+        (query(requested=1.0), True),
+        (query(requested=0.5, reserve=60), False),
+        (query(used=0.7, requested=0.4), False),
+        (query(used=-0.5, requested=1.0), True),
+        (query(requested=0.5, level_bound=0.4), False),
+        (query(requested=0.3, level_bound=0.4), True),
     ],
 )
-def test_a_home_lets_in_what_is_there_beside_what_is_to_stay(asked: OwnerQuery, granted: bool) -> None:
+def test_an_owner_grants_what_the_level_allows_beside_the_reserve(asked: OwnerQuery, granted: bool) -> None:
     answer = BucketOwner(100.0).apply(START, asked)
     assert answer.granted == granted
     assert answer.level == pytest.approx(
@@ -318,21 +325,21 @@
     )
 
 
-def test_what_askers_knew_counts_only_until_the_store_has_filled() -> None:
+def test_the_askers_level_bound_counts_only_until_the_bucket_has_refilled() -> None:
     home = BucketOwner(100.0)
-    assert home.apply(START, question(most=0.0)).level == 0.0
+    assert home.apply(START, query(level_bound=0.0)).level == 0.0
     later = START + 1100 / FILL
-    assert home.apply(later, question(most=0.2)).level == pytest.approx(1.0, abs=0.01)
+    assert home.apply(later, query(level_bound=0.2)).level == pytest.approx(1.0, abs=0.01)
 
 
-def test_those_refused_stay_away_while_too_many_ask_and_come_back_when_they_are_few() -> None:
+def test_rejections_carry_a_hold_off_that_grows_and_shrinks_with_their_rate() -> None:
     home, now = BucketOwner(100.0), START
-    home.apply(now, question(1.0))
+    home.apply(now, query(1.0))
     holds = []
     for per_s in (2 * REJECTION_SHARE * 100, 5.0):
         for _ in range(int(per_s * 8)):
             now += 1000 / per_s
-            hold = home.apply(now, question(need=0.9)).hold_ms
+            hold = home.apply(now, query(requested=0.9)).hold_ms
         holds.append(hold)
     assert holds[0] > 500 and holds[1] < holds[0] / 4
 
@@ -341,7 +348,7 @@
 
 
 @given(st.binary(max_size=40) | st.binary(min_size=14, max_size=14).map(lambda b: b"\x12" + b[1:]))
-def test_any_bytes_are_a_question_an_answer_or_neither(body: bytes) -> None:
+def test_any_bytes_are_accepted_or_rejected_as_query_or_reply(body: bytes) -> None:
     for read in (decode_query, decode_reply):
         with suppress(ValueError):
             number, _ = read(body)
@@ -360,48 +367,50 @@
     st.floats(0, 1),
     st.integers(0, 65_535),
 )
-def test_questions_are_read_as_they_were_written(
-    mark: int, fill: float, told: int, need: int, kept: int, most: float, number: int
+def test_queries_round_trip(
+    key: int, fill_rate: float, used: int, requested: int, reserve: int, level_bound: float, number: int
 ) -> None:
-    read_number, read = decode_query(OwnerQuery(mark, fill, told, need, kept, most).encode(number))
+    read_number, read = decode_query(
+        OwnerQuery(key, fill_rate, used, requested, reserve, level_bound).encode(number)
+    )
     assert (read_number, read.key, read.used, read.requested, read.reserve) == (
         number,
-        mark,
-        told,
-        need,
-        kept,
+        key,
+        used,
+        requested,
+        reserve,
     )
-    assert read.fill_rate == pytest.approx(fill, rel=0.001) and read.level_bound == pytest.approx(
-        most, abs=1 / BOUND_SCALE
+    assert read.fill_rate == pytest.approx(fill_rate, rel=0.001) and read.level_bound == pytest.approx(
+        level_bound, abs=1 / BOUND_SCALE
     )
 
 
-def test_deaf_gateways_probe_now_and_then_and_hear_again() -> None:
+def test_unreachable_owners_are_probed_and_recover() -> None:
     asks: OwnerQueries[None] = OwnerQueries(200, 0, 100.0, Random(1))
     now, asked = START, 0
     for _ in range(600):
         now += 10.0
         list(asks.pop_overdue(now))
         if (home := asks.owner(now, int(now) * 31, 1, 199)) is not None:
-            asks.start(now, home, question(), None)
+            asks.start(now, home, query(), None)
             asked += 1
     assert UNREACHABLE_AFTER <= asked <= 6000 / PROBE_MS + 2 * UNREACHABLE_AFTER + 8
     asks.record_contact(5)
     assert sum(asks.owner(now, n * 7919, 1, 199) is not None for n in range(50)) == 50
 
 
-# ---- copies
+# ---- replicas
 
 
-class Forgetful(Gateway):
-    """A gateway that tells no other home of its stores."""
+class NoReplicas(Gateway):
+    """A gateway that sends no replicas to standbys."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         super().__init__(settings, seed)
-        self.homes.replicas.record = lambda mark, level, other: None  # type: ignore[method-assign]
+        self.homes.replicas.record = lambda key, level, standby: None  # type: ignore[method-assign]
 
 
-def rolled(make: type[Gateway], seed: int) -> float:
+def rolling_restart_overuse(make: type[Gateway], seed: int) -> float:
     """Over-use while a fleet is restarted, a tenth at a time."""
     f = Quotas(100, customers(100, 120, Random(seed)), seed, make=make)
     f.play(3)
@@ -415,34 +424,32 @@
     return f.judgement(17).over_use
 
 
-def test_copies_keep_a_rolling_restart_from_filling_stores_anew() -> None:
+def test_replicas_keep_a_rolling_restart_from_refilling_buckets() -> None:
     with_copies, without = (
-        sum(rolled(make, seed) for seed in (1, 2, 3)) / 3 for make in (Gateway, Forgetful)
+        sum(rolling_restart_overuse(make, seed) for seed in (1, 2, 3)) / 3 for make in (Gateway, NoReplicas)
     )
     assert with_copies < 0.8 * without and with_copies < 0.03
 
 
-def test_a_fresh_gateway_is_told_what_others_hold_of_it_with_its_age() -> None:
-    home, buddy, fresh = BucketReplicas(), BucketReplicas(), BucketReplicas()
+def test_a_started_gateway_recovers_its_replicas_with_their_age() -> None:
+    home, standby, fresh = BucketReplicas(), BucketReplicas(), BucketReplicas()
     assert list(home.due(START)) == [(None, RECOVERY_REQUEST)]
     home.record(77, 0.25, 4)
-    home.record(78, 0.9, 4)  # nearly full: not worth telling
+    home.record(78, 0.9, 4)  # nearly full: not replicated
     home.record(79, 0.5, NO_STANDBY)
     assert not list(home.due(START + REPLICATION_MS / 2))
     ((to, body),) = home.due(START + REPLICATION_MS)
-    assert to == 4 and not list(buddy.receive(START + REPLICATION_MS, 9, body))
-    assert not list(buddy.receive(START + REPLICATION_MS, 3, RECOVERY_REQUEST))  # another's
-    (back,) = buddy.receive(START + 3 * REPLICATION_MS, 9, RECOVERY_REQUEST)
+    assert to == 4 and not list(standby.receive(START + REPLICATION_MS, 9, body))
+    assert not list(standby.receive(START + REPLICATION_MS, 3, RECOVERY_REQUEST))  # of another owner
+    (back,) = standby.receive(START + 3 * REPLICATION_MS, 9, RECOVERY_REQUEST)
     fresh.receive(START + 3 * REPLICATION_MS, 4, back)
     assert fresh.take_deficit(START + 3 * REPLICATION_MS, 77, 0.0001) == pytest.approx(0.75 - 0.2, abs=0.01)
     assert fresh.take_deficit(START + 3 * REPLICATION_MS, 77, 0.0001) == 0.0  # once
-    assert not list(
-        buddy.receive(START + 60 * REPLICATION_MS, 9, RECOVERY_REQUEST)
-    )  # too old to be worth anything
+    assert not list(standby.receive(START + 60 * REPLICATION_MS, 9, RECOVERY_REQUEST))  # too old to be useful
 
 
 @given(st.binary(max_size=300) | st.binary(max_size=40).map(lambda b: b"\x15" + b))
-def test_any_bytes_are_copies_or_none(body: bytes) -> None:
+def test_any_bytes_are_accepted_or_rejected_as_replicas(body: bytes) -> None:
     copies = BucketReplicas()
     with suppress(ValueError):
         list(copies.receive(START, 1, body))
--- a/tests/test_wire.py
+++ b/tests/test_simulator_wire.py
@@ -1,4 +1,4 @@
-"""The codec and the adapter: round trips, the documented examples, malformed input."""
+"""Simulator protocol and adapter: round trips, the documented examples, malformed input."""
 
 from __future__ import annotations
 
@@ -165,12 +165,12 @@
 @pytest.mark.parametrize(
     "action", [Refuse(7, 20.0), Fail(7), Cancel(7, 1), Probe(1 << 16 | 2), Tell(2, b"x")]
 )
-def test_every_action_says_its_length(action) -> None:
+def test_every_action_record_states_its_length(action) -> None:
     data = simulator_wire.write_action(1, action)
     assert simulator_wire.RECORD.unpack_from(data)[1] == len(data) - simulator_wire.RECORD.size
 
 
-def test_a_whole_exchange() -> None:
+def test_a_complete_exchange() -> None:
     done = run(batch() + batch(provision(), view(), accept()))
     assert done.returncode == 0 and not done.stderr
     assert done.stdout[:4] == bytes(4)
@@ -183,7 +183,7 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "said"),
+    ("data", "message"),
     [
         (b"\1\2\3", "batch header"),
         (batch(accept())[:-3], "batch: input ends"),
@@ -197,8 +197,8 @@
         (batch(provision(), record(1020, bytes([3, 0, 0, 0]) + bytes(9))), "WITHDRAWN"),
     ],
 )
-def test_malformed_input_ends_with_one_plain_line(data: bytes, said: str) -> None:
+def test_malformed_input_ends_with_a_one_line_message(data: bytes, message: str) -> None:
     done = run(data)
     assert done.returncode == 2
     text = done.stderr.decode()
-    assert said in text and text.count("\n") == 1
+    assert message in text and text.count("\n") == 1
--- a/tests/test_word.py
+++ b/tests/test_usage_gossip.py
@@ -1,4 +1,4 @@
-"""What gateways tell one another of use: a fleet of real decision modules in simulated time, and bad digests."""
+"""Usage gossip: a fleet of real decision modules in simulated time, and malformed digests."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
 )
 from troutdock.admission.usage_gossip import SILENCE_LIMIT_MS, INTAKE_SHARE, MAX_BUCKETS, UsageGossip
 
-GATEWAYS = 14  # the most that digests are told among
-PLAN = Plan(1.2, 16, name="basis")  # each gateway's even part of it is less than a request
+GATEWAYS = 14  # the largest fleet that uses digests
+PLAN = Plan(1.2, 16, name="basis")  # each gateway's even share is less than a request
 
 
 class Fleet(Gateways):
-    """Gateways that share customers, and a customer's true store, which judges what they let in."""
+    """Gateways that share customers, and the true bucket of a customer to judge what they admit."""
 
     def __init__(
         self, gateways: int = GATEWAYS, peers: bool = True, loss: float = 0.05, seed: int = 1
@@ -62,7 +62,7 @@
         )
 
     def ask(self, now: float, index: int, units: float, customer: int = 9) -> None:
-        """A try, judged by the true store."""
+        """Sends a request and judges the decision by the true bucket."""
         self.time.run(now)
         self.store = min(PLAN.burst, self.store + (now - self.store_at) / 1000 * PLAN.rate)
         self.store_at, self.number = now, self.number + 1
@@ -78,62 +78,64 @@
             self.beyond += units
 
 
-def hard_user(f: Fleet, seconds: int, times: float, seed: int = 3) -> float:
-    """A customer that asks so many times its rate, through all gateways: the units that its quota had for it."""
+def overuse(f: Fleet, seconds: int, times: float, seed: int = 3) -> float:
+    """Sends a multiple of a customer's rate through all gateways; returns the units of its quota."""
     random, now = Random(seed), START
-    rate = PLAN.rate * times / 2 / 1000  # tries of two units a millisecond
+    rate = PLAN.rate * times / 2 / 1000  # requests of two units per millisecond
     while (now := now + random.expovariate(rate)) < START + 1000 * seconds:
         f.ask(now, random.randrange(len(f.gateways)), random.choice([1.0, 2.0, 3.0]))
     return PLAN.burst + PLAN.rate * seconds
 
 
 @pytest.mark.parametrize(("gateways", "times"), [(3, 3.0), (GATEWAYS, 1.5), (GATEWAYS, 4.0)])
-def test_a_quota_in_slices_below_a_request_is_used_and_not_passed(gateways: int, times: float) -> None:
+def test_a_quota_with_slices_below_a_request_is_used_and_not_exceeded(gateways: int, times: float) -> None:
     f = Fleet(gateways)
-    quota = hard_user(f, 60, times)
+    quota = overuse(f, 60, times)
     assert f.inside > 0.8 * quota
     assert f.beyond < 0.1 * quota
     assert f.refused_with_room < 0.2 * quota
 
 
-def test_without_peers_the_same_fleet_passes_its_quota() -> None:
-    """The count above can fail: the counter is too slow for all of its calls, as one is that 40 gateways share."""
+def test_without_peers_the_same_fleet_exceeds_its_quota() -> None:
+    """Shows that the test above can fail: the counter is too slow for all calls, as if 40 gateways share it."""
     f = Fleet(peers=False)
-    assert hard_user(f, 60, 4.0) * 0.5 < f.beyond
+    assert overuse(f, 60, 4.0) * 0.5 < f.beyond
 
 
-def test_what_is_told_stays_within_what_gateways_take_in_and_takes_the_place_of_calls() -> None:
+def test_digests_stay_within_the_intake_and_replace_counter_calls() -> None:
     f, random, now = Fleet(loss=0.0), Random(5), START
     for _ in range(6000):
-        now += random.expovariate(0.3)  # 300 tries a second, as on the operators' days
+        now += random.expovariate(0.3)  # 300 requests per second, as in the operators' traces
         f.ask(now, random.randrange(GATEWAYS), 2.0, customer=random.randrange(400))
     seconds = (now - START) / 1000
     assert max(f.taken_in) / seconds <= 100
     assert max(map(len, f.everybody)) <= MAX_DATAGRAM_BYTES
-    assert f.bytes <= 7.0 * GATEWAYS * 6000  # of each try, to each gateway
-    assert len(f.counted) / seconds < 30  # those of the first moments, when nobody had been heard yet
+    assert f.bytes <= 7.0 * GATEWAYS * 6000  # per request and gateway
+    assert len(f.counted) / seconds < 30  # only at the start, before the first digests
 
 
-def test_a_gateway_that_has_just_started_believes_a_peer_that_knows() -> None:
-    old, fresh = UsageGossip(40, 100.0, Random(1)), UsageGossip(40, 100.0, Random(2))
+def test_a_started_gateway_adopts_the_level_of_a_synced_peer() -> None:
+    informed, started = UsageGossip(40, 100.0, Random(1)), UsageGossip(40, 100.0, Random(2))
     fill = PLAN.rate / PLAN.burst / 1000
-    old.receive(START, 5, HEADER.pack(VERSION, 1) + ENTRY.pack(1, 0, 0, UNKNOWN_LEVEL))
+    informed.receive(START, 5, HEADER.pack(VERSION, 1) + ENTRY.pack(1, 0, 0, UNKNOWN_LEVEL))
     now = START
-    for _ in range(150):  # for longer than the store takes to fill
+    for _ in range(150):  # longer than the bucket takes to fill
         now += 100.0
-        old.receive(now, 5, HEADER.pack(VERSION, 2 + int(now) % 60000) + ENTRY.pack(1, 0, 0, UNKNOWN_LEVEL))
-    old.record_use(now, 9, fill, 0.75)
-    fresh.receive(now, 7, old.next_digest(now))
-    assert fresh.bucket(now, 9, fill).level(now) == pytest.approx(0.25, abs=0.01)
-    fresh.record_use(now, 9, fill, 0.1)
+        informed.receive(
+            now, 5, HEADER.pack(VERSION, 2 + int(now) % 60000) + ENTRY.pack(1, 0, 0, UNKNOWN_LEVEL)
+        )
+    informed.record_use(now, 9, fill, 0.75)
+    started.receive(now, 7, informed.next_digest(now))
+    assert started.bucket(now, 9, fill).level(now) == pytest.approx(0.25, abs=0.01)
+    started.record_use(now, 9, fill, 0.1)
     unsure = UsageGossip(40, 100.0, Random(3))
     unsure.record_use(now, 9, fill, 0.5)
-    was = fresh.bucket(now, 9, fill).level(now)
-    fresh.receive(now, 8, unsure.next_digest(now))  # it has heard nobody: its use counts, its level does not
-    assert fresh.bucket(now, 9, fill).level(now) == pytest.approx(max(0.0, was - 0.5), abs=0.03)
+    was = started.bucket(now, 9, fill).level(now)
+    started.receive(now, 8, unsure.next_digest(now))  # not synced: its use counts, its level does not
+    assert started.bucket(now, 9, fill).level(now) == pytest.approx(max(0.0, was - 0.5), abs=0.03)
 
 
-def test_where_peers_fall_silent_the_counter_is_asked_again() -> None:
+def test_without_digests_the_counter_is_called_again() -> None:
     f = Fleet(2)
     f.give(0, PeerMessage(1, HEADER.pack(VERSION, 1) + ENTRY.pack(1, 0, 5, UNKNOWN_LEVEL)))
     for after, called in ((0.0, False), (SILENCE_LIMIT_MS, True)):
@@ -142,7 +144,7 @@
         assert bool(f.counted) == called
 
 
-def test_a_slice_that_holds_a_request_is_kept_whatever_the_fleet_is_told_of_others() -> None:
+def test_a_slice_that_holds_a_request_is_usable_whatever_peers_report_of_other_customers() -> None:
     g = Fleet(2).gateways[0]
     g.handle(
         START,
@@ -169,7 +171,7 @@
         GOOD[:-1] + bytes([UNKNOWN_LEVEL - 1]),
     ],
 )
-def test_what_is_no_digest_changes_nothing_and_is_named_once_for_each_sender(bad: bytes) -> None:
+def test_a_malformed_digest_changes_nothing_and_is_logged_once_per_sender(bad: bytes) -> None:
     g = Fleet(3).gateways[0]
     logs = [
         a
@@ -183,39 +185,39 @@
 
 
 @given(st.binary(max_size=300))
-def test_any_bytes_are_a_digest_or_none(body: bytes) -> None:
-    word = UsageGossip(40, 100.0, Random(1))
+def test_any_bytes_are_accepted_or_rejected_as_a_digest(body: bytes) -> None:
+    gossip = UsageGossip(40, 100.0, Random(1))
     try:
-        word.receive(START, 1, body)
+        gossip.receive(START, 1, body)
     except ValueError:
-        assert not word.buckets
+        assert not gossip.buckets
     else:
-        assert all(-3 <= bucket.level(START) <= 1 for bucket in word.buckets.values())
+        assert all(-3 <= bucket.level(START) <= 1 for bucket in gossip.buckets.values())
 
 
-def test_a_digest_that_comes_twice_counts_once_and_memory_is_bounded() -> None:
-    word = UsageGossip(40, 100.0, Random(1))
+def test_a_duplicate_digest_counts_once_and_memory_is_bounded() -> None:
+    gossip = UsageGossip(40, 100.0, Random(1))
     body = HEADER.pack(VERSION, 7) + ENTRY.pack(1, 0, 30, UNKNOWN_LEVEL)
     for _ in range(3):
-        word.receive(START, 1, body)
-    assert next(iter(word.buckets.values())).level(START) == pytest.approx(0.7)
+        gossip.receive(START, 1, body)
+    assert next(iter(gossip.buckets.values())).level(START) == pytest.approx(0.7)
     for n in range(MAX_BUCKETS + 100):
-        word.bucket(START, n)
-    assert len(word.buckets) == MAX_BUCKETS
+        gossip.bucket(START, n)
+    assert len(gossip.buckets) == MAX_BUCKETS
 
 
 @pytest.mark.parametrize(
     ("gateways", "intake", "tells"), [(40, 0.0, False), (1, 100.0, False), (40, 100.0, True)]
 )
-def test_nothing_is_told_where_nobody_may_hear_it(gateways: int, intake: float, tells: bool) -> None:
-    word = UsageGossip(gateways, intake, Random(1))
-    word.record_use(START, 9, 0.0001, 0.5)
-    assert word.due(START + 1e6) == tells
+def test_nothing_is_reported_without_permitted_peers(gateways: int, intake: float, tells: bool) -> None:
+    gossip = UsageGossip(gateways, intake, Random(1))
+    gossip.record_use(START, 9, 0.0001, 0.5)
+    assert gossip.due(START + 1e6) == tells
     if tells:
-        assert word.interval_ms * intake * INTAKE_SHARE == pytest.approx(1000 * (gateways - 1))
+        assert gossip.interval_ms * intake * INTAKE_SHARE == pytest.approx(1000 * (gateways - 1))
 
 
-def test_no_fewer_peers_are_told_after_other_settings() -> None:
+def test_changed_settings_keep_the_reports_to_peers() -> None:
     g = Fleet(3).gateways[0]
     g.handle(START, SettingsChanged(g.settings))
     assert [a for a in g.handle(START, request(1, units=2.0)) if isinstance(a, Tell)]
