--- a/tests/system/test_proxy_outcomes.py
+++ b/tests/system/test_proxy_outcomes.py
@@ -1,8 +1,8 @@
-"""The proxy's table of outcomes: every way in which a backend's answer can be late, double, early, broken or missing.
+"""The proxy's handling of backend responses that are late, duplicate, early, malformed or missing.
 
-Each row is played against requests that may and may not be repeated, on a new and on a kept connection, with a sound
-second backend beside it and with one that does the same. For each it is told whether the request ran (as the backends
-saw it), what the client got, and how often it was sent. The rules that every row is held to are in `broken_rules`.
+Each row is run with requests that may and may not be repeated, on a new and on a reused connection, with a second
+backend that works and with one that fails in the same way. Each run records whether the request ran (as seen by the
+backends), what the client received, and how often it was sent. `broken_rules` has the rules that every row must meet.
 """
 
 from __future__ import annotations
@@ -36,43 +36,43 @@
 from troutdock.http import transport as transport_module
 from troutdock.http.response import Response
 
-AT_ONCE = 24  # runs beside each other
-LONG = b"x" * 1_000_000  # more than lies in the kernel between two sockets, as scripted.py makes them
-SHORT_MS = 400  # the deadline where nothing else ends a request
+AT_ONCE = 24  # concurrent runs
+LONG = b"x" * 1_000_000  # more than the socket buffers of scripted.py hold
+SHORT_MS = 400  # the deadline of rows in which nothing else ends the request
 
-# what a row's answer is, by what the pages say of it
-SERVED = "a good answer, whole: the client's as it came"
-OWN = "the backend's own answer, which is no success: the client's as it came, or another attempt's where that is harmless"
-NEVER = "proven not to have run: a second backend may have it"
-MAYBE = "nothing is proven: it is sent on only where repeating it is harmless"
-CUT = "a long answer that ends early: it has begun at the client, and is cut there"
-EITHER = "the connection ends about the time the request is written: NEVER or MAYBE, as it falls"
+# the documented handling of a row's response
+SERVED = "a complete successful response: passed on unchanged"
+OWN = "the backend's own error: passed on unchanged, or replaced by another attempt's if a repeat is safe"
+NEVER = "proven not to have run: may be sent to a second backend"
+MAYBE = "unknown whether it ran: sent again only if a repeat is safe"
+CUT = "a long response that ends early: partly passed on, so the client's response is cut off"
+EITHER = "the connection closes while the request is written: NEVER or MAYBE, depending on timing"
 
 
 @dataclass(frozen=True)
 class Row:
-    """script: what the backend does with the request; before: with its kept connection, at_door: with a new one."""
+    """script: the backend's handling of the request; before: of its idle connection, at_door: of a new one."""
 
     script: Script
     kind: str
     status: int = 200
-    body: bytes | None = None  # of the client's answer; None: what a sound backend says to this request
+    body: bytes | None = None  # of the client's response; None: that of a working backend
     kept: tuple[bool, ...] = (False, True)
     long: bool = False
     deadline_ms: int = 5000
     before: Callable[[Conn], Awaitable[None]] | None = None
     at_door: Callable[[Conn], Awaitable[None]] | None = None
-    warm: Script = good  # the answer that leaves a kept connection
-    idle_s: float = 0.1  # how long that has stood
-    same_id: bool = False  # the request before it had the same
-    moved: bool | None = None  # whether a request that finds a kept connection goes on another one
+    warm: Script = good  # the response that leaves an idle connection
+    idle_s: float = 0.1  # how long it has been idle
+    same_id: bool = False  # the previous request had the same id
+    moved: bool | None = None  # whether a request uses a new connection although one is idle
 
 
 Act = Callable[[Conn, Seen], Awaitable[None]]
 
 
 def after_whole(*acts: Act) -> Script:
-    """The request is read whole, and runs; then these, one after the other."""
+    """Reads the complete request, which runs, then performs the acts in order."""
 
     async def script(conn: Conn) -> None:
         seen = await conn.whole()
@@ -83,7 +83,7 @@
 
 
 def after_head(*acts: Act) -> Script:
-    """The same before any of the body is read."""
+    """Performs the acts before any of the body is read."""
 
     async def script(conn: Conn) -> None:
         seen = await conn.head()
@@ -94,7 +94,7 @@
 
 
 def unread(*acts: Act) -> Script:
-    """The same before any byte is read, once some are there."""
+    """Performs the acts before any byte is read, once some have arrived."""
 
     async def script(conn: Conn) -> None:
         seen = Seen("", {})
@@ -112,7 +112,7 @@
 
 
 def part(upto: int | bytes, *args: Any, **more: Any) -> Act:
-    """The beginning of an answer: so many bytes of it, or up to these."""
+    """Sends the beginning of a response: a number of bytes, or up to and including the given bytes."""
 
     async def act(conn: Conn, seen: Seen) -> None:
         data = answer(seen, *args, **more)
@@ -142,12 +142,12 @@
 
 
 async def then_given_up(conn: Conn, seen: Seen) -> None:
-    """The proxy has to end it by itself."""
+    """Stays silent: the proxy has to close the connection itself."""
     await silence(conn, seen)
 
 
 def both(*acts: Act) -> Act:
-    """Their bytes in one segment."""
+    """Sends the bytes of all acts in one segment."""
 
     async def act(conn: Conn, seen: Seen) -> None:
         class Gather:
@@ -191,7 +191,7 @@
 
 STALE = "0123456789abcdef"  # another request's id
 NE = "Not-Executed: 1"
-LONG_BODY = bytes(range(256)) * 600  # passed on as it comes
+LONG_BODY = bytes(range(256)) * 600  # streamed
 HEAD_END = b"\r\n\r\n"
 
 ROWS: dict[str, Row] = {
@@ -478,17 +478,17 @@
 
 @dataclass
 class Run:
-    """One way through a row."""
+    """One variant of a row."""
 
     name: str
     row: Row
     mutating: bool
     kept: bool
-    alone: bool  # the second backend does the same
+    alone: bool  # the second backend fails in the same way
     number: int = 0
 
     def __str__(self) -> str:
-        return f"{self.name} ({'mutating' if self.mutating else 'read_only'}, {'kept' if self.kept else 'new'}, {'alone' if self.alone else 'beside a sound one'})"
+        return f"{self.name} ({'mutating' if self.mutating else 'read_only'}, {'kept' if self.kept else 'new'}, {'alone' if self.alone else 'beside a working one'})"
 
     @property
     def host(self) -> str:
@@ -511,13 +511,13 @@
 
 @dataclass
 class Result:
-    """What came of a run."""
+    """The result of a run."""
 
     run: Run
     got: Got
-    sent: int  # times that a backend has read its head
+    sent: int  # how often a backend read its head
     ran: int
-    elsewhere: int  # of the sent, to the second backend
+    elsewhere: int  # of these, by the second backend
     broken: list[str]
 
 
@@ -573,7 +573,7 @@
 
 
 async def proxy(of: list[Run]) -> tuple[Ingress, tuple[str, int]]:
-    """An ingress with these routes, without any other program."""
+    """Starts an ingress with these routes, without any other process."""
     ip = f"127.{20 + os.getpid() % 200}.7.1"
     boot = boot_of(
         {
@@ -590,7 +590,7 @@
     )
     ingress = Ingress(boot, "nowhere", 1)
     ingress._decides.mesh = None
-    ingress.transport.stale = lambda idle_s: None  # type: ignore[method-assign]  # rows would teach each other to distrust connections
+    ingress.transport.stale = lambda idle_s: None  # type: ignore[method-assign]  # rows must not influence each other's connection reuse
     ingress._configure(1, configuration(of))
     address = ingress.server.listen((ip, 0), hold=True)
     ingress._open()
@@ -600,7 +600,7 @@
 
 
 def introduce(ingress: Ingress, run: Run, name: str, backend: Scripted, speed: float) -> int:
-    """The ingress knows the backend, and how quick it is: the quicker one is asked first."""
+    """Registers a backend with its latency factor: the one with the lower factor is selected first."""
     now = asyncio.get_running_loop().time()
     id = f"{name}{run.number}"
     ingress._instances(
@@ -611,7 +611,7 @@
     return number
 
 
-async def play(ingress: Ingress, address: tuple[str, int], run: Run) -> Result:
+async def run_one(ingress: Ingress, address: tuple[str, int], run: Run) -> Result:
     row = run.row
     first = Scripted(row.script, row.long)
     second = Scripted(row.script if run.alone else good, row.long)
@@ -641,7 +641,7 @@
         got = await client.ask(run.request(nonce, body=LONG if row.long else b"pay"))
         pool.retry_budget = 5.0
         broken = broken_rules(run, got, first, second)
-        # whoever comes next gets its own answer, on the client's connection and on whatever was kept to backends
+        # the next request gets its own response, on the client's connection and on reused backend connections
         first.armed = second.armed = False
         last = after if not got.whole or got.headers.get("connection") == "close" else client
         if last is after:
@@ -675,7 +675,11 @@
 
 
 def broken_rules(run: Run, got: Got, first: Scripted, second: Scripted) -> list[str]:
-    """The rules of the pages, and then what the row says."""
+    """Checks the general rules, then the row's expectation; returns the violations.
+
+    UNASKED: a backend got a request that no client sent. MIXED: a client got another request's response.
+    TWICE: a mutating request ran twice. REFUSED: a mutating request that ran was rejected as retryable.
+    """
     row, nonce = run.row, f"n{run.number}"
     seen = [each for each in (*first.seen, *second.seen) if each.nonce == nonce]
     ran, sent, elsewhere = (
@@ -732,7 +736,7 @@
         holds("row", got.whole and got.status == 429 and (sent, elsewhere) == (2, 1) and not ran)
     elif row.kind == MAYBE and run.mutating:
         holds("row", got.whole and got.status in (502, 504) and elsewhere == 0)
-    elif beside:  # repeated where that is harmless
+    elif beside:  # sent again if a repeat is safe
         holds(
             "row",
             got.whole
@@ -753,7 +757,7 @@
     return broken
 
 
-async def played(of: list[Run]) -> list[Result]:
+async def run_all(of: list[Run]) -> list[Result]:
     ingress, address = await proxy(of)
     room, long_room = asyncio.Semaphore(AT_ONCE), asyncio.Semaphore(2)
 
@@ -761,7 +765,7 @@
         async with long_room if run.row.long else room:
             try:
                 async with asyncio.timeout(12):
-                    return await play(ingress, address, run)
+                    return await run_one(ingress, address, run)
             except (TimeoutError, AssertionError) as error:
                 return Result(run, Got(), -1, -1, -1, [f"hangs or fails: {error!r}"])
 
@@ -780,14 +784,14 @@
 
 def table(names: Iterable[str] = ROWS) -> list[Result]:
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        return runner.run(asyncio.wait_for(played(runs(names)), 60))
+        return runner.run(asyncio.wait_for(run_all(runs(names)), 60))
 
 
 def broken_in(results: Iterable[Result]) -> list[str]:
     return [f"{result.run}: {each}" for result in results for each in result.broken]
 
 
-def test_every_row_keeps_the_rules() -> None:
+def test_every_row_meets_the_rules() -> None:
     results = table()
     print(
         Counter(
@@ -799,9 +803,9 @@
     assert not broken, "\n".join([f"{len(broken)} in {len(results)} runs", *broken])
 
 
-# ---- that it would find
+# ---- injected faults, to show that the rules find them
 
-Plant = Callable[[pytest.MonkeyPatch], None]
+Injection = Callable[[pytest.MonkeyPatch], None]
 
 
 def repeats_what_may_have_run(patch: pytest.MonkeyPatch) -> None:
@@ -814,10 +818,10 @@
     patch.setattr(proxy_admission.ProxyAdmission, "_fail", lambda fabric, call: fabric._refuse(0.0, call))
 
 
-def reads_answers(change: Callable[[Response], None]) -> Plant:
-    """Each answer is changed before it is looked at."""
+def reads_answers(change: Callable[[Response], None]) -> Injection:
+    """Changes each response before its verdict."""
 
-    def plant(patch: pytest.MonkeyPatch) -> None:
+    def inject(patch: pytest.MonkeyPatch) -> None:
         def changed(attempt: Any, response: Response) -> Outcome | None:
             seen = Response(response.status, dict(response.headers), b"", True)
             seen.headers[b":own"] = (
@@ -828,7 +832,7 @@
 
         patch.setattr(daemon_module, "verdict", changed)
 
-    return plant
+    return inject
 
 
 def takes_trailers(patch: pytest.MonkeyPatch) -> None:
@@ -838,7 +842,7 @@
     patch.setattr(response_module.ResponseReader, "on_header", on_header)
 
 
-def sets(where: Any, name: str, value: Any) -> Plant:
+def sets(where: Any, name: str, value: Any) -> Injection:
     return lambda patch: patch.setattr(where, name, value)
 
 
@@ -878,7 +882,7 @@
     response.headers.pop(b"content-encoding", None)
 
 
-PLANTED: dict[str, tuple[Plant, tuple[str, ...], str]] = {
+INJECTED: dict[str, tuple[Injection, tuple[str, ...], str]] = {
     "what may have run is sent again": (
         repeats_what_may_have_run,
         ("reset after the request", "close in the head", "garbage", "silence"),
@@ -931,17 +935,17 @@
 }
 
 
-@pytest.mark.parametrize("fault", PLANTED)
-def test_a_planted_fault_is_found(fault: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    plant, rows, rule = PLANTED[fault]
-    plant(monkeypatch)
+@pytest.mark.parametrize("fault", INJECTED)
+def test_an_injected_fault_is_found(fault: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    inject, rows, rule = INJECTED[fault]
+    inject(monkeypatch)
     broken = broken_in(table(rows))
     for row in rows:
         assert any(each.startswith(f"{row} (") for each in broken), (row, broken)
     assert any(f": {rule}" in each for each in broken), broken
 
 
-# ---- rows in any order, one after the other on the same connections
+# ---- rows in random order on the same connections
 
 QUICK = [
     name
@@ -953,7 +957,7 @@
 
 @dataclass
 class Asked:
-    """One request of a long course."""
+    """One request of a sequence."""
 
     nonce: str
     id: str
@@ -961,8 +965,8 @@
     got: Got
 
 
-def broken_in_course(asked: list[Asked], backends: list[Scripted]) -> list[str]:
-    """The rules of the pages alone: what each row says holds only where it is met by itself."""
+def sequence_broken_rules(asked: list[Asked], backends: list[Scripted]) -> list[str]:
+    """Checks the general rules only: a row's own expectation holds only if it is run by itself."""
     broken = []
     seen: dict[str, list[Seen]] = {}
     for backend in backends:
@@ -998,18 +1002,18 @@
     return broken
 
 
-async def course(seed: int) -> tuple[list[Asked], list[Scripted]]:
-    """Clients that keep their connections and at times ask under the id they had last; backends in every kind of trouble."""
+async def sequence(seed: int) -> tuple[list[Asked], list[Scripted]]:
+    """Runs clients that reuse connections and sometimes their last id, against backends with random rows."""
     random = Random(seed)
     calls = [
         Run("good", ROWS["good"], mutating, False, True, number)
         for number, mutating in enumerate((True, False))
     ]
     ingress, address = await proxy(calls)
-    del ingress.transport.stale  # as it is: connections that were reset under a request are distrusted
+    del ingress.transport.stale  # the default: connections reset during a request are not trusted
 
     async def any_row(conn: Conn) -> None:
-        # most are sound, so that connections are kept
+        # many responses are good, so that connections are reused
         await (good if random.random() < 0.4 else ROWS[random.choice(QUICK)].script)(conn)
 
     backends = [Scripted() for _ in range(6)]
@@ -1049,20 +1053,20 @@
             await backend.stop()
 
 
-def course_of(seed: int) -> list[str]:
+def sequence_violations(seed: int) -> list[str]:
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        asked, backends = runner.run(asyncio.wait_for(course(seed), 60))
+        asked, backends = runner.run(asyncio.wait_for(sequence(seed), 60))
     print(
         Counter((each.mutating, each.got.status, each.got.whole) for each in asked),
         sum(len(each.conns) for each in backends),
     )
     assert len(asked) == CLIENTS * EACH
-    return broken_in_course(asked, backends)
+    return sequence_broken_rules(asked, backends)
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_rows_in_any_order_on_kept_connections_keep_the_rules(seed: int) -> None:
-    assert not course_of(seed)
+def test_rows_in_random_order_on_reused_connections_meet_the_rules(seed: int) -> None:
+    assert not sequence_violations(seed)
 
 
 @pytest.mark.parametrize(
@@ -1074,12 +1078,14 @@
         ("no stamp is needed", "MIXED"),
     ],
 )
-def test_a_planted_fault_is_found_in_a_course(fault: str, rule: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    PLANTED[fault][0](monkeypatch)
-    assert any(each.startswith(rule) for seed in range(3) for each in course_of(seed))
+def test_an_injected_fault_is_found_in_a_sequence(
+    fault: str, rule: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    INJECTED[fault][0](monkeypatch)
+    assert any(each.startswith(rule) for seed in range(3) for each in sequence_violations(seed))
 
 
-# ---- the client's side, and the end of the process
+# ---- the client side, and shutdown
 
 
 async def alone(of: Run, backend: Scripted) -> tuple[Ingress, tuple[str, int]]:
@@ -1095,13 +1101,13 @@
             await asyncio.sleep(0)
 
 
-def one(story: Callable[[Run], Awaitable[None]], mutating: bool) -> None:
+def one(scenario: Callable[[Run], Awaitable[None]], mutating: bool) -> None:
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(asyncio.wait_for(story(Run("good", ROWS["good"], mutating, False, True)), 30))  # type: ignore[arg-type]
+        runner.run(asyncio.wait_for(scenario(Run("good", ROWS["good"], mutating, False, True)), 30))  # type: ignore[arg-type]
 
 
-def test_what_an_answer_says_of_itself_comes_as_it_was_said() -> None:
-    async def story(run: Run) -> None:
+def test_response_headers_are_passed_on_unchanged() -> None:
+    async def scenario(run: Run) -> None:
         lines = (
             "Set-Cookie: a=1; Expires=Wed, 02 Dec 2026 00:00:00 GMT",
             "Set-Cookie: b=2",
@@ -1118,7 +1124,7 @@
             assert [line for line in head if line.lower().startswith("set-cookie")] == [
                 line.replace("Set-Cookie", "set-cookie") for line in lines[:2]
             ]
-            assert "x-one: 1, 2" in head  # which means the same
+            assert "x-one: 1, 2" in head  # equivalent to two header lines
         finally:
             ingress.server.leave()
             ingress.server._listener.close()
@@ -1126,14 +1132,14 @@
             ingress.transport.close()
             await backend.stop()
 
-    one(story, True)
+    one(scenario, True)
 
 
 @pytest.mark.parametrize(
     "trailer", ("Key: other", "X-More: smuggled", "Tenant-Name: other", "Attempt-Id: other", "Deadline-Ms: 1")
 )
-def test_what_stands_behind_a_requests_body_changes_nothing_of_it(trailer: str) -> None:
-    async def story(run: Run) -> None:
+def test_request_trailers_do_not_change_the_request(trailer: str) -> None:
+    async def scenario(run: Run) -> None:
         backend = Scripted()
         ingress, address = await alone(run, backend)
         try:
@@ -1155,15 +1161,15 @@
             ingress.transport.close()
             await backend.stop()
 
-    one(story, True)
+    one(scenario, True)
 
 
 @pytest.mark.parametrize("mutating", (True, False))
 @pytest.mark.parametrize("when", ("in the head", "in the body", "before the answer", "in the answer"))
-def test_a_client_that_leaves_has_its_request_sent_once_at_most_and_nobody_gets_its_answer(
+def test_a_disconnected_clients_request_is_sent_at_most_once_and_its_response_goes_to_nobody(
     when: str, mutating: bool
 ) -> None:
-    async def story(run: Run) -> None:
+    async def scenario(run: Run) -> None:
         ended = asyncio.Event()
 
         async def script(conn: Conn) -> None:
@@ -1193,7 +1199,7 @@
             if when in ("in the head", "in the body"):
                 assert not backend.seen
             else:
-                await ended.wait()  # its backend is told by the connection's end
+                await ended.wait()  # the backend learns it by the closed connection
                 assert [each.nonce for each in backend.seen] == ["left"]
             backend.armed = False
             got = await (await Asker(address).open()).ask(run.request("next"))
@@ -1206,15 +1212,17 @@
             ingress.transport.close()
             await backend.stop()
 
-    one(story, mutating)
+    one(scenario, mutating)
 
 
 @pytest.mark.parametrize("mutating", (True, False))
 @pytest.mark.parametrize(
     "when", ("in the head", "in the body", "at work", "in the answer", "to the end of the grace")
 )
-def test_a_sigterm_midway_ends_no_request_early_and_promises_nothing(when: str, mutating: bool) -> None:
-    async def story(run: Run) -> None:
+def test_sigterm_ends_no_request_early_and_its_response_states_no_execution(
+    when: str, mutating: bool
+) -> None:
+    async def scenario(run: Run) -> None:
         go = asyncio.Event()
 
         async def script(conn: Conn) -> None:
@@ -1244,7 +1252,7 @@
             await until(lambda: ingress._ending)
             if when == "to the end of the grace":
                 got = await client.answer()
-                # it was at work to the last: nothing is said of whether it ran
+                # it was still running: the response does not state whether it ran
                 assert got.whole and got.status == 500
             else:
                 client.writer.write(whole[cut:])
@@ -1260,4 +1268,4 @@
             ingress.engine.close()
             await backend.stop()
 
-    one(story, mutating)
+    one(scenario, mutating)
--- a/tests/test_backend_gossip.py
+++ b/tests/test_backend_gossip.py
@@ -28,7 +28,10 @@
 
 
 def play(isolated: int, seconds: float, peers: bool = True) -> tuple[Gateways, list[bool]]:
-    """Runs a fleet with the first gateways isolated; returns whether their sends went to removed backends."""
+    """Runs a fleet whose first gateways are isolated.
+
+    Returns the fleet and, for each send of an isolated gateway after 2.5 s, whether the backend was gone.
+    """
     fleet_of = [
         gateway(
             *BACKENDS, gateways=GATEWAYS, index=n, seed=n, classes=(SAFE,), peers=peers, peer_in_per_s=100.0
@@ -53,7 +56,8 @@
 
 
 @pytest.mark.parametrize(
-    ("isolated", "peers", "least", "most"), [(28, True, 0.0, 0.03), (4, True, 0.0, 0.03), (28, False, 0.2, 0.4)]
+    ("isolated", "peers", "least", "most"),
+    [(28, True, 0.0, 0.03), (4, True, 0.0, 0.03), (28, False, 0.2, 0.4)],
 )
 def test_isolated_gateways_avoid_backends_that_two_peers_report_as_gone(
     isolated: int, peers: bool, least: float, most: float
