--- a/tests/system/test_proxy_admission.py
+++ b/tests/system/test_proxy_admission.py
@@ -184,9 +184,8 @@
     f = proxy(rate=20.0, burst=20.0)
     f.handle(0.0, Company(4, 4))
     sends = [of(Send, f.handle(1.0, arrival(n))) for n in range(1, 21)]
-    assert list(map(len, sends)) == [1] * 19 + [
-        0
-    ]  # new requests leave a small reserve: the first appointment
+    # new requests leave a small reserve: the first appointment
+    assert list(map(len, sends)) == [1] * 19 + [0]
     waits = [f.handle(2.0, arrival(100 + n))[0].retry_after_ms for n in range(3)]
     # the slice refills at 20/4 per second, sigma is 0 until two responses: 200 ms between appointments
     assert waits == pytest.approx([399, 599, 799], abs=0.01)
--- a/tests/test_bucket_owner.py
+++ b/tests/test_bucket_owner.py
@@ -112,11 +112,8 @@
 @pytest.mark.parametrize(
     ("trouble", "bursts", "rates"),
     [
-        (
-            mass_failure,
-            3.0,
-            0.0,
-        ),  # an extra burst at each change of owner, away and back; at most OWNER_RANKS of them
+        # an extra burst at each change of owner, away and back; at most OWNER_RANKS of them
+        (mass_failure, 3.0, 0.0),
         (partition, 3.0, 6.0),  # and during the partition, a second quota
     ],
 )
@@ -150,10 +147,8 @@
     seed: int, loss: float, moves: list[tuple[int, bool]]
 ) -> None:
     """At any loss, a customer at half its rate is served, and one far beyond it gets at least part of its quota."""
-    calm, plus = (
-        Account(1, 0, 18, 20, 0.5),
-        Account(2, 2, 19, 4, 3.0),
-    )  # both sets wrap around the last gateway number
+    # both sets wrap around the last gateway number
+    calm, plus = Account(1, 0, 18, 20, 0.5), Account(2, 2, 19, 4, 3.0)
     f = Quotas(20, [calm, plus], seed, counter=Counter(500), loss=loss)
     for index, dies in moves:
         f.play(1)
@@ -201,9 +196,9 @@
 
 def test_a_customer_of_one_gateway_has_its_owner_there() -> None:
     g = one()
-    told = [a for n in range(9) for a in g.handle(START, request(n + 1, units=4.0, width=1))]
-    assert not [a for a in told if isinstance(a, Tell | Count)]
-    assert len([a for a in told if isinstance(a, Send)]) == 4  # 16 units
+    actions = [a for n in range(9) for a in g.handle(START, request(n + 1, units=4.0, width=1))]
+    assert not [a for a in actions if isinstance(a, Tell | Count)]
+    assert len([a for a in actions if isinstance(a, Send)]) == 4  # 16 units
 
 
 def sent_query(actions: list[object]) -> tuple[int, int, OwnerQuery]:
@@ -217,11 +212,11 @@
     granted: bool, level: float, then: type
 ) -> None:
     g = one()
-    home, number, query = sent_query(g.handle(START, request(1, units=4.0, width=150)))
+    owner, number, query = sent_query(g.handle(START, request(1, units=4.0, width=150)))
     assert query.requested == LEVEL_SCALE * 4 // 16 and query.used == 0 and query.level_bound == 1.0
-    done = g.handle(START + 20, PeerMessage(home, OwnerReply(granted, level).encode(number)))
+    done = g.handle(START + 20, PeerMessage(owner, OwnerReply(granted, level).encode(number)))
     assert [type(a) for a in done] == [then]
-    assert not g.handle(START + 21, PeerMessage(home, OwnerReply(True, 1.0).encode(number)))  # duplicate
+    assert not g.handle(START + 21, PeerMessage(owner, OwnerReply(True, 1.0).encode(number)))  # duplicate
     again = g.handle(START + 100, request(2, units=4.0, width=150))
     asked = [a for a in again if isinstance(a, Tell)]
     assert bool(asked) == granted and bool([a for a in again if isinstance(a, Refuse)]) != granted
@@ -239,17 +234,17 @@
         actions = g.handle(
             now, PeerMessage(7, b"\x10\x00\x00\x00\x00")
         )  # other peers are received, so owners count as reachable
-    homes = [home for home, _ in seen]
-    assert counted and len(dict.fromkeys(homes)) == OWNER_RANKS and len(homes) == OWNER_RANKS * MAX_ATTEMPTS
+    owners = [owner for owner, _ in seen]
+    assert counted and len(dict.fromkeys(owners)) == OWNER_RANKS and len(owners) == OWNER_RANKS * MAX_ATTEMPTS
     assert len(dict.fromkeys(seen)) == OWNER_RANKS  # the same query at each owner
 
 
 def test_a_replaced_gateway_owns_no_buckets_and_completes_pending_requests() -> None:
     g = one()
-    home, number, query = sent_query(g.handle(START, request(1, units=4.0, width=150)))
+    owner, number, query = sent_query(g.handle(START, request(1, units=4.0, width=150)))
     snapshot.take(g)  # upgrade: the state belongs to another process from here on
     assert not g.handle(START + 5, PeerMessage(9, query.encode(5)))
-    done = g.handle(START + 20, PeerMessage(home, OwnerReply(True, 0.5).encode(number)))
+    done = g.handle(START + 20, PeerMessage(owner, OwnerReply(True, 0.5).encode(number)))
     assert [type(a) for a in done] == [Send, Settled]  # its units were deducted: nobody else may use them
     assert [type(a) for a in g.handle(START + 30, request(2, units=4.0, width=150))] == [Refuse]
     successor = one()
@@ -261,20 +256,20 @@
 
 def test_units_granted_for_a_withdrawn_request_are_returned() -> None:
     g = one()
-    home, number, _ = sent_query(g.handle(START, request(1, units=4.0, width=150)))
+    owner, number, _ = sent_query(g.handle(START, request(1, units=4.0, width=150)))
     g.handle(START + 5, RequestWithdrawn(1))
-    back_home, _, back = sent_query(
-        g.handle(START + 20, PeerMessage(home, OwnerReply(True, 0.5).encode(number)))
+    back_owner, _, back = sent_query(
+        g.handle(START + 20, PeerMessage(owner, OwnerReply(True, 0.5).encode(number)))
     )
-    assert back_home == home and back.used == -LEVEL_SCALE * 4 // 16 and back.requested == 0
+    assert back_owner == owner and back.used == -LEVEL_SCALE * 4 // 16 and back.requested == 0
 
 
 def test_after_a_change_of_width_the_new_owner_gets_the_level_bound_of_the_old_one() -> None:
     g = one()
-    home, number, _ = sent_query(g.handle(START, request(1, units=4.0, width=150)))
-    g.handle(START + 20, PeerMessage(home, OwnerReply(True, 0.3).encode(number)))
+    owner, number, _ = sent_query(g.handle(START, request(1, units=4.0, width=150)))
+    g.handle(START + 20, PeerMessage(owner, OwnerReply(True, 0.3).encode(number)))
     other, _, query = sent_query(g.handle(START + 100, request(2, units=1.0, width=90)))
-    assert other != home and query.level_bound == pytest.approx(0.3, abs=0.02)
+    assert other != owner and query.level_bound == pytest.approx(0.3, abs=0.02)
 
 
 def test_digests_of_an_older_version_change_nothing_in_a_large_fleet() -> None:
@@ -295,13 +290,15 @@
 
 
 def test_a_repeated_query_counts_once() -> None:
-    home = BucketOwner(100.0)
+    owner = BucketOwner(100.0)
     body = query(0.25, 0.25).encode(9)
-    said = [home.answer(START + n * 60, 3, body) for n in range(4)]
-    assert len(dict.fromkeys(said)) == 1 and decode_reply(said[0])[1].level == pytest.approx(0.5, abs=0.002)
-    home.answer(START, 4, body)  # the same number of another sender is another query
-    assert decode_reply(home.answer(START + REPLY_CACHE_MS + 300, 3, query().encode(10)))[1].level < 0.5
-    assert len(home.replies) == 1  # old replies are dropped
+    replies = [owner.answer(START + n * 60, 3, body) for n in range(4)]
+    assert len(dict.fromkeys(replies)) == 1 and decode_reply(replies[0])[1].level == pytest.approx(
+        0.5, abs=0.002
+    )
+    owner.answer(START, 4, body)  # the same number of another sender is another query
+    assert decode_reply(owner.answer(START + REPLY_CACHE_MS + 300, 3, query().encode(10)))[1].level < 0.5
+    assert len(owner.replies) == 1  # old replies are dropped
 
 
 @pytest.mark.parametrize(
@@ -326,20 +323,20 @@
 
 
 def test_the_askers_level_bound_counts_only_until_the_bucket_has_refilled() -> None:
-    home = BucketOwner(100.0)
-    assert home.apply(START, query(level_bound=0.0)).level == 0.0
+    owner = BucketOwner(100.0)
+    assert owner.apply(START, query(level_bound=0.0)).level == 0.0
     later = START + 1100 / FILL
-    assert home.apply(later, query(level_bound=0.2)).level == pytest.approx(1.0, abs=0.01)
+    assert owner.apply(later, query(level_bound=0.2)).level == pytest.approx(1.0, abs=0.01)
 
 
 def test_rejections_carry_a_hold_off_that_grows_and_shrinks_with_their_rate() -> None:
-    home, now = BucketOwner(100.0), START
-    home.apply(now, query(1.0))
+    owner, now = BucketOwner(100.0), START
+    owner.apply(now, query(1.0))
     holds = []
     for per_s in (2 * REJECTION_SHARE * 100, 5.0):
         for _ in range(int(per_s * 8)):
             now += 1000 / per_s
-            hold = home.apply(now, query(requested=0.9)).hold_ms
+            hold = owner.apply(now, query(requested=0.9)).hold_ms
         holds.append(hold)
     assert holds[0] > 500 and holds[1] < holds[0] / 4
 
@@ -391,8 +388,8 @@
     for _ in range(600):
         now += 10.0
         list(asks.pop_overdue(now))
-        if (home := asks.owner(now, int(now) * 31, 1, 199)) is not None:
-            asks.start(now, home, query(), None)
+        if (owner := asks.owner(now, int(now) * 31, 1, 199)) is not None:
+            asks.start(now, owner, query(), None)
             asked += 1
     assert UNREACHABLE_AFTER <= asked <= 6000 / PROBE_MS + 2 * UNREACHABLE_AFTER + 8
     asks.record_contact(5)
@@ -432,13 +429,13 @@
 
 
 def test_a_started_gateway_recovers_its_replicas_with_their_age() -> None:
-    home, standby, fresh = BucketReplicas(), BucketReplicas(), BucketReplicas()
-    assert list(home.due(START)) == [(None, RECOVERY_REQUEST)]
-    home.record(77, 0.25, 4)
-    home.record(78, 0.9, 4)  # nearly full: not replicated
-    home.record(79, 0.5, NO_STANDBY)
-    assert not list(home.due(START + REPLICATION_MS / 2))
-    ((to, body),) = home.due(START + REPLICATION_MS)
+    owner, standby, fresh = BucketReplicas(), BucketReplicas(), BucketReplicas()
+    assert list(owner.due(START)) == [(None, RECOVERY_REQUEST)]
+    owner.record(77, 0.25, 4)
+    owner.record(78, 0.9, 4)  # nearly full: not replicated
+    owner.record(79, 0.5, NO_STANDBY)
+    assert not list(owner.due(START + REPLICATION_MS / 2))
+    ((to, body),) = owner.due(START + REPLICATION_MS)
     assert to == 4 and not list(standby.receive(START + REPLICATION_MS, 9, body))
     assert not list(standby.receive(START + REPLICATION_MS, 3, RECOVERY_REQUEST))  # of another owner
     (back,) = standby.receive(START + 3 * REPLICATION_MS, 9, RECOVERY_REQUEST)
--- a/troutdock/admission/tenant.py
+++ b/troutdock/admission/tenant.py
@@ -23,10 +23,8 @@
         """Starts without job times."""
         super().__init__(now)
         self.plan = plan
-        self.arrival_rate, self.arrival_rate_at = (
-            0.0,
-            now,
-        )  # requests per second, for a tenant without a limit
+        # requests per second, for a tenant without a limit
+        self.arrival_rate, self.arrival_rate_at = 0.0, now
         self.sample_weight, self.job_sum, self.job_squares = 0.0, 0.0, 0.0
 
     @property
