--- a/troutdock/admission/bucket_owner.py
+++ b/troutdock/admission/bucket_owner.py
@@ -7,7 +7,7 @@
 reply plus the refill since then is an upper bound: no query is sent until that bound allows the request.
 
 Invariants. A repeated query counts once. A bucket without history starts full, but until it had time to
-fill it is held to the level that askers know: each change of owner admits that much extra, and no less.
+refill it is capped at the level that askers know. A change of owner admits again any use unknown to them.
 """
 
 from __future__ import annotations
--- a/troutdock/admission/proxy_admission.py
+++ b/troutdock/admission/proxy_admission.py
@@ -168,7 +168,7 @@
         self.pools: dict[int, Pool] = {}
         self.service_times: dict[str, ServiceTime] = {}
         self.calls: dict[int, Call] = {}
-        self.loads_changed: dict[int, None] = {}  # backends with unreported open attempts
+        self.loads_changed: dict[int, None] = {}  # backends with changes not reported to peers yet
         self.actions: Actions = []
         self._handlers: dict[type, Callable[[float, Any], None]] = {
             RequestArrived: self._arrived,
@@ -395,7 +395,8 @@
         self.actions.append(Send(call.event.request, backend.entry.backend))
         if call.cls.effect is Effect.SAFE and number + 1 < call.event.max_attempts:
             overdue_ms = selection.expected_ms * call.service_time.overdue_factor
-            latest_ms = call.target_at - now - 1.3 * call.service_time.mean_ms  # still in time
+            # a copy sent by then can still meet the latency target
+            latest_ms = call.target_at - now - 1.3 * call.service_time.mean_ms
             copy_after_ms = max(1.5 * selection.expected_ms, min(overdue_ms, latest_ms))
             if now + copy_after_ms < call.deadline:
                 self.actions.append(
@@ -512,7 +513,7 @@
 
     # ---- reports to peers
 
-    def own_load(self, backend: int) -> int:
+    def own_load(self, number: int) -> int:
         """Returns the number of this proxy's open attempts at a backend."""
-        known = self.backends.get(backend)
-        return len(known.out) if known is not None else 0
+        backend = self.backends.get(number)
+        return len(backend.out) if backend is not None else 0
