--- a/tests/engine/test_engine.py
+++ b/tests/engine/test_engine.py
@@ -73,7 +73,7 @@
                 world.told[number].withdrawn = world.told[number].final is None
                 world.engine.withdraw(world.calls[number])
             else:
-                world.engine.abandon(world.calls[number])
+                world.engine.fail_call(world.calls[number])
         elif what == "count" and world.counter.calls:
             world.counter.answer((Outcome.OK, Outcome.FULL, Outcome.TIMEOUT, Outcome.RESET)[pick % 4])
         elif what == "time":
@@ -210,11 +210,11 @@
 def test_what_is_late_finds_a_concluded_call() -> None:
     world, told = sent()
     (attempt,) = world.out
-    world.engine.abandon(world.calls[0])
+    world.engine.fail_call(world.calls[0])
     assert told.final == "failed" and attempt.over
     assert not world.engine.answer_began(attempt)
     world.engine.withdraw(world.calls[0])
-    world.engine.abandon(world.calls[0])
+    world.engine.fail_call(world.calls[0])
     assert world.engine.tally.withdrawn == 0
     world.finish()
 
--- a/tests/engine/test_engine_fabric.py
+++ b/tests/engine/test_engine_fabric.py
@@ -111,7 +111,7 @@
                 world.told[number].withdrawn = world.told[number].final is None
                 world.engine.withdraw(world.calls[number])
             else:
-                world.engine.abandon(world.calls[number])
+                world.engine.fail_call(world.calls[number])
         elif what == "time":
             world.time.advance(pick % 700)
         elif what == "fleet":  # one that is gone does not come back under its number
--- a/tests/grpc_front/test_grpc_front.py
+++ b/tests/grpc_front/test_grpc_front.py
@@ -536,7 +536,7 @@
     monkeypatch.setattr(front_module, "FIRST_S", 0.1)
     from troutdock.http import body_limits
 
-    monkeypatch.setattr(body_limits, "SILENT_S", 0.1)
+    monkeypatch.setattr(body_limits, "FIRST_BYTE_TIMEOUT_S", 0.1)
 
     @playing(served)
     async def course(s: Setup) -> None:
@@ -588,7 +588,7 @@
         call = other.open(head(), message())
         await call.ended.wait()
         assert call["grpc-status"] == "0"
-        await until(lambda: s.w.engine.open == 0 and len(s.w.service.server.others) == 1)
+        await until(lambda: s.w.engine.open == 0 and len(s.w.service.server.other_connections) == 1)
 
 
 @pytest.mark.parametrize(
@@ -741,7 +741,7 @@
             await call.ended.wait()
             assert call["grpc-status"] == "0"
         assert sum(s.sent) == 8 and s.part.front.pool == 1
-        await until(lambda: not any(c.calls for c in s.w.service.server.others))
+        await until(lambda: not any(c.calls for c in s.w.service.server.other_connections))
         status, body = await s.part.books()[b"GET", b"/control/grpc"](b"")
         shown = json.loads(body)
         assert (status, shown["connections"], shown["calls"]) == (200, 1, 0) and len(shown["nodes"]) == 2
@@ -784,7 +784,7 @@
 def test_a_client_that_opens_no_window_holds_its_own_answer_and_for_a_time(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(front_module, "STUCK_S", 0.3)
+    monkeypatch.setattr(front_module, "WRITE_STALL_S", 0.3)
 
     @playing(served)
     async def course(s: Setup) -> None:
--- a/tests/handover/test_handover.py
+++ b/tests/handover/test_handover.py
@@ -442,7 +442,7 @@
             waiting, passed, begun, pipelined, spoilt = [await w.client() for _ in range(5)]
             begun.writer.write(posted(3, "ab")[:-1])
             await until(lambda: any(c.begun for c in server._clients))
-            server.leave()
+            server.begin_handover()
             waiting.writer.write(posted(1, "a"))
             pipelined.writer.write(posted(4, "c") + posted(5, "d") + posted(6, "ef")[:-1])
             await until(lambda: sum(len(c._wholes) for c in server._clients) == 3)
@@ -453,17 +453,17 @@
                 posted(7, "g") + b"nonsense\r\n\r\n"
             )  # can't go over: answered here, in order
             assert [(await spoilt.answer())[0] for _ in range(2)] == [200, 400]
-            server.take_back()
+            server.cancel_handover()
             assert (await waiting.answer())[0] == 200
             assert [(await pipelined.answer())[0] for _ in range(2)] == [200, 200]
-            server.leave()
-            server.leave_to(heir)
+            server.begin_handover()
+            server.hand_over_to(heir)
             passed.writer.write(posted(2, "b" * 70_000))
             await until(lambda: len(heir.items) == 3)  # one began behind another: not before it is whole
             pipelined.writer.write(b"f")
             await until(lambda: len(heir.items) == 4 and len(server._clients) <= 1)
             assert server.bodies.held == 0
-            server.take_back(heir.items)
+            server.cancel_handover(heir.items)
             begun.writer.write(b"b")
             assert [(await client.answer())[0] for client in (passed, begun, pipelined)] == [200, 200, 200]
             bodies = sorted(data.partition(b"\r\n\r\n")[2] for node in w.backends for data in node.requests)
--- a/tests/http/test_age.py
+++ b/tests/http/test_age.py
@@ -11,7 +11,7 @@
 from loopback import answer, request, run, until, world
 
 from troutdock.admission.interface import AttemptEnded, RequestArrived
-from troutdock.http.socket_info import received_ago_ms
+from troutdock.http.socket_info import ms_since_last_data
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 BUSY_S = 0.2  # how long the loop is kept from listening
@@ -104,9 +104,12 @@
                 raise OSError
             return self.said
 
-    assert received_ago_ms(Silent(None)) == received_ago_ms(Silent(b"short")) == 0.0
-    assert received_ago_ms(Silent(b"\xff" * 56)) == 0.0  # never
-    assert received_ago_ms(Silent(bytes(52) + (7).to_bytes(4, "little"))) in (7.0, 0.0)  # by the byte order
+    assert ms_since_last_data(Silent(None)) == ms_since_last_data(Silent(b"short")) == 0.0
+    assert ms_since_last_data(Silent(b"\xff" * 56)) == 0.0  # never
+    assert ms_since_last_data(Silent(bytes(52) + (7).to_bytes(4, "little"))) in (
+        7.0,
+        0.0,
+    )  # by the byte order
 
 
 def test_a_request_that_waited_for_this_process_is_refused_at_once_with_a_time() -> None:
@@ -125,7 +128,7 @@
             for c in clients:
                 status, head, _ = await c.answer()
                 assert status == 429 and b"retry-after" in head.lower() and b"close" not in head.lower()
-            assert w.engine.tally.turned_away == 3 and w.engine.open == 0 and w.gateway.calls == {}
+            assert w.engine.tally.rejected_early == 3 and w.engine.open == 0 and w.gateway.calls == {}
             assert len(w.backends[0].requests) == sent
             await asyncio.sleep(0.2)
             assert (await clients[0].ask(request("vat-filing", 20)))[0] == 200  # nothing is left of it
--- a/tests/http/test_bodies.py
+++ b/tests/http/test_bodies.py
@@ -12,8 +12,16 @@
 from loopback import Peer, answer, read_message, request, run, until, world
 
 from troutdock.http import body_limits
-from troutdock.http.body_limits import GRACE_S, HEAD_S, PACE, SILENT_S, Budget, Pace, budget_for
-from troutdock.http.connection import path_of
+from troutdock.http.body_limits import (
+    BODY_GRACE_S,
+    HEADER_TIMEOUT_S,
+    MIN_BODY_RATE,
+    FIRST_BYTE_TIMEOUT_S,
+    ByteBudget,
+    MessageTimer,
+    body_budget_bytes,
+)
+from troutdock.http.connection import origin_form
 from troutdock.platform.config import read_config
 
 LONG = "0123456789abcdef" * 20_000  # 320,000 bytes
@@ -24,19 +32,19 @@
 
 @given(st.lists(st.integers(-400, 400), max_size=50))
 def test_a_budget_never_holds_more_than_its_bound(steps: list[int]) -> None:
-    budget, held = Budget(1000), []
+    budget, held = ByteBudget(1000), []
     for step in steps:
-        if step > 0 and budget.take(step):
+        if step > 0 and budget.reserve(step):
             held.append(step)
         elif step <= 0 and held:
-            budget.give(held.pop())
+            budget.release(held.pop())
         assert budget.held == sum(held) <= 1000
 
 
 def test_the_budget_follows_the_memory_and_leaves_room_for_the_program() -> None:
-    assert budget_for(24) == budget_for(32) == 2 * 1024 * 1024
-    assert budget_for(192) == 80 * 1024 * 1024
-    assert read_config(json.dumps(small_config())).bodies == budget_for(80)
+    assert body_budget_bytes(24) == body_budget_bytes(32) == 2 * 1024 * 1024
+    assert body_budget_bytes(192) == 80 * 1024 * 1024
+    assert read_config(json.dumps(small_config())).bodies == body_budget_bytes(80)
 
 
 def small_config() -> dict[str, Any]:
@@ -51,15 +59,15 @@
 
 
 def test_a_silent_connection_a_head_and_a_body_each_have_their_own_time() -> None:
-    pace = Pace(100.0)
-    assert not pace.late(100.0 + SILENT_S, 0) and pace.late(100.01 + SILENT_S, 0)
+    pace = MessageTimer(100.0)
+    assert not pace.late(100.0 + FIRST_BYTE_TIMEOUT_S, 0) and pace.late(100.01 + FIRST_BYTE_TIMEOUT_S, 0)
     pace.begins(101.0)
-    assert not pace.late(100.0 + HEAD_S, 0) and pace.late(100.01 + HEAD_S, 0)
+    assert not pace.late(100.0 + HEADER_TIMEOUT_S, 0) and pace.late(100.01 + HEADER_TIMEOUT_S, 0)
     pace.head_done(102.0)
-    assert not pace.late(102.0 + GRACE_S, 0) and pace.late(102.01 + GRACE_S, 0)
-    assert not pace.late(102.0 + GRACE_S + 10, 10 * PACE)
+    assert not pace.late(102.0 + BODY_GRACE_S, 0) and pace.late(102.01 + BODY_GRACE_S, 0)
+    assert not pace.late(102.0 + BODY_GRACE_S + 10, 10 * MIN_BODY_RATE)
     pace.begins(200.0)
-    assert not pace.late(200.0 + HEAD_S, 0) and pace.late(200.01 + HEAD_S, 0)
+    assert not pace.late(200.0 + HEADER_TIMEOUT_S, 0) and pace.late(200.01 + HEADER_TIMEOUT_S, 0)
 
 
 def test_space_around_a_value_is_no_part_of_it() -> None:
@@ -79,7 +87,7 @@
 
 def test_a_message_behind_a_slow_one_has_its_own_time(monkeypatch: pytest.MonkeyPatch) -> None:
     """Both begin in one read; the time of the first one's body used to be held against the second's head."""
-    monkeypatch.setattr(body_limits, "GRACE_S", 0.1)
+    monkeypatch.setattr(body_limits, "BODY_GRACE_S", 0.1)
     monkeypatch.setattr("troutdock.daemon.SWEEP_S", 0.02)
 
     async def test() -> None:
@@ -112,7 +120,7 @@
     ],
 )
 def test_a_target_in_absolute_form_is_the_path_behind_the_host(url: bytes, path: bytes) -> None:
-    assert path_of(url) == path
+    assert origin_form(url) == path
 
 
 # ---- over loopback
@@ -218,7 +226,12 @@
 def test_a_body_that_comes_slowly_at_its_pace_is_taken_and_one_that_stops_is_not(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    for limit, value in (("HEAD_S", 0.2), ("SILENT_S", 0.2), ("GRACE_S", 0.1), ("PACE", 20_000)):
+    for limit, value in (
+        ("HEADER_TIMEOUT_S", 0.2),
+        ("FIRST_BYTE_TIMEOUT_S", 0.2),
+        ("BODY_GRACE_S", 0.1),
+        ("MIN_BODY_RATE", 20_000),
+    ):
         monkeypatch.setattr(body_limits, limit, value)
     monkeypatch.setattr("troutdock.daemon.SWEEP_S", 0.02)
 
--- a/tests/http/test_long_answers.py
+++ b/tests/http/test_long_answers.py
@@ -13,8 +13,8 @@
 
 from troutdock.http.exchange import Exchange
 from troutdock.http import transport as transport_module
-from troutdock.http.body_limits import streams_for
-from troutdock.http.response import MAX_STREAMED, STREAM_FROM
+from troutdock.http.body_limits import max_streams_for
+from troutdock.http.response import MAX_STREAMED_BYTES, STREAM_MIN_BYTES
 
 PIECE = bytes(range(256)) * 256  # 64 KiB
 LENGTH = b"Content-Length: %d\r\n\r\n"
@@ -176,7 +176,7 @@
             writer.write(b"HTTP/1.1 200 OK\r\n" + LENGTH % (3 * 1024**3) + PIECE)
 
         async def stops_early(peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
-            writer.write(b"HTTP/1.1 200 OK\r\n" + LENGTH % 1_000_000 + PIECE[: STREAM_FROM - 1])
+            writer.write(b"HTTP/1.1 200 OK\r\n" + LENGTH % 1_000_000 + PIECE[: STREAM_MIN_BYTES - 1])
 
         for spoilt in (says_too_much, stops_early):
             turns: list[int] = []
@@ -213,7 +213,7 @@
 
 
 def test_a_client_that_takes_nothing_for_long_is_left(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("troutdock.http.listener.STUCK_S", 0.2)
+    monkeypatch.setattr("troutdock.http.listener.WRITE_STALL_S", 0.2)
     monkeypatch.setattr("troutdock.daemon.SWEEP_S", 0.05)
 
     async def test() -> None:
@@ -314,11 +314,11 @@
 
 
 def test_how_many_streams_there_may_be_follows_the_memory() -> None:
-    assert [streams_for(mb) for mb in (24, 32, 40, 80, 192)] == [16, 16, 22, 136, 455]
+    assert [max_streams_for(mb) for mb in (24, 32, 40, 80, 192)] == [16, 16, 22, 136, 455]
 
 
 def test_more_than_any_answer_may_have_is_taken_for_spoilt() -> None:
-    assert 32 * 1024 * 1024 < MAX_STREAMED < 3 * 1024**3
+    assert 32 * 1024 * 1024 < MAX_STREAMED_BYTES < 3 * 1024**3
 
 
 @pytest.mark.parametrize(("cls", "tries"), [("vat-filing", 1), ("ledger-read", 2)])
--- a/tests/http/test_places.py
+++ b/tests/http/test_places.py
@@ -67,8 +67,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """All others are in use; without a look of its own the door stayed shut until the message's time was over."""
-    monkeypatch.setattr(server_module, "USED_S", 60.0)
-    monkeypatch.setattr(body_limits, "SILENT_S", 60.0)
+    monkeypatch.setattr(server_module, "RECENT_USE_S", 60.0)
+    monkeypatch.setattr(body_limits, "FIRST_BYTE_TIMEOUT_S", 60.0)
 
     async def test() -> None:
         async with places(80) as w:
--- a/tests/http/test_taking_in.py
+++ b/tests/http/test_taking_in.py
@@ -14,13 +14,13 @@
 def test_what_is_due_to_peers_goes_out_with_a_late_request_and_does_not_decide_it() -> None:
     """A digest that was due stood in a refusal's place, and the request had no answer at all."""
     w, peers = SimulatedWorld(gateways=3, peers=True, peer_in_per_s=100.0), Mock()
-    w.engine.tell_by(peers)
+    w.engine.set_peers(peers)
     exchange = Told(w.time.now(), w.time.now() + 4000, w.time)
     for waited_ms, refused in ((11.0, False), (2000.0, True)):
         w.time.advance(1000)
         w.engine._gateway.word.used(w.time.now(), 9, 0.0001, 0.5)
         before = peers.tell.call_count
-        assert w.engine.turn_away(RequestWaited(9, 1, 0, 1.0, 1, False, waited_ms), exchange) == refused
+        assert w.engine.reject_waited(RequestWaited(9, 1, 0, 1.0, 1, False, waited_ms), exchange) == refused
         assert peers.tell.call_count == before + 1
         assert exchange.final == ("refused" if refused else None)
 
--- a/tests/http/test_transport.py
+++ b/tests/http/test_transport.py
@@ -15,8 +15,8 @@
 from loopback import Peer, Script, answer, run, sends, silence, until
 
 from troutdock.admission.interface import Outcome
-from troutdock.engine import Manners
-from troutdock.http.transport import REST_S, STREAM_STALL_S, HttpTransport, Pool
+from troutdock.engine import ProtocolTraits
+from troutdock.http.transport import REUSE_DELAY_S, STREAM_STALL_S, HttpTransport, Pool
 from troutdock.http.transport import HttpAttempt as Attempt
 from troutdock.http.response import MAX_BODY
 
@@ -150,7 +150,7 @@
             await until(lambda: len(outcomes.ended) in (1, 2))
         await until(lambda: len(outcomes.ended) == 2)
         last = outcomes.backends.pools.of[1].idle[-1]
-        await asyncio.sleep(2 * REST_S)
+        await asyncio.sleep(2 * REUSE_DELAY_S)
         third = outcomes.start()
         assert third.connection is last
         assert peer.connections == 2
@@ -271,12 +271,14 @@
 
     async def test() -> None:
         transport = HttpTransport(8, 0.25, 30.0, lambda *_: None)
-        before = transport.use_s
+        before = transport.reuse_limit_s
         for idle_s in served:
-            transport.stale(1.0) if idle_s is None else transport.trust(idle_s)
+            transport.idle_connection_reset(1.0) if idle_s is None else transport.idle_connection_served(
+                idle_s
+            )
         for idle_s in resets:
-            transport.stale(idle_s)
-        assert (transport.use_s < 0.9 * before) == shrinks
+            transport.idle_connection_reset(idle_s)
+        assert (transport.reuse_limit_s < 0.9 * before) == shrinks
 
     run(test())
 
@@ -284,8 +286,8 @@
 class Owner:
     """A call, so far as a transport sees it."""
 
-    def __init__(self, manners: Manners, left_ms: float) -> None:
-        self.request, self.give_up = SimpleNamespace(manners=manners, id=b"a"), left_ms
+    def __init__(self, traits: ProtocolTraits, left_ms: float) -> None:
+        self.request, self.expires_ms = SimpleNamespace(traits=traits, id=b"a"), left_ms
 
 
 @pytest.mark.parametrize("repeatable", (True, False))
@@ -311,17 +313,24 @@
 
 
 @pytest.mark.parametrize(
-    ("silence_ends", "repeatable", "watched"),
+    ("stall_timeout_applies", "repeatable", "watched"),
     [(True, True, True), (True, False, True), (False, True, True), (False, False, False)],
 )
 def test_an_answer_that_stops_is_waited_for_where_nothing_else_may_be_tried(
-    silence_ends: bool, repeatable: bool, watched: bool
+    stall_timeout_applies: bool, repeatable: bool, watched: bool
 ) -> None:
     async def test() -> None:
         peer = Peer(sends(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nha", close=False))
         await peer.start()
         outcomes = Outcomes(peer.port)
-        attempt = Attempt(Owner(Manners(silence_ends=silence_ends), 5000.0), 0, 1, PAYLOAD, 0.0, repeatable)
+        attempt = Attempt(
+            Owner(ProtocolTraits(stall_timeout_applies=stall_timeout_applies), 5000.0),
+            0,
+            1,
+            PAYLOAD,
+            0.0,
+            repeatable,
+        )
         outcomes.backends.start(attempt)
         await until(lambda: attempt.connection is not None and attempt.connection._reader.begun)
         assert attempt.connection is not None and (attempt.connection._stalled is not None) is watched
@@ -332,11 +341,11 @@
 
 
 @pytest.mark.parametrize(
-    ("silence_ends", "left_ms", "least_s"),
+    ("stall_timeout_applies", "left_ms", "least_s"),
     [(True, 60_000.0, 0.0), (False, 60_000.0, 55.0), (False, 100.0, 0.0)],
 )
 def test_a_long_answer_that_stops_is_waited_for_until_its_time_is_over(
-    silence_ends: bool, left_ms: float, least_s: float
+    stall_timeout_applies: bool, left_ms: float, least_s: float
 ) -> None:
     """Its deadline holds for its beginning only, and 5 s of silence ended one that had a minute."""
 
@@ -347,7 +356,9 @@
         streams = SimpleNamespace(answer_began=lambda *_: True, answer_more=lambda *_: None)
         backends = HttpTransport(10, 0.25, 30.0, lambda *end: None, streams=streams)
         backends.place(1, ("127.0.0.1", peer.port))
-        attempt = Attempt(Owner(Manners(silence_ends=silence_ends), left_ms), 0, 1, PAYLOAD, 0.0)
+        attempt = Attempt(
+            Owner(ProtocolTraits(stall_timeout_applies=stall_timeout_applies), left_ms), 0, 1, PAYLOAD, 0.0
+        )
         attempt.streams = True
         backends.start(attempt)
         await until(
@@ -367,11 +378,15 @@
 
 
 @pytest.mark.parametrize(
-    ("manners", "outcome"), [(Manners(), Outcome.CONNECT_FAILED), (Manners(whole_first=False), Outcome.RESET)]
+    ("traits", "outcome"),
+    [
+        (ProtocolTraits(), Outcome.CONNECT_FAILED),
+        (ProtocolTraits(starts_after_last_byte=False), Outcome.RESET),
+    ],
 )
 @pytest.mark.parametrize("ends", ("reset", "close"))
 def test_a_break_before_the_last_byte_is_what_the_protocol_makes_of_it(
-    manners: Manners, outcome: Outcome, ends: str
+    traits: ProtocolTraits, outcome: Outcome, ends: str
 ) -> None:
     async def test() -> None:
         async def half(reader: asyncio.StreamReader) -> bytes:
@@ -384,7 +399,7 @@
         peer = Peer(hang_up, half)
         await peer.start()
         outcomes = Outcomes(peer.port)
-        attempt = Attempt(Owner(manners, 5000.0), 0, 1, b"x" * 50_000_000, 0.0)
+        attempt = Attempt(Owner(traits, 5000.0), 0, 1, b"x" * 50_000_000, 0.0)
         outcomes.backends.start(attempt)
         await until(lambda: bool(outcomes.ended))
         assert outcomes.ended[0][1] is outcome
--- a/tests/management/test_door.py
+++ b/tests/management/test_door.py
@@ -147,7 +147,7 @@
 def test_out_of_service_tells_health_ends_connections_with_answers_and_the_idle_ones_later(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("troutdock.http.listener.SENT_AWAY_S", 0.1)
+    monkeypatch.setattr("troutdock.http.listener.OUT_OF_SERVICE_S", 0.1)
     monkeypatch.setattr("troutdock.http.listener.DRAIN_QUIET_S", 0.02)
 
     async def test() -> None:
--- a/tests/reservations/test_reserved_front.py
+++ b/tests/reservations/test_reserved_front.py
@@ -135,7 +135,7 @@
 
                 return tell
 
-            a.engine.tell, b.engine.tell = carry(0), carry(1)
+            a.engine.send_to_peer, b.engine.send_to_peer = carry(0), carry(1)
             await free(first)
             second.escrow._index = 1  # both worlds are gateway 0 of theirs
             await free(second)
--- a/tests/support/simulated.py
+++ b/tests/support/simulated.py
@@ -212,7 +212,7 @@
         for transport in self.transports:
             self.engine.add_pool(transport)
         self.counter = SimulatedCounter(self)
-        self.engine.count_with(self.counter)
+        self.engine.set_counter(self.counter)
         self.told: list[Told] = []
         self.calls: list[Any] = []
         self.fleet([1, 2, 3], pool=0)
@@ -226,7 +226,7 @@
         pool: int = 0,
     ) -> None:
         entries = [BackendEntry(i, state, cell=i % 2) for i in ids]
-        self.engine.fleet(FleetUpdate(kind, entries, pool=pool), dict.fromkeys(ids))
+        self.engine.fleet_updated(FleetUpdate(kind, entries, pool=pool), dict.fromkeys(ids))
 
     def arrive(
         self,
--- a/tests/support/whole.py
+++ b/tests/support/whole.py
@@ -239,7 +239,7 @@
 
     async def close(self) -> None:
         for ingress in self.ingresses.values():
-            ingress.server.leave()
+            ingress.server.begin_handover()
             if hasattr(ingress.server, "_listener"):  # else it never opened
                 ingress.server._listener.close()
             ingress.engine.close()
--- a/tests/system/test_proxy_outcomes.py
+++ b/tests/system/test_proxy_outcomes.py
@@ -30,7 +30,7 @@
 from troutdock.endpoints.endpoint_table import Entry
 from troutdock.admission import proxy_admission
 from troutdock.admission.interface import Outcome
-from troutdock.engine import Manners
+from troutdock.engine import ProtocolTraits
 from troutdock.http import exchange as exchange_module
 from troutdock.http import response as response_module
 from troutdock.http import transport as transport_module
@@ -590,7 +590,7 @@
     )
     ingress = Ingress(boot, "nowhere", 1)
     ingress._decides.mesh = None
-    ingress.transport.stale = lambda idle_s: None  # type: ignore[method-assign]  # rows would teach each other to distrust connections
+    ingress.transport.idle_connection_reset = lambda idle_s: None  # type: ignore[method-assign]  # rows would teach each other to distrust connections
     ingress._configure(1, configuration(of))
     address = ingress.server.listen((ip, 0), hold=True)
     ingress._open()
@@ -772,7 +772,7 @@
                 await asyncio.sleep(0)
         return list(results)
     finally:
-        ingress.server.leave()
+        ingress.server.begin_handover()
         ingress.server._listener.close()
         ingress.engine.close()
         ingress.transport.close()
@@ -890,7 +890,7 @@
         "REFUSED",
     ),
     "what was written in part never ran": (
-        sets(SystemRequest, "manners", Manners(True, True, False)),
+        sets(SystemRequest, "traits", ProtocolTraits(True, True, False)),
         ("reset, the body half read",),
         "row",
     ),
@@ -1006,7 +1006,9 @@
         for number, mutating in enumerate((True, False))
     ]
     ingress, address = await proxy(calls)
-    del ingress.transport.stale  # as it is: connections that were reset under a request are distrusted
+    del (
+        ingress.transport.idle_connection_reset
+    )  # as it is: connections that were reset under a request are distrusted
 
     async def any_row(conn: Conn) -> None:
         # most are sound, so that connections are kept
@@ -1041,7 +1043,7 @@
         await asyncio.gather(*map(client, range(CLIENTS)))
         return asked, backends
     finally:
-        ingress.server.leave()
+        ingress.server.begin_handover()
         ingress.server._listener.close()
         ingress.engine.close()
         ingress.transport.close()
@@ -1120,7 +1122,7 @@
             ]
             assert "x-one: 1, 2" in head  # which means the same
         finally:
-            ingress.server.leave()
+            ingress.server.begin_handover()
             ingress.server._listener.close()
             ingress.engine.close()
             ingress.transport.close()
@@ -1149,7 +1151,7 @@
             )
             assert (await client.ask(run.request("next", body=b"pay"))).body == b"whole next"
         finally:
-            ingress.server.leave()
+            ingress.server.begin_handover()
             ingress.server._listener.close()
             ingress.engine.close()
             ingress.transport.close()
@@ -1200,7 +1202,7 @@
             assert (got.status, got.body, got.whole) == (200, b"whole next", True)
             assert [each.nonce for each in backend.seen][-1] == "next" and len(backend.seen) <= 2
         finally:
-            ingress.server.leave()
+            ingress.server.begin_handover()
             ingress.server._listener.close()
             ingress.engine.close()
             ingress.transport.close()
--- a/tests/test_hold.py
+++ b/tests/test_hold.py
@@ -23,7 +23,7 @@
 from troutdock.admission.gateway import Customer
 from troutdock.admission.interface import Outcome, Plan, Refuse, Send
 from troutdock.http import body_limits
-from troutdock.http.body_limits import budget_for
+from troutdock.http.body_limits import body_budget_bytes
 from troutdock.membership.watch import Watch
 from troutdock.platform.background import Background
 from troutdock.platform.config import read_config
@@ -76,7 +76,9 @@
     run(test())
 
 
-@pytest.mark.parametrize(("length", "status"), [(budget_for(64) + 1, 413), (60_000_000, 413), (10**30, 400)])
+@pytest.mark.parametrize(
+    ("length", "status"), [(body_budget_bytes(64) + 1, 413), (60_000_000, 413), (10**30, 400)]
+)
 def test_a_body_that_is_too_long_is_refused_at_its_head(length: int, status: int) -> None:
     async def test() -> None:
         async with world(answer()) as w:
@@ -110,7 +112,7 @@
     begin: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Drip-fed bytes win no time: the client gets an error or a close."""
-    for limit in ("HEAD_S", "SILENT_S", "GRACE_S"):
+    for limit in ("HEADER_TIMEOUT_S", "FIRST_BYTE_TIMEOUT_S", "BODY_GRACE_S"):
         monkeypatch.setattr(body_limits, limit, 0.2)
     monkeypatch.setattr("troutdock.daemon.SWEEP_S", 0.05)
 
@@ -136,7 +138,7 @@
 def test_a_message_on_a_used_connection_has_its_time_from_its_first_byte(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    for limit in ("HEAD_S", "SILENT_S", "GRACE_S"):
+    for limit in ("HEADER_TIMEOUT_S", "FIRST_BYTE_TIMEOUT_S", "BODY_GRACE_S"):
         monkeypatch.setattr(body_limits, limit, 0.2)
     monkeypatch.setattr("troutdock.daemon.SWEEP_S", 0.05)
 
--- a/troutdock/asgi/base.py
+++ b/troutdock/asgi/base.py
@@ -120,7 +120,7 @@
         while self.calls and (until is None or loop.time() < until):
             await asyncio.sleep(IDLE_POLL_S)
         for call in list(self.calls):
-            ingress.core.engine.abandon(call)
+            ingress.core.engine.fail_call(call)
         self.closed(ingress)
         self._ingress = None
         await shared.leave(ingress, self._grace_s)
--- a/troutdock/asgi/forward.py
+++ b/troutdock/asgi/forward.py
@@ -12,7 +12,7 @@
 from troutdock.engine import BadRequest
 from troutdock.http.request import HttpRequest, Reader
 from troutdock.http.response import MAX_BODY
-from troutdock.http.status import FAILED, PASSED_ON
+from troutdock.http.status import FAILURE_STATUS, FORWARDED_HEADERS
 from troutdock.library.deployment import Deployment
 from troutdock.library.local import IngressClosed, Refused, Served, Waiting, compose
 from troutdock.platform.config import ConfigError
@@ -103,11 +103,11 @@
                 watcher.cancel()
         match result:
             case Served(body, found, _):
-                await answer(send, 200, body, [(n, found[n]) for n in PASSED_ON if n in found])
+                await answer(send, 200, body, [(n, found[n]) for n in FORWARDED_HEADERS if n in found])
             case Refused(retry_after_s):
                 await answer_refused(send, retry_after_s)
             case _:
-                await answer(send, FAILED[result.why])
+                await answer(send, FAILURE_STATUS[result.why])
 
     async def _body(self, scope: Scope, receive: Receive) -> bytes | None:
         """The whole body; None if the client leaves before, BadRequest if it is too long or too late."""
--- a/troutdock/asgi/guard.py
+++ b/troutdock/asgi/guard.py
@@ -36,7 +36,7 @@
 from troutdock.asgi.scope import facts_from_headers
 from troutdock.asgi.types import App, Message, Receive, Scope, Send
 from troutdock.engine import Attempt, BadRequest, Call, Engine, Failure, Request
-from troutdock.http.status import FAILED
+from troutdock.http.status import FAILURE_STATUS
 from troutdock.library.deployment import Deployment
 from troutdock.library.facts import Facts
 from troutdock.library.local import Ingress, IngressClosed
@@ -307,7 +307,7 @@
         update = FleetUpdate(
             ListKind.CHANGES, [BackendEntry(backend, state, size=self._concurrency)], pool=self._pool
         )
-        engine.fleet(update, {backend: None})
+        engine.fleet_updated(update, {backend: None})
 
     async def handle(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Admit the request, run the handler, pass its answer on."""
@@ -346,7 +346,7 @@
 
     async def _word(self, send: Send, verdict: float | Failure) -> None:
         if isinstance(verdict, Failure):
-            await answer(send, FAILED[verdict])
+            await answer(send, FAILURE_STATUS[verdict])
         else:
             await answer_refused(send, verdict)
 
--- a/troutdock/asgi/scope.py
+++ b/troutdock/asgi/scope.py
@@ -6,7 +6,7 @@
 
 from troutdock.asgi.types import Scope
 from troutdock.engine import BadRequest
-from troutdock.http.request import ACCOUNT, MEANT, QUOTA, SECONDS
+from troutdock.http.request import ACCOUNT, INTERPRETED_HEADERS, QUOTA, SECONDS
 from troutdock.library.facts import Facts
 
 _SAFE_IN_PATH = "/~!$&'()*+,;=:@%"
@@ -33,7 +33,7 @@
     """The headers by name; BadRequest if one that the protocol gives a meaning comes twice."""
     found: dict[bytes, bytes] = {}
     for name, value in scope["headers"]:
-        if name in found and name in MEANT:
+        if name in found and name in INTERPRETED_HEADERS:
             raise BadRequest(400, f"{name.decode()} comes twice")
         found[name] = value
     return found
--- a/troutdock/daemon.py
+++ b/troutdock/daemon.py
@@ -22,7 +22,7 @@
 from troutdock.handover.link import PredecessorLink, SuccessorLink
 from troutdock.handover.protocol import Holds, ProtocolError, pack_state, unpack_state
 from troutdock.handover.roles import Item
-from troutdock.http.body_limits import Budget
+from troutdock.http.body_limits import ByteBudget
 from troutdock.http.request import Reader
 from troutdock.http.listener import Server
 from troutdock.http.transport import HttpTransport
@@ -74,7 +74,7 @@
             half_of_sockets(config),
             self.ingress.lag,
             config.damping,
-            Budget(config.bodies),
+            ByteBudget(config.bodies),
             config.streams,
         )
         if config.listen is None:
@@ -180,7 +180,7 @@
         """Go on from a state: why that can't be, or nothing; and what of it is not known here."""
         self._holds = holds
         try:
-            left_out = self.ingress.engine.take_over(unpack_state(state))
+            left_out = self.ingress.engine.import_state(unpack_state(state))
         except (ProtocolError, ValueError) as error:
             log.warning("the predecessor's state is of no use: %s", error)
             return str(error), ()
@@ -192,10 +192,10 @@
     def own(self, alone: bool) -> None:
         """All is this process's from now on: take clients. alone: without knowing what was spent before."""
         if alone:
-            self.ingress.engine.take_back()
+            self.ingress.engine.resume()
             self._holds = Holds(self._holds.out_of_service)  # what it held has gone with it
         self._server.open()
-        self._server.share(self._holds.bodies, self._holds.streams)
+        self._server.reserve_predecessor_share(self._holds.bodies, self._holds.streams)
         if self._holds.out_of_service if self._wish is None else self._wish:
             self._server.availability.take_out(time.monotonic())
         if self._listener is not None:
@@ -216,11 +216,11 @@
 
     def settle(self, settled: Settled) -> None:
         """What an attempt of the predecessor has come to."""
-        self.ingress.engine.settle(settled)
+        self.ingress.engine.attempt_settled(settled)
 
     def ended(self) -> None:
         """The predecessor has ended, and what it held of the budgets is free."""
-        self._server.share(-self._holds.bodies, -self._holds.streams)
+        self._server.reserve_predecessor_share(-self._holds.bodies, -self._holds.streams)
         self.ingress.engine.predecessor_ended()
 
     # ---- as a predecessor: PredecessorHost
@@ -229,23 +229,23 @@
         """Let nothing new in: the state, and what this process holds to its end."""
         log.info("a successor takes over")
         assert self._to_successor is not None
-        self._server.leave()
-        self._state = self.ingress.engine.hand_over(self._to_successor.tell)
+        self._server.begin_handover()
+        self._state = self.ingress.engine.export_state(self._to_successor.tell)
         out = self._server.availability.state is State.OUT_OF_SERVICE
-        return pack_state(self._state), Holds(out, *self._server.held_to_the_end())
+        return pack_state(self._state), Holds(out, *self._server.unreleased_share())
 
     def owned(self) -> None:
         """The successor is the owner; connections may be given."""
         assert self._to_successor is not None
         self._state = None
-        self._server.leave_to(self._to_successor)
+        self._server.hand_over_to(self._to_successor)
 
     def lost(self, untouched: bool, returned: Iterable[Item]) -> None:
         """There is no successor any more; connections that nobody has are back."""
         log.warning("the successor has ended; what is left is this process's again")
-        self.ingress.engine.take_back(self._state if untouched else None)
+        self.ingress.engine.resume(self._state if untouched else None)
         self._state = None
-        self._server.take_back(returned)
+        self._server.cancel_handover(returned)
 
     def wished(self, out_of_service: bool) -> None:
         """The successor's operator takes the ingress out of service, or puts it back."""
--- a/troutdock/engine/__init__.py
+++ b/troutdock/engine/__init__.py
@@ -17,7 +17,7 @@
     Timers,
     Transport,
 )
-from troutdock.engine.request import BadRequest, Manners, Request
+from troutdock.engine.request import BadRequest, ProtocolTraits, Request
 
 __all__ = [
     "Answer",
@@ -32,8 +32,8 @@
     "FleetListener",
     "Flow",
     "Ledger",
-    "Manners",
     "PlanBook",
+    "ProtocolTraits",
     "Reports",
     "Request",
     "StreamingExchange",
--- a/troutdock/engine/engine.py
+++ b/troutdock/engine/engine.py
@@ -73,7 +73,7 @@
     Answer,
     Clock,
     Counter,
-    Decides,
+    DecisionModule,
     Exchange,
     Flow,
     Ledger,
@@ -90,7 +90,7 @@
 
 # Before the client's deadline. Measured: 99 of 100 answers leave within 0.7 ms of the backend's, within 2 ms
 # beside a profiler; the rest is for the way from the client and back to it, and for a busy loop.
-MARGIN_MS = 20.0
+DEADLINE_MARGIN_MS = 20.0
 
 
 class Failure(Enum):
@@ -112,7 +112,7 @@
     refused: int = 0
     failed: int = 0
     withdrawn: int = 0
-    turned_away: int = 0  # of the refused, those that were so before any work was spent on them
+    rejected_early: int = 0  # of the refused, those that were so before any work was spent on them
     retries: int = 0  # of the taken, those that their clients have marked as such
     connections: int = 0  # of clients, where a front has such
 
@@ -125,8 +125,8 @@
         "begun",
         "deadline",
         "exchange",
+        "expires_ms",
         "failure",
-        "give_up",
         "number",
         "request",
         "reserved",
@@ -135,9 +135,9 @@
     )
 
     def __init__(
-        self, number: int, request: Request, exchange: Exchange, give_up: float, transport: Transport
+        self, number: int, request: Request, exchange: Exchange, expires_ms: float, transport: Transport
     ) -> None:
-        self.number, self.request, self.exchange, self.give_up = number, request, exchange, give_up
+        self.number, self.request, self.exchange, self.expires_ms = number, request, exchange, expires_ms
         self.transport = transport
         self.attempts: list[Attempt] = []
         self.begun: Attempt | None = None  # the attempt whose answer is being passed on
@@ -151,18 +151,23 @@
     """Drives one gateway with what happens at its ports; for use from one thread."""
 
     def __init__(
-        self, settings: Settings, seed: int, clock: Clock, timers: Timers, gateway: Decides | None = None
+        self,
+        settings: Settings,
+        seed: int,
+        clock: Clock,
+        timers: Timers,
+        gateway: DecisionModule | None = None,
     ) -> None:
         """gateway: who decides, in place of a gateway.Gateway."""
         self.clock, self._timers = clock, timers
-        self.relays_failures = False  # a backend's own failure is passed on, where nothing better comes
+        self.relay_backend_errors = False  # a backend's own failure is passed on, where nothing better comes
         self.tally = Tally()
         self.ready = False  # until there is a backend to send to
         if gateway is None:
             from troutdock.admission.gateway import Gateway
 
             gateway = Gateway(settings, seed)
-        self._gateway: Any = gateway  # a Decides; what is handed over is a gateway.Gateway's
+        self._gateway: Any = gateway  # a DecisionModule; what is handed over is a gateway.Gateway's
         self._most_units = settings.most_units
         self._calls: dict[int, Call] = {}
         self._open_ids: set[bytes] = set()
@@ -181,36 +186,36 @@
         self._transports.append(transport)
         return len(self._transports) - 1
 
-    def carry_with(self, pool: int, transport: Transport) -> None:
+    def replace_transport(self, pool: int, transport: Transport) -> None:
         """This one in place of the pool's transport, whose backends it knows; before any request."""
         self._transports[pool] = transport
 
-    def count_with(self, counter: Counter) -> None:
+    def set_counter(self, counter: Counter) -> None:
         """The counter, where the settings say that there is one."""
         self._counter = counter
 
-    def tell_by(self, peers: Peers) -> None:
+    def set_peers(self, peers: Peers) -> None:
         """The way to other gateways, where there is one; without it nothing is told."""
         self._peers = peers
 
-    def record_with(self, ledger: Ledger) -> None:
+    def set_ledger(self, ledger: Ledger) -> None:
         """Use is written down there from now on, before an answer counts as given."""
         self._ledger = ledger
 
-    def reserve_with(self, allowance: Allowance) -> None:
+    def set_allowance(self, allowance: Allowance) -> None:
         """Requests take their units there first, from now on."""
         self._allowance = allowance
 
-    def tell(self, gateway: int, body: bytes) -> None:
+    def send_to_peer(self, gateway: int, body: bytes) -> None:
         """Bytes to another gateway, for what stands beside the decision module; lost if there is no way."""
         if self._peers is not None:
             self._peers.tell(gateway, body)
 
-    def plan_with(self, plans: PlanBook) -> None:
+    def set_plan_book(self, plans: PlanBook) -> None:
         """Assignments go before the plan that a request names, from now on."""
         self._plans = plans
 
-    def assigned(self, customer: int, plan: str) -> bool:
+    def assign_plan(self, customer: int, plan: str) -> bool:
         """A customer's plan is this one from now on; false if the settings have none of that name."""
         number = self._plan_number(plan)
         if number is not None:
@@ -243,7 +248,7 @@
 
     # ---- events
 
-    def hand_over(self, tell: Callable[[Settled], None]) -> dict[str, Any]:
+    def export_state(self, tell: Callable[[Settled], None]) -> dict[str, Any]:
         """What the decision module knows, for a successor; from here on nothing new is let in.
 
         tell: what comes of the attempts that are out, each in its turn.
@@ -253,13 +258,13 @@
         self._tell = tell
         return snapshot.take(self._gateway)
 
-    def take_back(self, untouched: Any = None) -> None:
+    def resume(self, untouched: Any = None) -> None:
         """The other process has died: go on. untouched: the state, where it is known that nobody used it."""
         from troutdock.admission import snapshot
 
         snapshot.resume(self._gateway, self.clock.now(), untouched)
 
-    def take_over(self, state: Any) -> list[str]:
+    def import_state(self, state: Any) -> list[str]:
         """Go on from a predecessor's state: what of it is not known here.
 
         ValueError if it is none, and nothing is taken from it.
@@ -268,7 +273,7 @@
 
         return snapshot.restore(self._gateway, state)
 
-    def settle(self, settled: Settled) -> None:
+    def attempt_settled(self, settled: Settled) -> None:
         """What an attempt of the predecessor has come to."""
         self._handle(settled)
 
@@ -283,7 +288,7 @@
         self._most_units = settings.most_units
         self._handle(SettingsChanged(settings))
 
-    def fleet(self, update: FleetUpdate, endpoints: Mapping[BackendId, Any]) -> None:
+    def fleet_updated(self, update: FleetUpdate, endpoints: Mapping[BackendId, Any]) -> None:
         """The list of backends has changed."""
         transport = self._transports[update.pool]
         for entry in update.entries:
@@ -292,11 +297,11 @@
         transport.follow(update)
         self.ready = self.ready or bool(endpoints)
 
-    def watched(self, heard: bool) -> None:
+    def discovery_polled(self, heard: bool) -> None:
         """Discovery was heard by the last call to it, or was not."""
         self._handle(ListWatched(heard))
 
-    def inform(self, event: Event) -> None:
+    def handle_event(self, event: Event) -> None:
         """Something that the decision module is to know, and may act on."""
         self._handle(event)
 
@@ -304,7 +309,7 @@
         """The counter's answer to one call."""
         self._handle(event)
 
-    def heard(self, gateway: int, body: bytes) -> None:
+    def peer_message_received(self, gateway: int, body: bytes) -> None:
         """Bytes of another gateway's, by its number."""
         if self._allowance is None or not self._allowance.heard(gateway, body):
             self._handle(PeerMessage(gateway, body))
@@ -331,7 +336,7 @@
         self.tally.retries += arrival.retry
         self._assign(arrival, now)
         # the gateway's deadline lies before the client's, so that it tries nothing in between
-        arrival.time_left_ms = max(1.0, request.timeout_ms - (now - exchange.arrived) - MARGIN_MS)
+        arrival.time_left_ms = max(1.0, request.timeout_ms - (now - exchange.arrived) - DEADLINE_MARGIN_MS)
         call = Call(
             arrival.request, request, exchange, now + arrival.time_left_ms, self._transports[arrival.pool]
         )
@@ -347,7 +352,7 @@
             call.deadline = self._timers.call_later(left_s, self._time_is_up, call)
         return call
 
-    def turn_away(self, event: RequestWaited, exchange: Exchange) -> bool:
+    def reject_waited(self, event: RequestWaited, exchange: Exchange) -> bool:
         """Refuse a request that has waited too long for this process; false: it may go the ordinary way.
 
         The cheap way: no call, no timers, no counter. The gateway decides.
@@ -363,7 +368,7 @@
             return False
         self.tally.taken += 1
         self.tally.refused += 1
-        self.tally.turned_away += 1
+        self.tally.rejected_early += 1
         self.tally.retries += event.retry
         exchange.refused(refusal.retry_after_ms)
         return True
@@ -377,7 +382,7 @@
             self._handle(RequestWithdrawn(call.number))
             self._settle(call)
 
-    def abandon(self, call: Call) -> None:
+    def fail_call(self, call: Call) -> None:
         """Fail a call, as what would answer it closes; harmless once it is concluded."""
         if self._forget_unrecorded(call):
             self._fail(call, Failure.CLOSED, call.begun is not None)
@@ -388,7 +393,7 @@
     def close(self) -> None:
         """Fail every call that is still open, and wait for nothing more."""
         for call in [*self._calls.values(), *(call for call, _ in self._unrecorded.values())]:
-            self.abandon(call)
+            self.fail_call(call)
 
     # ---- reports of the transport
 
@@ -427,7 +432,7 @@
     def attempt_ended(self, attempt: Attempt, outcome: Outcome, answer: Answer | None) -> None:
         """The one outcome of an attempt."""
         call: Call = attempt.owner
-        if outcome is Outcome.ERROR and answer is not None and self.relays_failures:
+        if outcome is Outcome.ERROR and answer is not None and self.relay_backend_errors:
             call.failure = answer
         units = 0.0
         ends = call.number in self._calls and (outcome is Outcome.OK or call.begun is attempt)
@@ -465,7 +470,7 @@
             partial(self._recorded, call, answer),
         )
         if call.number in self._unrecorded:
-            left_s = max(0.0, call.give_up - self.clock.now()) / 1000
+            left_s = max(0.0, call.expires_ms - self.clock.now()) / 1000
             self._unrecorded[call.number] = call, self._timers.call_later(left_s, self._unrecorded_late, call)
 
     def _recorded(self, call: Call, answer: Answer, sure: bool) -> bool:
@@ -642,7 +647,7 @@
             call,
             len(call.attempts),
             action.backend,
-            request.message_to(action.backend, call.give_up - now),
+            request.message_to(action.backend, call.expires_ms - now),
             now,
             request.repeatable,
         )
--- a/troutdock/engine/ports.py
+++ b/troutdock/engine/ports.py
@@ -29,7 +29,7 @@
         """The time."""
 
 
-class Decides(Protocol):
+class DecisionModule(Protocol):
     """The decision module: gateway.Gateway, or proxy_admission.Fabric where ingresses know one another."""
 
     @property
--- a/troutdock/engine/request.py
+++ b/troutdock/engine/request.py
@@ -15,7 +15,7 @@
         self.status, self.reason = status, reason
 
 
-class Manners(NamedTuple):
+class ProtocolTraits(NamedTuple):
     """What the backends' protocol promises of requests and answers, beyond its framing.
 
     whole_first: nobody begins to work on a request before its last byte is there, so that one which broke
@@ -23,9 +23,9 @@
     again. silence_ends: an answer that stops midway may be given up before its request's time is over.
     """
 
-    whole_first: bool = True
-    names_request: bool = False
-    silence_ends: bool = True
+    starts_after_last_byte: bool = True
+    responses_name_request: bool = False
+    stall_timeout_applies: bool = True
 
 
 class Request:
@@ -38,7 +38,7 @@
     """
 
     __slots__ = ("arrival", "id", "repeatable", "timeout_ms")
-    manners: ClassVar[Manners] = Manners()
+    traits: ClassVar[ProtocolTraits] = ProtocolTraits()
 
     def __init__(self, id: bytes, arrival: RequestArrived, repeatable: bool) -> None:
         self.id, self.arrival, self.repeatable = id, arrival, repeatable
--- a/troutdock/grpc/exchange.py
+++ b/troutdock/grpc/exchange.py
@@ -97,7 +97,7 @@
         """Its time is over, and the engine does not end it."""
         self.late, call = True, self.call
         if call is not None:
-            self.connection.front.server.engine.abandon(call)
+            self.connection.front.server.engine.fail_call(call)
         else:
             self._fail(Status.DEADLINE_EXCEEDED, b"its messages have not come in time")
 
@@ -179,7 +179,7 @@
 
     def _release(self) -> None:
         if self.held:
-            self.connection.front.server.bodies.give(self.held)
+            self.connection.front.server.bodies.release(self.held)
             self.held = 0
 
 
--- a/troutdock/grpc/front.py
+++ b/troutdock/grpc/front.py
@@ -35,9 +35,9 @@
 )
 from troutdock.grpc.request import Names, Reader, Upload
 from troutdock.grpc.socket_connection import Wire
-from troutdock.http.socket_info import received_ago_ms
-from troutdock.http.body_limits import SMALL
-from troutdock.http.connection import NOTICED_MS
+from troutdock.http.socket_info import ms_since_last_data
+from troutdock.http.body_limits import UNBUDGETED_BODY_BYTES
+from troutdock.http.connection import MIN_WAIT_MS
 from troutdock.http2.connection import Connection, Stream
 from troutdock.http2.frames import Code, StreamError
 from troutdock.http2.headers import Headers, split
@@ -53,7 +53,7 @@
 IDLE_S = 60.0  # a connection without calls is ended after this; one of HTTP/1.1, which is cheaper to open, 10
 FIRST_S = 2.6  # until the first call, as for a first head in HTTP/1.1
 NOTICE_S = 0.3  # between the two GOAWAYs: a way there and back on any network near by
-STUCK_BYTES, STUCK_S = 256 * 1024, 10.0  # what and how long a client may leave unread
+STUCK_BYTES, WRITE_STALL_S = 256 * 1024, 10.0  # what and how long a client may leave unread
 NO_ROOM_MS = 500.0  # when to come back with messages that found no room
 _PSEUDO = frozenset((b":method", b":scheme", b":path", b":authority"))
 
@@ -105,9 +105,9 @@
         if self.sock is None:
             self.sock = transport.get_extra_info("socket")
         server = self.front.server
-        server.others[self] = self.front.connections[self] = None
+        server.other_connections[self] = self.front.connections[self] = None
         self.front.taken += 1
-        if server.leaving or server.availability.sends_away:
+        if server.handing_over or server.availability.sends_away:
             self.go_away()
         self.flush()
 
@@ -132,7 +132,7 @@
         self.flush()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.front.server.forget_other(self)
+        self.front.server.remove_other(self)
         self.front.connections.pop(self, None)
         calls, self._calls = self._calls, {}
         for exchange in calls.values():
@@ -181,7 +181,7 @@
         server = self.front.server
         arrived = self.now()
         if server.lag.notable and self.sock is not None:
-            arrived -= received_ago_ms(self.sock)  # the client's time runs from then on
+            arrived -= ms_since_last_data(self.sock)  # the client's time runs from then on
         try:
             request = self.front.reader.read(pseudo[b":path"], pseudo.get(b":authority", b""), metadata)
         except BadRequest as error:
@@ -225,9 +225,9 @@
         if exchange.size > self.front.most_message + PREFIX:
             self._give_up(exchange, Status.RESOURCE_EXHAUSTED, "the message is too long")
             return
-        if exchange.size > SMALL and exchange.size > exchange.held:
-            more = max(exchange.size - exchange.held, SMALL)
-            if not server.bodies.take(more):
+        if exchange.size > UNBUDGETED_BODY_BYTES and exchange.size > exchange.held:
+            more = max(exchange.size - exchange.held, UNBUDGETED_BODY_BYTES)
+            if not server.bodies.reserve(more):
                 self._refuse(exchange)
                 return
             exchange.held += more
@@ -266,10 +266,10 @@
         server, request = self.front.server, exchange.request
         a = request.arrival
         waited_ms = self.now() - exchange.arrived
-        late = waited_ms > NOTICED_MS and server.lag.notable
+        late = waited_ms > MIN_WAIT_MS and server.lag.notable
         if late and server.damping.turn_away and request.upload is None:
             waited = RequestWaited(a.customer, a.plan, a.cls, a.units, a.width, a.retry, waited_ms, a.key)
-            if server.engine.turn_away(waited, exchange):
+            if server.engine.reject_waited(waited, exchange):
                 return
         try:
             call = server.engine.arrive(request, exchange)
@@ -324,7 +324,7 @@
         for number, exchange in list(self._calls.items()):
             if exchange.over and number not in self.h2.streams:
                 del self._calls[number]
-            elif exchange.over and now - exchange.over_at > STUCK_S:  # a client that opens no window
+            elif exchange.over and now - exchange.over_at > WRITE_STALL_S:  # a client that opens no window
                 self.h2.reset(exchange.stream, Code.CANCEL)
                 self.flush()
         if self._leaving_at and now - self._leaving_at > NOTICE_S and not self.h2.gone:
@@ -332,7 +332,7 @@
             self.flush()
         if self._calls:
             self._quiet_since = now
-        if self._full_since and now - self._full_since > STUCK_S:
+        if self._full_since and now - self._full_since > WRITE_STALL_S:
             self.abort()
         elif self.h2.gone and not self._calls:
             self.close()
--- a/troutdock/grpc/request.py
+++ b/troutdock/grpc/request.py
@@ -10,7 +10,7 @@
 from troutdock.engine import BadRequest, Request
 from troutdock.grpc.methods import Method, Methods
 from troutdock.grpc.protocol import Ended, Metadata, format_timeout, parse_timeout
-from troutdock.http.request import ACCOUNT, QUOTA, key_number, once
+from troutdock.http.request import ACCOUNT, QUOTA, key_number, single_valued
 
 REPLAY = 64 * 1024  # bytes of a client's stream that are kept, as its first node may never have run it
 # what the ingress words itself; :authority and user-agent go on as they are
@@ -164,7 +164,9 @@
         method, names, settings = self._methods.find(path), self._names, self.settings
         if method is None:
             raise BadRequest(404, "no such method")
-        seen = once(metadata, (names.account, names.plan, names.quota, names.id, names.key, b"grpc-timeout"))
+        seen = single_valued(
+            metadata, (names.account, names.plan, names.quota, names.id, names.key, b"grpc-timeout")
+        )
         account = ACCOUNT.fullmatch(seen.get(names.account, b""))
         if account is None:
             raise BadRequest(400, f"{names.account.decode()} is missing or senseless")
--- a/troutdock/grpc/service.py
+++ b/troutdock/grpc/service.py
@@ -64,12 +64,12 @@
             self.front.pool = engine.add_pool(self.transport)
             entries = [BackendEntry(n, BackendState.READY) for n in range(1, len(terms.nodes) + 1)]
             update = FleetUpdate(ListKind.FULL, entries, pool=self.front.pool)
-            engine.fleet(update, dict(enumerate(terms.nodes, 1)))
+            engine.fleet_updated(update, dict(enumerate(terms.nodes, 1)))
         else:
             for backend, endpoint, up_since_ms in host.transport.places():
                 self.transport.place(backend, endpoint, up_since_ms)
-            engine.carry_with(0, BothTransports(host.transport, self.transport))
-        host.server.other = self.front.connection
+            engine.replace_transport(0, BothTransports(host.transport, self.transport))
+        host.server.other_protocol = self.front.connection
         if terms.listen is not None:
             sock = socket.create_server(terms.listen)
             self.address = sock.getsockname()[:2]
--- a/troutdock/grpc/transport.py
+++ b/troutdock/grpc/transport.py
@@ -25,9 +25,9 @@
 from troutdock.grpc.protocol import OF_HTTP, Ended, Status, outcome_of, read_end
 from troutdock.grpc.request import GrpcMessage
 from troutdock.grpc.socket_connection import Wire
-from troutdock.http.socket_info import received_ago_ms
-from troutdock.http.backend_pools import Pools
-from troutdock.http.transport import IDLE_PART, ONCE_STALL_S, STALL_S
+from troutdock.http.socket_info import ms_since_last_data
+from troutdock.http.backend_pools import BackendPools
+from troutdock.http.transport import IDLE_TIMEOUT_FRACTION, ONCE_STALL_S, STALL_S
 from troutdock.http2.connection import LOW, Connection, Stream
 from troutdock.http2.frames import Code
 from troutdock.http2.headers import Headers
@@ -40,11 +40,11 @@
 WINDOW = 32 * 1024  # bytes of one answer on their way: what a slow client holds up here
 CONNECTION_WINDOW = 1 << 20
 HELD = 64 * 1024  # bytes of an answer that is held whole; a longer one is passed on as it comes
-REST_S = 5.0  # what may not be repeated goes on no connection that has been silent for longer
+REUSE_DELAY_S = 5.0  # what may not be repeated goes on no connection that has been silent for longer
 SILENT_S = 1.0  # a call given up after hearing nothing for so long shows a connection that is dead
 
 
-class Streams(Protocol):
+class StreamReports(Protocol):
     """Who is told of answers: engine.Reports."""
 
     def answer_began(self, attempt: Attempt, head: Any = None, flow: Flow | None = None) -> bool: ...
@@ -239,7 +239,7 @@
             request.last = answer
             answer.body = attempt.body
         if outcome is Outcome.OK and self.pool.lag.notable:
-            attempt.lag_ms += received_ago_ms(self.sock)
+            attempt.lag_ms += ms_since_last_data(self.sock)
         self.pool.ended(attempt, outcome, answer if outcome is Outcome.OK else None)
         self._rests()
 
@@ -419,7 +419,7 @@
         now = asyncio.get_running_loop().time()
         for connection in list(self.connections):
             if connection.room > 0:
-                silent = not connection.h2.streams and connection.heard_at < now - REST_S
+                silent = not connection.h2.streams and connection.heard_at < now - REUSE_DELAY_S
                 if connection.usable() and (attempt.repeatable or not silent):
                     return connection
                 connection.leaving = True
@@ -537,12 +537,18 @@
     """All nodes that speak gRPC, within the bound on connections that all backends share."""
 
     def __init__(
-        self, reports: Streams, room: Room, connect_timeout_s: float, idle_s: float, max_answer: int, lag: Lag
+        self,
+        reports: StreamReports,
+        room: Room,
+        connect_timeout_s: float,
+        idle_s: float,
+        max_answer: int,
+        lag: Lag,
     ) -> None:
         self.reports, self.room, self.lag = reports, room, lag
         self.connect_timeout_s, self.max_answer = connect_timeout_s, max_answer
-        self.idle_s = idle_s * IDLE_PART
-        self.pools = Pools(lambda endpoint, up_since_ms: Pool(endpoint, self, up_since_ms))
+        self.idle_s = idle_s * IDLE_TIMEOUT_FRACTION
+        self.pools = BackendPools(lambda endpoint, up_since_ms: Pool(endpoint, self, up_since_ms))
 
     def place(self, backend: BackendId, endpoint: Address, up_since_ms: float = 0.0) -> None:
         """A node is at this address, perhaps a new one, or one that has started anew."""
--- a/troutdock/http/backend_pools.py
+++ b/troutdock/http/backend_pools.py
@@ -9,7 +9,7 @@
 from troutdock.address import Address
 
 
-class Retiring(Protocol):
+class RetirablePool(Protocol):
     """The connections to one backend."""
 
     endpoint: Address
@@ -19,10 +19,10 @@
         """The backend has left: what is under way goes on, nothing is kept for later."""
 
 
-P = TypeVar("P", bound=Retiring)
+P = TypeVar("P", bound=RetirablePool)
 
 
-class Pools(Generic[P]):
+class BackendPools(Generic[P]):
     """One for each backend that is there."""
 
     def __init__(self, make: Callable[[Address, float], P]) -> None:
--- a/troutdock/http/body_limits.py
+++ b/troutdock/http/body_limits.py
@@ -6,32 +6,42 @@
 
 from __future__ import annotations
 
-SMALL = 64 * 1024  # bytes: bodies up to here are covered by the memory of the connection itself
+UNBUDGETED_BODY_BYTES = (
+    64 * 1024
+)  # bytes: bodies up to here are covered by the memory of the connection itself
 MIB = 1024 * 1024
-BASE_MB = 32  # of memory for the program, its connections and answers under way; measured: 14 to 28 MB
-PART = 0.5  # of the rest is for bodies: what is written to a backend may stand in its buffer as well
-LEAST = 2 * MIB
+PROGRAM_MEMORY_MB = (
+    32  # of memory for the program, its connections and answers under way; measured: 14 to 28 MB
+)
+BODY_MEMORY_FRACTION = (
+    0.5  # of the rest is for bodies: what is written to a backend may stand in its buffer as well
+)
+MIN_BODY_BUDGET = 2 * MIB
 
 STREAM_KIB = 180  # of memory for an answer that a slow client reads, measured: benchmarks/slow_readers.py
-LEAST_STREAMS = 16
+MIN_STREAMS = 16
 
-HEAD_S = 2.6  # for a head, from the connection's start or its first byte on: clients have been seen to take 2
-SILENT_S = 2.0  # for the first byte of a new connection
-GRACE_S = 1.5  # until a body's pace counts
-PACE = 32 * 1024  # bytes a second: half of what the slowest clients do
+HEADER_TIMEOUT_S = (
+    2.6  # for a head, from the connection's start or its first byte on: clients have been seen to take 2
+)
+FIRST_BYTE_TIMEOUT_S = 2.0  # for the first byte of a new connection
+BODY_GRACE_S = 1.5  # until a body's pace counts
+MIN_BODY_RATE = 32 * 1024  # bytes a second: half of what the slowest clients do
 
 
-def budget_for(memory_mb: float) -> int:
+def body_budget_bytes(memory_mb: float) -> int:
     """Bytes that may be held of long bodies, all together, in a process of so much memory."""
-    return max(LEAST, int((memory_mb - BASE_MB) * PART * MIB))
+    return max(MIN_BODY_BUDGET, int((memory_mb - PROGRAM_MEMORY_MB) * BODY_MEMORY_FRACTION * MIB))
 
 
-def streams_for(memory_mb: float) -> int:
+def max_streams_for(memory_mb: float) -> int:
     """How many answers may be passed on as they come, all to slow clients, in a process of so much memory."""
-    return max(LEAST_STREAMS, int((memory_mb - BASE_MB) * (1 - PART) * 1024 / STREAM_KIB))
+    return max(
+        MIN_STREAMS, int((memory_mb - PROGRAM_MEMORY_MB) * (1 - BODY_MEMORY_FRACTION) * 1024 / STREAM_KIB)
+    )
 
 
-class Budget:
+class ByteBudget:
     """Bytes that are held, within a bound."""
 
     __slots__ = ("bound", "held")
@@ -39,19 +49,19 @@
     def __init__(self, bound: int = 64 * MIB) -> None:
         self.bound, self.held = bound, 0
 
-    def take(self, count: int) -> bool:
+    def reserve(self, count: int) -> bool:
         """Hold so many more; false, and nothing is held, where there is no room."""
         if self.held + count > self.bound:
             return False
         self.held += count
         return True
 
-    def give(self, count: int) -> None:
+    def release(self, count: int) -> None:
         """So many are held no longer."""
         self.held -= count
 
 
-class Pace:
+class MessageTimer:
     """How long the message that is coming has taken, on a clock in seconds."""
 
     __slots__ = ("_body_since", "_fresh", "_since", "_started")
@@ -80,8 +90,12 @@
         """The head is whole; from now on the body is measured."""
         self._body_since = now
 
-    def late(self, now: float, received: int, head_s: float = HEAD_S) -> bool:
+    def late(self, now: float, received: int, head_s: float = HEADER_TIMEOUT_S) -> bool:
         """It has had its time; received: bytes of the body so far. head_s: for a head."""
         if self._body_since:
-            return now - self._body_since > GRACE_S + received / PACE
-        return now - self._since > (head_s if self._started else max(SILENT_S, head_s - HEAD_S + SILENT_S))
+            return now - self._body_since > BODY_GRACE_S + received / MIN_BODY_RATE
+        return now - self._since > (
+            head_s
+            if self._started
+            else max(FIRST_BYTE_TIMEOUT_S, head_s - HEADER_TIMEOUT_S + FIRST_BYTE_TIMEOUT_S)
+        )
--- a/troutdock/http/connection.py
+++ b/troutdock/http/connection.py
@@ -14,8 +14,8 @@
 
 from troutdock.engine import BadRequest, Failure
 from troutdock.handover.roles import Item
-from troutdock.http.socket_info import has_left, has_unread
-from troutdock.http.body_limits import SMALL, Pace
+from troutdock.http.socket_info import peer_closed, has_unread_data
+from troutdock.http.body_limits import UNBUDGETED_BODY_BYTES, MessageTimer
 from troutdock.http.exchange import Exchange
 from troutdock.http.response import MAX_BODY
 
@@ -27,15 +27,15 @@
 MAX_PIPELINED = 8  # answers owed on one connection before reading pauses
 LINE = 4  # bytes of a header line beside its name and value
 MAX_FRAMING = 4 * MAX_BODY  # bytes of chunk framing in one message, beyond as many as its body has
-NO_ROOM_S = b"0.5"  # when to come back with a body that found no room; others' are answered by then
-NOTICED_MS = 10.0  # a shorter wait for this process turns nobody away: not worth asking
+BODY_RETRY_AFTER_S = b"0.5"  # when to come back with a body that found no room; others' are answered by then
+MIN_WAIT_MS = 10.0  # a shorter wait for this process turns nobody away: not worth asking
 
 PREFACE = b"PRI * HTTP/2.0\r\n\r\n"  # of HTTP/2; what stands behind it is its own (RFC 9113, 3.4)
 
 _ABSOLUTE = re.compile(rb"https?://[^/?]*", re.I)
 
 
-def path_of(url: bytes) -> bytes:
+def origin_form(url: bytes) -> bytes:
     """The path and query of a request's target, which may come in absolute form (RFC 9112, 3.2.2)."""
     if url[:1] == b"/":
         return url
@@ -43,7 +43,7 @@
     return rest if rest[:1] == b"/" else b"/" + rest if rest != url else url
 
 
-class Whole(NamedTuple):
+class CompleteRequest(NamedTuple):
     """A request that has come whole while this process leaves its clients to a successor."""
 
     method: bytes
@@ -77,21 +77,21 @@
         self._raw: list[bytes] | None = None
         self._raw_of = -1  # how many messages were complete before that one
         self._raw_body = 0  # bytes of its body that are in there
-        self._wholes: list[Whole] = []  # for a successor
+        self._wholes: list[CompleteRequest] = []  # for a successor
         self._parser: Any = httptools.HttpRequestParser(self)  # None once the connection is lost
         self._exchanges: deque[Exchange] = deque()
         self._received = 0  # bytes of the message that is coming
         self._read = 0  # bytes of the last read: it may hold several messages whole
         self.begun = False  # a message has, and is not complete
         self._in_head = True
-        self.deaf = False  # the connection is about to end: nothing more is taken
+        self.closing = False  # the connection is about to end: nothing more is taken
         self._paused = self._full = False  # reading, and what is written and not taken
         self._transport: asyncio.Transport
-        self._pace = Pace(time.monotonic(), item is None)
+        self._pace = MessageTimer(time.monotonic(), item is None)
         self._held = 0  # bytes of the budget for bodies that the message which is coming has
         self._continue = False  # the client waits to be told that its body is wanted
         # what has come, until it is told which protocol it is
-        self._first: bytes | None = None if server.other is None or item is not None else b""
+        self._first: bytes | None = None if server.other_protocol is None or item is not None else b""
         self._clear()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -107,7 +107,7 @@
         self.item = None
 
     def data_received(self, data: bytes) -> None:
-        if self.deaf:
+        if self.closing:
             return  # only drained: see _end
         if self._first is not None:
             data = self._told_apart(data)
@@ -132,12 +132,12 @@
         if self.begun:
             self._remember(data, completed)
         if self._wholes and self.server.successor is not None:
-            self.server.pass_on_soon(self)
+            self.server.schedule_pass_on(self)
         # also one that ends with its answer: it waits for that, not for us
         if self._exchanges or self._wholes:
             self.server.waiting.drop(self)
             self.server.idle.drop(self)
-        elif not self.deaf and self.begun and self.server.idle.drop(self):
+        elif not self.closing and self.begun and self.server.idle.drop(self):
             self.server.waiting.add(self)
         if len(self._exchanges) + len(self._wholes) >= MAX_PIPELINED and not self._paused:
             self._paused = True
@@ -151,11 +151,11 @@
             self._first = first  # two bytes may still be a POST's; the line of those that wait has their time
             return b""
         self._first = None
-        if self.server.other is None or not first.startswith(PREFACE):
+        if self.server.other_protocol is None or not first.startswith(PREFACE):
             return first
-        self.deaf = True
+        self.closing = True
         self.server.forget(self)
-        other = self.server.other(self.sock)
+        other = self.server.other_protocol(self.sock)
         self._transport.set_protocol(other)
         other.connection_made(self._transport)
         other.data_received(first)
@@ -175,40 +175,40 @@
 
     def _reject(self, status: int) -> None:
         """What came is no request, and where the next would begin can't be told."""
-        if not self.deaf:
+        if not self.closing:
             self._drop_body()
             self.take_back()  # with this behind them they can't go to a successor
             exchange = Exchange(self, False)
             self._exchanges.append(exchange)
-            self.deaf = True
+            self.closing = True
             if status == 503:  # no room now: nothing has run, and trying again is harmless
-                exchange.answer(status, b"", ((b"Retry-After", NO_ROOM_S),))
+                exchange.answer(status, b"", ((b"Retry-After", BODY_RETRY_AFTER_S),))
             else:
                 exchange.answer(status)
 
     def _drop_body(self) -> None:
         """What has come of a message's body goes, and its part of the budget."""
-        self.server.bodies.give(self._held)
+        self.server.bodies.release(self._held)
         self._held = 0
         self._body.clear()
 
     @property
-    def asks(self) -> bool:
+    def has_request(self) -> bool:
         """The body of a request is coming, whose head makes sense, or something has come and is not read yet.
 
         Guards against cutting a connection whose request stands in the kernel while this process is late.
         """
-        return (self.begun and not self._in_head) or (self.sock is not None and has_unread(self.sock))
+        return (self.begun and not self._in_head) or (self.sock is not None and has_unread_data(self.sock))
 
     def late(self, now: float) -> bool:
         """The message that is coming, or the first one, has had its time."""
         return self._pace.late(now, self._size, self.server.head_s)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.deaf = True
+        self.closing = True
         self.server.forget(self)
         self._drop_body()
-        self.server.bodies.give(sum(whole.held for whole in self._wholes))
+        self.server.bodies.release(sum(whole.held for whole in self._wholes))
         self._wholes.clear()
         exchanges, self._exchanges = self._exchanges, deque()
         for exchange in exchanges:
@@ -240,7 +240,7 @@
             if not exchange.keep_alive:
                 self._end()
                 return
-        if not self._exchanges and not self.deaf:
+        if not self._exchanges and not self.closing:
             self._tell_to_continue()
             self.server.waiting.drop(self)
             if self.begun:
@@ -248,14 +248,14 @@
             else:
                 self.server.rest(self)
             if self.server.successor is not None:
-                self.server.pass_on_soon(self)
+                self.server.schedule_pass_on(self)
         if self._paused and len(self._exchanges) < MAX_PIPELINED:
             self._paused = False
             self._transport.resume_reading()
 
     def pass_on(self) -> Item | None:
         """Leave the connection to another process; None: something of it is here that would be lost."""
-        if self.sock is None or self.deaf or self._exchanges or self.unwritten:
+        if self.sock is None or self.closing or self._exchanges or self.unwritten:
             return None
         if self.begun and self._raw is None:
             return None  # until it is whole
@@ -267,7 +267,7 @@
         arrived_ms = self._wholes[0].arrived_ms if self._wholes else 0.0
         self._transport.pause_reading()
         item = Item(self.sock.dup(), data, began_ms, arrived_ms)
-        self.deaf = True
+        self.closing = True
         self._transport.abort()  # closes this process's descriptor only
         return item
 
@@ -306,7 +306,7 @@
 
     def _end(self) -> None:
         """Say goodbye, but read on for a while: an unread byte would take the answer with it."""
-        self.deaf = True
+        self.closing = True
         self.server.waiting.drop(self)
         self.server.idle.drop(self)
         self.server.ending.add(self)
@@ -318,19 +318,19 @@
 
     def time_out(self) -> None:
         """The message has not come whole in its time: an error if it has begun, and the end."""
-        if self.begun and not self.deaf:
+        if self.begun and not self.closing:
             self._reject(408)
         else:
             self.close()
 
     def close(self) -> None:
         """Close the connection between requests, once its last answer is out."""
-        self.deaf = True
+        self.closing = True
         self._transport.close()
 
     def make_room(self) -> None:
         """Close now, as its place is needed: with bytes that the client does not read it would stay open."""
-        self.deaf = True
+        self.closing = True
         if self._transport.get_write_buffer_size():
             self._transport.abort()
         else:
@@ -338,7 +338,7 @@
 
     def abort(self) -> None:
         """Close at once: guards against a client that never reads its answer, or never ends its request."""
-        self.deaf = True
+        self.closing = True
         self._transport.abort()
 
     # ---- called by the parser
@@ -379,7 +379,7 @@
             raise BadRequest(400, "the length is no number")
         if lengths and (len(lengths[0]) > 12 or int(lengths[0]) > self.server.bodies.bound):
             raise BadRequest(413, "the body is too long")
-        if lengths and int(lengths[0]) > SMALL:
+        if lengths and int(lengths[0]) > UNBUDGETED_BODY_BYTES:
             self._hold(int(lengths[0]))  # all of it before any has come: no two wait for each other's end
         expects = [value.lower() for name, value in self._headers if name == b"expect"]
         if b"100-continue" in expects and (lengths or codings) and self._parser.get_http_version() == "1.1":
@@ -389,32 +389,34 @@
 
     def _tell_to_continue(self) -> None:
         """RFC 9110, 10.1.1; not before the answers that are owed."""
-        if self._continue and not self.deaf:
+        if self._continue and not self.closing:
             self._continue = False
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def _hold(self, count: int) -> None:
-        if not self.server.bodies.take(count):
+        if not self.server.bodies.reserve(count):
             raise BadRequest(503, "there is no room for the body now")
         self._held += count
 
     def on_body(self, data: bytes) -> None:
         self._size += len(data)
         self._continue = False  # it did not wait
-        if self._size > SMALL and self._size > self._held:
+        if self._size > UNBUDGETED_BODY_BYTES and self._size > self._held:
             if self._size > self.server.bodies.bound:
                 raise BadRequest(413, "the body is too long")
-            self._hold(max(self._size - self._held, SMALL))  # in steps: a chunked one does not say its length
+            self._hold(
+                max(self._size - self._held, UNBUDGETED_BODY_BYTES)
+            )  # in steps: a chunked one does not say its length
         self._body.append(data)
 
     def on_message_complete(self) -> None:
         self._received, self.begun = 0, False
         self._completed += 1
         self._raw = None
-        if self.deaf:
+        if self.closing:
             return
         keeps = self._parser.should_keep_alive() and not self._parser.should_upgrade()
-        whole = Whole(
+        whole = CompleteRequest(
             self._parser.get_method(),
             self._url,
             self._parser.get_http_version(),
@@ -425,17 +427,17 @@
             self.arrived_ms,
         )
         self._held, self._body, self._continue = 0, [], False
-        if self.server.leaving:
+        if self.server.handing_over:
             self._wholes.append(whole._replace(arrived_ms=self.server.engine.clock.now()))
         else:
             self._take(whole)
 
-    def _take(self, whole: Whole) -> None:
+    def _take(self, whole: CompleteRequest) -> None:
         """A request that is this process's to answer."""
         exchange = Exchange(self, whole.keeps, whole.held, whole.version != "1.0", whole.arrived_ms)
         self._exchanges.append(exchange)
         if not whole.keeps:
-            self.deaf = True
+            self.closing = True
         self._ask(exchange, whole.method, whole.url, whole.headers, whole.body)
 
     def _ask(
@@ -447,19 +449,19 @@
         body: list[bytes],
     ) -> None:
         """A request has come whole: it is answered here, or goes to the engine."""
-        path, server = path_of(url), self.server
+        path, server = origin_form(url), self.server
         if path == server.health_path and method == b"GET":
             exchange.answer(200 if server.healthy else 503)
             return
         waited_ms = server.engine.clock.now() - exchange.arrived
-        if waited_ms > NOTICED_MS:
+        if waited_ms > MIN_WAIT_MS:
             damping = server.damping
-            if damping.drop_departed and self.sock is not None and has_left(self.sock):
+            if damping.drop_departed and self.sock is not None and peer_closed(self.sock):
                 self._exchanges.pop()  # the connection's end, unread yet, withdraws those before it
                 return
             if damping.turn_away:
                 waited = server.reader.waited(path, headers, waited_ms)
-                if waited is not None and server.engine.turn_away(waited, exchange):
+                if waited is not None and server.engine.reject_waited(waited, exchange):
                     return
         try:
             request = server.reader.read(method, path, headers, body)
@@ -467,7 +469,7 @@
             if exchange.reply is None:
                 exchange.call = call
         except BadRequest as error:
-            retry = ((b"Retry-After", NO_ROOM_S),) if error.status == 503 else ()
+            retry = ((b"Retry-After", BODY_RETRY_AFTER_S),) if error.status == 503 else ()
             exchange.answer(error.status, error.reason.encode(), ((b"Content-Type", b"text/plain"), *retry))
         except Exception:
             # guards what the parser would swallow: a request with no answer stands before all later ones
--- a/troutdock/http/connection_slots.py
+++ b/troutdock/http/connection_slots.py
@@ -10,7 +10,7 @@
     from troutdock.http.connection import ClientConnection
 
 
-class Line:
+class ConnectionQueue:
     """Connections in the order of their coming here: each is added, found or dropped in constant time."""
 
     def __init__(self) -> None:
@@ -35,7 +35,7 @@
         for connection, since in self._since.items():
             if since >= before:
                 return None
-            if not (silent and connection.asks):
+            if not (silent and connection.has_request):
                 return connection
         return None
 
--- a/troutdock/http/exchange.py
+++ b/troutdock/http/exchange.py
@@ -6,9 +6,9 @@
 from typing import TYPE_CHECKING
 
 from troutdock.engine import Call, Failure, Flow
-from troutdock.http.socket_info import received_ago_ms
+from troutdock.http.socket_info import ms_since_last_data
 from troutdock.http.response import MAX_BODY, Response
-from troutdock.http.status import FAILED
+from troutdock.http.status import FAILURE_STATUS
 
 if TYPE_CHECKING:
     from troutdock.http.connection import ClientConnection
@@ -50,7 +50,7 @@
         server = connection.server
         self.arrived = arrived_ms or server.engine.clock.now()
         if not arrived_ms and server.lag.notable and connection.sock is not None:
-            self.arrived -= received_ago_ms(connection.sock)  # the client's time runs from then on
+            self.arrived -= ms_since_last_data(connection.sock)  # the client's time runs from then on
         self.call: Call | None = None
         self.reply: bytes | None = None
         self.body = b""  # behind the reply, where it is not part of it
@@ -66,13 +66,13 @@
             self._flows_no_more()
             self.connection.flush()
             return
-        self.answer(answer.status, answer.body, self.connection.server.passes(answer))
+        self.answer(answer.status, answer.body, self.connection.server.forwarded_headers(answer))
 
     def began(self, head: Response, flow: Flow) -> None:
         """A long answer: its head goes out now, its body as it comes."""
         self.release()
         self.flow = flow
-        self.connection.server.stream_begins()
+        self.connection.server.stream_started()
         length = head.headers.get(b"content-length")
         if length is not None:
             framing = (b"Content-Length", length)
@@ -82,7 +82,7 @@
         else:
             framing = (b"Connection", b"close")  # its end is the connection's: HTTP/1.0
             self.keep_alive = False
-        self.pieces = [self._head(head.status, (framing, *self.connection.server.passes(head)))]
+        self.pieces = [self._head(head.status, (framing, *self.connection.server.forwarded_headers(head)))]
         if self.connection.first() is not self:
             flow.pause()  # until the answers before it are out
         self.connection.flush()
@@ -102,7 +102,7 @@
 
     def failed(self, why: Failure) -> None:
         """A status that no client takes for a refusal."""
-        self.answer(FAILED[why])
+        self.answer(FAILURE_STATUS[why])
 
     def broken(self) -> None:
         """An answer that had begun can't be finished: the connection's end shows it."""
@@ -114,7 +114,7 @@
         """The request's body is needed no longer, nor is its answer waited for."""
         self._flows_no_more()
         if self.held:
-            self.connection.server.bodies.give(self.held)
+            self.connection.server.bodies.release(self.held)
             self.held = 0
 
     def _flows_no_more(self) -> None:
@@ -139,7 +139,7 @@
 
     def _head(self, status: int, headers: tuple[tuple[bytes, bytes], ...]) -> bytes:
         server = self.connection.server
-        if (server.availability.sends_away and not server.leaving) or server.crowded:
+        if (server.availability.sends_away and not server.handing_over) or server.crowded:
             self.keep_alive = False
         lines = [b"HTTP/1.1 %d %b" % (status, _REASONS.get(status, b""))]
         lines += [b"%b: %b" % pair for pair in headers]
--- a/troutdock/http/listener.py
+++ b/troutdock/http/listener.py
@@ -29,13 +29,13 @@
 from troutdock.address import Address
 from troutdock.engine import Engine
 from troutdock.handover.roles import Item
-from troutdock.http.socket_info import has_left
-from troutdock.http.body_limits import HEAD_S, Budget
+from troutdock.http.socket_info import peer_closed
+from troutdock.http.body_limits import HEADER_TIMEOUT_S, ByteBudget
 from troutdock.http.connection import ClientConnection
-from troutdock.http.connection_slots import Line
+from troutdock.http.connection_slots import ConnectionQueue
 from troutdock.http.request import Headers, HttpRequest
 from troutdock.http.response import MAX_HEAD
-from troutdock.http.status import passed_on
+from troutdock.http.status import forwarded_headers
 from troutdock.management.availability import Availability, State
 from troutdock.overload.damping import EVERY, Damping
 from troutdock.overload.lag import Lag
@@ -43,22 +43,26 @@
 log = logging.getLogger("troutdock")
 
 IDLE_S = 10.0  # a client's connection between requests is closed after this
-CROWDED_PART = 0.875  # of the places: with more taken, answers end their connections
-IDLE_PART = 4  # at most one place in so many is kept for connections between requests
-USED_S = 0.5  # a connection between requests for less is in use: closing it would cross the next request
-STUCK_S = 10.0  # for taking what was written: some 64 KiB, which the slowest clients read in a few seconds
+CROWDED_FRACTION = 0.875  # of the places: with more taken, answers end their connections
+IDLE_CONNECTION_SHARE = 4  # at most one place in so many is kept for connections between requests
+RECENT_USE_S = (
+    0.5  # a connection between requests for less is in use: closing it would cross the next request
+)
+WRITE_STALL_S = (
+    10.0  # for taking what was written: some 64 KiB, which the slowest clients read in a few seconds
+)
 LINGER_S = 1.0  # what a client still sends is read and dropped for so long, so that it can read its answer
-FRESH_S = 0.05  # a connection younger than this may be about to bring its request
+NEW_CONNECTION_S = 0.05  # a connection younger than this may be about to bring its request
 BACKLOG = 1024  # connections in the kernel's queue: what a crowd opens in the second that a pass may take
 ACCEPT_AT_ONCE = 16  # connections, before those accepted are listened to
 ACCEPT_PAUSE_S = 0.05  # without descriptors: one comes free with the next answer or two
 DRAIN_ACCEPT_S, DRAIN_QUIET_S, DRAIN_MOST_S = 0.4, 0.2, 1.0  # how long SIGTERM leaves the door open
 # Out of service, or with a successor at the same socket: connections in use end with their answers meanwhile,
 # so that hardly a request is left to cross the close of an idle one. The platform looks after 4 s.
-SENT_AWAY_S = 1.0
+OUT_OF_SERVICE_S = 1.0
 
 
-class Other(Protocol):
+class OtherProtocolConnection(Protocol):
     """A connection of another protocol that holds one of the clients' places."""
 
     @property
@@ -75,7 +79,7 @@
         """Close, as the place is needed."""
 
 
-class Reads(Protocol):
+class RequestParser(Protocol):
     """What makes requests of messages: http.request.Reader, or one that goes by routes."""
 
     def read(self, method: bytes, url: bytes, headers: Headers, body: bytes | list[bytes]) -> HttpRequest:
@@ -98,45 +102,50 @@
     def __init__(
         self,
         engine: Engine,
-        reader: Reads,
+        reader: RequestParser,
         max_clients: int,
         lag: Lag | None = None,
         damping: Damping = EVERY,
-        bodies: Budget | None = None,
+        bodies: ByteBudget | None = None,
         max_streams: int = 100,
     ) -> None:
         self.streams, self._max_streams = 0, max_streams  # answers that are passed on as they come
-        self.bodies = bodies or Budget()  # what clients' long bodies may take of the memory
+        self.bodies = bodies or ByteBudget()  # what clients' long bodies may take of the memory
         self.lag, self.damping = lag or Lag(), damping
         self.engine = engine
-        self.reader: Reads = reader
-        self.passes = passed_on  # which headers of a backend's answer a client gets
+        self.reader: RequestParser = reader
+        self.forwarded_headers = forwarded_headers  # which headers of a backend's answer a client gets
         # where clients ask whether this process wants them; None: not at their own address
         self.health_path: bytes | None = b"/healthz"
         self.max_head = MAX_HEAD  # bytes of a request line with its headers
-        self.head_s, self.idle_s = HEAD_S, IDLE_S  # for a head to come; until an idle connection is closed
+        self.head_s, self.idle_s = (
+            HEADER_TIMEOUT_S,
+            IDLE_S,
+        )  # for a head to come; until an idle connection is closed
         # how long SIGTERM leaves the door open: at least, and where clients still come
         self.drain_accept_s, self.drain_most_s = DRAIN_ACCEPT_S, DRAIN_MOST_S
         self.availability = Availability()
         self._max_clients = max_clients
-        self._max_idle = max(1, max_clients // IDLE_PART)
+        self._max_idle = max(1, max_clients // IDLE_CONNECTION_SHARE)
         self._loop = asyncio.get_running_loop()
         self._clients: dict[ClientConnection, None] = {}
         # who takes a connection that begins with HTTP/2's preface; None: HTTP/1.1 alone is spoken
-        self.other: Callable[[socket.socket | None], asyncio.Protocol] | None = None
-        self.others: dict[Other, None] = {}
+        self.other_protocol: Callable[[socket.socket | None], asyncio.Protocol] | None = None
+        self.other_connections: dict[OtherProtocolConnection, None] = {}
         # each connection that owes no answer stands in one of these
-        self.ending = Line()  # answered for the last time, and drained
-        self.waiting = Line()  # no whole request has come yet, or the next has begun
-        self.idle = Line()  # between requests
-        self.slow = Line()  # has not taken what was written to it; may stand in another one as well
+        self.ending = ConnectionQueue()  # answered for the last time, and drained
+        self.waiting = ConnectionQueue()  # no whole request has come yet, or the next has begun
+        self.idle = ConnectionQueue()  # between requests
+        self.slow = (
+            ConnectionQueue()
+        )  # has not taken what was written to it; may stand in another one as well
         self._starting: set[asyncio.Task[None]] = set()  # held here, as the loop holds tasks only weakly
         self._coming = 0  # connections that are accepted and not up yet
         self._last_accept = 0.0
         self._accepting = False
         self._shut = False  # the drain is about to close the listener
         self._inherited = False
-        self.leaving = False  # what comes whole is another's to answer, who may not be there yet
+        self.handing_over = False  # what comes whole is another's to answer, who may not be there yet
         self.successor: Successor | None = None  # who takes the clients' connections
         self._listener: socket.socket
 
@@ -167,7 +176,7 @@
     # The loop's own server can't pause accepting: it would take connections past the bound on sockets.
 
     def _resume(self) -> None:
-        if not self._accepting and not self.leaving and self._listener.fileno() >= 0:
+        if not self._accepting and not self.handing_over and self._listener.fileno() >= 0:
             self._accepting = True
             self._loop.add_reader(self._listener.fileno(), self._accept)
 
@@ -195,14 +204,14 @@
                 self._pause()
                 self._loop.call_later(ACCEPT_PAUSE_S, self._resume)
                 return
-            if self.damping.drop_departed and self.lag.notable and has_left(sock):
+            if self.damping.drop_departed and self.lag.notable and peer_closed(sock):
                 sock.close()  # nobody waits for what it asked
                 continue
             if spare is not None:
                 if isinstance(spare, ClientConnection):
                     self.forget(spare)
                 else:
-                    self.others.pop(spare, None)
+                    self.other_connections.pop(spare, None)
                 spare.make_room()
             sock.setblocking(False)
             self._last_accept = time.monotonic()
@@ -225,9 +234,9 @@
     @property
     def _taken(self) -> int:
         """Places."""
-        return len(self._clients) + len(self.others) + self._coming
+        return len(self._clients) + len(self.other_connections) + self._coming
 
-    def _spare(self) -> ClientConnection | Other | None:
+    def _spare(self) -> ClientConnection | OtherProtocolConnection | None:
         """The connection that is missed least: answered for good, then without a request, then idle.
 
         One that has only just come has had no time to ask, unless there are many of them. One that is in use
@@ -238,21 +247,21 @@
         now = time.monotonic()
         return (
             self.ending.first()
-            or self.waiting.first(inf if many else now - FRESH_S, silent=True)
+            or self.waiting.first(inf if many else now - NEW_CONNECTION_S, silent=True)
             or self._unused(now)
             or self._unused_other(now)
         )
 
-    def _unused_other(self, now: float) -> Other | None:
-        idle = [other for other in self.others if other.idle_since < now - USED_S]
+    def _unused_other(self, now: float) -> OtherProtocolConnection | None:
+        idle = [other for other in self.other_connections if other.idle_since < now - RECENT_USE_S]
         return min(idle, key=lambda other: other.idle_since, default=None)
 
     @property
     def crowded(self) -> bool:
         """Places are short: connections are to end with their next answer, before any has to be cut."""
-        return self._taken > self._max_clients * CROWDED_PART and self.damping.polite_closing
+        return self._taken > self._max_clients * CROWDED_FRACTION and self.damping.polite_closing
 
-    def stream_begins(self) -> None:
+    def stream_started(self) -> None:
         """One more is passed on; with too many, the client that took nothing for longest is cut.
 
         Guards the memory: each costs some, and a process that is killed for it loses all that it has taken.
@@ -272,7 +281,7 @@
         between = connection.item is not None and not connection.item.data
         (self.idle if between else self.waiting).add(connection)
         if self.successor is not None:
-            self.pass_on_soon(connection)
+            self.schedule_pass_on(connection)
 
     def forget(self, connection: ClientConnection) -> None:
         """A connection has ended."""
@@ -281,19 +290,19 @@
             line.drop(connection)
         self._resume()
 
-    def forget_other(self, other: Other) -> None:
+    def remove_other(self, other: OtherProtocolConnection) -> None:
         """A connection of another protocol has ended."""
-        self.others.pop(other, None)
+        self.other_connections.pop(other, None)
         self._resume()
 
     def _send_others_away(self) -> None:
-        for other in list(self.others):
+        for other in list(self.other_connections):
             other.go_away()
 
     def sweep(self) -> None:
         """End what has had its time."""
         now = time.monotonic()
-        for other in list(self.others):
+        for other in list(self.other_connections):
             other.sweep(now)
         for slow in self.waiting.since():
             if slow.late(now):
@@ -317,16 +326,16 @@
             elif late not in self.slow:
                 self.slow.add(late)  # it may take longer to read its last answer
         for reading in self.slow.since(now - LINGER_S):
-            if reading.deaf and not reading.unwritten:
+            if reading.closing and not reading.unwritten:
                 self.slow.drop(reading)
                 self.ending.add(reading)
-        while (stuck := self.slow.first(now - STUCK_S)) is not None:
+        while (stuck := self.slow.first(now - WRITE_STALL_S)) is not None:
             self.slow.drop(stuck)
             stuck.abort()
 
     def _unused(self, now: float) -> ClientConnection | None:
         """The connection between requests that is missed least."""
-        return self.idle.first(now - USED_S, silent=True)
+        return self.idle.first(now - RECENT_USE_S, silent=True)
 
     def rest(self, connection: ClientConnection) -> None:
         """A connection has its answer, and stands between requests."""
@@ -341,22 +350,22 @@
         sock.setblocking(False)
         self._begin(sock, item)
 
-    def leave(self) -> None:
+    def begin_handover(self) -> None:
         """What comes from now on is a successor's: accept nobody, ask the engine nothing new."""
-        self.leaving = True
+        self.handing_over = True
         self._shut = True
         self._pause()
         self._send_others_away()
 
-    def leave_to(self, successor: Successor) -> None:
+    def hand_over_to(self, successor: Successor) -> None:
         """The successor takes the clients: pass on what owes no answer."""
         self.successor = successor
         for connection in list(self._clients):
             self._pass_on(connection)
 
-    def take_back(self, returned: Iterable[Item] = ()) -> None:
+    def cancel_handover(self, returned: Iterable[Item] = ()) -> None:
         """The successor has died: what was left for it is this process's again."""
-        self.successor, self.leaving = None, False
+        self.successor, self.handing_over = None, False
         if self.availability.state is not State.ENDING:
             self._shut = False
             self._resume()
@@ -365,16 +374,16 @@
         for connection in list(self._clients):
             connection.take_back()
 
-    def share(self, body_bytes: int, streams: int) -> None:
+    def reserve_predecessor_share(self, body_bytes: int, streams: int) -> None:
         """So much of the budgets is a predecessor's until it has ended; below nought: it is free again."""
         self.bodies.held += body_bytes
         self.streams += streams
 
-    def held_to_the_end(self) -> tuple[int, int]:
+    def unreleased_share(self) -> tuple[int, int]:
         """Bytes of bodies of requests that owe an answer, and long answers under way: they don't go over."""
         return sum(connection.held for connection in self._clients), self.streams
 
-    def pass_on_soon(self, connection: ClientConnection) -> None:
+    def schedule_pass_on(self, connection: ClientConnection) -> None:
         """Pass it on if nothing of it is here any more; not within its own calls."""
         self._loop.call_soon(self._pass_on, connection)
 
@@ -409,7 +418,7 @@
         self._pause()
         self._listener.close()
         self._send_others_away()
-        while self._coming or self._clients or self.others or more():
+        while self._coming or self._clients or self.other_connections or more():
             await asyncio.sleep(0.02)
             now = time.monotonic()
             if self.successor is not None:
@@ -427,7 +436,7 @@
     def _send_away(self, now: float) -> None:
         """End what stands idle, once clients have had time to be told with an answer."""
         self._send_others_away()
-        if now - self.availability.since_s > SENT_AWAY_S:
+        if now - self.availability.since_s > OUT_OF_SERVICE_S:
             self._close_idle(now - DRAIN_QUIET_S)
             for silent in self.waiting.since(now - DRAIN_QUIET_S):
                 if not silent.begun:
--- a/troutdock/http/request.py
+++ b/troutdock/http/request.py
@@ -8,14 +8,14 @@
 
 from troutdock.admission.interface import Effect, RequestArrived, RequestWaited, Settings
 from troutdock.engine import BadRequest, Request
-from troutdock.http.body_limits import SMALL
+from troutdock.http.body_limits import UNBUDGETED_BODY_BYTES
 
 ACCOUNT = re.compile(rb"[0-9a-fA-F]{16}")
 SECONDS = re.compile(rb"\d{1,6}(\.\d{1,9})?")
 QUOTA = re.compile(rb"units=(\d{1,6}(?:\.\d{1,9})?),spread=(\d{1,6}),first=(\d{1,6})")
 _ID = re.compile(rb"[\x21-\x7e]{1,128}")
 
-MEANT = frozenset(
+INTERPRETED_HEADERS = frozenset(
     (
         b"request-id",
         b"account",
@@ -79,9 +79,9 @@
     def read(self, method: bytes, url: bytes, headers: Headers, body: bytes | list[bytes]) -> HttpRequest:
         """The request; BadRequest if any part is missing or senseless. A long body may stay in pieces."""
         length = len(body) if isinstance(body, bytes) else sum(map(len, body))
-        if isinstance(body, list) and length <= SMALL:
+        if isinstance(body, list) and length <= UNBUDGETED_BODY_BYTES:
             body = b"".join(body)
-        seen = once(headers, MEANT)
+        seen = single_valued(headers, INTERPRETED_HEADERS)
         path = url.partition(b"?")[0]
         cut = path.find(b"/", 1)
         found = self._classes.get(path if cut < 0 else path[:cut])
@@ -139,7 +139,7 @@
         return RequestWaited(customer, plan, found[0][0], units, width, retry, waited_ms, key)
 
 
-def once(headers: Headers, names: Iterable[bytes]) -> dict[bytes, bytes]:
+def single_valued(headers: Headers, names: Iterable[bytes]) -> dict[bytes, bytes]:
     """Values by name; BadRequest if one of these names comes twice."""
     seen = dict(headers)
     if len(seen) < len(headers):
@@ -176,7 +176,7 @@
     headers: Headers,
     length: int,
     dropped: frozenset[bytes] = _NOT_FORWARDED,
-    meant: frozenset[bytes] = MEANT,
+    meant: frozenset[bytes] = INTERPRETED_HEADERS,
 ) -> bytes:
     """Request line and end-to-end headers, unchanged; the length only where a body may come.
 
--- a/troutdock/http/response.py
+++ b/troutdock/http/response.py
@@ -11,8 +11,10 @@
 MAX_BODY = 64 * 1024  # the protocol's bound on a body
 # bytes that have to be there before an answer is passed on as it comes: what is spoilt shows by then, and can
 # be tried again
-STREAM_FROM = 16 * 1024
-MAX_STREAMED = 256 * 1024 * 1024  # bytes of such an answer; one that says it has more is taken for spoilt
+STREAM_MIN_BYTES = 16 * 1024
+MAX_STREAMED_BYTES = (
+    256 * 1024 * 1024
+)  # bytes of such an answer; one that says it has more is taken for spoilt
 MAX_HEAD = 16 * 1024  # of a request line or status line with its headers; interim responses count too
 
 _UNITS = re.compile(rb"\d{1,6}(\.\d{1,9})?")
@@ -54,8 +56,8 @@
         "_pending",
         "_size",
         "_until_end",
-        "spoilt",
         "streams",
+        "trailing_garbage",
     )
 
     def __init__(self, max_body: int) -> None:
@@ -64,7 +66,7 @@
         self._max_body = max_body
         self._done: list[Response] = []
         self._pending = 0  # bytes of heads since the last response
-        self.spoilt = False  # what came behind whole responses is none
+        self.trailing_garbage = False  # what came behind whole responses is none
         self._headers_done = self._until_end = False
         self.on_message_begin()
         self._in_message = False
@@ -77,7 +79,7 @@
     @property
     def long(self) -> bool:
         """A good response is coming that is better passed on than held."""
-        if not (self._headers_done and self.streams and self._size >= STREAM_FROM):
+        if not (self._headers_done and self.streams and self._size >= STREAM_MIN_BYTES):
             return False
         length = self._headers.get(b"content-length")
         return self._streamable and (length is None or int(length) > MAX_BODY)
@@ -102,14 +104,14 @@
         What stands behind a whole response takes nothing from it, but nobody can tell what that is: the
         response then says that the connection is of no further use.
         """
-        done = self.feed_all(data)
+        done = self.feed_responses(data)
         if not done:
             return None
-        if len(done) > 1 or self.spoilt or self._in_message:
+        if len(done) > 1 or self.trailing_garbage or self._in_message:
             done[0].keep_alive = False
         return done[0]
 
-    def feed_all(self, data: bytes) -> list[Response]:
+    def feed_responses(self, data: bytes) -> list[Response]:
         """All responses that these bytes complete, for who can tell whose they are.
 
         BadResponse where these bytes are no response and complete none; spoilt where they do and what stands
@@ -122,7 +124,7 @@
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             if not self._done:
                 raise BadResponse(repr(error.__context__ or error)) from error
-            self.spoilt = True
+            self.trailing_garbage = True
         done, self._done = self._done, []
         if done:
             self._pending = 0
@@ -183,7 +185,7 @@
 
     @property
     def _bound(self) -> int:
-        return MAX_STREAMED if self.streams and self._streamable else self._max_body
+        return MAX_STREAMED_BYTES if self.streams and self._streamable else self._max_body
 
     def on_body(self, data: bytes) -> None:
         self._size += len(data)
--- a/troutdock/http/socket_info.py
+++ b/troutdock/http/socket_info.py
@@ -20,7 +20,7 @@
         """As the system call."""
 
 
-def has_left(sock: Socket) -> bool:
+def peer_closed(sock: Socket) -> bool:
     """The peer has ended its side, which the loop has not read yet; false where the system does not tell."""
     try:
         state = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)
@@ -29,7 +29,7 @@
     return state[0] in _ENDED
 
 
-def has_unread(sock: socket.socket) -> bool:
+def has_unread_data(sock: socket.socket) -> bool:
     """Bytes of the peer's have come that the loop has not read yet."""
     try:
         return bool(sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
@@ -37,7 +37,7 @@
         return False
 
 
-def received_ago_ms(sock: Socket) -> float:
+def ms_since_last_data(sock: Socket) -> float:
     """Milliseconds since the last bytes arrived, in steps of a few; 0 where the system does not tell."""
     try:
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _SIZE)
--- a/troutdock/http/status.py
+++ b/troutdock/http/status.py
@@ -5,9 +5,12 @@
 from troutdock.engine import Failure
 from troutdock.http.response import Response
 
-PASSED_ON = (b"content-type", b"content-encoding")  # of a backend's answer: what tells how to read its body
+FORWARDED_HEADERS = (
+    b"content-type",
+    b"content-encoding",
+)  # of a backend's answer: what tells how to read its body
 # no 429 or 503: those are refusals, and promise that trying again is harmless
-FAILED = {
+FAILURE_STATUS = {
     Failure.ATTEMPT: 502,
     Failure.UNANSWERED: 504,
     Failure.INTERNAL: 500,
@@ -16,6 +19,6 @@
 }
 
 
-def passed_on(answer: Response) -> tuple[tuple[bytes, bytes], ...]:
+def forwarded_headers(answer: Response) -> tuple[tuple[bytes, bytes], ...]:
     """The headers of a backend's answer that its client gets."""
-    return tuple((name, answer.headers[name]) for name in PASSED_ON if name in answer.headers)
+    return tuple((name, answer.headers[name]) for name in FORWARDED_HEADERS if name in answer.headers)
--- a/troutdock/http/transport.py
+++ b/troutdock/http/transport.py
@@ -13,30 +13,32 @@
 
 from troutdock.admission.interface import BackendId, FleetUpdate, Outcome
 from troutdock.address import Address
-from troutdock.engine import Attempt, Flow, Manners
-from troutdock.http.socket_info import received_ago_ms
-from troutdock.http.backend_pools import Pools
+from troutdock.engine import Attempt, Flow, ProtocolTraits
+from troutdock.http.socket_info import ms_since_last_data
+from troutdock.http.backend_pools import BackendPools
 from troutdock.http.request import Message
 from troutdock.http.response import MAX_BODY, BadResponse, Response, ResponseReader
 from troutdock.overload.lag import Lag
 
 log = logging.getLogger("troutdock")
 
-REST_S = 0.005  # before a connection is used again: by then what stands behind an answer has come too
+REUSE_DELAY_S = 0.005  # before a connection is used again: by then what stands behind an answer has come too
 # bytes that the kernel holds of an answer, and so those of one read: each client that is slower than its
 # backend costs one read, beside what is written to it. Measured with 300 of them: 180 KiB each (280 without).
-RECEIVE = 64 * 1024
+RECEIVE_BUFFER_BYTES = 64 * 1024
 STALL_S = 0.3  # a response that has begun and brings nothing for so long is not completed any more
 ONCE_STALL_S = 2.0  # the same where nothing else can be tried: a backend may stand still for half a second
 STREAM_STALL_S = 5.0  # the same for one that is passed on as it comes, which can't be tried again
-STALE_S = 0.02  # a reset so soon after the request tells that the connection had ended unseen before it
-IDLE_LEAST_S = 0.03  # a connection may be used again for so long after its last answer at least
-IDLE_DOUBT_S = 1.0  # with less than that, what may not be repeated gets a new connection
-IDLE_LESS, IDLE_MORE = 0.8, 1.02  # what a stale connection and a good answer do to that time
-IDLE_PROOF_S = 10.0  # for so long one that served after standing idle proves that others of its age can
-IDLE_PART = 0.6  # of the backends' idle limit: a connection idle for longer is dropped, well before they do
+STALE_RESET_S = 0.02  # a reset so soon after the request tells that the connection had ended unseen before it
+MIN_REUSE_S = 0.03  # a connection may be used again for so long after its last answer at least
+NON_REPEATABLE_REUSE_S = 1.0  # with less than that, what may not be repeated gets a new connection
+REUSE_DECREASE, REUSE_INCREASE = 0.8, 1.02  # what a stale connection and a good answer do to that time
+REUSE_PROOF_S = 10.0  # for so long one that served after standing idle proves that others of its age can
+IDLE_TIMEOUT_FRACTION = (
+    0.6  # of the backends' idle limit: a connection idle for longer is dropped, well before they do
+)
 _KEEP_ALIVE = re.compile(rb"(?:^|[,;\s])timeout=(\d{1,6})", re.I)
-_USUAL = Manners()
+_USUAL = ProtocolTraits()
 
 
 class HttpAttempt(Attempt):
@@ -63,18 +65,18 @@
         self.opening: asyncio.Task[None] | None = None  # only while that can be cancelled
 
     @property
-    def manners(self) -> Manners:
+    def traits(self) -> ProtocolTraits:
         """What may be taken for granted of the backend."""
-        return self.owner.request.manners if self.owner is not None else _USUAL
+        return self.owner.request.traits if self.owner is not None else _USUAL
 
     @property
     def name(self) -> bytes:
         """What answers name it by; nothing where they don't."""
-        return self.owner.request.id if self.owner is not None and self.manners.names_request else b""
+        return self.owner.request.id if self.owner is not None and self.traits.responses_name_request else b""
 
 
-Ended = Callable[[HttpAttempt, Outcome, Response | None], None]
-Verdict = Callable[[HttpAttempt | None, Response], Outcome | None]
+OnAttemptEnded = Callable[[HttpAttempt, Outcome, Response | None], None]
+ResponseClassifier = Callable[[HttpAttempt | None, Response], Outcome | None]
 
 
 class NoStreams:
@@ -87,7 +89,7 @@
         pass
 
 
-class Streams(Protocol):
+class StreamReports(Protocol):
     """Who is told of answers that come in pieces: a part of engine.Reports."""
 
     def answer_began(self, attempt: Attempt, head: Any = None, flow: Flow | None = None) -> bool: ...
@@ -95,7 +97,7 @@
     def answer_more(self, attempt: Attempt, data: bytes) -> None: ...
 
 
-def outcome_of(attempt: HttpAttempt | None, response: Response) -> Outcome:
+def classify_response(attempt: HttpAttempt | None, response: Response) -> Outcome:
     """The protocol's table for answers; a status that it does not name may have run.
 
     A verdict may also be None: the response is not the attempt's, and its own is still to come.
@@ -171,7 +173,7 @@
     def data_received(self, data: bytes) -> None:
         self._answering = True
         try:
-            responses = self._reader.feed_all(data)
+            responses = self._reader.feed_responses(data)
             if self.attempt is None:
                 raise BadResponse("bytes without a request")
         except BadResponse as error:
@@ -183,12 +185,12 @@
         for number, response in enumerate(responses, 1):
             if self.pool.lag.notable and number == 1:
                 # guards against taking this process's own lateness for the backend's slowness
-                self.attempt.lag_ms += received_ago_ms(self.sock)
+                self.attempt.lag_ms += ms_since_last_data(self.sock)
             # an answer before the request's last byte leaves a connection nobody can use again
             self._came()
-            outcome = self.pool.verdict(self.attempt, response)
+            outcome = self.pool.classify(self.attempt, response)
             if outcome is not None:
-                more = number < len(responses) or self._reader.begun or self._reader.spoilt
+                more = number < len(responses) or self._reader.begun or self._reader.trailing_garbage
                 whole = response.keep_alive and self._written and not self._surplus and not more
                 self._conclude(outcome, response, whole)
                 return
@@ -197,7 +199,7 @@
                 self._broken()
                 return
             self._surplus, self._first = True, 0.0  # what belongs to no request: the attempt's is to come
-        if self._reader.spoilt:
+        if self._reader.trailing_garbage:
             self._spoilt(BadResponse("no response behind one of another request"))
             return
         if not self._reader.begun:  # an interim response, or another's: the backend is at work
@@ -207,7 +209,7 @@
             self._first = asyncio.get_running_loop().time()
         if self._reader.long:
             if not self._streaming:
-                outcome = self.pool.verdict(self.attempt, self._reader.head())
+                outcome = self.pool.classify(self.attempt, self._reader.head())
                 if outcome is None:
                     self._reader.take()  # another's, of which nobody needs to hold the body
                 elif outcome is not Outcome.OK:
@@ -238,11 +240,11 @@
         """Guards against a length that does not fit: the rest never comes, and the connection stays open."""
         attempt = self.attempt
         if not (self._paused or self._closed) and self._stalled is None:
-            patient = attempt is not None and not attempt.manners.silence_ends
+            patient = attempt is not None and not attempt.traits.stall_timeout_applies
             if self._streaming:
                 after_s = STREAM_STALL_S
                 if patient and attempt is not None:  # its deadline holds for its beginning only, elsewhere
-                    left_s = (attempt.owner.give_up - attempt.started) / 1000
+                    left_s = (attempt.owner.expires_ms - attempt.started) / 1000
                     after_s = max(after_s, self._started + left_s - asyncio.get_running_loop().time())
             elif attempt is not None and not attempt.repeatable:
                 if patient:
@@ -280,7 +282,7 @@
     def connection_lost(self, exc: Exception | None) -> None:
         if exc is None and not self._closed and (response := self._reader.ended()) is not None:
             self._came()
-            outcome = self.pool.verdict(self.attempt, response)
+            outcome = self.pool.classify(self.attempt, response)
             if outcome is not None:
                 self._conclude(outcome, response, False)
         self.close()
@@ -293,12 +295,12 @@
         With an answer begun, or where backends may begin earlier: from its first byte on.
         """
         if self.attempt is not None and self.idle_since and not self._answering:
-            self.pool.reset_after(
+            self.pool.connection_reset(
                 self._started - self.idle_since, asyncio.get_running_loop().time() - self._started
             )
         may_run = self._written
         if self.attempt is not None and not may_run:
-            may_run = self._sent and (self._answering or not self.attempt.manners.whole_first)
+            may_run = self._sent and (self._answering or not self.attempt.traits.starts_after_last_byte)
         self._conclude(Outcome.RESET if may_run else Outcome.CONNECT_FAILED, None, False)
 
     def _conclude(self, outcome: Outcome, response: Response | None, reusable: bool) -> None:
@@ -312,7 +314,7 @@
             assert response is not None
             word = response.headers.get(b"keep-alive")
             found = _KEEP_ALIVE.search(word) if word is not None else None
-            self.keep_s = int(found[1]) * IDLE_PART if found is not None else inf
+            self.keep_s = int(found[1]) * IDLE_TIMEOUT_FRACTION if found is not None else inf
             self.pool.answered(self._started - self.idle_since if self.idle_since else 0.0)
             self.pool.offer(self)
         else:
@@ -336,7 +338,7 @@
     def __init__(self, endpoint: Address, backends: HttpTransport, up_since_ms: float) -> None:
         self.endpoint, self._backends, self.up_since_ms = endpoint, backends, up_since_ms
         self.max_answer, self.lag, self.streams = backends.max_answer, backends.lag, backends.streams
-        self.verdict = backends.verdict
+        self.classify = backends.classify
         self.idle: deque[Connection] = deque()  # the most recently used last
         self.waiting: deque[HttpAttempt] = deque()  # attempts whose connection is not up yet
         self.retired = False
@@ -344,7 +346,7 @@
     def start(self, attempt: HttpAttempt) -> None:
         """Write the attempt on the connection used last, or on a new one."""
         attempt.pool = self
-        doubtful = not attempt.repeatable and self._backends.use_s < IDLE_DOUBT_S
+        doubtful = not attempt.repeatable and self._backends.reuse_limit_s < NON_REPEATABLE_REUSE_S
         if not doubtful and (connection := self._rested(attempt)) is not None:
             connection.start(attempt)
             return
@@ -363,10 +365,10 @@
         one's.
         """
         now = asyncio.get_running_loop().time()
-        self.drop_idle(now - self._backends.use_s)
+        self.drop_idle(now - self._backends.reuse_limit_s)
         name = attempt.name
         for connection in list(reversed(self.idle)):
-            if connection.idle_since <= now - REST_S and not (name and name == connection.last):
+            if connection.idle_since <= now - REUSE_DELAY_S and not (name and name == connection.last):
                 if connection.idle_since + connection.keep_s >= now and connection.usable():
                     self.idle.remove(connection)
                     return connection
@@ -378,7 +380,7 @@
         sock = connection = None
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
             async with asyncio.timeout(self._backends.connect_timeout_s):
                 await loop.sock_connect(sock, self.endpoint)
             attempt.opening = None  # not to be cancelled from here on: it would be counted twice
@@ -427,7 +429,7 @@
         connection.idle_since = asyncio.get_running_loop().time()
         self.idle.append(connection)
         if self.waiting:
-            asyncio.get_running_loop().call_later(REST_S + 0.001, self._serve_waiting)
+            asyncio.get_running_loop().call_later(REUSE_DELAY_S + 0.001, self._serve_waiting)
 
     def _serve_waiting(self) -> None:
         while self.waiting and (connection := self._rested(self.waiting[0])) is not None:
@@ -435,14 +437,14 @@
         if self.retired:
             self.retire()
 
-    def reset_after(self, idle_s: float, took_s: float) -> None:
+    def connection_reset(self, idle_s: float, took_s: float) -> None:
         """A connection was reset under a request that it got after standing idle."""
-        if took_s < STALE_S:
-            self._backends.stale(idle_s)
+        if took_s < STALE_RESET_S:
+            self._backends.idle_connection_reset(idle_s)
 
     def answered(self, idle_s: float) -> None:
         """A good answer on a connection that had stood idle for so long: trust in such comes back."""
-        self._backends.trust(idle_s)
+        self._backends.idle_connection_served(idle_s)
 
     def ended(self, attempt: HttpAttempt, outcome: Outcome, response: Response | None) -> None:
         attempt.connection = None
@@ -476,28 +478,32 @@
         max_open: int,
         connect_timeout_s: float,
         idle_s: float,
-        ended: Ended,
+        ended: OnAttemptEnded,
         max_answer: int = MAX_BODY,
         lag: Lag | None = None,
-        streams: Streams | None = None,
-        verdict: Verdict = outcome_of,
+        streams: StreamReports | None = None,
+        classify: ResponseClassifier = classify_response,
     ) -> None:
         """verdict: what an answer means for its attempt."""
-        self.verdict = verdict
+        self.classify = classify
         self.streams = streams or NoStreams()
         self.max_answer = max_answer  # bytes of a body
         self.lag = lag or Lag()
-        self.max_open, self.connect_timeout_s, self._idle_s = max_open, connect_timeout_s, idle_s * IDLE_PART
-        self.use_s = self._idle_s  # how long a connection may have stood idle to be used again
+        self.max_open, self.connect_timeout_s, self._idle_s = (
+            max_open,
+            connect_timeout_s,
+            idle_s * IDLE_TIMEOUT_FRACTION,
+        )
+        self.reuse_limit_s = self._idle_s  # how long a connection may have stood idle to be used again
         self._proven_s, self._proven_at = 0.0, -inf  # the longest that one stood idle and served, and when
         self.ended = ended
         self.open = 0  # connections, those coming up among them
-        self.pools = Pools(lambda endpoint, up_since_ms: Pool(endpoint, self, up_since_ms))
+        self.pools = BackendPools(lambda endpoint, up_since_ms: Pool(endpoint, self, up_since_ms))
 
-    def tune(self, connect_timeout_s: float, idle_s: float) -> None:
+    def set_timeouts(self, connect_timeout_s: float, idle_s: float) -> None:
         """Other times from now on: for a connection to come up, and until backends close an idle one."""
-        self.connect_timeout_s, self._idle_s = connect_timeout_s, idle_s * IDLE_PART
-        self.use_s = min(self.use_s, self._idle_s)
+        self.connect_timeout_s, self._idle_s = connect_timeout_s, idle_s * IDLE_TIMEOUT_FRACTION
+        self.reuse_limit_s = min(self.reuse_limit_s, self._idle_s)
 
     def place(self, backend: BackendId, endpoint: Address, up_since_ms: float = 0.0) -> None:
         """A backend is at this address, perhaps a new one, or one that has started anew."""
@@ -541,7 +547,7 @@
         self.open += 1
         return True
 
-    def stale(self, idle_s: float) -> None:
+    def idle_connection_reset(self, idle_s: float) -> None:
         """A connection that had stood idle for so long was of no use: others of its age won't be either.
 
         Something on the way may forget connections long before the backend closes them, and then a request
@@ -551,16 +557,16 @@
         """
         proven = idle_s <= self._proven_s
         self._proven_s = 0.0  # the next one in a row counts
-        if proven and asyncio.get_running_loop().time() - self._proven_at < IDLE_PROOF_S:
+        if proven and asyncio.get_running_loop().time() - self._proven_at < REUSE_PROOF_S:
             return
-        self.use_s = max(IDLE_LEAST_S, min(self.use_s, idle_s) * IDLE_LESS)
+        self.reuse_limit_s = max(MIN_REUSE_S, min(self.reuse_limit_s, idle_s) * REUSE_DECREASE)
 
-    def trust(self, idle_s: float = 0.0) -> None:
+    def idle_connection_served(self, idle_s: float = 0.0) -> None:
         """Try longer standing ones, little by little; one that had stood idle for so long has served."""
         now = asyncio.get_running_loop().time()
-        if idle_s >= self._proven_s or now - self._proven_at >= IDLE_PROOF_S:
+        if idle_s >= self._proven_s or now - self._proven_at >= REUSE_PROOF_S:
             self._proven_s, self._proven_at = idle_s, now
-        self.use_s = min(self._idle_s, self.use_s * IDLE_MORE)
+        self.reuse_limit_s = min(self._idle_s, self.reuse_limit_s * REUSE_INCREASE)
 
     def sweep(self) -> None:
         """Drop connections before the backends do: a request that crosses their close ends as a reset."""
--- a/troutdock/ingress.py
+++ b/troutdock/ingress.py
@@ -56,19 +56,25 @@
         if settings.counter:
             timeout_s = settings.counter_timeout_ms / 1000
             self.counter = Counter(config.counter, timeout_s, self.engine.count_answered)
-            self.engine.count_with(self.counter)
+            self.engine.set_counter(self.counter)
         self.peers: Datagrams | None = None
         self._deaf = False  # their address could not be had yet
         if config.peers is not None and settings.peers and settings.gateways > 1:
-            self.peers = Datagrams(config.peers, settings.index, settings.peer_in_per_s, self.engine.heard)
-            self.engine.tell_by(self.peers)
+            self.peers = Datagrams(
+                config.peers, settings.index, settings.peer_in_per_s, self.engine.peer_message_received
+            )
+            self.engine.set_peers(self.peers)
         known, endpoints = config.known
-        self.engine.fleet(known, endpoints)
+        self.engine.fleet_updated(known, endpoints)
         self._discovery: Discovery | None = None  # without one the list stays as it is
         if config.discovery is not None:
             self._calls = Watch(settings.gateways, known.version, Random(config.seed))
             self._discovery = Discovery(
-                config.discovery, config.lists, self._calls, self.engine.fleet, self.engine.watched
+                config.discovery,
+                config.lists,
+                self._calls,
+                self.engine.fleet_updated,
+                self.engine.discovery_polled,
             )
         self.storm = StormWatch(self.engine.clock.now(), half_of_sockets(config), log.warning)
         self._watch: Background | None = None
@@ -99,7 +105,7 @@
             log.warning("configured anew: limits and the clients' address change with a restart only")
         self.settings = merged_settings(self.settings, settings)
         self.engine.reconfigure(self.settings)
-        self.transport.tune(config.connect_timeout_s, config.idle_s)
+        self.transport.set_timeouts(config.connect_timeout_s, config.idle_s)
         if self._discovery is not None:
             self._calls.follow(settings.gateways)
         if (
@@ -154,5 +160,5 @@
             self._open_peers()
             self.transport.sweep()
             t = self.engine.tally
-            sums = Sums(t.taken, t.refused, t.turned_away, t.retries, t.connections)
+            sums = Sums(t.taken, t.refused, t.rejected_early, t.retries, t.connections)
             self.storm.look(self.engine.clock.now(), sums, self.lag.now_ms)
--- a/troutdock/operator/compiled.py
+++ b/troutdock/operator/compiled.py
@@ -9,7 +9,7 @@
 
 from troutdock.admission.interface import Effect, Plan, RequestClass
 from troutdock.address import parse_address
-from troutdock.http.body_limits import budget_for, streams_for
+from troutdock.http.body_limits import body_budget_bytes, max_streams_for
 from troutdock.library.deployment import Deployment
 from troutdock.operator.deployment import DeploymentFile, Match, RouteSection, ValueMatch, nearest, validated
 from troutdock.operator.yaml_tree import Keys, Problem, Tree, load, named
@@ -214,8 +214,8 @@
         made.config,
         listen=parse_address(file.listen),
         management=parse_address(file.management) if file.management else None,
-        bodies=budget_for(limits.memory_mb),
-        streams=streams_for(limits.memory_mb),
+        bodies=body_budget_bytes(limits.memory_mb),
+        streams=max_streams_for(limits.memory_mb),
     )
 
 
--- a/troutdock/plans/service.py
+++ b/troutdock/plans/service.py
@@ -23,10 +23,10 @@
 class Engine(Protocol):
     """Who wants to know."""
 
-    def plan_with(self, plans: PlanBook) -> None:
+    def set_plan_book(self, plans: PlanBook) -> None:
         """Ask there for each request's plan."""
 
-    def assigned(self, customer: int, plan: str) -> bool:
+    def assign_plan(self, customer: int, plan: str) -> bool:
         """A customer's plan is this one from now on; false if there is none of that name."""
 
 
@@ -48,7 +48,7 @@
     def start(self, engine: Engine) -> None:
         """Tell what holds, and from now on what changes."""
         self._engine = engine
-        engine.plan_with(self.book)
+        engine.set_plan_book(self.book)
         self._reading = asyncio.create_task(self._reread())
         self._wait()
 
@@ -102,7 +102,7 @@
     def _tell(self, changes: list[tuple[int, str]]) -> None:
         assert self._engine is not None
         for customer, plan in changes:
-            if not self._engine.assigned(customer, plan) and plan not in self._named:
+            if not self._engine.assign_plan(customer, plan) and plan not in self._named:
                 self._named.add(plan)
                 log.error("plans: the settings have no %r: its customers keep what requests say", plan)
 
--- a/troutdock/platform/config.py
+++ b/troutdock/platform/config.py
@@ -10,7 +10,7 @@
 from troutdock.admission.interface import FleetUpdate, Settings
 from troutdock.admission.simulator_wire import parse_settings
 from troutdock.address import Address, parse_address
-from troutdock.http.body_limits import LEAST, LEAST_STREAMS, budget_for, streams_for
+from troutdock.http.body_limits import MIN_BODY_BUDGET, MIN_STREAMS, body_budget_bytes, max_streams_for
 from troutdock.http.response import MAX_BODY
 from troutdock.membership.datagrams import Peers
 from troutdock.overload.damping import Damping, read_damping
@@ -42,8 +42,8 @@
     connect_timeout_s: float
     damping: Damping
     idle_s: float  # a backend closes a connection that has stood idle this long
-    bodies: int = LEAST  # bytes of clients' long bodies that are held, all together
-    streams: int = LEAST_STREAMS  # long answers that are passed on at once
+    bodies: int = MIN_BODY_BUDGET  # bytes of clients' long bodies that are held, all together
+    streams: int = MIN_STREAMS  # long answers that are passed on at once
     peers: Peers | None = None  # None: nothing is told or heard
     management: Address | None = None  # where operators call
     keys: frozenset[str] = field(default=frozenset(), compare=False)  # that the file has, see keys_of
@@ -148,8 +148,8 @@
             max_answer=max(MAX_BODY, int(memory_mb * 1024 * 1024 / ANSWERS_HELD)),
             connect_timeout_s=float(permissions.get("dial_timeout", 250)) / 1000,
             idle_s=float(permissions.get("conn_idle", 15_000)) / 1000,
-            bodies=budget_for(memory_mb),
-            streams=streams_for(memory_mb),
+            bodies=body_budget_bytes(memory_mb),
+            streams=max_streams_for(memory_mb),
             damping=read_damping(raw.get("damping", {})),
             peers=read_peers(raw, told.gateways),
             management=parse_address(raw["management"]) if raw.get("management") else None,
--- a/troutdock/proxy/daemon.py
+++ b/troutdock/proxy/daemon.py
@@ -56,7 +56,7 @@
 )
 from troutdock.address import parse_address
 from troutdock.engine import Engine
-from troutdock.http.body_limits import Budget, budget_for, streams_for
+from troutdock.http.body_limits import ByteBudget, body_budget_bytes, max_streams_for
 from troutdock.http.listener import Server
 from troutdock.http.transport import HttpTransport
 from troutdock.overload.lag import Lag
@@ -141,7 +141,7 @@
         )
         self._decides = Recorder(self.fabric)
         self.engine = Engine(NOTHING, 0, self.clock, self._loop, self._decides)
-        self.engine.relays_failures = True
+        self.engine.relay_backend_errors = True
         self.lag = Lag(self.clock.now, SAMPLE_S)
         descriptors = max(64, values["limits.fileDescriptors"] - OTHER_DESCRIPTORS)
         self.transport = HttpTransport(
@@ -151,7 +151,7 @@
             self.engine.attempt_ended,
             lag=self.lag,
             streams=self.engine,
-            verdict=verdict,
+            classify=verdict,
         )
         self.book = Book()
         self._numbers: dict[str, int] = {}  # of instances
@@ -167,11 +167,11 @@
             self.reader,
             descriptors // 2,
             self.lag,
-            bodies=Budget(budget_for(memory)),
-            max_streams=streams_for(memory),
+            bodies=ByteBudget(body_budget_bytes(memory)),
+            max_streams=max_streams_for(memory),
         )
         self.server.health_path = None
-        self.server.passes = passes
+        self.server.forwarded_headers = passes
         self.server.drain_accept_s = self.server.drain_most_s = DRAIN_MOST_S
         self.serving = Serving(self._loop.time(), values["bounds.contactS"])
         self.feed = Feed(boot, self._hello, self._heard, self._followed, self.serving.lost, self._has)
@@ -190,7 +190,7 @@
             self._hello,
             self.mesh.peer,
             self.mesh.send_to,
-            self.engine.inform,
+            self.engine.handle_event,
             lambda: self.lag.now_ms,
             self.mesh.set_busy,
             boot.bootstrap,
@@ -335,7 +335,7 @@
                 size=entry.slots,
                 warm_at_ms=warm_at,
             )
-            self.engine.fleet(
+            self.engine.fleet_updated(
                 FleetUpdate(ListKind.CHANGES, [told], pool=self._pool_of(entry.service)), {number: address}
             )
             if entry.state == GONE:
--- a/troutdock/proxy/request_reader.py
+++ b/troutdock/proxy/request_reader.py
@@ -8,9 +8,9 @@
 
 from troutdock.proxy.route_table import Table, pick
 from troutdock.admission.interface import BackendId, Outcome, RequestArrived, RequestWaited
-from troutdock.engine import BadRequest, Manners
-from troutdock.http.body_limits import SMALL
-from troutdock.http.request import HOP_BY_HOP, Headers, HttpRequest, Message, forwarded_head, once
+from troutdock.engine import BadRequest, ProtocolTraits
+from troutdock.http.body_limits import UNBUDGETED_BODY_BYTES
+from troutdock.http.request import HOP_BY_HOP, Headers, HttpRequest, Message, forwarded_head, single_valued
 from troutdock.http.response import Response
 from troutdock.http.transport import HttpAttempt
 
@@ -31,7 +31,9 @@
 
     __slots__ = ("_instance_of",)
     # only Not-Executed and 421 say that nothing has run: a request that was sent in part may have
-    manners = Manners(whole_first=False, names_request=True, silence_ends=False)
+    traits = ProtocolTraits(
+        starts_after_last_byte=False, responses_name_request=True, stall_timeout_applies=False
+    )
 
     def __init__(
         self,
@@ -70,9 +72,9 @@
         if table is None:
             raise BadRequest(503, "no configuration yet")
         length = len(body) if isinstance(body, bytes) else sum(map(len, body))
-        if isinstance(body, list) and length <= SMALL:
+        if isinstance(body, list) and length <= UNBUDGETED_BODY_BYTES:
             body = b"".join(body)
-        seen = once(headers, _MEANT)
+        seen = single_valued(headers, _MEANT)
         if method not in METHODS:
             raise BadRequest(405, "no such method here")
         host = seen.get(b"host", b"").partition(b":")[0].lower()
--- a/troutdock/reservations/service.py
+++ b/troutdock/reservations/service.py
@@ -55,10 +55,10 @@
     def settings(self) -> Settings:
         """Those that hold now."""
 
-    def reserve_with(self, allowance: Reservations) -> None:
+    def set_allowance(self, allowance: Reservations) -> None:
         """Ask there for each request's units."""
 
-    def tell(self, gateway: int, body: bytes) -> None:
+    def send_to_peer(self, gateway: int, body: bytes) -> None:
         """A datagram to another gateway."""
 
     def plan_of(self, customer: int) -> str | None:
@@ -96,7 +96,7 @@
     def start(self, engine: Engine) -> None:
         """Honour reservations from now on, or from the moment on that the folder is this process's."""
         self._engine = engine
-        engine.reserve_with(self)
+        engine.set_allowance(self)
         self._wake.set()  # the folder is looked at at once
         self._task = asyncio.create_task(self._work())
 
@@ -129,7 +129,7 @@
             self._wake.set()
         if (ask := escrow.ask(customer, cls, units, now)) is not None and self._engine is not None:
             self.asks += 1
-            self._engine.tell(ask.to, messages.ask(ask.reservation, ask.life, ask.missing, ask.got))
+            self._engine.send_to_peer(ask.to, messages.ask(ask.reservation, ask.life, ask.missing, ask.got))
         return found
 
     def settle(self, reservation: str, more: float) -> None:
@@ -158,7 +158,7 @@
             escrow.given(gateway, Give(self._engine.settings.index, reservation, parts, number, life))
         elif (give := escrow.asked(gateway, Ask(0, reservation, parts, life, number), _now())) is not None:
             self.gives += 1
-            self._engine.tell(gateway, messages.give(reservation, life, give.parts, give.number))
+            self._engine.send_to_peer(gateway, messages.give(reservation, life, give.parts, give.number))
         if escrow.short:
             self._wake.set()
         return True
--- a/troutdock/routing_service/reader.py
+++ b/troutdock/routing_service/reader.py
@@ -10,8 +10,16 @@
 
 from troutdock.admission.interface import Effect, RequestArrived, RequestWaited, Settings
 from troutdock.engine import BadRequest
-from troutdock.http.body_limits import SMALL
-from troutdock.http.request import ACCOUNT, SECONDS, Headers, HttpRequest, forwarded_head, key_number, once
+from troutdock.http.body_limits import UNBUDGETED_BODY_BYTES
+from troutdock.http.request import (
+    ACCOUNT,
+    SECONDS,
+    Headers,
+    HttpRequest,
+    forwarded_head,
+    key_number,
+    single_valued,
+)
 from troutdock.routing.route import Request
 from troutdock.routing.split import choose, mirrored
 from troutdock.routing.table import Table
@@ -79,9 +87,9 @@
         """The request; BadRequest if it takes no route, or a part is missing or senseless."""
         view, settings, names = self.view, self._settings, self._customers
         length = len(body) if isinstance(body, bytes) else sum(map(len, body))
-        if isinstance(body, list) and length <= SMALL:
+        if isinstance(body, list) and length <= UNBUDGETED_BODY_BYTES:
             body = b"".join(body)
-        seen = once(
+        seen = single_valued(
             headers, (b"host", b"idempotency-key", b"request-id", names.account, names.plan, names.units)
         )
         if method not in METHODS:
--- a/troutdock/routing_service/service.py
+++ b/troutdock/routing_service/service.py
@@ -68,7 +68,7 @@
         """These are its servers from now on."""
         endpoints = {backend_id(server): parse_address(server) for server in servers}
         entries = [BackendEntry(id, BackendState.READY) for id in endpoints]
-        engine.fleet(FleetUpdate(ListKind.FULL, entries, pool=self.number), endpoints)
+        engine.fleet_updated(FleetUpdate(ListKind.FULL, entries, pool=self.number), endpoints)
         if self.copies is not None:
             for id, address in endpoints.items():
                 self.copies.place(id, address)
--- a/troutdock/usage/service.py
+++ b/troutdock/usage/service.py
@@ -34,7 +34,7 @@
 class Engine(Protocol):
     """Whose answers are written down."""
 
-    def record_with(self, ledger: Usage) -> None:
+    def set_ledger(self, ledger: Usage) -> None:
         """From now on."""
 
 
@@ -76,7 +76,7 @@
 
     def start(self, engine: Engine) -> None:
         """Begin to write, and to export where the terms say so."""
-        engine.record_with(self)
+        engine.set_ledger(self)
         self._loop = asyncio.get_running_loop()
         self._idle = asyncio.Event()
         self._thread("usage-writer", self._write)
