--- a/tests/system/test_proxy_outcomes.py
+++ b/tests/system/test_proxy_outcomes.py
@@ -844,9 +844,9 @@
 
 def ends_what_is_cut(patch: pytest.MonkeyPatch) -> None:
     def broken(exchange: Any) -> None:
-        exchange.pieces.append(b"0\r\n\r\n")
+        exchange.pending_writes.append(b"0\r\n\r\n")
         exchange.call = None
-        exchange._flows_no_more()
+        exchange._stop_streaming()
         exchange.connection.flush()
 
     patch.setattr(exchange_module.Exchange, "broken", broken)
@@ -1006,9 +1006,7 @@
         for number, mutating in enumerate((True, False))
     ]
     ingress, address = await proxy(calls)
-    del (
-        ingress.transport.idle_connection_reset
-    )  # as it is: connections that were reset under a request are distrusted
+    del ingress.transport.idle_connection_reset  # as it is: reset connections are distrusted
 
     async def any_row(conn: Conn) -> None:
         # most are sound, so that connections are kept
