--- a/tests/system/test_proxy_outcomes.py
+++ b/tests/system/test_proxy_outcomes.py
@@ -1239,7 +1239,7 @@
                 )
             )
             if when == "in the answer":
-                await until(lambda: any(call.begun for call in ingress.engine._calls.values()))
+                await until(lambda: any(call.committed for call in ingress.engine._calls.values()))
             ending = asyncio.create_task(ingress.end(0.6 if when == "to the end of the grace" else 10.0))
             await until(lambda: ingress._ending)
             if when == "to the end of the grace":
--- a/troutdock/http/transport.py
+++ b/troutdock/http/transport.py
@@ -44,7 +44,7 @@
 
 REUSE_DELAY_S = 0.005  # before reuse, to detect data that follows the response
 # Size of the kernel's receive buffer, which bounds one read. Each client that is slower than its backend
-# costs one read in addition to its write buffer: 180 KiB each with 300 slow clients, 280 KiB without the limit.
+# costs one read in addition to its write buffer: 180 KiB each with 300 slow clients, 280 KiB without limit.
 RECEIVE_BUFFER_BYTES = 64 * 1024
 STALL_S = 0.3  # without data, an incomplete response is abandoned
 ONCE_STALL_S = 2.0  # the same if no further attempt is possible; a backend may pause for 0.5 s
