--- a/tests/engine/test_engine.py
+++ b/tests/engine/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine alone, in simulated time: any legal order of events, and each row of its state table."""
+"""Engine tests in simulated time: random legal event orders, and each row of the state table."""
 
 from __future__ import annotations
 
@@ -44,8 +44,8 @@
 )
 
 
-def play(world: SimulatedWorld, steps: list[tuple[str, int]]) -> None:
-    """Carry the steps out as far as they are possible, then let the time run out."""
+def run_steps(world: SimulatedWorld, steps: list[tuple[str, int]]) -> None:
+    """Executes the steps that are possible in the current state, then lets all timers expire."""
     for what, pick in steps:
         out = world.out
         if what in ("arrive", "other pool"):
@@ -82,64 +82,66 @@
             ids = [i for i in (1, 2, 3) if pick >> i & 1]
             world.fleet(ids, list(BackendState)[pick % 3], (ListKind.CHANGES, ListKind.FULL)[pick // 3 % 2])
         world.check()
-    while world.counter.calls:  # the counter gives every call an answer
+    while world.counter.calls:  # the counter answers every call
         world.counter.answer(Outcome.TIMEOUT)
     world.finish()
 
 
 @given(STEPS)
 @hypothesis_settings(derandomize=True, max_examples=600, deadline=None)
-def test_any_legal_order_ends_in_one_final_answer_and_leaves_nothing_behind(
+def test_any_event_order_gives_one_final_answer_and_leaks_nothing(
     steps: list[tuple[str, int]],
 ) -> None:
-    play(SimulatedWorld(), steps)
+    run_steps(SimulatedWorld(), steps)
 
 
 @given(STEPS)
 @hypothesis_settings(derandomize=True, max_examples=200, deadline=None)
-def test_so_it_does_without_a_counter_and_without_copies(steps: list[tuple[str, int]]) -> None:
-    play(SimulatedWorld(counter=False, second_copies=False), steps)
+def test_any_event_order_without_counter_and_hedging(steps: list[tuple[str, int]]) -> None:
+    run_steps(SimulatedWorld(counter=False, second_copies=False), steps)
 
 
-class TwoAnswers(Engine):
+class ConcludesTwice(Engine):
     def _conclude(self, call: Call) -> bool:
         super()._conclude(call)
         return True
 
 
-class ForgetsAttempts(Engine):
+class LeavesAttempts(Engine):
     def _cancel_outstanding(self, call: Call, outcome: Outcome = Outcome.CANCELLED) -> None:
         for timer in [call.deadline_timer, *(call.timers or [])]:
             if timer is not None:
                 timer.cancel()
 
 
-class ForgetsTimers(Engine):
+class LeavesTimers(Engine):
     def _cancel_outstanding(self, call: Call, outcome: Outcome = Outcome.CANCELLED) -> None:
         call.deadline_timer = call.timers = None
         super()._cancel_outstanding(call, outcome)
 
 
-class Late(Engine):
+class LateDeadline(Engine):
     def _deadline_reached(self, call: Call) -> None:
         self._timers.call_later(0.2, super()._deadline_reached, call)
 
 
-class Deaf(Engine):
+class IgnoresWithdrawal(Engine):
     def withdraw(self, call: Call) -> None:
         pass
 
 
-@pytest.mark.parametrize("fault", [TwoAnswers, ForgetsAttempts, ForgetsTimers, Late, Deaf])
-def test_the_play_finds_planted_faults(fault: type[Engine]) -> None:
+@pytest.mark.parametrize(
+    "fault", [ConcludesTwice, LeavesAttempts, LeavesTimers, LateDeadline, IgnoresWithdrawal]
+)
+def test_planted_faults_are_detected(fault: type[Engine]) -> None:
     random = Random(1)
     kinds = ["arrive"] * 3 + ["end", "begin", "leave", "time", "time"]
     found = 0
     for _ in range(40):
         steps = [(random.choice(kinds), random.randrange(10**6)) for _ in range(30)]
-        play(SimulatedWorld(), steps)
+        run_steps(SimulatedWorld(), steps)
         try:
-            play(SimulatedWorld(fault), steps)
+            run_steps(SimulatedWorld(fault), steps)
         except AssertionError:
             found += 1
     assert found
@@ -163,7 +165,7 @@
 
 
 @pytest.mark.parametrize(("cls", "final"), [(SAFE, "refused"), (KEYED_ALL, "refused"), (UNSAFE, "failed")])
-def test_open_to_the_answer_that_the_decision_module_words(cls: int, final: str) -> None:
+def test_open_to_the_answer_chosen_by_the_decision_module(cls: int, final: str) -> None:
     world, told = sent(cls)
     while world.out:
         world.transport(world.out[0]).end(world.out[0], Outcome.RESET)
@@ -173,18 +175,18 @@
 
 
 @pytest.mark.parametrize(("outcome", "final"), [(Outcome.OK, "served"), (Outcome.RESET, "broken")])
-def test_begun_to_served_or_broken(outcome: Outcome, final: str) -> None:
+def test_committed_to_served_or_broken(outcome: Outcome, final: str) -> None:
     world, told = sent()
     (attempt,) = world.out
     world.transports[0].begin(attempt)
     assert told.final is None
     world.transports[0].end(attempt, outcome)
     assert told.final == final
-    assert len(told.outcomes) == 1  # a broken answer is not tried again: the client has part of it
+    assert len(told.outcomes) == 1  # a broken answer is not retried: the client has received part of it
     world.finish()
 
 
-def test_begun_at_the_deadline_is_broken_off() -> None:
+def test_committed_at_the_deadline_is_broken() -> None:
     world, told = sent()
     world.transports[0].begin(world.out[0])
     world.time.advance(1000)
@@ -192,7 +194,7 @@
     world.finish()
 
 
-def test_an_answer_that_begins_ends_the_copy_beside_it() -> None:
+def test_a_committed_answer_cancels_the_hedged_attempt() -> None:
     world, told = sent(timeout_ms=6000.0)
     for _ in range(100):
         world.time.advance(50)
@@ -207,7 +209,7 @@
     world.finish()
 
 
-def test_what_is_late_finds_a_concluded_call() -> None:
+def test_late_reports_do_not_change_a_concluded_call() -> None:
     world, told = sent()
     (attempt,) = world.out
     world.engine.fail_call(world.calls[0])
@@ -219,8 +221,8 @@
     world.finish()
 
 
-def test_a_held_request_that_is_withdrawn_takes_nothing() -> None:
-    """Before its first attempt: the counter's answer finds nobody waiting."""
+def test_a_pending_request_that_is_withdrawn_consumes_nothing() -> None:
+    """Withdrawn before its first attempt: the later answer of the counter has no effect."""
     world = SimulatedWorld()
     for _ in range(40):
         world.arrive(plan=1, units=4.0)
@@ -236,7 +238,7 @@
     world.finish()
 
 
-def test_an_id_is_open_once() -> None:
+def test_a_duplicate_open_id_is_rejected() -> None:
     world = SimulatedWorld()
     told = world.arrive()
     request = world.calls[0].request
@@ -249,8 +251,8 @@
     world.finish()
 
 
-def test_pools_share_a_quota_and_nothing_else() -> None:
-    """One customer over two pools: together they let in what one would; one that fails presses only itself."""
+def test_pools_share_only_the_quota() -> None:
+    """Two pools together admit what one would admit; a failing pool affects only itself."""
     world = SimulatedWorld(counter=False)
     for number in range(30):
         world.arrive(plan=1, units=1.0, pool=number % 2)
@@ -272,7 +274,7 @@
     alone.finish()
 
 
-def test_a_whole_list_of_one_pool_leaves_the_other_alone() -> None:
+def test_a_full_list_of_one_pool_does_not_affect_another() -> None:
     world = SimulatedWorld()
     world.fleet([5], pool=0)
     assert sorted(world.engine._gateway.backends) == [5, 9]
--- a/tests/http/test_age.py
+++ b/tests/http/test_age.py
@@ -1,4 +1,4 @@
-"""The ingress's own lateness is told from the backend's, and counts against the client's time."""
+"""The ingress's own delay is distinguished from backend latency and counts against the client's timeout."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from troutdock.http.socket_info import ms_since_last_data
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
-BUSY_S = 0.2  # how long the loop is kept from listening
+BUSY_S = 0.2  # how long the event loop is blocked
 
 
-class ThreadedNode:
-    """A node that answers at once whatever this process's loop does."""
+class ThreadedBackend:
+    """A backend in a thread, which responds at once even if this process's event loop is blocked."""
 
     def __init__(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
@@ -34,13 +34,13 @@
                 data += part
                 if b"receipt" in data:
                     data = b""
-                    time.sleep(0.03)  # until the loop is busy
+                    time.sleep(0.03)  # until the loop is blocked
                     sock.sendall(OK)
                     self.met.set()
 
 
 def events_of(w: Any) -> list[Any]:
-    """What the decision module is told from now on."""
+    """Records the events that the decision module receives from now on."""
     seen: list[Any] = []
     handle = w.gateway.handle
 
@@ -52,11 +52,11 @@
     return seen
 
 
-def test_the_time_that_an_answer_lay_unread_is_not_the_backends() -> None:
-    """Found on the day at the size of a whole service: the fleet looked slow, and all was refused."""
+def test_unread_time_of_a_response_is_not_counted_as_backend_latency() -> None:
+    """Otherwise a late ingress takes all backends for slow and refuses all requests."""
 
     async def test() -> None:
-        node = ThreadedNode()
+        node = ThreadedBackend()
         async with world(answer()) as w:
             for pool in w.service.ingress.transport.pools.by_backend.values():
                 pool.endpoint = ("127.0.0.1", node.port)
@@ -67,8 +67,8 @@
             seen = events_of(w)
             client.writer.write(request(number=2))
             await until(lambda: any(isinstance(e, RequestArrived) for e in seen))
-            node.met.wait(5)  # this keeps the loop from reading
-            time.sleep(BUSY_S)  # the answer is here, and nobody reads it
+            node.met.wait(5)  # blocks the event loop
+            time.sleep(BUSY_S)  # the response has arrived and is not read
             assert (await client.answer())[0] == 200
             (ended,) = [e for e in seen if isinstance(e, AttemptEnded)]
             assert ended.elapsed_ms > BUSY_S * 1000
@@ -79,7 +79,7 @@
     run(test())
 
 
-def test_a_request_that_lay_unread_has_so_much_less_time_left() -> None:
+def test_unread_time_of_a_request_shortens_its_timeout() -> None:
     async def test() -> None:
         async with world(answer()) as w:
             seen = events_of(w)
@@ -94,7 +94,7 @@
     run(test())
 
 
-def test_where_the_system_does_not_tell_nothing_is_taken_off() -> None:
+def test_unknown_age_counts_as_zero() -> None:
     class Silent:
         def __init__(self, said: bytes | None) -> None:
             self.said = said
@@ -112,18 +112,18 @@
     )  # by the byte order
 
 
-def test_a_request_that_waited_for_this_process_is_refused_at_once_with_a_time() -> None:
-    """Before any work: the decision module makes no call of it, and no backend hears of it."""
+def test_a_request_that_waited_too_long_is_refused_with_retry_after() -> None:
+    """Rejected before any work: no call in the decision module, no request to a backend."""
 
     async def test() -> None:
         async with world(answer()) as w:
             clients = [await w.client() for _ in range(3)]
-            for n, c in enumerate(clients):  # so that all connections are up
+            for n, c in enumerate(clients):  # to establish all connections
                 assert (await c.ask(request("ledger-read", n + 1)))[0] == 200
             sent = len(w.backends[0].requests)
             await asyncio.sleep(0.05)
             for n, c in enumerate(clients):
-                c.writer.write(request("vat-filing", 10 + n))  # written now; read after the pause
+                c.writer.write(request("vat-filing", 10 + n))  # written now, read after the pause
             time.sleep(2 * BUSY_S)
             for c in clients:
                 status, head, _ = await c.answer()
@@ -131,12 +131,14 @@
             assert w.engine.tally.rejected_early == 3 and w.engine.open == 0 and w.gateway.calls == {}
             assert len(w.backends[0].requests) == sent
             await asyncio.sleep(0.2)
-            assert (await clients[0].ask(request("vat-filing", 20)))[0] == 200  # nothing is left of it
+            assert (await clients[0].ask(request("vat-filing", 20)))[
+                0
+            ] == 200  # the rejection leaves no state
 
     run(test())
 
 
-def test_a_late_request_that_makes_no_sense_is_still_told_why() -> None:
+def test_an_invalid_late_request_gets_its_error_response() -> None:
     async def test() -> None:
         async with world(answer()) as w:
             c = await w.client()
@@ -149,8 +151,8 @@
     run(test())
 
 
-def test_what_a_client_that_has_left_asked_late_is_not_done() -> None:
-    """Else a storm is answered long after it has gone, and all that is new waits behind it."""
+def test_requests_of_departed_clients_are_dropped() -> None:
+    """Otherwise new requests wait behind those of clients that have disconnected."""
 
     async def test() -> None:
         async with world(answer()) as w:
@@ -158,11 +160,11 @@
             kept.sendall(request("ledger-read", 1))
             await until(lambda: w.engine.tally.served == 1)
             await asyncio.sleep(0.05)
-            new = socket.create_connection(w.address)  # never accepted before it ends
+            new = socket.create_connection(w.address)  # closed before it is accepted
             for number, sock in enumerate((kept, new)):
                 sock.sendall(request("payment-book", 2 + number))
                 sock.close()
-            time.sleep(0.1)  # short enough that they would not be turned away
+            time.sleep(0.1)  # too short for a rejection
             await asyncio.sleep(0.2)
             assert len(w.backends[0].requests) == 1 and w.engine.open == 0
             assert w.engine.tally.taken == 1
--- a/tests/http/test_bodies.py
+++ b/tests/http/test_bodies.py
@@ -1,4 +1,4 @@
-"""Long and slow messages of clients: held within a budget, at a pace, in every form of HTTP/1.1."""
+"""Long and slow request bodies: memory budget, minimum rate, and all framings of HTTP/1.1."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
 LONG = "0123456789abcdef" * 20_000  # 320,000 bytes
 
 
-# ---- the budget and the pace
+# ---- budget and time limits
 
 
 @given(st.lists(st.integers(-400, 400), max_size=50))
-def test_a_budget_never_holds_more_than_its_bound(steps: list[int]) -> None:
+def test_a_byte_budget_never_exceeds_its_limit(steps: list[int]) -> None:
     budget, held = ByteBudget(1000), []
     for step in steps:
         if step > 0 and budget.reserve(step):
@@ -41,7 +41,7 @@
         assert budget.used == sum(held) <= 1000
 
 
-def test_the_budget_follows_the_memory_and_leaves_room_for_the_program() -> None:
+def test_the_body_budget_depends_on_the_memory() -> None:
     assert body_budget_bytes(24) == body_budget_bytes(32) == 2 * 1024 * 1024
     assert body_budget_bytes(192) == 80 * 1024 * 1024
     assert read_config(json.dumps(small_config())).bodies == body_budget_bytes(80)
@@ -58,21 +58,21 @@
     }
 
 
-def test_a_silent_connection_a_head_and_a_body_each_have_their_own_time() -> None:
-    pace = MessageTimer(100.0)
-    assert not pace.expired(100.0 + FIRST_BYTE_TIMEOUT_S, 0) and pace.expired(
+def test_first_byte_header_section_and_body_have_separate_timeouts() -> None:
+    timer = MessageTimer(100.0)
+    assert not timer.expired(100.0 + FIRST_BYTE_TIMEOUT_S, 0) and timer.expired(
         100.01 + FIRST_BYTE_TIMEOUT_S, 0
     )
-    pace.message_started(101.0)
-    assert not pace.expired(100.0 + HEADER_TIMEOUT_S, 0) and pace.expired(100.01 + HEADER_TIMEOUT_S, 0)
-    pace.header_section_complete(102.0)
-    assert not pace.expired(102.0 + BODY_GRACE_S, 0) and pace.expired(102.01 + BODY_GRACE_S, 0)
-    assert not pace.expired(102.0 + BODY_GRACE_S + 10, 10 * MIN_BODY_RATE)
-    pace.message_started(200.0)
-    assert not pace.expired(200.0 + HEADER_TIMEOUT_S, 0) and pace.expired(200.01 + HEADER_TIMEOUT_S, 0)
+    timer.message_started(101.0)
+    assert not timer.expired(100.0 + HEADER_TIMEOUT_S, 0) and timer.expired(100.01 + HEADER_TIMEOUT_S, 0)
+    timer.header_section_complete(102.0)
+    assert not timer.expired(102.0 + BODY_GRACE_S, 0) and timer.expired(102.01 + BODY_GRACE_S, 0)
+    assert not timer.expired(102.0 + BODY_GRACE_S + 10, 10 * MIN_BODY_RATE)
+    timer.message_started(200.0)
+    assert not timer.expired(200.0 + HEADER_TIMEOUT_S, 0) and timer.expired(200.01 + HEADER_TIMEOUT_S, 0)
 
 
-def test_space_around_a_value_is_no_part_of_it() -> None:
+def test_whitespace_around_a_header_value_is_ignored() -> None:
     async def test() -> None:
         async with world(answer()) as w:
             for name in ("Request_Id", "Plan", "Account", "Request_Timeout", "Quota_Info", "Content_Length"):
@@ -87,8 +87,8 @@
     run(test())
 
 
-def test_a_message_behind_a_slow_one_has_its_own_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Both begin in one read; the time of the first one's body used to be held against the second's head."""
+def test_a_pipelined_message_has_its_own_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Two messages in one read: the body time of the first must not count for the second's header section."""
     monkeypatch.setattr(body_limits, "BODY_GRACE_S", 0.1)
     monkeypatch.setattr("troutdock.daemon.SWEEP_S", 0.02)
 
@@ -121,14 +121,14 @@
         (b"h:80", b"h:80"),
     ],
 )
-def test_a_target_in_absolute_form_is_the_path_behind_the_host(url: bytes, path: bytes) -> None:
+def test_absolute_form_is_reduced_to_origin_form(url: bytes, path: bytes) -> None:
     assert origin_form(url) == path
 
 
 # ---- over loopback
 
 
-def test_a_long_body_goes_on_unchanged_and_again_to_another_backend() -> None:
+def test_a_long_body_is_forwarded_unchanged_and_repeated_on_retry() -> None:
     async def test() -> None:
         async def breaks(peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
             writer.write(b"HTTP/1.1 503 X\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
@@ -143,7 +143,7 @@
     run(test())
 
 
-def test_a_chunked_body_of_any_length_is_passed_on_with_its_length() -> None:
+def test_a_chunked_body_is_forwarded_with_content_length() -> None:
     async def test() -> None:
         async with world(answer()) as w:
             data = LONG.encode()
@@ -159,7 +159,7 @@
     run(test())
 
 
-def test_a_body_that_finds_no_room_is_refused_at_once_and_one_that_has_room_later_is_taken() -> None:
+def test_a_body_beyond_the_budget_is_refused_until_budget_is_released() -> None:
     async def test() -> None:
         async with world(answer()) as w:
             w.service._server.bodies.limit = 400_000
@@ -168,7 +168,7 @@
             await until(lambda: w.service._server.bodies.used == len(LONG))
             status, head, _ = await w.ask(request(number=2, body=LONG))
             assert status == 503 and b"retry-after: 0.5" in head.lower()
-            assert (await w.ask(request(number=3)))[0] == 200  # a small one needs no room
+            assert (await w.ask(request(number=3)))[0] == 200  # a small body needs no budget
             first.writer.write(request(body=LONG)[2000:])
             assert (await first.answer())[0] == 200
             assert (await w.ask(request(number=4, body=LONG)))[0] == 200
@@ -177,7 +177,7 @@
     run(test())
 
 
-def test_what_a_client_that_leaves_had_sent_is_held_no_longer() -> None:
+def test_the_body_of_a_disconnected_client_is_released() -> None:
     async def test() -> None:
         release = asyncio.Event()
 
@@ -198,7 +198,7 @@
     run(test())
 
 
-def test_a_client_that_waits_to_be_told_is_told_to_go_on_and_only_once_its_turn_has_come() -> None:
+def test_100_continue_is_sent_after_the_earlier_responses() -> None:
     async def test() -> None:
         release = asyncio.Event()
 
@@ -214,18 +214,18 @@
             await until(lambda: len(w.backends[0].requests) == 1)
             await asyncio.sleep(0.02)
             release.set()
-            assert (await client.answer())[0] == 200  # no interim answer has come before it
+            assert (await client.answer())[0] == 200  # no interim response precedes it
             assert (await read_message(client.reader)).startswith(b"HTTP/1.1 100 ")
             client.writer.write(whole[-10:])
             assert (await client.answer())[0] == 200
             assert b"xpect" not in w.backends[0].requests[1]
             status, _, _ = await client.ask(request(number=3, body="y", Expect="100-continue"))
-            assert status in (100, 200)  # it did not wait: told or not, the answer follows
+            assert status in (100, 200)  # the client did not wait: 100 is optional
 
     run(test())
 
 
-def test_a_body_that_comes_slowly_at_its_pace_is_taken_and_one_that_stops_is_not(
+def test_a_body_above_the_minimum_rate_is_accepted_and_a_stalled_one_is_not(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     for limit, value in (
@@ -242,7 +242,7 @@
             slow, stops = await w.client(), await w.client()
             whole = request(body="x" * 40_000)
             stops.writer.write(request(number=2, body="x" * 40_000)[:20_000])
-            for at in range(0, len(whole), 4000):  # in some 0.5 s, far over the head's time
+            for at in range(0, len(whole), 4000):  # takes about 0.5 s, longer than the header timeout
                 slow.writer.write(whole[at : at + 4000])
                 await asyncio.sleep(0.05)
             assert (await slow.answer())[0] == 200
@@ -259,10 +259,10 @@
         (b"Transfer-Encoding: chunked \r\n\r\n2\r\ndo\r\n2;x=y\r\nne\r\n0\r\nT: x\r\n\r\n", True),
         (b"Connection: close\r\n\r\ndone", True),
         (b"Connection: Close \r\n\r\ndone", True),
-        (b"\r\ndone", False),  # nobody said that the end would come
+        (b"\r\ndone", False),  # no Connection: close
     ],
 )
-def test_every_form_of_an_answers_body(head: bytes, served: bool) -> None:
+def test_every_framing_of_a_response_body(head: bytes, served: bool) -> None:
     async def test() -> None:
         async def script(peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
             writer.write(b"HTTP/1.1 200 OK\r\n" + head)
@@ -276,7 +276,7 @@
     run(test())
 
 
-def test_an_answer_without_a_length_that_is_reset_is_not_served() -> None:
+def test_a_reset_response_of_unknown_length_is_not_served() -> None:
     async def test() -> None:
         async def script(peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
             writer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf of it")
@@ -285,14 +285,14 @@
             writer.transport.abort()
 
         async with world(script) as w:
-            sock_closes_hard(w.backends[0])
+            reset_on_close(w.backends[0])
             assert (await w.ask(request()))[0] == 502
 
     run(test())
 
 
-def sock_closes_hard(peer: Peer) -> None:
-    """Its connections end with a reset, as those of a process that is killed with bytes unread."""
+def reset_on_close(peer: Peer) -> None:
+    """Makes the peer's connections end with a reset, as when a process is killed with unread data."""
     import socket
     import struct
 
--- a/tests/http/test_closing_requests.py
+++ b/tests/http/test_closing_requests.py
@@ -1,4 +1,4 @@
-"""A request that ends its connection waits for its answer as long as any other."""
+"""A request with Connection: close waits for its response as long as any other."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Silent:
-    """Decides nothing: every request stays open."""
+    """A decision module without actions: every request stays open."""
 
     settings = settings()
 
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize("ends", [b"Connection: close\r\n", b""])
-def test_an_open_request_is_in_no_line_that_ends_it(ends: bytes) -> None:
+def test_an_open_request_is_in_no_queue_with_a_timeout(ends: bytes) -> None:
     async def play() -> None:
         engine = Engine(Silent.settings, 1, SystemClock(), asyncio.get_running_loop(), Silent())
         engine.add_pool(HttpTransport(1, 1, 1, engine.attempt_ended))
@@ -40,7 +40,7 @@
         )
         while not engine.open:
             await asyncio.sleep(0)
-        await asyncio.sleep(0)  # to the end of what reads it
+        await asyncio.sleep(0)  # until data_received has returned
         assert not len(server.waiting) and not len(server.idle)
         writer.close()
         engine.close()
--- a/tests/http/test_cycles.py
+++ b/tests/http/test_cycles.py
@@ -1,4 +1,4 @@
-"""What has ended is gone at once: under load the collector of cycles would take the time that requests need."""
+"""Finished requests leave no reference cycles: garbage collection would take time from requests under load."""
 
 from __future__ import annotations
 
@@ -23,9 +23,7 @@
 
 def alive(w: Any) -> dict[str, int]:
     found = Counter(type(o).__name__ for o in gc.get_objects() if isinstance(o, KINDS))
-    found["ResponseReader"] -= (
-        w.discovery.connections + 1
-    )  # the watch of discovery has its own, and failed ones
+    found["ResponseReader"] -= w.discovery.connections + 1  # the discovery watch has readers too
     return {kind: n for kind, n in found.items() if n > 0}
 
 
@@ -40,7 +38,7 @@
         ("ledger-read", answer(b"", 503, b"Not-Started: 1\r\n")),
     ],
 )
-def test_nothing_is_left_to_the_collector(cls: str, script: Script) -> None:
+def test_finished_requests_leave_no_reference_cycles(cls: str, script: Script) -> None:
     async def test() -> None:
         async with world(script, script) as w:
             gc.collect()
--- a/tests/http/test_long_answers.py
+++ b/tests/http/test_long_answers.py
@@ -1,4 +1,4 @@
-"""Answers that are passed on as they come: bounded memory, slow clients, what is spoilt, and what breaks."""
+"""Streamed responses: bounded memory, slow clients, invalid and truncated responses."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 def writes(
     form: str, pieces: int, before: int = 0, release: asyncio.Event | None = None, cut: int | None = None
 ) -> Script:
-    """An answer of so many pieces; before: how many come before release; cut: how many come at all."""
+    """Writes a response of several pieces; before: pieces sent before release; cut: pieces sent in total."""
 
     async def script(peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
         peer.written = 0
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize("form", ["length", "chunked", "end"])
-def test_first_bytes_come_before_the_last_are_there_and_all_come_unchanged(form: str) -> None:
+def test_a_streamed_response_arrives_early_and_unchanged(form: str) -> None:
     async def test() -> None:
         release = asyncio.Event()
         async with world(writes(form, 12, before=2, release=release)) as w:
@@ -76,13 +76,13 @@
                 first = await anext(chunks)
                 release.set()
                 assert first + b"".join([chunk async for chunk in chunks]) == PIECE * 12
-            assert (await client.ask(request(number=2)))[0] == 200  # the connection goes on
+            assert (await client.ask(request(number=2)))[0] == 200  # the connection persists
             assert w.engine.tally.served >= 1
 
     run(test())
 
 
-def test_an_old_client_reads_an_answer_of_unknown_length_to_the_connections_end() -> None:
+def test_http_1_0_client_reads_a_streamed_response_until_close() -> None:
     async def test() -> None:
         async with world(writes("chunked", 4)) as w:
             client = await w.client()
@@ -94,8 +94,8 @@
     run(test())
 
 
-def test_a_client_that_reads_slowly_stops_the_reading_from_the_backend() -> None:
-    """What is held is bounded by the buffers of both sides, not by the answer."""
+def test_a_slow_client_pauses_reading_from_the_backend() -> None:
+    """Memory is bounded by the buffers of both sides, not by the size of the response."""
 
     async def test() -> None:
         async with world(writes("length", 512)) as w:  # 32 MiB
@@ -106,7 +106,7 @@
             await asyncio.get_running_loop().sock_sendall(sock, request())
             await until(lambda: getattr(w.backends[0], "written", 0) > 0)
             before = -1
-            while before != w.backends[0].written:  # until nothing more goes through
+            while before != w.backends[0].written:  # until the flow stops
                 before = w.backends[0].written
                 await asyncio.sleep(0.1)
             assert before < 256
@@ -122,7 +122,7 @@
     run(test())
 
 
-def test_the_deadline_holds_for_the_first_bytes_only() -> None:
+def test_the_deadline_applies_to_the_first_bytes_only() -> None:
     async def test() -> None:
         release = asyncio.Event()
         async with world(writes("length", 4, before=2, release=release)) as w:
@@ -137,7 +137,7 @@
 
 
 @pytest.mark.parametrize("form", ["length", "chunked"])
-def test_an_answer_that_breaks_off_ends_the_connection_and_runs_nowhere_else(form: str) -> None:
+def test_a_truncated_stream_closes_the_connection_without_retry(form: str) -> None:
     async def test() -> None:
         async with world(writes(form, 12, cut=6), writes(form, 12, cut=6)) as w:
             client = await w.client()
@@ -156,7 +156,7 @@
     run(test())
 
 
-def test_one_that_stands_still_for_long_is_broken_off(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_stalled_stream_is_aborted(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(transport_module, "STREAM_STALL_S", 0.1)
 
     async def test() -> None:
@@ -170,7 +170,7 @@
     run(test())
 
 
-def test_one_that_is_spoilt_before_its_first_bytes_are_passed_on_is_tried_again() -> None:
+def test_a_fault_before_streaming_starts_is_retried() -> None:
     async def test() -> None:
         async def says_too_much(peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
             writer.write(b"HTTP/1.1 200 OK\r\n" + LENGTH % (3 * 1024**3) + PIECE)
@@ -198,7 +198,7 @@
     run(test())
 
 
-def test_a_client_that_leaves_half_way_ends_the_reading_too() -> None:
+def test_a_disconnect_during_a_stream_stops_reading_from_the_backend() -> None:
     async def test() -> None:
         async with world(writes("length", 12, before=4, release=asyncio.Event())) as w:
             client = await w.client()
@@ -212,7 +212,7 @@
     run(test())
 
 
-def test_a_client_that_takes_nothing_for_long_is_left(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_client_that_reads_nothing_is_aborted(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("troutdock.http.listener.WRITE_STALL_S", 0.2)
     monkeypatch.setattr("troutdock.daemon.SWEEP_S", 0.05)
 
@@ -230,8 +230,8 @@
     run(test())
 
 
-def test_a_last_answer_is_read_in_the_clients_own_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The wait for a client's last bytes used to cut off what it had not read."""
+def test_a_slow_client_can_read_its_last_response(monkeypatch: pytest.MonkeyPatch) -> None:
+    """LINGER_S must not abort a connection whose client has not yet read its response."""
     monkeypatch.setattr("troutdock.http.listener.LINGER_S", 0.05)
     monkeypatch.setattr("troutdock.daemon.SWEEP_S", 0.02)
 
@@ -246,7 +246,7 @@
     run(test())
 
 
-def test_answers_in_a_row_keep_their_order_and_a_long_one_waits_for_its_turn() -> None:
+def test_pipelined_responses_keep_their_order_around_a_stream() -> None:
     async def test() -> None:
         release = asyncio.Event()
 
@@ -271,7 +271,7 @@
     run(test())
 
 
-def test_a_streamed_answer_leaves_nothing_behind() -> None:
+def test_a_streamed_response_leaks_nothing() -> None:
     async def test() -> None:
         async with world(writes("chunked", 8)) as w:
             for number in range(1, 6):
@@ -283,7 +283,7 @@
     run(test())
 
 
-def test_with_too_many_long_answers_the_client_that_takes_nothing_for_longest_is_cut() -> None:
+def test_too_many_streams_abort_the_client_stalled_for_longest() -> None:
     async def test() -> None:
         async with world(*[writes("length", 400)] * 6) as w:
             server = w.service._server
@@ -305,7 +305,7 @@
             with contextlib.suppress(ConnectionError):
                 while data := await asyncio.get_running_loop().sock_recv(slow[0], 1 << 20):
                     got += len(data)
-            assert 0 < got < 400 * len(PIECE)  # and the client can tell
+            assert 0 < got < 400 * len(PIECE)  # the client sees a truncated body
             for sock in slow:
                 sock.close()
             await until(lambda: server.streams == 0)
@@ -313,19 +313,17 @@
     run(test())
 
 
-def test_how_many_streams_there_may_be_follows_the_memory() -> None:
+def test_the_stream_limit_depends_on_the_memory() -> None:
     assert [max_streams_for(mb) for mb in (24, 32, 40, 80, 192)] == [16, 16, 22, 136, 455]
 
 
-def test_more_than_any_answer_may_have_is_taken_for_spoilt() -> None:
+def test_a_response_above_the_size_limit_is_rejected() -> None:
     assert 32 * 1024 * 1024 < MAX_STREAMED_BYTES < 3 * 1024**3
 
 
 @pytest.mark.parametrize(("cls", "tries"), [("vat-filing", 1), ("ledger-read", 2)])
-def test_the_rest_of_an_answer_is_waited_for_longer_where_nothing_else_can_be_tried(
-    cls: str, tries: int
-) -> None:
-    """A backend that stands still for half a second in the middle of its answer: seen on a recorded day."""
+def test_the_stall_timeout_is_longer_if_no_retry_is_possible(cls: str, tries: int) -> None:
+    """Real backends may pause for 0.5 s in the middle of a response."""
 
     async def test() -> None:
         asked: list[int] = []
--- a/tests/http/test_places.py
+++ b/tests/http/test_places.py
@@ -1,4 +1,4 @@
-"""Places of clients: connections in use end with an answer that says so, and are not cut between requests."""
+"""Connection slots: connections in use are closed by a response, not between requests."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from troutdock.http import listener as server_module
 
 
-# nothing here is about what a slow test machine may refuse: aims and time-outs are far off
+# latency targets and timeouts are large, so that a slow test machine causes no refusals
 PATIENT = {"categories": [cls | {"aim": 25_000.0, "hard_limit": 30_000.0} for cls in SETTINGS["categories"]]}
 
 
-def places(sockets: int) -> Any:
+def slots(sockets: int) -> Any:
     return world(answer(), sockets=sockets, settings=PATIENT)
 
 
@@ -27,8 +27,8 @@
     return request("ledger-read", number, Request_Timeout="25", **changes)
 
 
-async def asks_in_a_row(w: Any, number: int, times: int, told: list[str], kept: bool = True) -> None:
-    """An ordinary client: it keeps its connection until it is told to end, and shows a reset to its user."""
+async def send_sequence(w: Any, number: int, times: int, told: list[str], kept: bool = True) -> None:
+    """An ordinary client: keeps its connection until Connection: close, and reports a reset."""
     client = None
     for n in range(times):
         client = client or await w.client()
@@ -45,17 +45,17 @@
 
 
 @pytest.mark.parametrize(("clients", "sockets"), [(13, 80), (40, 80), (128, 1024)])
-def test_clients_that_ask_in_a_row_are_never_reset(clients: int, sockets: int) -> None:
-    """128 of them within 488 places, and more of them than there are places."""
+def test_clients_with_sequential_requests_are_never_reset(clients: int, sockets: int) -> None:
+    """128 clients with 488 slots, and more clients than slots."""
 
     async def test() -> None:
-        async with places(sockets) as w:
+        async with slots(sockets) as w:
             told: list[str] = []
-            await asyncio.gather(*(asks_in_a_row(w, n + 1, 8, told) for n in range(clients)))
+            await asyncio.gather(*(send_sequence(w, n + 1, 8, told) for n in range(clients)))
             assert "reset" not in told
             assert len([t for t in told if t != "end"]) == clients * 8
             if clients < (sockets - 48) // 2 * 0.8:
-                assert "end" not in told  # there was room for all
+                assert "end" not in told  # slots for all clients
             if clients > (sockets - 48) // 2:
                 assert "end" in told
 
@@ -63,15 +63,15 @@
     gc.collect()
 
 
-def test_a_connection_that_never_asks_makes_room_once_it_is_not_fresh(
+def test_a_connection_without_request_is_closed_for_a_new_one(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """All others are in use; without a look of its own the door stayed shut until the message's time was over."""
+    """All other slots are in use; sweep must resume accepting before the receive timeout of the connection."""
     monkeypatch.setattr(server_module, "RECENT_USE_S", 60.0)
     monkeypatch.setattr(body_limits, "FIRST_BYTE_TIMEOUT_S", 60.0)
 
     async def test() -> None:
-        async with places(80) as w:
+        async with slots(80) as w:
             used = [await w.client() for _ in range(13)]
             for n, client in enumerate(used):
                 assert (await client.ask(read(n + 1)))[0] == 200
@@ -84,11 +84,11 @@
     run(test())
 
 
-def test_connections_that_never_ask_make_room() -> None:
-    """Guards the door: places all held by idle connections are free again once those are out of use."""
+def test_idle_connections_are_closed_for_new_ones() -> None:
+    """Slots that are all taken by idle connections become available once those are unused."""
 
     async def test() -> None:
-        async with places(80) as w:
+        async with slots(80) as w:
             server = w.service._server
             idle = [await w.client() for _ in range(16)]
             for n, client in enumerate(idle[:12]):
@@ -101,8 +101,8 @@
     run(test())
 
 
-def test_a_request_that_came_while_the_process_stood_is_not_cut_as_idle() -> None:
-    """After a stall the sweep comes before the reads: connections that stood idle for too long had asked meanwhile."""
+def test_a_connection_with_unread_request_is_not_closed_as_idle() -> None:
+    """After a stall, sweep runs before the reads: connections idle for too long may have unread requests."""
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
@@ -110,7 +110,7 @@
         async def answered(sock: socket.socket) -> bytes:
             return (await loop.sock_recv(sock, 65536))[:12]
 
-        async with places(80) as w:
+        async with slots(80) as w:
             socks = [socket.create_connection(tuple(w.address)) for _ in range(12)]
             for n, sock in enumerate(socks):
                 sock.setblocking(False)
@@ -119,7 +119,7 @@
             arrive = w.engine.arrive
 
             def stalls(*args: Any) -> Any:
-                """In the middle of the reads: what comes from here on is unread when the timers have their turn."""
+                """Blocks among the reads: data that arrives from now on is unread when the timers run."""
                 w.engine.arrive = arrive
                 for n, sock in enumerate(socks):
                     sock.send(read(200 + n))
@@ -131,7 +131,7 @@
             assert {await answered(sock) for sock in socks} <= {
                 b"HTTP/1.1 200",
                 b"HTTP/1.1 429",
-            }  # and none is cut
+            }  # and none is closed
             for sock in socks:
                 sock.close()
 
--- a/tests/http/test_taking_in.py
+++ b/tests/http/test_taking_in.py
@@ -1,4 +1,4 @@
-"""A request that a late process looks at, and one that can't be taken in: each has its answer."""
+"""A late request and a request that causes an internal error each get a response."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from troutdock.admission.interface import RequestWaited
 
 
-def test_what_is_due_to_peers_goes_out_with_a_late_request_and_does_not_decide_it() -> None:
-    """A digest that was due stood in a refusal's place, and the request had no answer at all."""
+def test_a_message_to_peers_does_not_decide_a_late_request() -> None:
+    """A message to peers among the actions must not be taken for the refusal, or no response is sent."""
     w, peers = SimulatedWorld(gateways=3, peers=True, peer_in_per_s=100.0), Mock()
     w.engine.set_peers(peers)
     exchange = Told(w.time.now(), w.time.now() + 4000, w.time)
@@ -25,8 +25,8 @@
         assert exchange.final == ("refused" if refused else None)
 
 
-def test_what_fails_while_a_request_is_taken_in_is_logged_and_fails_that_request_only(caplog: Any) -> None:
-    """The parser swallows what its callbacks raise: the request stood unanswered before all later ones."""
+def test_an_internal_error_is_logged_and_fails_only_its_request(caplog: Any) -> None:
+    """The parser swallows exceptions of its callbacks; the request would block all later responses."""
 
     async def test() -> None:
         async with world(answer()) as w:
--- a/tests/http/test_transport.py
+++ b/tests/http/test_transport.py
@@ -1,4 +1,4 @@
-"""The transport of HTTP/1.1: what came of an attempt, and its connections, over loopback."""
+"""The HTTP/1.1 transport over loopback: outcomes of attempts, and connection reuse."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
         (sends(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"), Outcome.RESET),
         (sends(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n"), Outcome.OK),
         (sends(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"), Outcome.OK),
-        (sends(b"HTTP/1.1 200 OK\r\n\r\ndone"), Outcome.RESET),  # whether that is all of it can't be told
+        (sends(b"HTTP/1.1 200 OK\r\n\r\ndone"), Outcome.RESET),  # a truncated body cannot be excluded
         (sends(b"SSH-2.0-nonsense\r\n", close=False), Outcome.RESET),
         (sends(b"HTTP/1.1 200 OK\r\nX: " + b"x" * 70_000, close=False), Outcome.RESET),
         (answer(b"x" * (MAX_BODY + 1)), Outcome.RESET),
@@ -50,7 +50,7 @@
         ),
     ],
 )
-def test_each_answer_has_its_outcome(script: Script, outcome: Outcome) -> None:
+def test_each_response_has_its_outcome(script: Script, outcome: Outcome) -> None:
     async def test() -> None:
         peer = Peer(script)
         await peer.start()
@@ -62,7 +62,7 @@
     run(test())
 
 
-def test_a_refused_connection_is_known_not_to_have_run() -> None:
+def test_a_refused_connection_counts_as_never_run() -> None:
     async def test() -> None:
         peer = Peer(silence)
         await peer.start()
@@ -75,7 +75,7 @@
 
 @contextmanager
 def full_backlog() -> Iterator[int]:
-    """A port where a connection neither comes up nor is refused: a full backlog swallows what comes."""
+    """A port with a full backlog, where a connection is neither established nor refused."""
     with socket.socket() as listener, ExitStack() as stack:
         listener.bind(("127.0.0.1", 0))
         listener.listen(0)
@@ -87,7 +87,7 @@
         yield port
 
 
-def test_a_connection_that_never_comes_up_is_given_up_in_time() -> None:
+def test_a_connect_timeout_ends_the_attempt() -> None:
     async def test() -> None:
         with full_backlog() as port:
             outcomes = Outcomes(port)
@@ -97,8 +97,8 @@
     run(test())
 
 
-def test_an_attempt_given_up_while_its_connection_opens_leaves_no_cycle() -> None:
-    """Its task keeps the error that ended it, that its frame, and the frame the attempt."""
+def test_an_attempt_cancelled_while_connecting_leaves_no_cycle() -> None:
+    """The task references its exception, that its frame, and the frame the attempt."""
 
     async def test() -> None:
         with full_backlog() as port:
@@ -119,7 +119,7 @@
     run(test())
 
 
-def test_a_break_before_the_last_byte_is_no_run_and_after_it_may_be_one() -> None:
+def test_a_close_before_the_last_byte_is_no_run_and_after_it_may_be_one() -> None:
     async def test() -> None:
         async def half(reader: asyncio.StreamReader) -> bytes:
             return await reader.readexactly(10)
@@ -138,7 +138,7 @@
     run(test())
 
 
-def test_the_connection_used_last_is_used_again() -> None:
+def test_the_most_recently_used_connection_is_reused() -> None:
     async def test() -> None:
         peer = Peer(silence)
         await peer.start()
@@ -160,8 +160,8 @@
     run(test())
 
 
-def test_a_connection_that_the_peer_closed_is_never_handed_out() -> None:
-    """Even in the moment before the loop has read of the close: an unsafe request would end as a reset."""
+def test_a_connection_closed_by_the_peer_is_never_reused() -> None:
+    """Also before the event loop has read the close; a non-repeatable request would be reset."""
 
     async def test() -> None:
         peer = Peer(answer())
@@ -181,7 +181,7 @@
     run(test())
 
 
-def test_a_connection_that_comes_free_serves_the_attempt_that_waits(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_free_connection_serves_the_waiting_attempt(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         peer = Peer(silence)
         await peer.start()
@@ -196,7 +196,9 @@
         second = outcomes.start()
         peer.writers[0].write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         await until(lambda: first.over and second.connection is not None)
-        outcomes.backends.pools.by_backend[1]._connect_failed(second)  # its own connection fails in vain
+        outcomes.backends.pools.by_backend[1]._connect_failed(
+            second
+        )  # the failure of its own connection has no effect
         await until(lambda: len(peer.requests) == 2)
         assert peer.connections == 1 and not second.over
         peer.stop()
@@ -204,8 +206,8 @@
     run(test())
 
 
-def test_each_waiting_attempt_keeps_the_connection_that_comes_up_for_it() -> None:
-    """Found in review: one that served an older attempt left its own waiting, if the other then failed."""
+def test_a_waiting_attempt_keeps_the_connection_opened_for_it() -> None:
+    """If it served an older attempt instead, its own attempt could wait without a connection."""
 
     async def test() -> None:
         peer = Peer(answer())
@@ -213,9 +215,9 @@
         outcomes = Outcomes(peer.port)
         pool = outcomes.backends.pools.by_backend[1]
         first = Attempt(None, 0, 1, PAYLOAD, 0.0)
-        pool.waiting.append(first)  # its connection has not come up yet
+        pool.waiting.append(first)  # its connection is not open yet
         assert (await outcomes.outcome())[0] is Outcome.OK
-        await until(lambda: first.over)  # once the connection has rested
+        await until(lambda: first.over)  # after the reuse delay
         pool._connect_failed(first)
         assert [o for a, o, _ in outcomes.ended if a is first] == [Outcome.OK]
         assert peer.connections == 1
@@ -224,7 +226,7 @@
     run(test())
 
 
-def test_a_peer_that_hangs_up_at_once_leaves_no_attempt_waiting() -> None:
+def test_a_peer_that_closes_at_once_leaves_no_attempt_waiting() -> None:
     async def test() -> None:
         async def hang_up(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             writer.transport.abort()
@@ -239,7 +241,7 @@
     run(test())
 
 
-def test_an_attempt_given_up_closes_its_connection() -> None:
+def test_a_cancelled_attempt_closes_its_connection() -> None:
     async def test() -> None:
         peer = Peer(silence)
         await peer.start()
@@ -257,17 +259,17 @@
 @pytest.mark.parametrize(
     ("served", "resets", "shrinks"),
     [
-        ((), (3.0,), True),  # nothing is known of such an age
-        ((5.0,), (3.0,), False),  # another as old has just served
-        ((5.0,), (3.0, 3.0), True),  # two in a row, and none that served between them
+        ((), (3.0,), True),  # no proof for this age
+        ((5.0,), (3.0,), False),  # an older one has just worked
+        ((5.0,), (3.0, 3.0), True),  # two resets without a success between them
         ((5.0, None, 5.0), (3.0,), False),
-        ((2.0,), (3.0,), True),  # only a younger one has
+        ((2.0,), (3.0,), True),  # only a younger one has worked
     ],
 )
-def test_a_reset_is_laid_to_a_connections_age_only_where_none_as_old_serves(
+def test_a_reset_lowers_the_reuse_limit_only_without_proof_of_that_age(
     served: tuple[float | None, ...], resets: tuple[float, ...], shrinks: bool
 ) -> None:
-    """A few resets of other causes had a gateway with little traffic open a connection for each request."""
+    """Otherwise a few resets make a gateway with little traffic open a connection for each request."""
 
     async def test() -> None:
         transport = HttpTransport(8, 0.25, 30.0, lambda *_: None)
@@ -284,15 +286,15 @@
 
 
 class Owner:
-    """A call, so far as a transport sees it."""
+    """The parts of a call that a transport uses."""
 
     def __init__(self, traits: ProtocolTraits, left_ms: float) -> None:
         self.request, self.expires_ms = SimpleNamespace(traits=traits, id=b"a"), left_ms
 
 
 @pytest.mark.parametrize("repeatable", (True, False))
-def test_an_interim_answer_is_no_answer_that_has_stopped_midway(repeatable: bool) -> None:
-    """A backend that had said 103 was taken for one that broke off 0.3 s later, while it was at work."""
+def test_an_interim_response_starts_no_stall_timer(repeatable: bool) -> None:
+    """A backend that sent 103 and is still processing must not time out after STALL_S, 0.3 s."""
 
     async def test() -> None:
         peer = Peer(sends(b"HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n", close=False))
@@ -316,7 +318,7 @@
     ("stall_timeout_applies", "repeatable", "watched"),
     [(True, True, True), (True, False, True), (False, True, True), (False, False, False)],
 )
-def test_an_answer_that_stops_is_waited_for_where_nothing_else_may_be_tried(
+def test_a_stalled_response_is_awaited_if_no_retry_is_possible(
     stall_timeout_applies: bool, repeatable: bool, watched: bool
 ) -> None:
     async def test() -> None:
@@ -344,10 +346,10 @@
     ("stall_timeout_applies", "left_ms", "least_s"),
     [(True, 60_000.0, 0.0), (False, 60_000.0, 55.0), (False, 100.0, 0.0)],
 )
-def test_a_long_answer_that_stops_is_waited_for_until_its_time_is_over(
+def test_a_stalled_stream_is_awaited_until_its_deadline(
     stall_timeout_applies: bool, left_ms: float, least_s: float
 ) -> None:
-    """Its deadline holds for its beginning only, and 5 s of silence ended one that had a minute."""
+    """The engine's deadline ends with the first bytes; a stream with a minute left was ended after 5 s."""
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
@@ -385,7 +387,7 @@
     ],
 )
 @pytest.mark.parametrize("ends", ("reset", "close"))
-def test_a_break_before_the_last_byte_is_what_the_protocol_makes_of_it(
+def test_a_close_before_the_last_byte_depends_on_the_protocol_traits(
     traits: ProtocolTraits, outcome: Outcome, ends: str
 ) -> None:
     async def test() -> None:
@@ -409,8 +411,8 @@
 
 
 @pytest.mark.parametrize("early", (b"HTTP/1.1 200 OK\r\nContent-Le", b"garbage\r\n"))
-def test_who_has_begun_to_answer_may_have_run_what_was_not_written_whole(early: bytes) -> None:
-    """It counted as never run, and was sent again."""
+def test_a_response_before_the_last_byte_counts_as_possibly_run(early: bytes) -> None:
+    """If it counted as never run, it would be sent again."""
 
     async def test() -> None:
         async def half(reader: asyncio.StreamReader) -> bytes:
--- a/tests/rules/test_five_rules.py
+++ b/tests/rules/test_five_rules.py
@@ -1,4 +1,4 @@
-"""The five rules as clients and nodes see them, whatever the front."""
+"""The five rules of the protocol, observed by clients and backends, for every front."""
 
 from __future__ import annotations
 
@@ -33,16 +33,16 @@
 
 
 def settings(**changes: dict[str, Any]) -> dict[str, Any]:
-    """The settings with some of a section's values changed."""
+    """Returns the settings with some values of sections changed."""
     return {section: {**SETTINGS[section], **values} for section, values in changes.items()}
 
 
-# ---- 1: each request taken gets exactly one final answer, in time
+# ---- 1: each accepted request gets exactly one final response, in time
 
 
 @pytest.mark.parametrize("cls", CLASSES)
 @pytest.mark.parametrize("timeout", ["0.120", "0.300", "0.600"])
-def test_each_of_many_gets_one_answer_in_time_from_nodes_that_are_silent(cls: str, timeout: str) -> None:
+def test_many_requests_to_silent_backends_get_one_response_each_in_time(cls: str, timeout: str) -> None:
     async def test() -> None:
         loop = asyncio.get_running_loop()
         async with world(silence, silence) as w:
@@ -70,8 +70,8 @@
         return True
 
 
-def test_a_mixed_crowd_gets_one_answer_each() -> None:
-    """Good, failing, idle and hanging nodes; every class, every plan; a third of the clients leave."""
+def test_mixed_clients_and_backends_give_one_response_each() -> None:
+    """Working, failing, silent and hanging backends; every class and plan; a third of the clients disconnect."""
 
     async def test() -> None:
         async def slow(peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
@@ -107,7 +107,7 @@
             assert w.engine.tally.served >= statuses.count(200) > 20
             assert_settled(w.engine)
             by_id: dict[bytes, int] = {}
-            for peer in w.backends[:2] + w.backends[4:]:  # where a request has run, or may have
+            for peer in w.backends[:2] + w.backends[4:]:  # where a request has or may have run
                 for data in peer.requests:
                     if b"/vat-filing" in data:
                         by_id[id_of(data)] = by_id.get(id_of(data), 0) + 1
@@ -117,8 +117,8 @@
 
 
 @pytest.mark.parametrize("cls", CLASSES)
-def test_what_is_given_up_is_answered_at_once(cls: str) -> None:
-    """No node at all: nothing is held back until near the deadline."""
+def test_a_hopeless_request_is_answered_at_once(cls: str) -> None:
+    """Without any backend, the response is not delayed until near the deadline."""
 
     async def test() -> None:
         async with world() as w:
@@ -134,13 +134,13 @@
 # ---- 2: nothing happens twice
 
 
-def test_a_keyed_request_is_not_sent_again_once_nodes_may_have_forgotten_its_key() -> None:
+def test_a_keyed_request_is_not_repeated_after_the_dedup_window() -> None:
     categories = json.loads(json.dumps(SETTINGS["categories"]))
     categories[1]["dedup_window"] = 500.0
 
     async def test() -> None:
         async def late_reset(peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
-            await asyncio.sleep(0.35)  # a further send could arrive after the window
+            await asyncio.sleep(0.35)  # a further attempt could arrive after the window
             writer.transport.abort()
 
         async with world(
@@ -154,8 +154,8 @@
     run(test())
 
 
-def test_a_client_that_leaves_is_the_end_of_all_attempts() -> None:
-    """Between two attempts, and with one out: nothing is sent for it any more."""
+def test_a_disconnect_ends_all_attempts() -> None:
+    """Between two attempts and during one: no further attempt is sent."""
 
     async def test() -> None:
         async def late_reset(peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
@@ -176,11 +176,11 @@
     run(test())
 
 
-# ---- 3: a draining or gone node gets nothing new
+# ---- 3: a draining or removed backend gets no new requests
 
 
 @pytest.mark.parametrize("state", ["leaving", "left"])
-def test_a_node_that_drains_gets_nothing_new_after_it_was_told(state: str) -> None:
+def test_a_draining_backend_gets_no_new_requests(state: str) -> None:
     async def test() -> None:
         told = asyncio.Event()
 
@@ -210,12 +210,12 @@
     run(test())
 
 
-# ---- 4: a cold node is not pushed over
+# ---- 4: a cold backend is not overloaded
 
 
 @pytest.mark.parametrize("age_ms", [0, 10**9])
-def test_a_cold_node_gets_its_part_of_a_burst_and_no_more(age_ms: int) -> None:
-    """20% of its capacity, twice that for 3 s, by three ingresses: 300 ms of work each, a request or two."""
+def test_a_cold_backend_gets_only_its_share_of_a_burst(age_ms: int) -> None:
+    """20% of its capacity, twice that for 3 s, by three ingresses: 300 ms of work each, one or two requests."""
 
     async def test() -> None:
         boot = int(time.time() * 1000) - age_ms
@@ -224,17 +224,17 @@
             assert set(statuses) <= {200, 429}
             served = statuses.count(200)
             assert served == len(w.backends[0].requests)
-            # a window of 3 s may end within the burst; an old node gets nearly all of it
+            # a window of 3 s may end within the burst; a warm backend gets nearly all of it
             assert (1 <= served <= 6) if age_ms == 0 else served > 20
 
     run(test())
 
 
-# ---- 5: a ceiling is never passed
+# ---- 5: a ceiling is never exceeded
 
 
-def test_a_ceiling_holds_over_connections_and_classes() -> None:
-    """The plan's ceiling: 12 units at once and 20 a second; this ingress is one of the customer's two."""
+def test_a_rate_ceiling_applies_across_connections_and_classes() -> None:
+    """The plan's ceiling is a burst of 12 units and 20 units/s; this ingress is one of the customer's two."""
     plans = [
         {
             "name": "plus",
@@ -251,7 +251,7 @@
     async def test() -> None:
         async with world(answer(), answer(), settings={"plans": plans}) as w:
             began = time.monotonic()
-            await asyncio.sleep(0.7)  # a new ingress knows only that nothing went since it began
+            await asyncio.sleep(0.7)  # a new ingress knows only that nothing was sent since its start
 
             async def one(number: int) -> None:
                 cls = CLASSES[number % 3]
@@ -266,7 +266,7 @@
     run(test())
 
 
-def test_a_quota_holds_over_connections() -> None:
+def test_a_quota_applies_across_connections() -> None:
     async def test() -> None:
         async with world(answer(), answer()) as w:
 
@@ -274,7 +274,7 @@
                 return (await w.ask(request("ledger-read", number, Plan="basis")))[0]
 
             statuses = await asyncio.gather(*(one(n) for n in range(30)))
-            # a burst of 8 units split over two ingresses, and a second's 1 unit: two or three of 2 units
+            # a burst of 8 units split over two ingresses, plus 1 unit/s: two or three requests of 2 units
             assert 1 <= statuses.count(200) <= 3 and set(statuses) == {200, 429}
             assert sum(len(b.requests) for b in w.backends) == statuses.count(200)
 
--- a/tests/rules/test_outcome_table.py
+++ b/tests/rules/test_outcome_table.py
@@ -1,4 +1,4 @@
-"""The protocol's table of outcomes as a client and the nodes see it, whatever the front."""
+"""The protocol's table of outcomes, observed by clients and backends, for every front."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 
 
-def test_a_served_answer_is_passed_on_unchanged() -> None:
+def test_a_served_response_is_forwarded_unchanged() -> None:
     async def test() -> None:
         body = bytes(range(256)) * 200
         async with world(answer(body, head=b"Billed-Units: 3\r\nContent-Type: x/y\r\n")) as w:
@@ -41,7 +41,9 @@
         ("payment-book", sends(b""), 429, 3),
     ],
 )
-def test_attempts_go_as_far_as_the_class_allows(cls: str, script: Script, status: int, sent: int) -> None:
+def test_the_number_of_attempts_depends_on_the_class(
+    cls: str, script: Script, status: int, sent: int
+) -> None:
     async def test() -> None:
         async with world(script, script, script, script) as w:
             assert (await w.ask(request(cls)))[0] == status
@@ -53,7 +55,7 @@
 @pytest.mark.parametrize(
     ("cls", "status"), [("vat-filing", 502), ("ledger-read", 429), ("payment-book", 429)]
 )
-def test_silence_is_answered_before_the_client_gives_up(cls: str, status: int) -> None:
+def test_a_silent_backend_gives_a_response_before_the_client_timeout(cls: str, status: int) -> None:
     async def test() -> None:
         loop = asyncio.get_running_loop()
         async with world(silence) as w:
@@ -61,12 +63,12 @@
             assert (await w.ask(request(cls, Request_Timeout="0.400")))[0] == status
             assert loop.time() - began < 0.4
             await until(lambda: w.backends[0].closed == 1)
-            assert len(w.backends[0].requests) == 1  # nothing is tried in the last moment
+            assert len(w.backends[0].requests) == 1  # no further attempt shortly before the deadline
 
     run(test())
 
 
-def test_a_client_that_leaves_ends_its_attempt() -> None:
+def test_a_disconnect_ends_the_attempt() -> None:
     async def test() -> None:
         async with world(silence) as w:
             client = await w.client()
@@ -78,7 +80,7 @@
     run(test())
 
 
-def test_a_refusal_says_when_to_come_back() -> None:
+def test_a_refusal_has_retry_after() -> None:
     async def test() -> None:
         async with world(answer()) as w:
             client = await w.client()
@@ -90,7 +92,7 @@
     run(test())
 
 
-async def hang_up(peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
+async def close_connection(peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
     writer.transport.abort()
 
 
@@ -111,7 +113,7 @@
     "404": answer(b"", 404),
     "302": answer(b"", 302),
     "close": sends(b""),
-    "reset": hang_up,
+    "reset": close_connection,
     "half": sends(OK[:-2]),
     "half a chunk": sends(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndo"),
     "no length": sends(b"HTTP/1.1 200 OK\r\n\r\ndone"),
@@ -128,21 +130,21 @@
 
 @pytest.mark.parametrize("cls", CLASSES)
 @pytest.mark.parametrize("script", SERVED)
-def test_a_good_answer_is_served_once(cls: str, script: Script) -> None:
+def test_a_successful_response_is_served_once(cls: str, script: Script) -> None:
     async def test() -> None:
         async with world(script, script) as w:
             client = await w.client()
             status, _, body = await client.ask(request(cls))
             assert (status, body) == (200, b"done")
             assert sum(len(b.requests) for b in w.backends) == 1
-            assert await nothing_more(client)
+            assert await no_further_data(client)
             assert (w.engine.tally.taken, w.engine.tally.served, w.engine.open) == (1, 1, 0)
 
     run(test())
 
 
-async def nothing_more(client: object) -> bool:
-    """Nothing stands behind the answer."""
+async def no_further_data(client: object) -> bool:
+    """Returns whether no data follows the response."""
     try:
         async with asyncio.timeout(0.05):
             return await client.reader.read(1) == b""  # type: ignore[attr-defined]
@@ -152,8 +154,8 @@
 
 @pytest.mark.parametrize("cls", CLASSES)
 @pytest.mark.parametrize("row", MAY_HAVE_RUN)
-def test_what_may_have_run_is_repeated_as_far_as_its_class_allows(cls: str, row: str) -> None:
-    """Safe and keyed go on to others; unsafe ends there, and as a failure, which promises nothing."""
+def test_a_request_that_may_have_run_is_repeated_if_its_class_allows(cls: str, row: str) -> None:
+    """Safe and keyed requests go to other backends; unsafe ones fail, since they may have run."""
 
     async def test() -> None:
         script = MAY_HAVE_RUN[row]
@@ -166,9 +168,9 @@
                 assert b"retry-after" not in head.lower()
             else:
                 assert (status, sum(sent)) == (429, 3)
-                assert max(sent) == 1  # never to the same one again while there are others
+                assert max(sent) == 1  # never the same backend again while there are others
             await asyncio.sleep(0.05)
-            assert [len(b.requests) for b in w.backends] == sent  # nothing comes after the answer
+            assert [len(b.requests) for b in w.backends] == sent  # no attempt after the response
             assert (w.engine.open, w.engine.tally.taken) == (0, 1)
 
     run(test())
@@ -176,7 +178,7 @@
 
 @pytest.mark.parametrize("cls", CLASSES)
 @pytest.mark.parametrize("row", NEVER_RAN)
-def test_what_never_ran_goes_elsewhere_and_is_refused_at_last(cls: str, row: str) -> None:
+def test_a_request_that_never_ran_is_retried_and_finally_refused(cls: str, row: str) -> None:
     async def test() -> None:
         script = NEVER_RAN[row]
         async with world(script, script, script, script) as w:
@@ -188,7 +190,7 @@
 
 
 @pytest.mark.parametrize("cls", CLASSES)
-def test_a_node_that_refuses_connections_costs_nothing_but_a_further_attempt(cls: str) -> None:
+def test_a_refused_connection_costs_only_a_further_attempt(cls: str) -> None:
     async def test() -> None:
         async with world(answer(), answer()) as w:
             w.backends[0].stop()
@@ -222,6 +224,6 @@
                 keys = {
                     line for m in met for line in m.lower().split(b"\r\n") if line.startswith(b"idempotency")
                 }
-                assert len(ids) == 1 and len(keys) == (cls == "payment-book")  # the same request to both
+                assert len(ids) == 1 and len(keys) == (cls == "payment-book")  # both got the same request
 
     run(test())
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -1,4 +1,4 @@
-"""An ingress on loopback sockets, between scripted peers."""
+"""An ingress on loopback sockets between scripted clients and backends."""
 
 from __future__ import annotations
 
@@ -118,13 +118,13 @@
 
 
 def run(test: Coroutine[Any, Any, None]) -> None:
-    """Run a test on the loop that the ingress uses; a test that hangs fails."""
+    """Runs a test on the ingress's type of event loop, with a time limit."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(asyncio.wait_for(test, 30))
 
 
 def answer(body: bytes = b"done", status: int = 200, head: bytes = b"") -> Script:
-    """A script that answers every request alike."""
+    """Returns a script that gives the same response to every request."""
 
     async def script(peer: Peer, request: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n%b\r\n%b" % (status, len(body), head, body))
@@ -133,7 +133,7 @@
 
 
 def sends(data: bytes, close: bool = True) -> Script:
-    """A script that writes just these bytes."""
+    """Returns a script that writes exactly these bytes."""
 
     async def script(peer: Peer, request: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(data)
@@ -144,18 +144,18 @@
 
 
 async def silence(peer: Peer, request: bytes, writer: asyncio.StreamWriter) -> None:
-    """A script that never answers."""
+    """A script that never responds."""
 
 
 async def read_message(reader: asyncio.StreamReader) -> bytes:
-    """One HTTP message whose length its head says."""
+    """Reads one HTTP message with Content-Length."""
     head = await reader.readuntil(b"\r\n\r\n")
     length = re.search(rb"content-length: (\d+)", head, re.I)
     return head + (await reader.readexactly(int(length[1])) if length else b"")
 
 
 class Peer:
-    """A server that does with each request what its script says, and keeps what it was sent."""
+    """A server that handles each request by its script and records the requests."""
 
     def __init__(
         self, script: Script, read: Callable[[asyncio.StreamReader], Awaitable[bytes]] = read_message
@@ -187,7 +187,7 @@
         return f"127.0.0.1:{self.port}"
 
     def stop(self) -> None:
-        """No new connections, and those that are open are reset."""
+        """Closes the listener and resets the open connections."""
         self.server.close()
         for writer in self.writers:
             writer.transport.abort()
@@ -200,7 +200,7 @@
         self.reader, self.writer = reader, writer
 
     async def ask(self, data: bytes) -> tuple[int, bytes, bytes]:
-        """Status, head and body of the answer."""
+        """Returns status, header section and body of the response."""
         self.writer.write(data)
         return await self.answer()
 
@@ -211,14 +211,14 @@
         return int(head.split()[1]), head, body
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """The chunks of a body, to its last one."""
+        """Returns the chunks of a body, up to the last one."""
         while size := int(await self.reader.readuntil(b"\r\n"), 16):
             yield (await self.reader.readexactly(size + 2))[:-2]
         assert await self.reader.readexactly(2) == b"\r\n"
 
 
 def request(cls: str = "vat-filing", number: int = 1, **changes: str | None) -> bytes:
-    """A client's request; changes name headers with _ for -, None leaves one out."""
+    """Returns a client's request; changes name headers with _ for -, None omits one."""
     method = "GET" if cls == "ledger-read" else "POST"
     headers: dict[str, str | None] = {
         "Host": "service.internal",
@@ -256,7 +256,7 @@
 
 
 class World:
-    """A running ingress; what it is connected to can be stopped and changed."""
+    """A running ingress with its peers, which can be stopped and changed."""
 
     engine: Engine
 
@@ -329,7 +329,7 @@
 
 
 async def daemon(w: World, stack: AsyncExitStack, config: str, beside: Sequence[Any] = ()) -> None:
-    """The daemon itself, in this process."""
+    """The daemon, in this process."""
     serving: asyncio.Future[Service] = asyncio.get_running_loop().create_future()
     w.task = asyncio.create_task(serve(read_config(config), w.stop, serving.set_result, beside=beside))
     await asyncio.wait({w.task, serving}, return_when=asyncio.FIRST_COMPLETED)
@@ -344,13 +344,13 @@
 
     deployment = Deployment("rules", read_config(config))
     await serve_app(w, stack, make_app(deployment))
-    ingress = await shared.join(deployment)  # the one that the middleware opened
+    ingress = await shared.join(deployment)  # opened by the middleware
     stack.push_async_callback(shared.leave, ingress, 0.0)
     w.engine = ingress.core.engine
 
 
 async def serve_app(w: World, stack: AsyncExitStack, app: Any, lifespan: str = "on") -> Any:
-    """An ASGI application on loopback, until the stack ends."""
+    """Serves an ASGI application on loopback until the stack is closed."""
     import uvicorn
 
     sock = socket.create_server(("127.0.0.1", 0))
@@ -386,14 +386,14 @@
 
 
 async def grpc(w: World, stack: AsyncExitStack, config: str) -> None:
-    """gRPC calls at the daemon's one address, and nodes that speak it."""
+    """gRPC calls on the daemon's address, with gRPC backends."""
     from grpc_rules import grpc as over_grpc
 
     await over_grpc(w, stack, config)
 
 
 def peer_of_front() -> Any:
-    """What stands for a backend."""
+    """Returns the stand-in for a backend."""
     if front == "grpc":
         from grpc_rules import GrpcPeer
 
@@ -402,10 +402,10 @@
 
 
 FRONTS: dict[str, Front] = {"daemon": daemon, "middleware": middleware, "grpc": grpc}
-front = "daemon"  # what world() puts between client and backends; conftest sets it from --front
+front = "daemon"  # what world() places between clients and backends; set by conftest from --front
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    """Wait for a condition; the test's own limit ends a wait in vain."""
+    """Waits for a condition; the time limit of the test ends the wait."""
     while not condition():
         await asyncio.sleep(0.005)
--- a/tests/support/outcomes.py
+++ b/tests/support/outcomes.py
@@ -1,4 +1,4 @@
-"""What the attempts of a transport came to."""
+"""Collects the outcomes of a transport's attempts."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Outcomes:
-    """A fleet of one backend and what its attempts came to."""
+    """A transport with one backend, and the outcomes of its attempts."""
 
     def __init__(self, port: int, max_open: int = 10, idle_s: float = 30.0) -> None:
         self.ended: list[tuple[Attempt, Outcome, Response | None]] = []
@@ -23,7 +23,7 @@
     def start(self, payload: bytes = PAYLOAD) -> Attempt:
         attempt = Attempt(None, 0, 1, payload, 0.0)
         self.backends.start(attempt)
-        assert not any(a is attempt for a, _, _ in self.ended)  # never within the call
+        assert not any(a is attempt for a, _, _ in self.ended)  # never reported within the call
         return attempt
 
     async def outcome(self, payload: bytes = PAYLOAD) -> tuple[Outcome, Response | None]:
--- a/tests/support/scripted.py
+++ b/tests/support/scripted.py
@@ -1,6 +1,6 @@
-"""Backends that do byte by byte what a row of a table says, over raw sockets, and a client that tells a whole answer.
+"""Backends that follow a script byte by byte over raw sockets, and a client that detects complete responses.
 
-Nothing here sleeps: each step waits for bytes, for the other side's end, or for nothing.
+Nothing here sleeps: a step waits for data, for the close by the other side, or for nothing.
 """
 
 from __future__ import annotations
@@ -17,15 +17,15 @@
 
 @dataclass
 class Seen:
-    """A request as far as its backend has read it."""
+    """A request as far as the backend has read it."""
 
     line: str
     headers: dict[str, str]
     body: bytes = b""
-    whole: bool = False  # its last byte has been read
-    begun: bool = False  # worked on before that
-    declined: bool = False  # Not-Executed or 421 was said of it
-    said: list[bytes] = field(default_factory=list)  # bodies of what was answered in its place
+    whole: bool = False  # its last byte was read
+    begun: bool = False  # processing started before that
+    declined: bool = False  # answered with Not-Executed or 421
+    said: list[bytes] = field(default_factory=list)  # bodies of the responses to it
 
     @property
     def ran(self) -> bool:
@@ -50,11 +50,16 @@
     length: int | None = -1,
     chunked: bool = False,
 ) -> bytes:
-    """An answer to this request. id: "own", None, or another; length: -1 the true one, None none."""
+    """Returns the bytes of a response to this request.
+
+    Args:
+        id: "own" for the request's id, None for no id, or another id.
+        length: Content-Length; -1 for the actual length, None for no header.
+    """
     declines = status == 421 or (
         status >= 300 and any(header.startswith("Not-Executed") for header in headers)
     )
-    if id == "own":  # else it says nothing of this request; what was answered before is not taken back
+    if id == "own":  # else not about this request; an earlier response stays valid
         seen.declined = seen.declined or (declines and not seen.begun)
         seen.begun = seen.begun or not declines
     text = b"whole " + seen.nonce.encode() if body is None else body
@@ -76,16 +81,16 @@
 
 
 class Conn:
-    """One connection that a backend has taken."""
+    """One connection that a backend has accepted."""
 
     def __init__(self, backend: Scripted, sock: socket.socket, number: int) -> None:
         self.backend, self.sock, self.number = backend, sock, number
         self.buffer = b""
         self.over = False
-        self.task: asyncio.Task[None] | None = None  # that serves it
+        self.task: asyncio.Task[None] | None = None  # serves the connection
 
     async def readable(self) -> None:
-        """Something has come, and none of it is read."""
+        """Waits until data is available, without reading it."""
         loop, there = asyncio.get_running_loop(), asyncio.Event()
         loop.add_reader(self.sock.fileno(), there.set)
         try:
@@ -94,7 +99,7 @@
             loop.remove_reader(self.sock.fileno())
 
     async def head(self) -> Seen:
-        """The head of the next request; EOFError at the end."""
+        """Reads the header section of the next request; EOFError at the end of the connection."""
         while b"\r\n\r\n" not in self.buffer:
             await self._more()
         head, _, self.buffer = self.buffer.partition(b"\r\n\r\n")
@@ -106,7 +111,7 @@
         return seen
 
     async def rest(self, seen: Seen) -> Seen:
-        """The body: from now on the request runs, unless the answer says that it does not."""
+        """Reads the body; from now on the request runs, unless the response denies it."""
         length = int(seen.headers.get("content-length", 0))
         while len(self.buffer) < length:
             await self._more()
@@ -131,19 +136,19 @@
             await asyncio.get_running_loop().sock_sendall(self.sock, data)
 
     async def gone(self) -> None:
-        """Until the other side has ended the connection."""
+        """Waits until the other side has closed the connection."""
         with contextlib.suppress(EOFError):
             while True:
                 await self._more()
 
     def close(self) -> None:
-        """In order, also where bytes are unread."""
+        """Closes the sending side, without a reset even if data is unread."""
         self.over = True
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_WR)
 
     async def leave(self) -> None:
-        """Whoever serves it stops: a socket must not be closed while the loop waits for it."""
+        """Stops the serving task: a socket must not be closed while the event loop waits for it."""
         if self.task is not None:
             self.task.cancel()
             await asyncio.wait({self.task})
@@ -159,12 +164,17 @@
 
 
 async def good(conn: Conn) -> None:
-    """As a sound backend."""
+    """Responds like a working backend."""
     await conn.send(answer(await conn.whole()))
 
 
 class Scripted:
-    """A backend. seen: all requests whose head has come; while armed, the next bytes are the script's."""
+    """A scripted backend.
+
+    Attributes:
+        seen: all requests whose header section was received.
+        armed: the script handles the next data.
+    """
 
     def __init__(self, script: Script = good, small: bool = False) -> None:
         self.script, self.small = script, small
@@ -179,7 +189,7 @@
 
     async def start(self) -> None:
         self._listener = socket.socket()
-        if self.small:  # so that a long body can't lie in the kernel whole
+        if self.small:  # so that a long body does not fit into the kernel's buffers
             self._listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             self._listener.setsockopt(
                 socket.IPPROTO_TCP, socket.TCP_MAXSEG, 1000
@@ -213,7 +223,7 @@
                     await self.normal(conn)
             await conn.gone()
         except (EOFError, OSError, ValueError):
-            conn.sock.close()  # the connection has ended, by whom ever
+            conn.sock.close()  # closed by either side
         else:
             conn.sock.close()
 
@@ -229,7 +239,12 @@
 
 @dataclass
 class Got:
-    """What a client was given. status 0: no whole head; whole: it ended as its head says."""
+    """A response received by a client.
+
+    Attributes:
+        status: 0 if the header section is incomplete.
+        whole: the body ended as its framing says.
+    """
 
     status: int = 0
     headers: dict[str, str] = field(default_factory=dict)
@@ -260,7 +275,7 @@
             got.status = int(first.split(" ")[1])
             pairs = [each.partition(": ") for each in lines]
             got.headers = {name.lower(): value for name, _, value in pairs}
-            assert len(got.headers) == len(pairs), lines  # no header twice
+            assert len(got.headers) == len(pairs), lines  # no repeated header
             if got.headers.get("transfer-encoding") == "chunked":
                 while size := int(await self.reader.readuntil(b"\r\n"), 16):
                     got.body += await self.reader.readexactly(size)
@@ -276,7 +291,7 @@
         return got
 
     async def more(self) -> bytes:
-        """What comes until the connection's end; its own side is ended first."""
+        """Closes the sending side and returns all data until the connection ends."""
         with contextlib.suppress(OSError):
             self.writer.write_eof()
         try:
