--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -107,9 +107,9 @@
 
 
 def free_address() -> tuple[str, int]:
-    """Where a process of this test may listen: of tests that run at once each process has loopback addresses of its own.
+    """Returns a free address to listen on; each test process has loopback addresses of its own.
 
-    A port that was free a moment ago on an address that all share may be another test's by the time it is listened on.
+    On a shared address, another test could take a free port before this process listens on it.
     """
     pid = os.getpid()
     with socket.create_server((f"127.{100 + pid // 250 % 100}.{pid % 250}.1", 0)) as free:
@@ -288,9 +288,11 @@
     boots: Sequence[int] = (),
     management: str = "",
 ) -> Any:
-    """An ingress with a backend for each script, known to it from the start; boots: when each has started.
+    """Runs an ingress with a backend for each script, known to it from the start.
 
-    management: the operators' address, where there is one.
+    Args:
+        boots: start time of each backend.
+        management: the operators' address, if any.
     """
     async with AsyncExitStack() as stack:
         w = World(stack)
