--- a/troutdock/engine/engine.py
+++ b/troutdock/engine/engine.py
@@ -331,9 +331,9 @@
         transport.follow(update)
         self.ready = self.ready or bool(endpoints)
 
-    def discovery_polled(self, heard: bool) -> None:
+    def discovery_polled(self, answered: bool) -> None:
         """Handles whether the last call to service discovery was answered."""
-        self._handle(ListWatched(heard))
+        self._handle(ListWatched(answered))
 
     def handle_event(self, event: Event) -> None:
         """Passes an event to the decision module and carries out its actions."""
@@ -585,7 +585,7 @@
         )
 
     def _conclude(self, call: Call) -> bool:
-        """Nothing is owed any more; false if that was so before."""
+        """Concludes a call: its final answer may now be given. Returns false if it was already concluded."""
         if self._calls.pop(call.number, None) is None:
             return False
         self._open_ids.discard(call.request.id)
