--- a/troutdock/proxy/request_reader.py
+++ b/troutdock/proxy/request_reader.py
@@ -58,7 +58,7 @@
 
 
 class SystemReader:
-    """In place of http.request.Reader: listener.Reads."""
+    """In place of http.request.Reader: listener.RequestParser."""
 
     def __init__(
         self, pool_of: Callable[[str], int], instance_of: Callable[[BackendId], bytes], random: Random
