--- a/benchmarks/hollow/ingress.py
+++ b/benchmarks/hollow/ingress.py
@@ -13,11 +13,11 @@
 from troutdock.admission.proxy_admission import Fabric
 from troutdock.admission.interface import (
     BackendEntry,
-    Company,
+    IngressMembership,
     FleetUpdate,
     ListKind,
     SettingsChanged,
-    Suspected,
+    BackendSuspected,
 )
 
 
@@ -46,10 +46,10 @@
                 for ids, is_silent in ((silent, True), (back, False)):
                     for id in ids:
                         if (number := self.numbers.get(id)) is not None:
-                            self._tell(now, Suspected(number, is_silent))
+                            self._tell(now, BackendSuspected(number, is_silent))
             case Members(entries, gone, full):
                 self.exchange.listed(now, entries, gone, full)
-                self._tell(now, Company(*self.exchange.company(now)))
+                self._tell(now, IngressMembership(*self.exchange.company(now)))
             case _:
                 pass
 
--- a/lab/gateways.py
+++ b/lab/gateways.py
@@ -13,8 +13,8 @@
 from troutdock.admission import Gateway
 from troutdock.admission.interface import (
     AttemptEnded,
-    Count,
-    CountAnswered,
+    CounterAdd,
+    CounterReply,
     Event,
     Fail,
     Outcome,
@@ -22,7 +22,7 @@
     Refuse,
     Send,
     SetTimer,
-    Tell,
+    SendToPeer,
     TimerFired,
 )
 
@@ -92,15 +92,15 @@
         gateway = self.gateways[index]
         for action in gateway.handle(self.time.now, event) if gateway else ():
             match action:
-                case Tell(None, body):
+                case SendToPeer(None, body):
                     self.everybody.append(body)
                     for other in range(len(self.gateways)):
                         if other != index:
                             self._post(index, other, body)
-                case Tell(int(other), body):
+                case SendToPeer(int(other), body):
                     self.singly.append(body)
                     self._post(index, other, body)
-                case Count(name, amount, ttl_ms):
+                case CounterAdd(name, amount, ttl_ms):
                     self._count(index, name, amount, ttl_ms)
                 case SetTimer(after_ms, label):
                     self._later(after_ms, index, TimerFired(label))
@@ -146,7 +146,7 @@
         took_ms, outcome, total = COUNT_MS, Outcome.TIMEOUT, 0.0
         if self._counter is not None:
             took_ms, outcome, total = self._counter.call(self.time.now, name, amount, ttl_ms)
-        self._later(took_ms, index, CountAnswered(name, outcome, took_ms, total))
+        self._later(took_ms, index, CounterReply(name, outcome, took_ms, total))
 
     def _post(self, sender: int, other: int, body: bytes) -> None:
         if self._random.random() >= self._loss and self.reaches(sender, other):
--- a/tests/engine/test_engine_fabric.py
+++ b/tests/engine/test_engine_fabric.py
@@ -17,7 +17,14 @@
 from troutdock.admission.interface import BackendState, Effect, ListKind, Outcome, RequestArrived
 from troutdock.engine import Engine, Request
 
-OUTCOMES = (Outcome.OK, Outcome.ERROR, Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.MOOT)
+OUTCOMES = (
+    Outcome.OK,
+    Outcome.ERROR,
+    Outcome.FULL,
+    Outcome.CONNECT_FAILED,
+    Outcome.RESET,
+    Outcome.WRONG_INSTANCE,
+)
 STEPS = st.lists(
     st.tuples(
         st.sampled_from(
--- a/tests/handover/test_link.py
+++ b/tests/handover/test_link.py
@@ -13,7 +13,7 @@
 import pytest
 from loopback import run, until
 
-from troutdock.admission.interface import Outcome, Settled
+from troutdock.admission.interface import Outcome, AttemptSettled
 from troutdock.handover import link
 from troutdock.handover.link import NAME, PredecessorLink, SuccessorLink
 from troutdock.handover.protocol import (
@@ -81,7 +81,7 @@
     def adopt(self, item: Item) -> None:
         self.items.append(item)
 
-    def settle(self, settled: Settled) -> None:
+    def settle(self, settled: AttemptSettled) -> None:
         self.log.append(settled)
 
     def ended(self) -> None:
@@ -115,7 +115,7 @@
         for n, (_, given) in enumerate(ends):
             assert older.link.give(Item(given, b"x" * (n % 3 * 40_000), float(n), 2.0))
         for n in range(5):
-            older.link.tell(Settled(n, 0, Outcome.OK))
+            older.link.tell(AttemptSettled(n, 0, Outcome.OK))
         await older.link.finish()
         await until(newer.link.over.is_set)
         assert [told.request for told in newer.log[2:-1]] == [0, 1, 2, 3, 4] and newer.log[-1] == "ended"
@@ -185,7 +185,7 @@
     State(STATE[2 * PIECE : 3 * PIECE]),
     State(STATE[3 * PIECE :]),
     StateEnd(len(STATE), checksum(STATE)),
-    Told(Settled(1, 0)),
+    Told(AttemptSettled(1, 0)),
     Bytes(b"be"),
     Bytes(b"gun"),
     Passed(5),
@@ -227,7 +227,7 @@
         elif said < 6:
             await until(lambda: newer.log == ["alone"])
         else:
-            assert newer.log == [(STATE, Holds()), "owner", *[Settled(1, 0)] * (said > 6), "ended"]
+            assert newer.log == [(STATE, Holds()), "owner", *[AttemptSettled(1, 0)] * (said > 6), "ended"]
         assert [item.data for item in newer.items] == [b"begun"] * (said > 9)
         newer.link.close()
         for end in (other, given, *(item.connection for item in newer.items)):
--- a/tests/handover/test_roles.py
+++ b/tests/handover/test_roles.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from troutdock.admission.interface import Outcome, Settled
+from troutdock.admission.interface import Outcome, AttemptSettled
 from troutdock.handover import roles
 from troutdock.handover.protocol import (
     MAX_STATE,
@@ -227,7 +227,7 @@
     def an_attempt_ends(self) -> None:
         if self.older.at is Giving.FOLLOWED:
             self.told.append(len(self.told) + 1)
-            self.done_older(self.older.tell(Settled(len(self.told), 0, Outcome.OK)))
+            self.done_older(self.older.tell(AttemptSettled(len(self.told), 0, Outcome.OK)))
 
     @precondition(lambda self: self.alive["older"])
     @rule()
--- a/tests/handover/test_snapshot.py
+++ b/tests/handover/test_snapshot.py
@@ -14,8 +14,8 @@
 
 from troutdock.admission import Gateway, snapshot
 from troutdock.admission.interface import (
-    Count,
-    CountAnswered,
+    CounterAdd,
+    CounterReply,
     Effect,
     Fail,
     Group,
@@ -24,7 +24,7 @@
     Refuse,
     RequestClass,
     Send,
-    Settled,
+    AttemptSettled,
 )
 
 READ = RequestClass(1500, 6000, 3, Effect.SAFE, name="read")
@@ -96,8 +96,8 @@
     assert isinstance(sent, Send)
     told, again, copy = g.handle(START + OLD + 10, ended(1, sent.backend, Outcome.CONNECT_FAILED))
     assert isinstance(again, Send) and again.backend != sent.backend
-    assert isinstance(told, Settled) and told.outcome is Outcome.CONNECT_FAILED
-    assert isinstance(copy, Settled) and copy.outcome is None and copy.backend == again.backend
+    assert isinstance(told, AttemptSettled) and told.outcome is Outcome.CONNECT_FAILED
+    assert isinstance(copy, AttemptSettled) and copy.outcome is None and copy.backend == again.backend
 
 
 def test_a_retired_gateway_sends_nothing_to_a_cold_backend() -> None:
@@ -249,17 +249,17 @@
         arrival.key = 77
         todo, counted = g.handle(START + OLD, request(999, customer=9, width=1)), 0.0
         while todo:
-            if isinstance(action := todo.pop(0), Count):
+            if isinstance(action := todo.pop(0), CounterAdd):
                 counted += action.amount
-                todo += g.handle(START + OLD, CountAnswered(action.name, Outcome.OK, 1.0, counted))
+                todo += g.handle(START + OLD, CounterReply(action.name, Outcome.OK, 1.0, counted))
         g.customers[9].tokens, g.customers[9].debt = 0.0, 1.0
         (count,) = [
-            a for a in g.handle(START + OLD + 1, arrival) if isinstance(a, Count)
+            a for a in g.handle(START + OLD + 1, arrival) if isinstance(a, CounterAdd)
         ]  # held for its answer
         heir = passed_on(g)
         counted += count.amount if sent else 1000.0
-        for action in g.handle(START + OLD + 2, CountAnswered(count.name, Outcome.OK, 1.0, counted)):
-            if isinstance(action, Settled):
+        for action in g.handle(START + OLD + 2, CounterReply(count.name, Outcome.OK, 1.0, counted)):
+            if isinstance(action, AttemptSettled):
                 assert action.key == 77 and (action.attempt == -1) == (not sent)
                 heir.handle(START + OLD + 2, action)
         assert (heir.booked.first[77][1] is None) == (not sent)
@@ -278,7 +278,9 @@
     third = passed_on(second, classes=(BOOK,))
     out = sum(len(b.out) for b in third.backends.values())
     assert out == 2
-    unknown = Settled(6, 0, Outcome.OK, 1, cls="read", customer=9, plan="plus", true_units=1.5, units=0.5)
+    unknown = AttemptSettled(
+        6, 0, Outcome.OK, 1, cls="read", customer=9, plan="plus", true_units=1.5, units=0.5
+    )
     (told,) = second.handle(
         START + OLD + 5, unknown
     )  # of the first one, and none that the second has heard of
@@ -302,7 +304,7 @@
     def act(owner: int, event: Any) -> list[Any]:
         actions = row[owner].handle(now, event)
         for action in actions:
-            if isinstance(action, Settled) and owner + 1 < len(row):
+            if isinstance(action, AttemptSettled) and owner + 1 < len(row):
                 act(owner + 1, action)
             if isinstance(action, Send):
                 out[action.request] = owner, action.backend, sends.get(action.request, 0)
--- a/tests/http/test_taking_in.py
+++ b/tests/http/test_taking_in.py
@@ -8,7 +8,7 @@
 from loopback import answer, request, run, world
 from simulated import SimulatedWorld, Told
 
-from troutdock.admission.interface import RequestWaited
+from troutdock.admission.interface import RequestQueued
 
 
 def test_what_is_due_to_peers_goes_out_with_a_late_request_and_does_not_decide_it() -> None:
@@ -20,7 +20,7 @@
         w.time.advance(1000)
         w.engine._gateway.word.used(w.time.now(), 9, 0.0001, 0.5)
         before = peers.tell.call_count
-        assert w.engine.turn_away(RequestWaited(9, 1, 0, 1.0, 1, False, waited_ms), exchange) == refused
+        assert w.engine.turn_away(RequestQueued(9, 1, 0, 1.0, 1, False, waited_ms), exchange) == refused
         assert peers.tell.call_count == before + 1
         assert exchange.final == ("refused" if refused else None)
 
--- a/tests/overload/test_waited.py
+++ b/tests/overload/test_waited.py
@@ -10,7 +10,7 @@
 from build import START, gateway, request
 
 from troutdock.admission import Gateway
-from troutdock.admission.interface import Effect, Plan, Refuse, RequestClass, RequestWaited
+from troutdock.admission.interface import Effect, Plan, Refuse, RequestClass, RequestQueued
 
 READ = RequestClass(1500, 4000, 2, Effect.SAFE)
 FILE = RequestClass(750, 1500, 5, Effect.UNSAFE)
@@ -24,8 +24,8 @@
 
 def waited(
     ms: float, cls: int = 0, plan: int = 1, customer: int = 9, units: float = 1.0, retry: bool = False
-) -> RequestWaited:
-    return RequestWaited(customer, plan, cls, units, 1, retry, ms)
+) -> RequestQueued:
+    return RequestQueued(customer, plan, cls, units, 1, retry, ms)
 
 
 def bound_ms(g: Gateway, now: float = START, **what: object) -> float:
--- a/tests/plans/test_change.py
+++ b/tests/plans/test_change.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from troutdock.admission.gateway import Customer
-from troutdock.admission.interface import Count, CountAnswered, Outcome, Plan, PlanAssigned, Refuse, Send
+from troutdock.admission.interface import CounterAdd, CounterReply, Outcome, Plan, PlanAssigned, Refuse, Send
 
 BASE = Plan(8, 16, ceiling_rate=20, ceiling_burst=40, name="base")
 
@@ -98,9 +98,9 @@
         todo: list[Any] = g.handle(now, request(number, width=1))
         while todo:
             action = todo.pop(0)
-            if isinstance(action, Count):
+            if isinstance(action, CounterAdd):
                 names[action.name] = names.get(action.name, 0.0) + action.amount
-                todo += g.handle(now, CountAnswered(action.name, Outcome.OK, 1.0, names[action.name]))
+                todo += g.handle(now, CounterReply(action.name, Outcome.OK, 1.0, names[action.name]))
             elif isinstance(action, Send):
                 sent.append((now, g.customers[9].plan.name))
                 todo += g.handle(now, ended(number, action.backend, took=5.0))
--- a/tests/support/company.py
+++ b/tests/support/company.py
@@ -19,13 +19,13 @@
     Actions,
     BackendEntry,
     BackendState,
-    Company,
+    IngressMembership,
     Effect,
     Event,
     FleetUpdate,
     LeasesDue,
     ListKind,
-    OthersLoad,
+    PeerLoad,
     Plan,
     RequestArrived,
     RequestClass,
@@ -188,7 +188,7 @@
             self._heard(other, sender, shares)
 
     def _company(self, ingress: Ingress) -> None:
-        ingress.handle(Company(*ingress.exchange.company(ingress.now)))
+        ingress.handle(IngressMembership(*ingress.exchange.company(ingress.now)))
 
     def later(self, at: float, what: Any) -> None:
         """at: milliseconds."""
@@ -228,7 +228,7 @@
             return
         news = other.exchange.hear(other.now, shares, sender.name, sender.zone)
         for origin, out in news.out.items():
-            other.handle(OthersLoad(origin, {int(i): n for i, n in out.items()}))
+            other.handle(PeerLoad(origin, {int(i): n for i, n in out.items()}))
 
     def speaks(self, ingress: Ingress, duty: str = ALIVE) -> bool:
         return ingress.exchange.home(duty, [o.name for o in self._near(ingress)])
--- a/tests/support/counting.py
+++ b/tests/support/counting.py
@@ -6,7 +6,7 @@
 
 from loopback import Peer, until
 
-from troutdock.admission.interface import CountAnswered, Outcome
+from troutdock.admission.interface import CounterReply, Outcome
 from troutdock.platform.counter import Counter
 
 
@@ -23,7 +23,7 @@
     """A counter's client and the answers it gave."""
 
     def __init__(self, peer: Peer, timeout_s: float = 5.0) -> None:
-        self.answers: list[CountAnswered] = []
+        self.answers: list[CounterReply] = []
         self.counter = Counter(("127.0.0.1", peer.port), timeout_s, self.answers.append)
         self.tried = asyncio.Event()
         self.task = asyncio.create_task(self.counter.run(self.tried))
--- a/tests/support/simulated.py
+++ b/tests/support/simulated.py
@@ -12,7 +12,7 @@
 from troutdock.admission.interface import (
     BackendEntry,
     BackendState,
-    CountAnswered,
+    CounterReply,
     Effect,
     FleetUpdate,
     ListKind,
@@ -153,7 +153,7 @@
         timer.cancel()
         if outcome is Outcome.OK:
             self.totals[name] = self.totals.get(name, 0.0) + amount
-        engine.count_answered(CountAnswered(name, outcome, 3.0, self.totals.get(name, 0.0)))
+        engine.count_answered(CounterReply(name, outcome, 3.0, self.totals.get(name, 0.0)))
 
 
 class Told:
--- a/tests/system/test_fabric.py
+++ b/tests/system/test_fabric.py
@@ -10,27 +10,27 @@
     AttemptEnded,
     BackendEntry,
     BackendState,
-    Company,
+    IngressMembership,
     Effect,
     Fail,
     FleetUpdate,
     LeasesDue,
     ListKind,
-    OthersLoad,
+    PeerLoad,
     Outcome,
     Refuse,
     RequestWithdrawn,
     Send,
     SetTimer,
     SettingsChanged,
-    Suspected,
+    BackendSuspected,
     TimerFired,
 )
 from troutdock.rpc.messages import QuotaGrant, QuotaRequest, QuotaSettlement, TokenDemand, TokenGrant
 from troutdock.quota.node import QuotaNode
 from troutdock.quota.routes import Peers, shard_of
 
-NEVER_RAN = [Outcome.FULL, Outcome.MOOT, Outcome.CONNECT_FAILED]
+NEVER_RAN = [Outcome.FULL, Outcome.WRONG_INSTANCE, Outcome.CONNECT_FAILED]
 MAY_HAVE_RUN = [Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT]
 
 
@@ -122,7 +122,7 @@
 
 def test_second_sendings_stay_a_part_of_the_requests() -> None:
     f, second, number = fabric(), 0, 0
-    f.handle(0.0, Company(11, 11))
+    f.handle(0.0, IngressMembership(11, 11))
     for number in range(1, 2001):
         (send,) = of(Send, f.handle(number * 10.0, arrival(number)))
         second += len(of(Send, f.handle(number * 10.0 + 1, ended(send, Outcome.FULL))))
@@ -144,7 +144,7 @@
     g = fabric()
     (timer,) = of(SetTimer, g.handle(1.0, arrival(1)))
     g.pools[0].further = 1.0
-    g.handle(2.0, OthersLoad("x", dict.fromkeys(range(1, 5), 2)))
+    g.handle(2.0, PeerLoad("x", dict.fromkeys(range(1, 5), 2)))
     assert not of(Send, g.handle(1.0 + timer.after_ms, TimerFired(timer.label)))
 
 
@@ -162,15 +162,15 @@
 
 def test_where_others_have_filled_the_slots_it_goes_elsewhere() -> None:
     f = fabric(backends=2)
-    f.handle(1.0, OthersLoad("x", {1: 2}))
+    f.handle(1.0, PeerLoad("x", {1: 2}))
     assert {of(Send, f.handle(2.0, arrival(n)))[0].backend for n in (1, 2)} == {2}
-    f.handle(3.0, OthersLoad("x", {}, whole=True))
+    f.handle(3.0, PeerLoad("x", {}, whole=True))
     assert f.backends[1].load == 0
 
 
 def test_a_pressed_fleet_refuses_at_once_with_a_return_time() -> None:
     f = fabric(backends=1)
-    f.handle(1.0, OthersLoad("x", {1: 40}))
+    f.handle(1.0, PeerLoad("x", {1: 40}))
     (refused,) = f.handle(2.0, arrival(1))
     assert isinstance(refused, Refuse) and refused.retry_after_ms > 0 and not f.calls
 
@@ -180,7 +180,7 @@
 
 def test_return_times_are_dibas_with_job_times() -> None:
     f = fabric(rate=20.0, burst=20.0)
-    f.handle(0.0, Company(4, 4))
+    f.handle(0.0, IngressMembership(4, 4))
     sends = [of(Send, f.handle(1.0, arrival(n))) for n in range(1, 21)]
     assert list(map(len, sends)) == [1] * 19 + [0]  # new tries leave a small reserve: the first appointment
     waits = [f.handle(2.0, arrival(100 + n))[0].retry_after_ms for n in range(3)]
@@ -213,7 +213,7 @@
 
 def test_a_share_grows_by_half_each_second_that_ran_dry_and_falls_back_when_over() -> None:
     f = fabric(rate=100.0, burst=100.0)
-    f.handle(0.0, Company(10, 10))
+    f.handle(0.0, IngressMembership(10, 10))
     shares = []
     for second in range(4):
         assert of(Send, f.handle(1.0 + second * 1010, arrival(second + 1)))
@@ -281,7 +281,7 @@
 
 def test_a_token_that_no_backend_could_use_goes_back_to_the_owner() -> None:
     f = asking_fabric(rate=10.0, burst=10.0)
-    f.handle(0.5, OthersLoad("x", dict.fromkeys(range(1, 5), 99)))
+    f.handle(0.5, PeerLoad("x", dict.fromkeys(range(1, 5), 99)))
     f.handle(1.0, arrival(1))
     (demand,) = demands(f)
     assert of(Refuse, answer(f, 3.0, demand, 1))
@@ -309,10 +309,10 @@
     f = fabric(backends=2)
     f.pools[0].further = 9.0
     (send,) = of(Send, f.handle(1.0, arrival(1)))
-    f.handle(2.0, ended(send, Outcome.MOOT))
+    f.handle(2.0, ended(send, Outcome.WRONG_INSTANCE))
     for n in range(2, 6):
         assert of(Send, f.handle(3.0 + n, arrival(n)))[0].backend != send.backend
-    f.handle(20.0, Suspected(send.backend, False))
+    f.handle(20.0, BackendSuspected(send.backend, False))
     assert send.backend in f.pools[0].ready
 
 
--- a/tests/test_begun.py
+++ b/tests/test_begun.py
@@ -11,7 +11,7 @@
 from loopback import Peer, run, until, world
 from loopback import request as message
 
-from troutdock.admission.interface import AnswerBegan, Outcome, Send, SetTimer, TimerFired
+from troutdock.admission.interface import ResponseStarted, Outcome, Send, SetTimer, TimerFired
 
 
 def sent(g: Any, number: int = 1) -> tuple[Any, Any]:
@@ -24,7 +24,7 @@
 def test_no_copy_follows_an_answer_that_has_begun(work_done: bool) -> None:
     g = gateway(second_copies=True)
     send, timer = sent(g)
-    assert g.handle(START + 50, AnswerBegan(1, 0, send.backend, 50, work_done)) == []
+    assert g.handle(START + 50, ResponseStarted(1, 0, send.backend, 50, work_done)) == []
     assert g.handle(START + timer.after_ms, TimerFired(timer.label)) == []
     assert g.handle(START + 5000, ended(1, send.backend, took=5000)) == []
     assert not g.calls
@@ -35,9 +35,9 @@
     send, _ = sent(g)
     backend = g.backends[send.backend]
     assert backend.load > 0
-    g.handle(START + 50, AnswerBegan(1, 0, send.backend, 50))
+    g.handle(START + 50, ResponseStarted(1, 0, send.backend, 50))
     assert backend.load > 0  # a handler that writes its answer while it works
-    g.handle(START + 50, AnswerBegan(1, 0, send.backend, 50, True))
+    g.handle(START + 50, ResponseStarted(1, 0, send.backend, 50, True))
     assert backend.load == 0 and not backend.out
     g.handle(START + 5000, ended(1, send.backend, Outcome.OK, took=5000))
     assert backend.load == 0 and backend.slowness[0].now(START + 5000) < 2  # five seconds were no work
@@ -47,7 +47,7 @@
     slow, prompt, untold = [gateway(seed=3) for _ in range(3)]
     for g, lag in ((slow, 0.0), (prompt, 900.0), (untold, inf)):
         send, _ = sent(g) if g.settings.second_copies else (g.handle(START, request(1))[0], None)
-        g.handle(START + 1000, AnswerBegan(1, 0, send.backend, 1000, True, lag))
+        g.handle(START + 1000, ResponseStarted(1, 0, send.backend, 1000, True, lag))
     assert slow.pools[0].slowness.now(START + 1000) > prompt.pools[0].slowness.now(START + 1000)
     # where that part can't be told its time is no sign, good or bad, but the backend has been heard of
     assert untold.pools[0].slowness.at == -inf and {b.heard_at for b in untold.backends.values()} == {
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -19,15 +19,15 @@
 from troutdock.admission.usage_digest_codec import write
 from troutdock.admission.bucket_owner import CROWD, REPEAT_MS, Homes
 from troutdock.admission.interface import (
-    Count,
+    CounterAdd,
     PeerMessage,
     Plan,
     Refuse,
     RequestWithdrawn,
     Send,
     Settings,
-    Settled,
-    Tell,
+    AttemptSettled,
+    SendToPeer,
 )
 from troutdock.admission.owner_queries import DEAF, PROBE_MS, RANKS, TRIES, Questions
 
@@ -175,12 +175,12 @@
 def test_a_customer_of_one_gateway_has_its_home_there() -> None:
     g = one()
     told = [a for n in range(9) for a in g.handle(START, request(n + 1, units=4.0, width=1))]
-    assert not [a for a in told if isinstance(a, Tell | Count)]
+    assert not [a for a in told if isinstance(a, SendToPeer | CounterAdd)]
     assert len([a for a in told if isinstance(a, Send)]) == 4  # 16 units
 
 
 def ask_of(actions: list[object]) -> tuple[int, int, Question]:
-    (tell,) = [a for a in actions if isinstance(a, Tell)]
+    (tell,) = [a for a in actions if isinstance(a, SendToPeer)]
     number, question = read_question(tell.body)
     return tell.gateway, number, question
 
@@ -196,9 +196,9 @@
     assert [type(a) for a in done] == [then]
     assert not g.handle(START + 21, PeerMessage(home, Answer(True, 1.0).bytes(number)))  # it came twice
     again = g.handle(START + 100, request(2, units=4.0, width=150))
-    asked = [a for a in again if isinstance(a, Tell)]
+    asked = [a for a in again if isinstance(a, SendToPeer)]
     assert bool(asked) == granted and bool([a for a in again if isinstance(a, Refuse)]) != granted
-    assert [a for a in g.handle(START + 2000, request(3, units=4.0, width=150)) if isinstance(a, Tell)]
+    assert [a for a in g.handle(START + 2000, request(3, units=4.0, width=150)) if isinstance(a, SendToPeer)]
 
 
 def test_a_home_that_is_silent_is_asked_twice_then_the_next_and_last_the_counter() -> None:
@@ -206,8 +206,8 @@
     g.handle(START, PeerMessage(7, b"\x10\x00\x00\x00\x00"))
     seen, now = [], START
     actions = g.handle(now, request(1, units=4.0, width=150, left=4000.0))
-    while not (counted := [a for a in actions if isinstance(a, Count)]) and now < START + 1500:
-        seen += [(a.gateway, read_question(a.body)[0]) for a in actions if isinstance(a, Tell)]
+    while not (counted := [a for a in actions if isinstance(a, CounterAdd)]) and now < START + 1500:
+        seen += [(a.gateway, read_question(a.body)[0]) for a in actions if isinstance(a, SendToPeer)]
         now += 60.0
         actions = g.handle(
             now, PeerMessage(7, b"\x10\x00\x00\x00\x00")
@@ -223,7 +223,7 @@
     snapshot.take(g)  # an upgrade: the state is another process's from here on
     assert not g.handle(START + 5, PeerMessage(9, question.bytes(5)))
     done = g.handle(START + 20, PeerMessage(home, Answer(True, 0.5).bytes(number)))
-    assert [type(a) for a in done] == [Send, Settled]  # its units were taken: nobody else may use them
+    assert [type(a) for a in done] == [Send, AttemptSettled]  # its units were taken: nobody else may use them
     assert [type(a) for a in g.handle(START + 30, request(2, units=4.0, width=150))] == [Refuse]
     successor = one()
     snapshot.restore(successor, snapshot.take(g))
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from lab.gateways import Gateways
-from troutdock.admission.interface import BackendState, ListKind, ListWatched
+from troutdock.admission.interface import BackendState, ListKind, DiscoveryStatus
 from troutdock.admission.usage_digest_codec import MOST
 from troutdock.admission.backend_gossip import ASK_MS, ASKED, GONE_MS, SUSPECT_MS, News
 from troutdock.admission.backend_gossip_codec import ANSWER, ASK, HEAD, ROW
@@ -31,7 +31,7 @@
     ]
     w = Gateways(fleet_of, START, 0.05, Random(3), 100.0)
     for n in range(GATEWAYS):
-        w.give(n, ListWatched(n >= blind))
+        w.give(n, DiscoveryStatus(n >= blind))
         for gone, state in ((LEFT, BackendState.GONE), (DRAINING, BackendState.DRAINING)):
             if n >= blind:
                 w.give(n, replace(fleet(*gone, state=state, kind=ListKind.CHANGES), version=7))
--- a/tests/test_ordinary_path.py
+++ b/tests/test_ordinary_path.py
@@ -7,8 +7,8 @@
 
 from troutdock.admission.gateway import Customer
 from troutdock.admission.interface import (
-    Count,
-    CountAnswered,
+    CounterAdd,
+    CounterReply,
     Outcome,
     Plan,
     Refuse,
@@ -260,10 +260,10 @@
 THIN = {"plans": (PLAN,), "counter": True, "counter_timeout_ms": 30.0, "gateways": 200}
 
 
-def ask(g, number: int, now: float = START, **what) -> Count:
+def ask(g, number: int, now: float = START, **what) -> CounterAdd:
     """A try that the thin slice cannot tell is held, and its units asked for."""
     (count,) = g.handle(now, request(number, width=200, **what))
-    assert isinstance(count, Count)
+    assert isinstance(count, CounterAdd)
     return count
 
 
@@ -272,11 +272,11 @@
     return g, ask(g, 1, units=4.0)
 
 
-def answer(g, count: Count, total: float, outcome: Outcome = Outcome.OK, now: float = START + 3) -> list:
-    return g.handle(now, CountAnswered(count.name, outcome, 3.0, total))
+def answer(g, count: CounterAdd, total: float, outcome: Outcome = Outcome.OK, now: float = START + 3) -> list:
+    return g.handle(now, CounterReply(count.name, outcome, 3.0, total))
 
 
-def level_zero(g, count: Count, now: float = START + 3) -> float:
+def level_zero(g, count: CounterAdd, now: float = START + 3) -> float:
     """The total at which the store is empty."""
     return PLAN.burst + counter_name(now, count.name & (2**33 - 1), PLAN.name)[1] / 1000 * PLAN.rate
 
@@ -292,7 +292,9 @@
     actions = answer(g, count, level_zero(g, count) - 1.0 + count.amount)
     (refused,) = only(actions, Refuse)
     assert refused.retry_after_ms > 0
-    assert sum(c.amount for c in only(actions, Count)) == pytest.approx(-count.amount, abs=0.08 * PLAN.burst)
+    assert sum(c.amount for c in only(actions, CounterAdd)) == pytest.approx(
+        -count.amount, abs=0.08 * PLAN.burst
+    )
 
 
 def test_what_was_just_told_empty_is_refused_at_once() -> None:
@@ -317,7 +319,9 @@
     g.handle(START + 1, RequestWithdrawn(1))
     actions = answer(g, count, level_zero(g, count) - 10.0 + count.amount)
     assert not only(actions, Send)
-    assert sum(c.amount for c in only(actions, Count)) == pytest.approx(-count.amount, abs=0.08 * PLAN.burst)
+    assert sum(c.amount for c in only(actions, CounterAdd)) == pytest.approx(
+        -count.amount, abs=0.08 * PLAN.burst
+    )
 
 
 def test_no_try_is_held_beyond_its_time() -> None:
@@ -331,7 +335,7 @@
     g = gateway(*range(1, 30), **THIN)
     turn = START + 60_000 - counter_name(START, 9, PLAN.name)[1]
     count = ask(g, 2, turn - 1, units=4.0)
-    assert answer(g, Count(77, 0.0, 0.0), 5.0) == []
+    assert answer(g, CounterAdd(77, 0.0, 0.0), 5.0) == []
     assert only(answer(g, count, 1e6, now=turn + 2), Send)  # it tells nothing of the name of now
     assert answer(g, count, 5.0) == []
 
@@ -347,7 +351,7 @@
         g, count = queue.pop(0)
         total += count.amount
         calls += 1
-        queue += [(g, c) for c in only(answer(g, count, total), Count)]
+        queue += [(g, c) for c in only(answer(g, count, total), CounterAdd)]
     age = counter_name(START + 3, 9, PLAN.name)[1]
     level = PLAN.burst - total + age / 1000 * PLAN.rate
     assert PLAN.burst - 21 <= level <= PLAN.burst + 1e-6
@@ -360,7 +364,7 @@
     for n in range(200):
         g = gateway(seed=n, **{**THIN, "index": n})
         used += 0.5
-        told += sum(c.amount for c in only(g.handle(START, request(1, width=200, units=0.5)), Count))
+        told += sum(c.amount for c in only(g.handle(START, request(1, width=200, units=0.5)), CounterAdd))
     assert told == pytest.approx(used, rel=0.2)
 
 
@@ -370,16 +374,16 @@
     def calls(first: int) -> int:
         found = 0
         for n in range(first, first + 200):
-            for c in only(g.handle(START, request(n, 0, n, units=4.0, width=200)), Count):
-                g.handle(START, CountAnswered(c.name, Outcome.TIMEOUT, 30, 0.0))
+            for c in only(g.handle(START, request(n, 0, n, units=4.0, width=200)), CounterAdd):
+                g.handle(START, CounterReply(c.name, Outcome.TIMEOUT, 30, 0.0))
                 found += 1
         return found
 
     assert calls(0) < 40  # the first ones go unanswered
     assert calls(1000) < 20
     for n in range(2000, 9000):
-        for c in only(g.handle(START, request(n, 0, n, width=200)), Count):
-            g.handle(START, CountAnswered(c.name, Outcome.OK, 3, c.amount))
+        for c in only(g.handle(START, request(n, 0, n, width=200)), CounterAdd):
+            g.handle(START, CounterReply(c.name, Outcome.OK, 3, c.amount))
     assert g.asking == 1.0
 
 
@@ -405,8 +409,8 @@
         todo = g.handle(now, request(n, customer=n, width=200))
         while todo:
             match todo.pop():
-                case Count(name, amount):
-                    todo += g.handle(now, CountAnswered(name, Outcome.OK, 3, amount))
+                case CounterAdd(name, amount):
+                    todo += g.handle(now, CounterReply(name, Outcome.OK, 3, amount))
                 case Send(number, backend):
                     todo += g.handle(now, ended(number, backend))
     assert len(g.customers) <= 601 and not g.calls and not g.counts
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -22,7 +22,7 @@
     Refuse,
     RequestArrived,
     RequestClass,
-    RequestWaited,
+    RequestQueued,
     Send,
 )
 
@@ -114,9 +114,9 @@
     g = made()
     g.handle(START, fleet())
     assert isinstance(ask(g, START, 1), Refuse)
-    (unread,) = g.handle(START, RequestWaited(9, 0, 0, 1.0, 2, False, 900.0, 78))
+    (unread,) = g.handle(START, RequestQueued(9, 0, 0, 1.0, 2, False, 900.0, 78))
     assert isinstance(unread, Refuse)
-    g.handle(START, RequestWaited(9, 0, 0, 1.0, 2, True, 900.0, 79))  # a retry: what was before is not known
+    g.handle(START, RequestQueued(9, 0, 0, 1.0, 2, True, 900.0, 79))  # a retry: what was before is not known
     g.handle(START, fleet(1, 2))
     assert isinstance(ask(g, START + 100, 2, key=77, retry=True), Send)
     assert isinstance(ask(g, START + 100, 3, key=78, retry=True), Send)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -29,7 +29,7 @@
 )
 
 from troutdock.admission import simulator_wire
-from troutdock.admission.interface import BackendState, CountAnswered, ListKind, Outcome
+from troutdock.admission.interface import BackendState, CounterReply, ListKind, Outcome
 from troutdock.platform.config import ConfigError, flatten, read_config
 from troutdock.platform.discovery import ListReader, backend_id
 
@@ -655,10 +655,10 @@
     async def test() -> None:
         async with world(answer(), counter=sends(b"$1\r\n0\r\n", close=False), read_counter=read_call) as w:
             from troutdock.admission import Gateway
-            from troutdock.admission.interface import Count, Send
+            from troutdock.admission.interface import CounterAdd, Send
 
             def to_nowhere(gateway: Gateway, now: float, event: Any) -> list[Any]:
-                return [Send(1, 404)] if isinstance(event, CountAnswered) else [Count(7, 1.0, 1000.0)]
+                return [Send(1, 404)] if isinstance(event, CounterReply) else [CounterAdd(7, 1.0, 1000.0)]
 
             monkeypatch.setattr(Gateway, "handle", to_nowhere)
             assert (await w.ask(request(Request_Timeout="25.000")))[0] == 500
--- a/tests/test_settings_change.py
+++ b/tests/test_settings_change.py
@@ -16,7 +16,7 @@
 
 from troutdock.admission import Gateway
 from troutdock.admission.interface import (
-    RETIRED_MOST,
+    MAX_RETIRED_CLASSES,
     Effect,
     Fail,
     Group,
@@ -28,8 +28,8 @@
     Settings,
     SettingsChanged,
     TimerFired,
-    merged_settings,
-    renumbered,
+    merge_settings,
+    previous_indexes,
 )
 from troutdock.platform.config import ConfigError, complete, keys_of, read_config
 
@@ -40,7 +40,7 @@
 
 
 def change(g: Gateway, now: float, **changes: Any) -> Settings:
-    merged = merged_settings(g.settings, settings(**changes))
+    merged = merge_settings(g.settings, settings(**changes))
     g.handle(now, SettingsChanged(merged))
     return merged
 
@@ -49,19 +49,26 @@
 
 
 def test_classes_that_are_gone_stand_behind_those_in_force_and_go_with_the_next_but_so_many() -> None:
-    merged = merged_settings(settings(classes=(READ, BOOK)), settings(classes=(NEW, BOOK)))
+    merged = merge_settings(settings(classes=(READ, BOOK)), settings(classes=(NEW, BOOK)))
     assert merged.classes == (NEW, BOOK, READ) and merged.live_classes == 2
-    for n in range(3 * RETIRED_MOST):
-        merged = merged_settings(merged, settings(classes=(replace(NEW, name=f"c{n}"),)))
-    assert len(merged.classes) == 1 + RETIRED_MOST and merged.classes[1].name == f"c{3 * RETIRED_MOST - 2}"
+    for n in range(3 * MAX_RETIRED_CLASSES):
+        merged = merge_settings(merged, settings(classes=(replace(NEW, name=f"c{n}"),)))
+    assert (
+        len(merged.classes) == 1 + MAX_RETIRED_CLASSES
+        and merged.classes[1].name == f"c{3 * MAX_RETIRED_CLASSES - 2}"
+    )
 
 
 def test_one_of_another_effect_is_another_class_and_one_of_other_figures_is_not() -> None:
     unsafe, slower = replace(READ, effect=Effect.UNSAFE), replace(BOOK, deadline_ms=9000)
-    merged = merged_settings(settings(classes=(READ, BOOK)), settings(classes=(unsafe, slower)))
+    merged = merge_settings(settings(classes=(READ, BOOK)), settings(classes=(unsafe, slower)))
     assert merged.classes == (unsafe, slower, READ)
-    assert renumbered((READ, BOOK), merged.classes) == [0, 1, 0]  # what its work takes is known by the name
-    assert renumbered(merged.classes, (READ, BOOK)) == [2, 1]
+    assert previous_indexes((READ, BOOK), merged.classes) == [
+        0,
+        1,
+        0,
+    ]  # what its work takes is known by the name
+    assert previous_indexes(merged.classes, (READ, BOOK)) == [2, 1]
 
 
 @given(
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -13,8 +13,8 @@
 
 from troutdock.admission.interface import (
     Cancel,
-    Count,
-    CountAnswered,
+    CounterAdd,
+    CounterReply,
     Outcome,
     Plan,
     Refuse,
@@ -182,14 +182,14 @@
 def test_use_that_was_called_in_vain_is_reported_again(outcome: Outcome, again: bool) -> None:
     g = gateway(**COUNTED)
     g.asking = 1.0
-    calls: list[Count] = []
+    calls: list[CounterAdd] = []
     number = 0
     while not calls:
         number += 1
-        calls = [a for a in g.handle(START, arrival(number, units=1.0)) if isinstance(a, Count)]
+        calls = [a for a in g.handle(START, arrival(number, units=1.0)) if isinstance(a, CounterAdd)]
     (customer,) = g.customers.values()
     before = customer.debt
-    g.handle(START + 50, CountAnswered(calls[0].name, outcome, 50.0, 0.0))
+    g.handle(START + 50, CounterReply(calls[0].name, outcome, 50.0, 0.0))
     assert (customer.debt > before) is again
 
 
@@ -201,11 +201,11 @@
         names += [
             a.name
             for a in g.handle(START, arrival(number, customer=number, units=4.0))
-            if isinstance(a, Count)
+            if isinstance(a, CounterAdd)
         ]
     assert len(names) > 2
     for name in names:
-        g.handle(START + 50, CountAnswered(name, Outcome.RESET, 50.0, 0.0))
+        g.handle(START + 50, CounterReply(name, Outcome.RESET, 50.0, 0.0))
     assert g.asking == pytest.approx(0.7)
 
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -13,8 +13,8 @@
 from troutdock.admission import simulator_wire
 from troutdock.admission.interface import (
     Cancel,
-    Count,
-    CountAnswered,
+    CounterAdd,
+    CounterReply,
     Effect,
     Fail,
     FleetUpdate,
@@ -26,7 +26,7 @@
     RequestArrived,
     Send,
     SetTimer,
-    Tell,
+    SendToPeer,
 )
 
 ROOT = Path(__file__).parent.parent
@@ -143,7 +143,7 @@
     assert [(e.size, e.up_since_ms) for e in event.entries] == [(1.0, 0.0), (1.5, 6100.0)]
     body = bytes.fromhex("0300000090f689000000000001333333333333014000001842")
     event = simulator_wire.read_event(1100, body, settings())
-    assert isinstance(event, CountAnswered)
+    assert isinstance(event, CounterReply)
     assert (event.name, event.outcome, event.total) == (9041552, Outcome.OK, 38.0)
 
 
@@ -153,17 +153,17 @@
     call = 0x000F80285D3A91C4
     assert simulator_wire.write_action(3, Send(call, backend[0] << 16 | backend[1], 80.0)).hex() == dispatch
     bump = "fc03180000000300000090f689000000000000008040000000000070a740"
-    assert simulator_wire.write_action(3, Count(9041552, 4.0, 3000.0)).hex() == bump
+    assert simulator_wire.write_action(3, CounterAdd(9041552, 4.0, 3000.0)).hex() == bump
     wake = "1a0414000000030000000000000000407f404d00000000000000"
     assert simulator_wire.write_action(3, SetTimer(500.0, 77)).hex() == wake
     share = "60040e00000003000000ffffffff040068692037"
-    assert simulator_wire.write_action(3, Tell(None, b"hi 7")).hex() == share
+    assert simulator_wire.write_action(3, SendToPeer(None, b"hi 7")).hex() == share
     debug = "06041700000003000000110074776f2073657276657273206b6e6f776e"
     assert simulator_wire.write_action(3, Log("two servers known")).hex() == debug
 
 
 @pytest.mark.parametrize(
-    "action", [Refuse(7, 20.0), Fail(7), Cancel(7, 1), Probe(1 << 16 | 2), Tell(2, b"x")]
+    "action", [Refuse(7, 20.0), Fail(7), Cancel(7, 1), Probe(1 << 16 | 2), SendToPeer(2, b"x")]
 )
 def test_every_action_says_its_length(action) -> None:
     data = simulator_wire.write_action(1, action)
--- a/tests/test_word.py
+++ b/tests/test_word.py
@@ -18,7 +18,7 @@
     Refuse,
     Send,
     SettingsChanged,
-    Tell,
+    SendToPeer,
 )
 from troutdock.admission.usage_digest_codec import ENTRY, HEAD, MOST, UNSURE, VERSION, mark_of
 from troutdock.admission.usage_gossip import DEAF_MS, INTAKE, MARKS, Word
@@ -209,4 +209,4 @@
 def test_no_fewer_peers_are_told_after_other_settings() -> None:
     g = Fleet(3).gateways[0]
     g.handle(START, SettingsChanged(g.settings))
-    assert [a for a in g.handle(START, request(1, units=2.0)) if isinstance(a, Tell)]
+    assert [a for a in g.handle(START, request(1, units=2.0)) if isinstance(a, SendToPeer)]
--- a/troutdock/admission/backend_health.py
+++ b/troutdock/admission/backend_health.py
@@ -5,7 +5,7 @@
 from math import inf
 
 from troutdock.admission.circuit_breaker import Circuit
-from troutdock.admission.interface import BackendEntry, Group, RequestClass, Settings, renumbered
+from troutdock.admission.interface import BackendEntry, Group, RequestClass, Settings, previous_indexes
 
 BLAME = 0.3  # how far a bad or a rare sign moves what it tells of
 FORGIVE_MS, TOUCHES = 3000.0, 2.0  # a sign fades to a third in this time, or in so many times between signs
@@ -52,7 +52,7 @@
     def renumber(self, before: tuple[RequestClass, ...], after: tuple[RequestClass, ...]) -> None:
         """Other classes: what work takes is kept by class, and guessed for a new one from the others."""
         guess = sum(ms / c.aim_ms for ms, c in zip(self.unit_ms, before, strict=True)) / len(before)
-        came_from = zip(renumbered(before, after), after, strict=True)
+        came_from = zip(previous_indexes(before, after), after, strict=True)
         self.unit_ms = [guess * c.aim_ms if n is None else self.unit_ms[n] for n, c in came_from]
         self.patience_for = []
 
--- a/troutdock/admission/backend_selection.py
+++ b/troutdock/admission/backend_selection.py
@@ -1,7 +1,7 @@
 """Which backend, and when another is tried: what an ingress knows of backends that many ingresses share.
 
 No I/O, no clock; times are milliseconds. Backends have few slots and works are long, so what counts is how
-many requests stand where, over all ingresses. Each tells the others its open attempts (OthersLoad); with
+many requests stand where, over all ingresses. Each tells the others its open attempts (PeerLoad); with
 these the time of a send is expected, and put beside what else it costs: bytes to another zone, a new
 connection, the doubt in a backend that has failed. All of it is one figure, the part of the request's worth
 that is likely lost.
--- a/troutdock/admission/gateway.py
+++ b/troutdock/admission/gateway.py
@@ -15,11 +15,12 @@
 from troutdock.admission.usage_digest_codec import mark_of
 from troutdock.admission.backend_health import BLAME, RETRY_MOST, Backend, Pool, Sent
 from troutdock.admission.bucket_owner import Homes
-from troutdock.admission.interface import Actions, AnswerBegan, AttemptEnded, BackendState, Cancel, Count
-from troutdock.admission.interface import CountAnswered, Effect, Event, Fail, FleetUpdate, Group, ListWatched
-from troutdock.admission.interface import Log, Outcome, PeerMessage, PlanAssigned, Refuse, RequestArrived
-from troutdock.admission.interface import RequestClass, RequestWaited, RequestWithdrawn, Send, SetTimer
-from troutdock.admission.interface import Settings, SettingsChanged, Settled, Tell, TimerFired
+from troutdock.admission.interface import Actions, AttemptEnded, AttemptSettled, BackendState, Cancel
+from troutdock.admission.interface import CounterAdd, CounterReply, DiscoveryStatus, Effect, Event, Fail
+from troutdock.admission.interface import FleetUpdate, Group, Log, Outcome, PeerMessage, PlanAssigned, Refuse
+from troutdock.admission.interface import RequestArrived, RequestClass, RequestQueued, RequestWithdrawn
+from troutdock.admission.interface import ResponseStarted, Send, SendToPeer, SetTimer, Settings
+from troutdock.admission.interface import SettingsChanged, TimerFired
 from troutdock.admission.backend_list import followed
 from troutdock.admission.counter_names import NAME_TTL_MS, counter_name
 from troutdock.admission.backend_gossip import News
@@ -92,18 +93,18 @@
         self.actions: Actions = []
         self.handlers: dict[type, Callable[[float, Any], None]] = {
             RequestArrived: self.arrived,
-            RequestWaited: self.waited,
+            RequestQueued: self.waited,
             AttemptEnded: self.ended,
-            AnswerBegan: self.began,
-            CountAnswered: self.count_answered,
+            ResponseStarted: self.began,
+            CounterReply: self.count_answered,
             FleetUpdate: self.fleet,
             RequestWithdrawn: self.withdrawn,
             TimerFired: self.overdue,
-            Settled: partial(settled, self),
+            AttemptSettled: partial(settled, self),
             SettingsChanged: partial(configured, self),
             PlanAssigned: self.assigned,
             PeerMessage: self.heard,
-            ListWatched: self.watched,
+            DiscoveryStatus: self.watched,
         }
 
     def follow(self, settings: Settings) -> None:
@@ -136,12 +137,12 @@
         if self.asks.open:
             self.chase(now)
         if self.asks.on and not self.retired:
-            self.actions += [Tell(gateway, body) for gateway, body in self.homes.copies.due(now)]
+            self.actions += [SendToPeer(gateway, body) for gateway, body in self.homes.copies.due(now)]
         if self.word.due(now) and not self.retired:
-            self.actions.append(Tell(None, self.word.digest(now)))
+            self.actions.append(SendToPeer(None, self.word.digest(now)))
         if self.news.blind and not self.retired:
             peers, words = self.news.ask(now)
-            self.actions += [Tell(peer, words) for peer in peers]
+            self.actions += [SendToPeer(peer, words) for peer in peers]
         return self.actions
 
     def heard(self, now: float, event: PeerMessage) -> None:
@@ -152,20 +153,20 @@
                 self.home_heard(now, event)
             elif event.body[:1] in COPIES:
                 answers = self.homes.copies.hear(now, event.sender, event.body)
-                self.actions += [Tell(event.sender, body) for body in answers]
+                self.actions += [SendToPeer(event.sender, body) for body in answers]
             elif event.body[:1] not in KINDS:
                 self.word.hear(now, event.sender, event.body)
             elif self.news.hear(now, event.sender, event.body):
                 draining = [n for n, b in self.backends.items() if b.entry.state is BackendState.DRAINING]
                 if answer := self.news.answer(now, draining):
-                    self.actions.append(Tell(event.sender, answer))
+                    self.actions.append(SendToPeer(event.sender, answer))
         except ValueError as error:
             bad = self.word.bad.get(event.sender, 0)
             self.word.bad[event.sender] = bad + 1
             if not bad:
                 self.actions.append(Log(f"gateway {event.sender} tells what can't be read: {error}"))
 
-    def watched(self, now: float, event: ListWatched) -> None:
+    def watched(self, now: float, event: DiscoveryStatus) -> None:
         """Discovery answers or does not: without it peers are asked, with it nobody is suspected."""
         self.news.watched(now, event.heard)
 
@@ -174,7 +175,7 @@
 
     # ---- quotas: the ordinary path
 
-    def customer(self, now: float, event: RequestArrived | RequestWaited) -> Customer:
+    def customer(self, now: float, event: RequestArrived | RequestQueued) -> Customer:
         """The customer of a request; one long unseen is dropped: a fresh one does as well."""
         known = self.customers.pop(event.customer, None)
         if known is None:
@@ -263,7 +264,7 @@
             return self.admit(now, call, True)  # a full bucket does, or a large request never would pass
         self.refuse(now, call)
 
-    def waited(self, now: float, event: RequestWaited) -> None:
+    def waited(self, now: float, event: RequestQueued) -> None:
         """Guards this process: what waited past its part of the aim is refused before work is spent on it.
 
         The bound is on each message's own wait, not on a rate: it needs no memory of the load, is gone with
@@ -312,7 +313,7 @@
         if not call.may_have_run:
             self.booked.never_ran(now, call.event.key)
             if self.retired and call.event.key:
-                self.actions.append(Settled(call.event.request, -1, key=call.event.key))
+                self.actions.append(AttemptSettled(call.event.request, -1, key=call.event.key))
         wait = call.customer.return_time(now, call.event.units, NO_SHOW_MS * self.settings.marks_retry)
         self.actions.append(Refuse(call.event.request, wait))
         self.calls.pop(call.event.request, None)
@@ -358,7 +359,7 @@
         if home == self.settings.index:
             self.home_said(now, customer, call, self.homes.take(now, question))
             return True
-        self.actions.append(Tell(home, self.asks.ask(now, home, question, (customer, call, kept))))
+        self.actions.append(SendToPeer(home, self.asks.ask(now, home, question, (customer, call, kept))))
         if call:
             self.look_again(call)
         return True
@@ -376,7 +377,7 @@
             if held and now > held.aim - held.work:
                 self.guess(now, held, False)
             elif (body := self.asks.again(now, number, asked)) is not None:
-                self.actions.append(Tell(asked.home, body))
+                self.actions.append(SendToPeer(asked.home, body))
                 if held:
                     self.look_again(held)
             else:
@@ -388,7 +389,7 @@
         """A peer asks this gateway as a home, or answers as one."""
         if event.body[0] == ASK:
             if not self.retired:
-                self.actions.append(Tell(event.sender, self.homes.asked(now, event.sender, event.body)))
+                self.actions.append(SendToPeer(event.sender, self.homes.asked(now, event.sender, event.body)))
             return
         number, answer = read_answer(event.body)
         if asked := self.asks.answered(now, event.sender, number):
@@ -411,9 +412,9 @@
         """Call the counter: for use (a held try's units among it), or to put the name right by drift."""
         name, _ = counter_name(now, customer.number, customer.plan.name)
         self.counts.setdefault(name, deque()).append((customer, use, drift, call))
-        self.actions.append(Count(name, use + drift, NAME_TTL_MS))
+        self.actions.append(CounterAdd(name, use + drift, NAME_TTL_MS))
 
-    def count_answered(self, now: float, event: CountAnswered) -> None:
+    def count_answered(self, now: float, event: CounterReply) -> None:
         """Guards against a slow, full or lost counter: never add twice, ask less, hold what was told."""
         if not (asked := self.counts.get(event.name)):
             return
@@ -599,7 +600,7 @@
         if self.retired:
             group = self.group(backend, call.cls) if call.event.key else None
             self.actions.append(
-                Settled(
+                AttemptSettled(
                     call.event.request,
                     number,
                     None,
@@ -672,7 +673,7 @@
         if not call.out or event.attempt == len(call.tried) - 1:  # else the copy sent last goes on
             self.again(now, call)
 
-    def began(self, now: float, event: AnswerBegan) -> None:
+    def began(self, now: float, event: ResponseStarted) -> None:
         """The answer is the client's: no copy follows, and where the work is done it is no load any more."""
         if (call := self.calls.get(event.request)) is not None:
             call.begun = True
@@ -736,7 +737,7 @@
             backend.slowness[cls].sign(now, took, 1 - KEEP, fleet)
             if pile < 2:  # a jam is not learnt as usual
                 pool.unit_ms[cls] *= 1 + min(took - 1, 1.0) * LEARN
-        elif overdue or event.outcome not in (Outcome.CANCELLED, Outcome.MOOT):
+        elif overdue or event.outcome not in (Outcome.CANCELLED, Outcome.WRONG_INSTANCE):
             # it may fail just this class; a process that has died refuses new connections too
             own = overdue or event.outcome in (Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET)
             mild = overdue or event.outcome is Outcome.RESET or (heard and event.outcome is Outcome.TIMEOUT)
--- a/troutdock/admission/interface.py
+++ b/troutdock/admission/interface.py
@@ -18,12 +18,12 @@
     CONNECT_FAILED = 5
     RESET = 6
     CANCELLED = 7
-    MOOT = 8
+    WRONG_INSTANCE = 8
 
     @property
     def never_ran(self) -> bool:
         """True where the outcome proves that the backend did not run the request."""
-        return self in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
+        return self in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.WRONG_INSTANCE)
 
 
 class Effect(Enum):
@@ -178,10 +178,10 @@
                 raise ValueError(f"Settings.{name}: at least one is needed")
 
 
-RETIRED_MOST = 16  # classes that are gone and still known: far more than reloads within a deadline drop
+MAX_RETIRED_CLASSES = 16  # removed classes still kept: far more than reloads within one deadline remove
 
 
-def merged_settings(before: Settings, after: Settings) -> Settings:
+def merge_settings(before: Settings, after: Settings) -> Settings:
     """The new settings, with the classes that are gone kept behind its own, the latest first.
 
     A class is the same one if name, effect and group are; with other figures its new ones hold.
@@ -191,11 +191,11 @@
         return cls.name, cls.effect, cls.group
 
     kept = {identity(cls) for cls in after.classes}
-    gone = [cls for cls in before.classes if identity(cls) not in kept][:RETIRED_MOST]
+    gone = [cls for cls in before.classes if identity(cls) not in kept][:MAX_RETIRED_CLASSES]
     return replace(after, classes=after.classes + tuple(gone), live_classes=len(after.classes))
 
 
-def renumbered(before: tuple[RequestClass, ...], after: tuple[RequestClass, ...]) -> list[int | None]:
+def previous_indexes(before: tuple[RequestClass, ...], after: tuple[RequestClass, ...]) -> list[int | None]:
     """For each class its number in before: the same one, else one of its name, else None."""
     same = {(cls.name, cls.effect, cls.group): n for n, cls in reversed(list(enumerate(before)))}
     named = {cls.name: n for n, cls in reversed(list(enumerate(before)))}
@@ -230,7 +230,7 @@
 
 
 @dataclass(slots=True)
-class ListWatched:
+class DiscoveryStatus:
     """Whether discovery was heard by the last call to it; what it said comes as a FleetUpdate."""
 
     heard: bool
@@ -238,7 +238,7 @@
 
 @dataclass(slots=True)
 class SettingsChanged:
-    """New settings, made by merged_settings; what is open keeps the rules that it came under."""
+    """New settings, made by merge_settings; what is open keeps the rules that it came under."""
 
     settings: Settings
 
@@ -278,7 +278,7 @@
 
 
 @dataclass(slots=True)
-class RequestWaited:
+class RequestQueued:
     """A client's try has waited so long for this process, before any work was spent on it.
 
     The answer is a Refuse of request 0: its final answer; or nothing: RequestArrived may follow. The fields
@@ -296,7 +296,7 @@
 
 
 @dataclass(slots=True)
-class AnswerBegan:
+class ResponseStarted:
     """A streamed answer has begun; from now on it is the client's.
 
     work_done: the backend has done its work, and the rest is the answer's way; lag_ms as in AttemptEnded.
@@ -363,7 +363,7 @@
 
 
 @dataclass(slots=True)
-class CountAnswered:
+class CounterReply:
     """The answer to one counter call; total is valid with OK."""
 
     name: int
@@ -373,7 +373,7 @@
 
 
 @dataclass(slots=True)
-class Settled:
+class AttemptSettled:
     """What has become of an attempt at a gateway whose state another one has.
 
     An action of the retired gateway, and an event of the other: its number of the request means nothing
@@ -407,7 +407,7 @@
 
 
 @dataclass(slots=True)
-class Company:
+class IngressMembership:
     """How many ingresses there are, this one among them, and how many of them it hears."""
 
     ingresses: int
@@ -415,7 +415,7 @@
 
 
 @dataclass(slots=True)
-class OthersLoad:
+class PeerLoad:
     """Open attempts of another ingress by backend, as they are now; whole: it has no others."""
 
     origin: str
@@ -429,7 +429,7 @@
 
 
 @dataclass(slots=True)
-class Suspected:
+class BackendSuspected:
     """A backend has not called for a while, or does again."""
 
     backend: BackendId
@@ -438,23 +438,23 @@
 
 Event = (
     FleetUpdate
-    | Company
-    | OthersLoad
+    | IngressMembership
+    | PeerLoad
     | LeasesDue
-    | Suspected
-    | ListWatched
+    | BackendSuspected
+    | DiscoveryStatus
     | SettingsChanged
     | PlanAssigned
     | RequestArrived
-    | RequestWaited
-    | AnswerBegan
+    | RequestQueued
+    | ResponseStarted
     | AttemptEnded
     | RequestWithdrawn
     | TimerFired
     | ProbeEnded
     | PeerMessage
-    | CountAnswered
-    | Settled
+    | CounterReply
+    | AttemptSettled
 )
 
 
@@ -510,7 +510,7 @@
 
 
 @dataclass(slots=True)
-class Tell:
+class SendToPeer:
     """Send bytes to one gateway, or to all others (None)."""
 
     gateway: int | None
@@ -518,7 +518,7 @@
 
 
 @dataclass(slots=True)
-class Count:
+class CounterAdd:
     """Add to a named number of the shared counter and learn its total."""
 
     name: int
@@ -533,5 +533,5 @@
     text: str
 
 
-Action = Send | Cancel | Refuse | Fail | SetTimer | Probe | Tell | Count | Log | Settled
+Action = Send | Cancel | Refuse | Fail | SetTimer | Probe | SendToPeer | CounterAdd | Log | AttemptSettled
 Actions = list[Action]
--- a/troutdock/admission/proxy_admission.py
+++ b/troutdock/admission/proxy_admission.py
@@ -24,29 +24,29 @@
 
 from troutdock.admission.interface import (
     Actions,
-    AnswerBegan,
+    ResponseStarted,
     AttemptEnded,
     BackendState,
-    Company,
+    IngressMembership,
     Effect,
     Event,
     Fail,
     FleetUpdate,
     LeasesDue,
     ListKind,
-    OthersLoad,
+    PeerLoad,
     Outcome,
     Plan,
     Refuse,
     RequestArrived,
     RequestClass,
-    RequestWaited,
+    RequestQueued,
     RequestWithdrawn,
     Send,
     SetTimer,
     Settings,
     SettingsChanged,
-    Suspected,
+    BackendSuspected,
     TimerFired,
 )
 from troutdock.admission.backend_selection import (
@@ -146,7 +146,7 @@
         self._ratio, self._allowance = ratio * PART, allowance * ALLOWANCE_PART
         self.quotas = quotas or QuotaNode.standalone()
         self.leases = QuotaLeases(self.quotas)
-        self.company = Company(1, 1)
+        self.company = IngressMembership(1, 1)
         self.tenants: dict[int, Tenant] = {}
         self.backends: dict[int, Backend] = {}
         self.pools: dict[int, Pool] = {}
@@ -156,17 +156,17 @@
         self.actions: Actions = []
         self._handlers: dict[type, Callable[[float, Any], None]] = {
             RequestArrived: self._arrived,
-            RequestWaited: self._waited,
+            RequestQueued: self._waited,
             AttemptEnded: self._ended,
-            AnswerBegan: self._began,
+            ResponseStarted: self._began,
             RequestWithdrawn: self._withdrawn,
             TimerFired: self._overdue,
             FleetUpdate: self._fleet,
             SettingsChanged: self._changed,
-            Company: self._company,
-            OthersLoad: self._others_load,
+            IngressMembership: self._company,
+            PeerLoad: self._others_load,
             LeasesDue: self._leases_due,
-            Suspected: self._suspected,
+            BackendSuspected: self._suspected,
         }
         if any(plan.rate for plan in settings.plans):
             self._follow_limits(0.0)
@@ -261,7 +261,7 @@
         self.actions.append(Refuse(call.event.request, UNSERVED_RETRY_MS))
         self.calls.pop(call.event.request, None)
 
-    def _waited(self, now: float, event: RequestWaited) -> None:
+    def _waited(self, now: float, event: RequestQueued) -> None:
         """Guards this process: what waited past its part of the aim is refused before work is spent on it."""
         if event.waited_ms > WAIT_PART * self.settings.classes[event.cls].aim_ms:
             tenant = self._tenant(now, event.customer, self.settings.plans[event.plan])
@@ -294,7 +294,7 @@
         self.actions.append(Fail(call.event.request))
         self.calls.pop(call.event.request, None)
 
-    def _company(self, now: float, event: Company) -> None:
+    def _company(self, now: float, event: IngressMembership) -> None:
         self.company = event
 
     # ---- backends
@@ -326,7 +326,7 @@
             else:
                 known.pool.ready.pop(entry.backend, None)
 
-    def _others_load(self, now: float, event: OthersLoad) -> None:
+    def _others_load(self, now: float, event: PeerLoad) -> None:
         if event.whole:
             for number, backend in self.backends.items():
                 if event.origin in backend.others and number not in event.out:
@@ -335,7 +335,7 @@
             if (known := self.backends.get(number)) is not None:
                 known.tell_others(event.origin, count)
 
-    def _suspected(self, now: float, event: Suspected) -> None:
+    def _suspected(self, now: float, event: BackendSuspected) -> None:
         if (backend := self.backends.get(event.backend)) is not None:
             backend.silent = event.silent
             if not event.silent and backend.entry.state is BackendState.READY:
@@ -456,7 +456,9 @@
             backend.circuit.could_not_connect(now)
         else:
             backend.circuit.unknown()
-        if outcome is Outcome.MOOT:  # another one serves at its address: it has ended, whatever the list says
+        if (
+            outcome is Outcome.WRONG_INSTANCE
+        ):  # another one serves at its address: it has ended, whatever the list says
             backend.pool.ready.pop(event.backend, None)
         if outcome is Outcome.OK:
             backend.silent = False
@@ -476,7 +478,7 @@
         elif outcome is Outcome.FULL:
             backend.fails(now, DOUBT / 2)
 
-    def _began(self, now: float, event: AnswerBegan) -> None:
+    def _began(self, now: float, event: ResponseStarted) -> None:
         if (backend := self.backends.get(event.backend)) is not None:
             backend.heard_at = now
 
--- a/troutdock/admission/simulator_wire.py
+++ b/troutdock/admission/simulator_wire.py
@@ -9,13 +9,13 @@
 
 from troutdock.admission.interface import (
     Action,
-    AnswerBegan,
+    ResponseStarted,
     AttemptEnded,
     BackendEntry,
     BackendState,
     Cancel,
-    Count,
-    CountAnswered,
+    CounterAdd,
+    CounterReply,
     Effect,
     Event,
     Fail,
@@ -35,8 +35,8 @@
     Send,
     SetTimer,
     Settings,
-    Settled,
-    Tell,
+    AttemptSettled,
+    SendToPeer,
     TimerFired,
 )
 
@@ -154,7 +154,7 @@
 
 def _read_begun(body: bytes) -> Event:
     _, call, n, address, port, spent = _fixed(_BEGUN, body, "BEGUN")
-    return AnswerBegan(call, n, _backend(address, port), _number(spent, "BEGUN spent"))
+    return ResponseStarted(call, n, _backend(address, port), _number(spent, "BEGUN spent"))
 
 
 def _read_ended(body: bytes) -> Event:
@@ -201,7 +201,7 @@
     outcome = _choice(Outcome, verdict, "LEDGER_REPLY verdict")
     if outcome is Outcome.OK:
         _number(reading, "LEDGER_REPLY reading", -math.inf)
-    return CountAnswered(key, outcome, _number(spent, "LEDGER_REPLY spent"), reading)
+    return CounterReply(key, outcome, _number(spent, "LEDGER_REPLY spent"), reading)
 
 
 _READERS: dict[int, Callable[[bytes], Event]] = {
@@ -249,7 +249,7 @@
             return _OUT_SEND.pack(1070, 26, instance, call, timeout, backend >> 16, backend & 0xFFFF)
         case Refuse(call, retry_after):
             return _OUT_REFUSE.pack(1100, 20, instance, call, retry_after)
-        case Count(name, amount, ttl):
+        case CounterAdd(name, amount, ttl):
             return _OUT_COUNT.pack(1020, 24, instance, name, amount, ttl)
         case SetTimer(after, label):
             return _OUT_TIMER.pack(1050, 20, instance, after, label)
@@ -259,12 +259,12 @@
             return _OUT_CANCEL.pack(1080, 14, instance, call, attempt)
         case Probe(backend):
             return _OUT_PROBE.pack(1000, 10, instance, backend >> 16, backend & 0xFFFF)
-        case Tell(gateway, message):
+        case SendToPeer(gateway, message):
             whom = EVERY_PEER if gateway is None else gateway
             return _OUT_TELL.pack(1120, 10 + len(message), instance, whom, len(message)) + message
         case Log(text):
             return write_text(LOG_CODE, instance, text)
-        case Settled():
+        case AttemptSettled():
             raise WireError("the simulator has no successors to tell")
 
 
--- a/troutdock/admission/state_handover.py
+++ b/troutdock/admission/state_handover.py
@@ -12,7 +12,13 @@
 from typing import TYPE_CHECKING
 
 from troutdock.admission.backend_health import Backend, Sent, Slowness
-from troutdock.admission.interface import AttemptEnded, Outcome, Settled, SettingsChanged, renumbered
+from troutdock.admission.interface import (
+    AttemptEnded,
+    Outcome,
+    AttemptSettled,
+    SettingsChanged,
+    previous_indexes,
+)
 
 if TYPE_CHECKING:
     from troutdock.admission.gateway import Gateway
@@ -21,9 +27,9 @@
 
 def settlement(
     gateway: Gateway, event: AttemptEnded, call: Call | None, backend: Backend | None, sent: Sent | None
-) -> Settled:
+) -> AttemptSettled:
     """What the gateway that has this one's state is to know of an attempt's end."""
-    told = Settled(
+    told = AttemptSettled(
         event.request,
         event.attempt,
         event.outcome,
@@ -42,7 +48,7 @@
     return told
 
 
-def settled(gateway: Gateway, now: float, event: Settled) -> None:
+def settled(gateway: Gateway, now: float, event: AttemptSettled) -> None:
     """An attempt of the gateway before this one: load while it is out, and then a sign like any other."""
     mine = gateway.foreign.get((event.request, event.attempt))
     if event.outcome is None and mine is None:
@@ -86,7 +92,8 @@
 def configured(gateway: Gateway, now: float, event: SettingsChanged) -> None:
     """Take over new settings as a whole; what was learnt stays, and what is open keeps its rules."""
     before, after = gateway.settings.classes, event.settings.classes
-    moved = [n or 0 for n in renumbered(after, before)]  # None: too long gone, only what is learnt of it
+    # a class removed too long ago has None: only its measurements would be affected
+    moved = [n or 0 for n in previous_indexes(after, before)]
     gateway.follow(event.settings)
     gateway.usual_ms.clear()
     for pool in gateway.pools.values():
@@ -95,7 +102,7 @@
         call.event.cls = moved[call.event.cls]
     for backend in gateway.backends.values():
         backend.slowness = [
-            Slowness() if n is None else copy(backend.slowness[n]) for n in renumbered(before, after)
+            Slowness() if n is None else copy(backend.slowness[n]) for n in previous_indexes(before, after)
         ]
         backend.out = {
             key: (at, work, pile, moved[cls], due) for key, (at, work, pile, cls, due) in backend.out.items()
--- a/troutdock/daemon.py
+++ b/troutdock/daemon.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable, Iterable, Sequence
 from typing import Any, Protocol, runtime_checkable
 
-from troutdock.admission.interface import Settings, Settled
+from troutdock.admission.interface import Settings, AttemptSettled
 from troutdock import __version__
 from troutdock.address import Address
 from troutdock.engine import Engine
@@ -214,7 +214,7 @@
         """A client's connection, with what has come on it."""
         self._server.adopt(item)
 
-    def settle(self, settled: Settled) -> None:
+    def settle(self, settled: AttemptSettled) -> None:
         """What an attempt of the predecessor has come to."""
         self.ingress.engine.settle(settled)
 
--- a/troutdock/engine/engine.py
+++ b/troutdock/engine/engine.py
@@ -39,32 +39,32 @@
 from troutdock.admission.interface import (
     Action,
     Actions,
-    AnswerBegan,
+    ResponseStarted,
     AttemptEnded,
     BackendId,
     Cancel,
-    Count,
-    CountAnswered,
+    CounterAdd,
+    CounterReply,
     Effect,
     Event,
     Fail,
     FleetUpdate,
     Group,
-    ListWatched,
+    DiscoveryStatus,
     Log,
     Outcome,
     PeerMessage,
     PlanAssigned,
     Refuse,
     RequestArrived,
-    RequestWaited,
+    RequestQueued,
     RequestWithdrawn,
     Send,
     SetTimer,
     Settings,
     SettingsChanged,
-    Settled,
-    Tell,
+    AttemptSettled,
+    SendToPeer,
     TimerFired,
 )
 from troutdock.engine.attempt import Attempt
@@ -174,7 +174,7 @@
         self._plans: PlanBook | None = None
         self._allowance: Allowance | None = None
         self._unrecorded: dict[int, tuple[Call, Timer | None]] = {}  # by number; concluded, and not told
-        self._tell: Callable[[Settled], None] | None = None  # who has this gateway's state
+        self._tell: Callable[[AttemptSettled], None] | None = None  # who has this gateway's state
 
     def add_pool(self, transport: Transport) -> int:
         """Backends that this transport reaches: the number of their pool, the first one 0."""
@@ -230,7 +230,7 @@
     def _plan_number(self, plan: str) -> int | None:
         return next((n for n, p in enumerate(self._gateway.settings.plans) if p.name == plan), None)
 
-    def _assign(self, event: RequestArrived | RequestWaited, now: float) -> None:
+    def _assign(self, event: RequestArrived | RequestQueued, now: float) -> None:
         """Its customer's plan, where one is assigned and there."""
         if self._plans is not None and (plan := self._plans.plan_of(event.customer, now)) is not None:
             number = self._plan_number(plan)
@@ -243,7 +243,7 @@
 
     # ---- events
 
-    def hand_over(self, tell: Callable[[Settled], None]) -> dict[str, Any]:
+    def hand_over(self, tell: Callable[[AttemptSettled], None]) -> dict[str, Any]:
         """What the decision module knows, for a successor; from here on nothing new is let in.
 
         tell: what comes of the attempts that are out, each in its turn.
@@ -268,7 +268,7 @@
 
         return snapshot.restore(self._gateway, state)
 
-    def settle(self, settled: Settled) -> None:
+    def settle(self, settled: AttemptSettled) -> None:
         """What an attempt of the predecessor has come to."""
         self._handle(settled)
 
@@ -279,7 +279,7 @@
         snapshot.forget(self._gateway)
 
     def reconfigure(self, settings: Settings) -> None:
-        """Other settings from now on, made by merged_settings; open calls keep the rules they came under."""
+        """Other settings from now on, made by merge_settings; open calls keep the rules they came under."""
         self._most_units = settings.most_units
         self._handle(SettingsChanged(settings))
 
@@ -294,13 +294,13 @@
 
     def watched(self, heard: bool) -> None:
         """Discovery was heard by the last call to it, or was not."""
-        self._handle(ListWatched(heard))
+        self._handle(DiscoveryStatus(heard))
 
     def inform(self, event: Event) -> None:
         """Something that the decision module is to know, and may act on."""
         self._handle(event)
 
-    def count_answered(self, event: CountAnswered) -> None:
+    def count_answered(self, event: CounterReply) -> None:
         """The counter's answer to one call."""
         self._handle(event)
 
@@ -347,7 +347,7 @@
             call.deadline = self._timers.call_later(left_s, self._time_is_up, call)
         return call
 
-    def turn_away(self, event: RequestWaited, exchange: Exchange) -> bool:
+    def turn_away(self, event: RequestQueued, exchange: Exchange) -> bool:
         """Refuse a request that has waited too long for this process; false: it may go the ordinary way.
 
         The cheap way: no call, no timers, no counter. The gateway decides.
@@ -406,7 +406,7 @@
         self._cancel_timers(call)  # of copies: nothing more may run
         elapsed_ms = self.clock.now() - attempt.started
         self._handle(
-            AnswerBegan(
+            ResponseStarted(
                 call.number, attempt.index, attempt.backend, elapsed_ms, flow is not None, attempt.lag_ms
             )
         )
@@ -609,16 +609,16 @@
                     self._cancel(open_call, open_call.attempts[index])
             case SetTimer(after_ms, label, number):
                 self._set_timer(after_ms, label, number)
-            case Count(name, amount, ttl_ms):
+            case CounterAdd(name, amount, ttl_ms):
                 if self._counter is None:
                     raise RuntimeError("the gateway calls a counter that the settings do not name")
                 self._counter.call(name, amount, ttl_ms)
-            case Tell(gateway, body):
+            case SendToPeer(gateway, body):
                 if self._peers is not None:
                     self._peers.tell(gateway, body)
             case Log(text):
                 log.warning("%s", text)
-            case Settled():
+            case AttemptSettled():
                 if self._tell is not None:
                     self._tell(action)
             case _:
--- a/troutdock/grpc/front.py
+++ b/troutdock/grpc/front.py
@@ -20,7 +20,7 @@
 import time
 from typing import TYPE_CHECKING
 
-from troutdock.admission.interface import RequestWaited
+from troutdock.admission.interface import RequestQueued
 from troutdock.engine import BadRequest, Failure
 from troutdock.grpc.exchange import HEAD, GrpcExchange
 from troutdock.grpc.methods import Methods, Row
@@ -268,7 +268,7 @@
         waited_ms = self.now() - exchange.arrived
         late = waited_ms > NOTICED_MS and server.lag.notable
         if late and server.damping.turn_away and request.upload is None:
-            waited = RequestWaited(a.customer, a.plan, a.cls, a.units, a.width, a.retry, waited_ms, a.key)
+            waited = RequestQueued(a.customer, a.plan, a.cls, a.units, a.width, a.retry, waited_ms, a.key)
             if server.engine.turn_away(waited, exchange):
                 return
         try:
--- a/troutdock/handover/link.py
+++ b/troutdock/handover/link.py
@@ -16,7 +16,7 @@
 from collections.abc import Callable, Iterable, Iterator
 from typing import Any, Protocol
 
-from troutdock.admission.interface import Settled
+from troutdock.admission.interface import AttemptSettled
 from troutdock.handover import roles
 from troutdock.handover.protocol import ANSWER_S, MAX_PACKET, Holds, Message, ProtocolError, decode, encode
 from troutdock.handover.roles import Effect, Giving, Item, Predecessor, Successor, Taking
@@ -210,7 +210,7 @@
             return True
         return False
 
-    def tell(self, settled: Settled) -> None:
+    def tell(self, settled: AttemptSettled) -> None:
         """What an attempt of this process has come to."""
         self._do(self.role.tell(settled))
 
@@ -314,7 +314,7 @@
     def adopt(self, item: Item) -> None:
         """A client's connection, with what has come on it."""
 
-    def settle(self, settled: Settled) -> None:
+    def settle(self, settled: AttemptSettled) -> None:
         """What an attempt of the predecessor has come to."""
 
     def ended(self) -> None:
--- a/troutdock/handover/protocol.py
+++ b/troutdock/handover/protocol.py
@@ -39,7 +39,7 @@
 
 import msgspec
 
-from troutdock.admission.interface import Settled
+from troutdock.admission.interface import AttemptSettled
 
 VERSION, OLDEST = 2, 2
 PIECE = 32 * 1024  # bytes of the state or of a message in one packet: a few fit into the socket's buffer
@@ -141,7 +141,7 @@
 class Told(msgspec.Struct, frozen=True, tag="told"):
     """What an attempt has come to."""
 
-    settled: Settled
+    settled: AttemptSettled
 
 
 class Done(msgspec.Struct, frozen=True, tag="done"):
--- a/troutdock/handover/roles.py
+++ b/troutdock/handover/roles.py
@@ -44,7 +44,7 @@
 from enum import Enum
 from typing import Any
 
-from troutdock.admission.interface import Settled
+from troutdock.admission.interface import AttemptSettled
 from troutdock.handover.protocol import (
     MAX_MESSAGE,
     MAX_STATE,
@@ -189,7 +189,7 @@
 class Settle:
     """What an attempt of the predecessor has come to."""
 
-    settled: Settled
+    settled: AttemptSettled
 
 
 @dataclass(frozen=True, slots=True)
@@ -319,7 +319,7 @@
         self._waiting.append(item)
         return self._more()
 
-    def tell(self, settled: Settled) -> list[Effect]:
+    def tell(self, settled: AttemptSettled) -> list[Effect]:
         """What an attempt has come to; nobody is told where there is no successor."""
         return [Send(self.successor, Told(settled))] if self.at in (Giving.GIVING, Giving.FOLLOWED) else []
 
--- a/troutdock/http/listener.py
+++ b/troutdock/http/listener.py
@@ -25,7 +25,7 @@
 from math import inf
 from typing import Protocol
 
-from troutdock.admission.interface import RequestWaited
+from troutdock.admission.interface import RequestQueued
 from troutdock.address import Address
 from troutdock.engine import Engine
 from troutdock.handover.roles import Item
@@ -81,7 +81,7 @@
     def read(self, method: bytes, url: bytes, headers: Headers, body: bytes | list[bytes]) -> HttpRequest:
         """The request; BadRequest if it is none."""
 
-    def waited(self, url: bytes, headers: Headers, waited_ms: float) -> RequestWaited | None:
+    def waited(self, url: bytes, headers: Headers, waited_ms: float) -> RequestQueued | None:
         """What decides whether it is turned away unread; None: it has to be read."""
 
 
--- a/troutdock/http/request.py
+++ b/troutdock/http/request.py
@@ -6,7 +6,7 @@
 from hashlib import blake2b
 from collections.abc import Iterable, Sequence
 
-from troutdock.admission.interface import Effect, RequestArrived, RequestWaited, Settings
+from troutdock.admission.interface import Effect, RequestArrived, RequestQueued, Settings
 from troutdock.engine import BadRequest, Request
 from troutdock.http.body_limits import SMALL
 
@@ -120,7 +120,7 @@
         head = forwarded_head(method, url, headers, length)
         return HttpRequest(seen[b"request-id"], head, body, arrival, effect is not Effect.UNSAFE)
 
-    def waited(self, url: bytes, headers: Headers, waited_ms: float) -> RequestWaited | None:
+    def waited(self, url: bytes, headers: Headers, waited_ms: float) -> RequestQueued | None:
         """What decides whether a request is turned away unread; None: it has to be read to be answered."""
         seen = dict(headers)
         found = self._classes.get(url[: max(0, url.find(b"/", 1))] or url.partition(b"?")[0])
@@ -136,7 +136,7 @@
             return None
         retry = seen.get(b"client-retry") == b"1"
         key = key_number(seen[b"idempotency-key"]) if b"idempotency-key" in seen else 0
-        return RequestWaited(customer, plan, found[0][0], units, width, retry, waited_ms, key)
+        return RequestQueued(customer, plan, found[0][0], units, width, retry, waited_ms, key)
 
 
 def once(headers: Headers, names: Iterable[bytes]) -> dict[bytes, bytes]:
--- a/troutdock/ingress.py
+++ b/troutdock/ingress.py
@@ -10,7 +10,7 @@
 from dataclasses import replace
 from random import Random
 
-from troutdock.admission.interface import Settings, merged_settings
+from troutdock.admission.interface import Settings, merge_settings
 from troutdock.engine import Engine
 from troutdock.http.transport import HttpTransport
 from troutdock.membership.datagrams import Datagrams
@@ -97,7 +97,7 @@
             settings = replace(settings, counter=self.settings.counter)
         if config.sockets != before.sockets or config.listen != before.listen:
             log.warning("configured anew: limits and the clients' address change with a restart only")
-        self.settings = merged_settings(self.settings, settings)
+        self.settings = merge_settings(self.settings, settings)
         self.engine.reconfigure(self.settings)
         self.transport.tune(config.connect_timeout_s, config.idle_s)
         if self._discovery is not None:
--- a/troutdock/platform/counter.py
+++ b/troutdock/platform/counter.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import cast
 
-from troutdock.admission.interface import CountAnswered, Outcome
+from troutdock.admission.interface import CounterReply, Outcome
 from troutdock.address import Address
 
 log = logging.getLogger("troutdock")
@@ -40,7 +40,7 @@
 
     def __init__(self, name: int, started: float) -> None:
         self.name, self.started, self.given_up = name, started, False
-        self.answer: CountAnswered | None = None
+        self.answer: CounterReply | None = None
 
 
 class Pace:
@@ -206,7 +206,7 @@
     """Keeps a connection to the counter; every call gets exactly one answer."""
 
     def __init__(
-        self, address: Address | None, timeout_s: float, answered: Callable[[CountAnswered], None]
+        self, address: Address | None, timeout_s: float, answered: Callable[[CounterReply], None]
     ) -> None:
         self._address, self._timeout_s, self._answered = address, timeout_s, answered
         self._loop = asyncio.get_running_loop()
@@ -286,7 +286,7 @@
 
     def _conclude(self, call: Call, outcome: Outcome, total: float) -> None:
         """Answers for one name are told in the order of its calls: a new connection may overtake the old."""
-        call.answer = CountAnswered(call.name, outcome, (self._loop.time() - call.started) * 1000, total)
+        call.answer = CounterReply(call.name, outcome, (self._loop.time() - call.started) * 1000, total)
         calls = self._unanswered[call.name]
         while calls and (answer := calls[0].answer) is not None:
             calls.popleft()
--- a/troutdock/proxy/daemon.py
+++ b/troutdock/proxy/daemon.py
@@ -43,15 +43,15 @@
     Actions,
     BackendEntry,
     BackendState,
-    Company,
+    IngressMembership,
     Event,
     FleetUpdate,
     ListKind,
-    OthersLoad,
+    PeerLoad,
     Plan,
     RequestClass,
     Settings,
-    Suspected,
+    BackendSuspected,
     Effect,
 )
 from troutdock.address import parse_address
@@ -256,7 +256,7 @@
                 for ids, is_silent in ((silent, True), (back, False)):
                     for id in ids:
                         if (number := self._numbers.get(id)) is not None:
-                            self._tell(Suspected(number, is_silent))
+                            self._tell(BackendSuspected(number, is_silent))
             case Members():
                 self.mesh.listed(message)
             case Registries(zones):
@@ -352,7 +352,7 @@
         for origin, out in news.out.items():
             found = {self._numbers[id]: count for id, count in out.items() if id in self._numbers}
             if found:
-                self._tell(OthersLoad(origin, found))
+                self._tell(PeerLoad(origin, found))
 
     def _quota_peers_changed(self, peers: Peers) -> None:
         self.quotas.update_peers(peers)
@@ -361,7 +361,7 @@
         self.quotas.receive(peer, message)
 
     def _company(self, ingresses: int, heard: int) -> None:
-        self._tell(Company(ingresses, heard))
+        self._tell(IngressMembership(ingresses, heard))
 
     # ---- time
 
--- a/troutdock/proxy/request_reader.py
+++ b/troutdock/proxy/request_reader.py
@@ -7,7 +7,7 @@
 from random import Random
 
 from troutdock.proxy.route_table import Table, pick
-from troutdock.admission.interface import BackendId, Outcome, RequestArrived, RequestWaited
+from troutdock.admission.interface import BackendId, Outcome, RequestArrived, RequestQueued
 from troutdock.engine import BadRequest, Manners
 from troutdock.http.body_limits import SMALL
 from troutdock.http.request import HOP_BY_HOP, Headers, HttpRequest, Message, forwarded_head, once
@@ -118,7 +118,7 @@
         head = forwarded_head(method, url, headers, length, _DROPPED, _MEANT) + extra
         return SystemRequest(id, head, body, arrival, route.read_only, self._instance_of)
 
-    def waited(self, url: bytes, headers: Headers, waited_ms: float) -> RequestWaited | None:
+    def waited(self, url: bytes, headers: Headers, waited_ms: float) -> RequestQueued | None:
         """None: a request is read before it is turned away, as its class is its route's."""
         return None
 
@@ -153,7 +153,7 @@
     if b"not-executed" in headers:
         return Outcome.FULL
     if status == 421:
-        return Outcome.MOOT
+        return Outcome.WRONG_INSTANCE
     if status in PROMISES:
         return Outcome.RESET
     return Outcome.ERROR if status >= 500 else Outcome.OK  # the backend's own answer to what was asked
--- a/troutdock/routing_service/reader.py
+++ b/troutdock/routing_service/reader.py
@@ -8,7 +8,7 @@
 from hashlib import blake2b
 from typing import NamedTuple
 
-from troutdock.admission.interface import Effect, RequestArrived, RequestWaited, Settings
+from troutdock.admission.interface import Effect, RequestArrived, RequestQueued, Settings
 from troutdock.engine import BadRequest
 from troutdock.http.body_limits import SMALL
 from troutdock.http.request import ACCOUNT, SECONDS, Headers, HttpRequest, forwarded_head, key_number, once
@@ -147,6 +147,6 @@
                 self._mirror(mirror, request)
         return request
 
-    def waited(self, url: bytes, headers: Headers, waited_ms: float) -> RequestWaited | None:
+    def waited(self, url: bytes, headers: Headers, waited_ms: float) -> RequestQueued | None:
         """None: a request is read before it is turned away, as its class is its route's."""
         return None
