--- a/tests/handover/test_snapshot.py
+++ b/tests/handover/test_snapshot.py
@@ -262,7 +262,7 @@
             if isinstance(action, AttemptSettled):
                 assert action.key == 77 and (action.attempt == -1) == (not sent)
                 heir.handle(START + OLD + 2, action)
-        assert (heir.booked.first[77][1] is None) == (not sent)
+        assert (heir.keyed.entries[77][1] is None) == (not sent)
         heir.customers[9].tokens = 20.0
         retry = request(2, 1, width=1)
         retry.key = 77
--- a/tests/http/test_taking_in.py
+++ b/tests/http/test_taking_in.py
@@ -18,7 +18,7 @@
     exchange = Told(w.time.now(), w.time.now() + 4000, w.time)
     for waited_ms, refused in ((11.0, False), (2000.0, True)):
         w.time.advance(1000)
-        w.engine._gateway.word.used(w.time.now(), 9, 0.0001, 0.5)
+        w.engine._gateway.usage.used(w.time.now(), 9, 0.0001, 0.5)
         before = peers.tell.call_count
         assert w.engine.turn_away(RequestQueued(9, 1, 0, 1.0, 1, False, waited_ms), exchange) == refused
         assert peers.tell.call_count == before + 1
--- a/tests/overload/test_waited.py
+++ b/tests/overload/test_waited.py
@@ -84,7 +84,7 @@
     for n in range(500):
         actions = g.handle(START + n, waited(700, plan=n % 2, customer=n % 7))
         assert [type(a) for a in actions] == [Refuse]
-    assert g.calls == {} and g.counts == {} and len(g.customers) == 7
+    assert g.calls == {} and g.counter_calls == {} and len(g.customers) == 7
 
 
 def test_customers_of_a_storm_are_forgotten() -> None:
--- a/tests/plans/test_change.py
+++ b/tests/plans/test_change.py
@@ -22,7 +22,7 @@
     """Bucket, ceiling's store and believed shared store, of a customer with the whole of a plan."""
     customer = Customer(before, 1, START)
     customer.tokens, customer.cap_tokens, customer.store = tokens, cap, 10.0
-    customer.change(START + 1000, plan)
+    customer.change_plan(START + 1000, plan)
     customer.refill(START + 1000 + after_ms)
     return customer.tokens, customer.cap_tokens, customer.store
 
--- a/tests/rules/test_decisions.py
+++ b/tests/rules/test_decisions.py
@@ -298,18 +298,18 @@
 
     fault = ""
 
-    def again(self, now, call) -> None:
+    def retry(self, now, call) -> None:
         if self.fault == "silent":
             return
         if self.fault == "resend":
             backend = next(iter(self.backends.values()))
             return self.send(now, call, backend)
-        super().again(now, call)
+        super().retry(now, call)
 
-    def fleet(self, now, event) -> None:
+    def on_fleet_update(self, now, event) -> None:
         if self.fault == "deaf" and self.backends:
             return
-        super().fleet(now, event)
+        super().on_fleet_update(now, event)
 
 
 @pytest.mark.parametrize("fault", ["silent", "resend", "deaf"])
--- a/tests/test_circuit.py
+++ b/tests/test_circuit.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from lab.gateways import Gateways
-from troutdock.admission.circuit_breaker import LEAST_MS, MOST_MS, Circuit
+from troutdock.admission.circuit_breaker import MIN_OPEN_MS, MAX_OPEN_MS, CircuitBreaker
 from troutdock.admission.interface import ListKind, Outcome, Send
 
 DEAD, ALL = (1, 2, 3, 4, 5), tuple(range(1, 9))
@@ -81,7 +81,7 @@
 def test_a_part_that_is_cold_and_spent_is_widened_by_warm_ones_only(warm_elsewhere: bool) -> None:
     g = gateway(*range(1, 61), gateways=40, classes=(SAFE,), start_capacity=0.2, cold_ms=1e6)
     g.handle(START, request(1))
-    mine = [b.entry.backend for b in g.near(g.calls[1])]
+    mine = [b.entry.backend for b in g.subset(g.calls[1])]
     cold = mine if warm_elsewhere else list(range(1, 61))
     g.handle(START, fleet(*cold, kind=ListKind.CHANGES, up=START))
     sends = [a for n in range(2, 60) for a in g.handle(START + n, request(n)) if isinstance(a, Send)]
@@ -92,22 +92,24 @@
 
 @given(st.lists(st.tuples(st.sampled_from("sfau"), st.floats(0, 5000)), max_size=40))
 def test_a_circuit_always_lets_something_through_again(course: list[tuple[str, float]]) -> None:
-    circuit, now = Circuit(), 0.0
+    circuit, now = CircuitBreaker(), 0.0
     for step, gap in course:
         now += gap
-        if step == "s" and circuit.lets(now):
-            circuit.sent(now)
-            assert circuit.closed or not circuit.lets(now)  # one at a time feels it
+        if step == "s" and circuit.allows(now):
+            circuit.attempt_sent(now)
+            assert circuit.closed or not circuit.allows(now)  # one at a time feels it
         elif step == "f":
             anew = circuit.closed
             for _ in range(3):  # several at once are one sign
-                circuit.could_not_connect(now)
-            assert not circuit.lets(now)
-            assert not anew or (circuit.lets(now + LEAST_MS) and not circuit.lets(now + LEAST_MS - 1))
+                circuit.connect_failed(now)
+            assert not circuit.allows(now)
+            assert not anew or (
+                circuit.allows(now + MIN_OPEN_MS) and not circuit.allows(now + MIN_OPEN_MS - 1)
+            )
         elif step == "a":
             circuit.answered()
-            assert circuit.lets(now)
+            assert circuit.allows(now)
         elif step == "u":
-            circuit.unknown()
-    circuit.unknown()
-    assert circuit.lets(now + MOST_MS)
+            circuit.outcome_unknown()
+    circuit.outcome_unknown()
+    assert circuit.allows(now + MAX_OPEN_MS)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -57,7 +57,7 @@
 class Reckless(Gateway):
     """A gateway that knows no cold backends, to show that the count above can fail."""
 
-    def cold_room(self, now, backend, work) -> bool:
+    def has_cold_budget(self, now, backend, work) -> bool:
         return True
 
 
@@ -71,7 +71,7 @@
     for index in range(300):
         g = gateway(*met, gateways=300, index=index)
         g.handle(START, request(1))
-        for backend in g.near(g.calls[1]):
+        for backend in g.subset(g.calls[1]):
             met[backend.entry.backend] += 1
     assert min(met.values()) >= 5
     assert max(met.values()) <= 1.5 * min(met.values())
@@ -86,7 +86,7 @@
         gateway(*range(1, backends + 1), gateways=gateways, index=index) for index in range(gateways)
     ]
     sent = [g.handle(START, request(1)) and g for g in all_of_them]
-    parts = [{b.entry.backend for b in g.near(g.calls[1])} for g in sent]
+    parts = [{b.entry.backend for b in g.subset(g.calls[1])} for g in sent]
     assert (
         min(len(set.union(*(parts[(n + i) % gateways] for i in range(4)))) for n in range(gateways)) >= least
     )
--- a/tests/test_hold.py
+++ b/tests/test_hold.py
@@ -671,7 +671,7 @@
     """With all refused no answer would tell that the jam is over."""
     g = Gateway(settings(plans=(Plan(rate=0, burst=0),)), 1)
     g.handle(START, fleet(1, 2, 3, 4))
-    g.pools[0].slowness.sign(START, 50.0, 1.0)
+    g.pools[0].slowness.observe(START, 50.0, 1.0)
     sent = [
         any(isinstance(a, Send) for a in g.handle(START + 50 + n, arrival(n + 1))) for n in (0, 1, 60, 61)
     ]
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -40,7 +40,7 @@
 
     def __init__(self, settings: Settings, seed: int) -> None:
         super().__init__(settings, seed)
-        self.asks.on = False
+        self.queries.on = False
 
 
 # ---- fleets, judged by the true stores
@@ -169,7 +169,7 @@
 )
 def test_homes_are_asked_where_digests_would_be_late(gateways: int, intake: float, on: bool) -> None:
     g = one(gateways=gateways, peer_in_per_s=intake)
-    assert g.asks.on == on and (g.word.every_ms == float("inf")) == (on or gateways == 1 or not intake)
+    assert g.queries.on == on and (g.usage.every_ms == float("inf")) == (on or gateways == 1 or not intake)
 
 
 def test_a_customer_of_one_gateway_has_its_home_there() -> None:
@@ -251,7 +251,7 @@
 def test_digests_of_an_older_version_change_nothing_in_a_large_fleet() -> None:
     g = one()
     g.handle(START, PeerMessage(5, write(3, [(77, 100, 0.0)])))
-    assert not g.word.hearing(START) and ask_of(g.handle(START, request(1, units=4.0, width=150)))
+    assert not g.usage.hearing(START) and ask_of(g.handle(START, request(1, units=4.0, width=150)))
 
 
 # ---- a home
@@ -322,7 +322,7 @@
             assert 0 <= number < 1 << 16
     g = one()
     g.handle(START, PeerMessage(3, body))  # harmless
-    assert not g.asks.open
+    assert not g.queries.open
 
 
 @given(
@@ -364,7 +364,7 @@
 
     def __init__(self, settings: Settings, seed: int) -> None:
         super().__init__(settings, seed)
-        self.homes.copies.touched = lambda mark, level, other: None  # type: ignore[method-assign]
+        self.owned.copies.touched = lambda mark, level, other: None  # type: ignore[method-assign]
 
 
 def rolled(make: type[Gateway], seed: int) -> float:
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -35,7 +35,7 @@
         for gone, state in ((LEFT, BackendState.GONE), (DRAINING, BackendState.DRAINING)):
             if n >= blind:
                 w.give(n, replace(fleet(*gone, state=state, kind=ListKind.CHANGES), version=7))
-    assert all(g.news.blind == (n < blind) for n, g in enumerate(w.gateways))
+    assert all(g.gossip.blind == (n < blind) for n, g in enumerate(w.gateways))
     for n in range(int(seconds * 400)):
         w.time.run(START + n * 2.5)
         w.give(n * 7 % GATEWAYS, request(10_000 + n, customer=n % 90))
@@ -62,7 +62,7 @@
 def test_where_all_are_blind_nobody_is_suspected_and_all_are_served() -> None:
     w, _ = play(GATEWAYS, 3)
     assert len(w.sends) == 1200
-    assert not any(g.news.suspects(START + 3000, 60) for g in w.gateways)
+    assert not any(g.gossip.suspects(START + 3000, 60) for g in w.gateways)
 
 
 def told(*backends: int, version: int = 9) -> bytes:
--- a/tests/test_ordinary_path.py
+++ b/tests/test_ordinary_path.py
@@ -105,52 +105,54 @@
     shares = []
     for n in range(1, 6):
         c.dry = True
-        c.follow(START + n * 1000, False)
+        c.adjust_share(START + n * 1000, False)
         c.dry = True
-        c.follow(START + n * 1000 + 500, False)  # within the second: held
+        c.adjust_share(START + n * 1000 + 500, False)  # within the second: held
         shares.append(c.share)
     assert shares == [0.375, 0.5625, 0.84375, 1.0, 1.0]
     c.dry = False
-    c.follow(START + 9000, False)
+    c.adjust_share(START + 9000, False)
     assert c.share == 1.0
 
 
 def test_an_over_used_slice_falls_back_toward_the_even_split_and_no_further() -> None:
     c = Customer(PLAN, 4, START)
     c.share = 1.0
-    c.follow(START + 1000, True)
+    c.adjust_share(START + 1000, True)
     assert c.share == pytest.approx(0.625)  # half of 0.75 above the even 0.25
     for n in range(60):
         c.dry = True
-        c.follow(START + 2000 + n * 1000, True)
+        c.adjust_share(START + 2000 + n * 1000, True)
     assert c.share == pytest.approx(0.25)
 
 
 def test_no_growth_while_the_shared_store_has_no_room() -> None:
     c = Customer(PLAN, 4, START)
     c.dry, c.store = True, 7.0  # of 16
-    c.follow(START + 1000, False)
+    c.adjust_share(START + 1000, False)
     assert c.share == 0.25
 
 
 def test_one_answer_tells_the_shared_store_by_itself() -> None:
     """Two readings a minute apart, or a restarted gateway, could not be compared."""
     c = Customer(PLAN, 4, START)
-    assert c.told(START, 100.0, 2.0, 12_000.0) == 0.0  # 16 - 100 + 8 x 12 = 12, less 2
+    assert c.apply_counter_total(START, 100.0, 2.0, 12_000.0) == 0.0  # 16 - 100 + 8 x 12 = 12, less 2
     assert c.store == pytest.approx(10.0)
 
 
 def test_the_bucket_holds_no_more_than_the_shared_store_and_is_lifted_to_its_slice_of_it() -> None:
     c = Customer(PLAN, 2, START)
-    c.told(START, 14.0, 0.0, 0.0)
+    c.apply_counter_total(START, 14.0, 0.0, 0.0)
     assert c.tokens == pytest.approx(2.0)
-    c.told(START, 1.0, 0.0, 0.0)  # 15 of 16: room
+    c.apply_counter_total(START, 1.0, 0.0, 0.0)  # 15 of 16: room
     assert c.tokens == pytest.approx(7.5)
 
 
 def test_a_store_that_ran_over_is_told_to_the_name() -> None:
     c = Customer(PLAN, 4, START)
-    assert c.told(START, 4.0, 1.0, 2000.0) == pytest.approx(12.0)  # 16 - 4 + 16 is 12 above the burst
+    assert c.apply_counter_total(START, 4.0, 1.0, 2000.0) == pytest.approx(
+        12.0
+    )  # 16 - 4 + 16 is 12 above the burst
     assert c.store == pytest.approx(15.0)
 
 
@@ -158,7 +160,7 @@
     """Each minute's new name, or a lost counter, would else give every heavy customer a new burst."""
     c = Customer(PLAN, 4, START)
     c.store, c.told_at = 0.0, START
-    assert c.told(START + 500, 0.0, 0.0, 100.0) == pytest.approx(16 + 0.8 - 4)
+    assert c.apply_counter_total(START + 500, 0.0, 0.0, 100.0) == pytest.approx(16 + 0.8 - 4)
     assert c.store == pytest.approx(4.0)
 
 
@@ -413,7 +415,7 @@
                     todo += g.handle(now, CounterReply(name, Outcome.OK, 3, amount))
                 case Send(number, backend):
                     todo += g.handle(now, ended(number, backend))
-    assert len(g.customers) <= 601 and not g.calls and not g.counts
+    assert len(g.customers) <= 601 and not g.calls and not g.counter_calls
 
 
 def test_a_meter_takes_the_counters_place() -> None:
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -13,7 +13,7 @@
 from loopback import request as message
 
 from troutdock.admission import Gateway
-from troutdock.admission.request_records import KEY_MS, KEYS
+from troutdock.admission.request_records import KEY_TTL_MS, MAX_KEYS
 from troutdock.admission.interface import (
     Effect,
     Fail,
@@ -136,12 +136,14 @@
 
 def test_memory_is_bounded_and_forgets_the_oldest() -> None:
     g = made()
-    for n in range(KEYS + 50):
-        g.booked.note(START, n + 1, (Group.ALL, 0))
-    assert len(g.booked.first) == KEYS and 1 not in g.booked.first and KEYS + 50 in g.booked.first
-    g.booked.note(START + KEY_MS + 1, 1, (Group.ALL, 0))
-    assert len(g.booked.first) == KEYS
-    assert isinstance(ask(g, START + KEY_MS + 2, 2, key=KEYS, retry=True), Send)  # too old to be remembered
+    for n in range(MAX_KEYS + 50):
+        g.keyed.record(START, n + 1, (Group.ALL, 0))
+    assert len(g.keyed.entries) == MAX_KEYS and 1 not in g.keyed.entries and MAX_KEYS + 50 in g.keyed.entries
+    g.keyed.record(START + KEY_TTL_MS + 1, 1, (Group.ALL, 0))
+    assert len(g.keyed.entries) == MAX_KEYS
+    assert isinstance(
+        ask(g, START + KEY_TTL_MS + 2, 2, key=MAX_KEYS, retry=True), Send
+    )  # too old to be remembered
 
 
 WINDOW_MS = 600.0
--- a/tests/test_word.py
+++ b/tests/test_word.py
@@ -169,8 +169,8 @@
         for a in g.handle(START, PeerMessage(sender, bad))
         if isinstance(a, Log)
     ]
-    assert len(logs) == 2 and g.word.bad == {1: 3, 2: 3}
-    assert not g.word.stores and not g.word.hearing(START)
+    assert len(logs) == 2 and g.usage.bad == {1: 3, 2: 3}
+    assert not g.usage.stores and not g.usage.hearing(START)
 
 
 @given(st.binary(max_size=300))
--- a/troutdock/admission/backend_list.py
+++ b/troutdock/admission/backend_list.py
@@ -1,4 +1,4 @@
-"""A gateway follows the list of backends; it decides nothing about them (no I/O)."""
+"""Applies updates of the list of backends to a gateway (no I/O)."""
 
 from __future__ import annotations
 
@@ -12,39 +12,39 @@
     from troutdock.admission.gateway import Gateway
 
 
-def followed(gateway: Gateway, now: float, event: FleetUpdate) -> None:
-    """Follow the list; what it does not name as ready gets nothing new from this moment on."""
+def apply_list_update(gateway: Gateway, now: float, event: FleetUpdate) -> None:
+    """Applies a list update; backends not listed as ready get nothing new from now on."""
     pool = gateway.pool(event.pool)
     if event.kind is ListKind.FAILED:
-        return  # it tells nothing, whatever entries it brings
+        return  # a failed query is no information, whatever entries it has
     if event.kind in (ListKind.FULL, ListKind.CACHED):
         named = {entry.backend: entry for entry in event.entries}
         for gone in [n for n, b in gateway.backends.items() if b.pool is pool and n not in named]:
-            place(gateway.backends.pop(gone), False)
-            gateway.news.left(now, gone)
-    if pool is gateway.pools[0]:  # whose list it is that peers tell of
-        gateway.news.version = event.version
+            update_rings(gateway.backends.pop(gone), False)
+            gateway.gossip.left(now, gone)
+    if pool is gateway.pools[0]:  # peers exchange the version of this list
+        gateway.gossip.version = event.version
     for entry in event.entries:
         if (known := gateway.backends.pop(entry.backend, None)) is not None:
-            place(known, False)
+            update_rings(known, False)
         if known is None or entry.up_since_ms > known.entry.up_since_ms:
             known = Backend(entry, pool)
         known.entry = entry
         if entry.state is BackendState.GONE:
-            gateway.news.left(now, entry.backend)
+            gateway.gossip.left(now, entry.backend)
         else:
-            gateway.news.there(entry.backend)
+            gateway.gossip.there(entry.backend)
             gateway.backends[entry.backend] = known
-            place(known, entry.state is BackendState.READY)
+            update_rings(known, entry.state is BackendState.READY)
 
 
-def place(backend: Backend, ready: bool) -> None:
-    """Keep the rings of ready backends, for each group that drops its repeats."""
+def update_rings(backend: Backend, ready: bool) -> None:
+    """Adds a backend to, or removes it from, the sorted rings of its dedup groups."""
     entry, rings = backend.entry, backend.pool.rings
     for key in ((Group.ALL, 0), (Group.ZONE, entry.zone), (Group.CELL, entry.cell)):
         ring = rings.setdefault(key, [])
         at = bisect_left(ring, entry.backend)
-        there = ring[at : at + 1] == [entry.backend]
-        ring[at : at + there] = [entry.backend] * ready
+        present = ring[at : at + 1] == [entry.backend]
+        ring[at : at + present] = [entry.backend] * ready
         if not ring and key[0] is not Group.ALL:
             del rings[key]
--- a/troutdock/admission/backend_selection.py
+++ b/troutdock/admission/backend_selection.py
@@ -13,7 +13,7 @@
 from math import inf
 from random import Random
 
-from troutdock.admission.circuit_breaker import Circuit
+from troutdock.admission.circuit_breaker import CircuitBreaker
 from troutdock.admission.interface import BackendEntry
 
 SLOPE = 4.0  # how steeply the loss rises with the expected part of the aim: half of it 0.06, all of it 1
@@ -88,7 +88,7 @@
         self.idle: list[
             float
         ] = []  # since when connections stand that can take a request, as far as is known
-        self.circuit = Circuit()
+        self.circuit = CircuitBreaker()
 
     @property
     def load(self) -> int:
@@ -191,7 +191,7 @@
             loss += backend.doubting(now)
         if backend.overdue(now) or (backend.silent and now - backend.heard_at > 1000.0):
             loss += SILENT
-        if not backend.circuit.lets(now):
+        if not backend.circuit.allows(now):
             if spare is None or loss < spare.loss:
                 spare = Choice(backend, loss, expected)
             continue
--- a/troutdock/admission/circuit_breaker.py
+++ b/troutdock/admission/circuit_breaker.py
@@ -1,56 +1,56 @@
-"""Addresses that refuse connections: who is left alone, for how long, and who tries again (no I/O, no clock).
+"""Circuit breakers for backends that refuse connections (no I/O, no clock).
 
-Theory of operation. A backend that is gone refuses a connection at once, so it looks like the quickest of
-all, and its list entry may be old. One circuit a backend, in the words of the field:
+Theory of operation. A backend that is gone refuses connections at once, so it looks like the fastest one, and
+its list entry may be outdated. Each backend has one circuit breaker:
 
-    closed     attempts go out as ever
-    open       a connection could not be made: nothing goes there for a time that doubles with each failure
-    half open  that time is over: one attempt at a time feels it; an answer of any kind closes the circuit
+    closed     attempts are sent as usual
+    open       a connection failed: nothing is sent for a time that doubles with each failure
+    half open  that time is over: one attempt at a time probes; an answer of any kind closes the circuit
 
-It ends with the backend's start: a process that has started anew begins with a closed one. A circuit takes
-away what is worse than the others, never the last way there is: that is its owner's to see to.
+A restarted backend begins with a closed circuit. Circuits only exclude backends while others are left; the
+caller has to ensure that the last one is still tried.
 """
 
 from __future__ import annotations
 
 from math import inf
 
-LEAST_MS = 250.0  # open for so long at first: a lost connection, or a process that is back in a moment
-MOST_MS = 4000.0  # and at most: a list that names a new start closes it anyway, and one attempt feels it
+MIN_OPEN_MS = 250.0  # first open time: for a lost connection or a process that restarts quickly
+MAX_OPEN_MS = 4000.0  # limit: a restart in the list closes it anyway, and a probe costs one attempt
 
 
-class Circuit:
-    """One backend's; all times are milliseconds."""
+class CircuitBreaker:
+    """One backend's circuit breaker; all times are milliseconds."""
 
-    __slots__ = ("_feeling", "_open_ms", "_until")
+    __slots__ = ("_in_probe", "_open_ms", "_until")
 
     def __init__(self) -> None:
-        self._open_ms, self._until, self._feeling = 0.0, -inf, False
+        self._open_ms, self._until, self._in_probe = 0.0, -inf, False
 
     @property
     def closed(self) -> bool:
-        """The last that came of an attempt was no failed connection."""
+        """True unless the last known outcome was a failed connection."""
         return not self._open_ms
 
-    def lets(self, now: float) -> bool:
-        """An attempt may go out."""
-        return not self._open_ms or (now >= self._until and not self._feeling)
+    def allows(self, now: float) -> bool:
+        """Returns whether an attempt may be sent."""
+        return not self._open_ms or (now >= self._until and not self._in_probe)
 
-    def sent(self, now: float) -> None:
-        """An attempt goes out; where the circuit is not closed it is the one that feels."""
-        self._feeling = not self.closed
+    def attempt_sent(self, now: float) -> None:
+        """Records a sent attempt; if the circuit is not closed, it is the probe."""
+        self._in_probe = not self.closed
 
-    def could_not_connect(self, now: float) -> None:
-        """Several that went out together are one sign."""
+    def connect_failed(self, now: float) -> None:
+        """Records a failed connection; several attempts sent together count once."""
         if now >= self._until:
-            self._open_ms = min(MOST_MS, self._open_ms * 2) or LEAST_MS
+            self._open_ms = min(MAX_OPEN_MS, self._open_ms * 2) or MIN_OPEN_MS
             self._until = now + self._open_ms
-        self._feeling = False
+        self._in_probe = False
 
     def answered(self) -> None:
-        """Somebody is there, whatever it said."""
-        self._open_ms, self._until, self._feeling = 0.0, -inf, False
+        """Records an answer of any kind and closes the circuit."""
+        self._open_ms, self._until, self._in_probe = 0.0, -inf, False
 
-    def unknown(self) -> None:
-        """What felt it has ended without telling; another one may."""
-        self._feeling = False
+    def outcome_unknown(self) -> None:
+        """Ends a probe without a result; another attempt may probe."""
+        self._in_probe = False
--- a/troutdock/admission/customer_quota.py
+++ b/troutdock/admission/customer_quota.py
@@ -4,19 +4,19 @@
 
 from math import inf
 
-from troutdock.admission.diba import VirtualQueue, spread_of
+from troutdock.admission.diba import VirtualQueue, variation_of
 from troutdock.admission.interface import Plan
 
-RAISE, FALL = 1.5, 0.5  # a dry slice grows by half (design page); an over-used one loses half of its growth
-ROOM, SPENT = 0.9, 0.25  # of the burst: a fuller shared store has room for all; an emptier one is over-used
-SECOND_MS = 1000.0  # how often a slice may grow
-OLD_NEWS = 0.15  # of the quota's rate: how fast a told store is believed to refill, when asking is free
+SHARE_GROWTH, SHARE_DECAY = 1.5, 0.5  # factor of an exhausted slice; of the growth of an overused one
+AMPLE, DEPLETED = 0.9, 0.25  # of the burst: above, the shared bucket has room for all; below, it is overused
+ADJUST_MS = 1000.0  # least interval between changes of a slice
+STALE_REFILL = 0.15  # of the quota's rate: assumed refill since the last report, at call rate 1
 
 
 class Customer(VirtualQueue):
-    """One customer's slice of its quota here, and the virtual queue of those it was refused for."""
+    """One customer's slice of its quota here, and the virtual queue of its refused requests."""
 
-    __slots__ = (  # many customers come but once, and each is remembered for a while
+    __slots__ = (  # saves memory: many customers send one request only, and are kept for a while
         "answers",
         "cap_tokens",
         "debt",
@@ -45,84 +45,84 @@
         number: int = 0,
         debt: float = 0.0,
         unspent_since: float = inf,
-        asks: bool = False,
+        asks_owner: bool = False,
     ) -> None:
         self.plan, self.even, self.number = plan, 1 / width, number
-        # a restarted gateway cannot know what it spent of the ceiling before, only that nothing went since;
-        # nor of its slice, but there the shared store tells: at once where it can be asked
+        # After a restart, earlier usage is unknown. The ceiling refills from the restart on, and so does the
+        # slice if the owner can be queried at once; otherwise reports soon show what is left in the bucket.
         gone = max(0.0, now - unspent_since) / 1000
-        full = min(plan.burst, gone * plan.rate) if asks else plan.burst
+        full = min(plan.burst, gone * plan.rate) if asks_owner else plan.burst
         self.share, self.tokens = self.even, full * self.even
         self.cap_tokens = min(plan.ceiling_burst, gone * plan.ceiling_rate) * self.even
         super().__init__(now)
         self.filled_at = now
         self.answers, self.unit_sum, self.unit_squares = 0, 0.0, 0.0
-        self.debt = debt  # own use that is not counted yet; below nought: counted, but not used
-        self.store, self.told_at = plan.burst, -inf  # the shared store as the counter's last answer showed it
+        self.debt = debt  # own usage not reported yet; negative: reported but not used
+        self.store, self.told_at = plan.burst, -inf  # shared bucket as last reported
         self.followed_at, self.dry = now, False
-        self.first, self.width = 0, width  # its set of gateways, as its last request told it
-        self.shut_until = -inf  # its home is crowded: nothing is asked before
+        self.first, self.width = 0, width  # its set of gateways, from its last request
+        self.shut_until = -inf  # its owner is overloaded: no query before
 
     def refill(self, now: float) -> None:
-        """Fill bucket and ceiling for the time gone by."""
+        """Refills the slice and the ceiling for the elapsed time."""
         gone, self.filled_at, plan = (now - self.filled_at) / 1000, now, self.plan
         self.tokens = min(plan.burst * self.share, self.tokens + gone * plan.rate * self.share)
         cap = plan.ceiling_burst * self.even
         self.cap_tokens = min(cap, self.cap_tokens + gone * plan.ceiling_rate * self.even)
 
-    def change(self, now: float, plan: Plan) -> None:
-        """Another plan from now on: what is there stays, up to the new rims; nothing is filled up."""
-        self.refill(now)  # at the old rate until now
+    def change_plan(self, now: float, plan: Plan) -> None:
+        """Switches the plan; tokens are kept up to the new bursts, and none are added."""
+        self.refill(now)  # at the old rate up to now
         if plan.ceiling_rate and not self.plan.ceiling_rate:
-            self.cap_tokens = 0.0  # what went before was not measured against it
+            self.cap_tokens = 0.0  # earlier usage was not charged to it
         self.plan = plan
         self.refill(now)
         self.store = min(self.store, plan.burst)
 
-    def return_time(self, now: float, units: float, no_show: float) -> float:
-        """How long the refused client is to stay away; the sums are of units."""
+    def return_time(self, now: float, units: float, no_show_ms: float) -> float:
+        """Returns the delay in ms until a refused client may return; sums are in units."""
         mean = self.unit_sum / self.answers if self.answers else units
-        spread = spread_of(self.answers, self.unit_sum, self.unit_squares)
+        spread = variation_of(self.answers, self.unit_sum, self.unit_squares)
         fill = self.plan.rate * self.share if self.plan.rate else mean
-        return self.appoint(now, fill / mean * (1 + spread), no_show)
+        return self.schedule_return(now, fill / mean * (1 + spread), no_show_ms)
 
-    def took(self, units: float, true_units: float) -> None:
-        """A good answer tells the true units; units: how much more than the guess that was taken."""
+    def record_units(self, units: float, true_units: float) -> None:
+        """Records a response's true units; units: the excess over the estimate that was charged."""
         self.answers += 1
         self.unit_sum += true_units
         self.unit_squares += true_units * true_units
         self.tokens -= units
         self.debt += units
 
-    def follow(self, now: float, over: bool) -> None:
-        """Each second: a dry slice of a customer under quota grows, that of one over it falls back."""
-        if now - self.followed_at >= SECOND_MS:
-            grows = self.dry and self.store > ROOM * self.plan.burst
-            fallen = max(self.even, self.share - (self.share - self.even) * FALL)
-            self.share = fallen if over else min(1.0, self.share * RAISE) if grows else self.share
+    def adjust_share(self, now: float, over: bool) -> None:
+        """Grows an exhausted slice of a customer below its quota and shrinks one over it, once a second."""
+        if now - self.followed_at >= ADJUST_MS:
+            grows = self.dry and self.store > AMPLE * self.plan.burst
+            fallen = max(self.even, self.share - (self.share - self.even) * SHARE_DECAY)
+            self.share = fallen if over else min(1.0, self.share * SHARE_GROWTH) if grows else self.share
             self.followed_at, self.dry = now, False
 
-    def room(self, now: float, asking: float) -> float:
-        """The chance that a try beyond the bucket still finds its units in the shared store."""
-        believed = self.store + OLD_NEWS * asking * (now - self.told_at) / 1000 * self.plan.rate
-        return believed / (ROOM * self.plan.burst)
+    def pass_chance(self, now: float, call_rate: float) -> float:
+        """Returns the probability that the shared bucket has room for a request beyond the slice."""
+        estimate = self.store + STALE_REFILL * call_rate * (now - self.told_at) / 1000 * self.plan.rate
+        return estimate / (AMPLE * self.plan.burst)
 
-    def told(self, now: float, before: float, use: float, age_ms: float) -> float:
-        """One answer tells the shared store by itself; gives what a store that ran over lacks in the name."""
+    def apply_counter_total(self, now: float, total: float, use: float, age_ms: float) -> float:
+        """Applies a counter total: it determines the shared bucket; returns the overflow to correct in it."""
         plan = self.plan
-        level, full = plan.burst - before + age_ms / 1000 * plan.rate, plan.burst
-        if before < 0.01:  # a fresh or lost name: what was missing still is
+        level, full = plan.burst - total + age_ms / 1000 * plan.rate, plan.burst
+        if total < 0.01:  # a new or lost counter entry: earlier usage still counts
             full = min(full, self.store + (now - self.told_at) / 1000 * plan.rate)
-        self.believe(now, min(full, level) - use)
+        self.set_store(now, min(full, level) - use)
         return max(0.0, level - full)
 
-    def believe(self, now: float, store: float) -> None:
-        """So much is left in the shared store: own tokens are no more than that, and the slice follows."""
+    def set_store(self, now: float, store: float) -> None:
+        """Sets the shared bucket's level; limits the slice's tokens to it and adjusts the slice."""
         self.store, self.told_at, plan = store, now, self.plan
-        part = self.store * self.share if self.store > ROOM * plan.burst else 0.0
-        self.tokens = max(part, min(self.tokens, self.store)) - max(0.0, self.debt)
-        self.follow(now, self.store < SPENT * plan.burst)
+        floor = self.store * self.share if self.store > AMPLE * plan.burst else 0.0
+        self.tokens = max(floor, min(self.tokens, self.store)) - max(0.0, self.debt)
+        self.adjust_share(now, self.store < DEPLETED * plan.burst)
 
-    def most(self, now: float) -> float:
-        """What the shared store can hold at most, by what was told last."""
+    def max_store(self, now: float) -> float:
+        """Returns the largest possible level of the shared bucket since its last report."""
         return min(self.plan.burst, self.store + (now - self.told_at) / 1000 * self.plan.rate)
--- a/troutdock/admission/diba.py
+++ b/troutdock/admission/diba.py
@@ -1,15 +1,15 @@
-"""DIBA's return times: the virtual queue of those that were refused (no I/O, no clock)."""
+"""DIBA's return times: the virtual queue of refused clients (no I/O, no clock)."""
 
 from __future__ import annotations
 
 from collections import deque
 from math import sqrt
 
-QUEUE_MS = 10_000.0  # the longest virtual queue: clients that return at once would lengthen it without end
+MAX_QUEUE_MS = 10_000.0  # longest virtual queue: clients that return at once would extend it without limit
 
 
-def spread_of(answers: int, total: float, squares: float) -> float:
-    """sigma/mu of so many figures, from their sum and the sum of their squares; 0 until there are two."""
+def variation_of(answers: int, total: float, squares: float) -> float:
+    """Coefficient of variation, from a count, a sum and a sum of squares; 0 for fewer than two values."""
     if answers < 2 or total <= 0:
         return 0.0
     mean = total / answers
@@ -17,33 +17,33 @@
 
 
 class VirtualQueue:
-    """endOfQueueTime, and the appointments whose number is virtualQueueLength."""
+    """The paper's endOfQueueTime, and the appointments, whose number is its virtualQueueLength."""
 
     __slots__ = ("appointments", "end_of_queue_time")
 
     def __init__(self, now: float) -> None:
         self.end_of_queue_time = now
-        self.appointments: deque[float] | None = None  # until somebody is refused
+        self.appointments: deque[float] | None = None  # until the first refusal
 
-    def appoint(self, now: float, desired_return_rate: float, no_show: float) -> float:
-        """The paper's Algorithm 6: how many milliseconds a refused client is to stay away.
+    def schedule_return(self, now: float, desired_return_rate: float, no_show_ms: float) -> float:
+        """Returns the delay in ms until a refused client may return, by the paper's Algorithm 6.
 
-        desired_return_rate: returns a second. no_show: so late an appointment was kept, or never will be.
+        desired_return_rate: returns per second. no_show_ms: appointments older than this are dropped.
         """
         if self.appointments is None:
             self.appointments = deque()
-        while self.appointments and self.appointments[0] <= now - no_show:
+        while self.appointments and self.appointments[0] <= now - no_show_ms:
             self.appointments.popleft()
         queue_interval = 1000 / desired_return_rate
         client_wait_duration = queue_interval * (len(self.appointments) + 1)
         self.end_of_queue_time = max(self.end_of_queue_time, now)
         if now + client_wait_duration - self.end_of_queue_time < queue_interval:
-            back_at = now + client_wait_duration
-            self.end_of_queue_time = max(self.end_of_queue_time, back_at)
+            return_at = now + client_wait_duration
+            self.end_of_queue_time = max(self.end_of_queue_time, return_at)
         else:
-            back_at = self.end_of_queue_time = self.end_of_queue_time + queue_interval
-        if back_at > now + QUEUE_MS:  # nobody waits so long: it takes no place that others would stand behind
-            self.end_of_queue_time = min(self.end_of_queue_time, now + QUEUE_MS)
-            return QUEUE_MS
-        self.appointments.append(back_at)
-        return back_at - now
+            return_at = self.end_of_queue_time = self.end_of_queue_time + queue_interval
+        if return_at > now + MAX_QUEUE_MS:  # no client waits that long: no appointment
+            self.end_of_queue_time = min(self.end_of_queue_time, now + MAX_QUEUE_MS)
+            return MAX_QUEUE_MS
+        self.appointments.append(return_at)
+        return return_at - now
--- a/troutdock/admission/gateway.py
+++ b/troutdock/admission/gateway.py
@@ -1,4 +1,4 @@
-"""Every decision of the gateway; its settings, events and actions are in troutdock/admission/interface.py."""
+"""Admission state machine; settings, events and actions are in troutdock/admission/interface.py."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from troutdock.admission.owner_query_codec import ASK, KINDS as ASKING, PARTS, Answer, Question, read_answer
 from troutdock.admission.bucket_replication import KINDS as COPIES
 from troutdock.admission.usage_digest_codec import mark_of
-from troutdock.admission.backend_health import BLAME, RETRY_MOST, Backend, Pool, Sent
+from troutdock.admission.backend_health import BAD_WEIGHT, MAX_RETRY_TOKENS, Backend, Pool, OpenAttempt
 from troutdock.admission.bucket_owner import Homes
 from troutdock.admission.interface import Actions, AttemptEnded, AttemptSettled, BackendState, Cancel
 from troutdock.admission.interface import CounterAdd, CounterReply, DiscoveryStatus, Effect, Event, Fail
@@ -21,99 +21,104 @@
 from troutdock.admission.interface import RequestArrived, RequestClass, RequestQueued, RequestWithdrawn
 from troutdock.admission.interface import ResponseStarted, Send, SendToPeer, SetTimer, Settings
 from troutdock.admission.interface import SettingsChanged, TimerFired
-from troutdock.admission.backend_list import followed
+from troutdock.admission.backend_list import apply_list_update
 from troutdock.admission.counter_names import NAME_TTL_MS, counter_name
 from troutdock.admission.backend_gossip import News
 from troutdock.admission.backend_gossip_codec import KINDS, low
 from troutdock.admission.owner_queries import Questions
 from troutdock.admission.customer_quota import Customer
-from troutdock.admission.request_records import Booked, Call
-from troutdock.admission.state_handover import configured, settled, settlement
+from troutdock.admission.request_records import KeyedRequests, Call
+from troutdock.admission.state_handover import apply_settings, apply_settled, settlement
 from troutdock.admission.usage_gossip import Word
 
-# ---- tuned constants
-RESERVE = 0.02  # of the slice's burst: what only marked retries may take that can still be in time
-TARDY = 0.6  # of it: what a marked retry that is past its aim leaves to those that can still be in time
-UNHEARD = 0.1  # of the burst, and of the shared store: what others may have sent and could not tell yet
-FIRST = 0.05  # of the burst: what new tries leave of the shared store to marked retries
-NO_SHOW_MS = 2000.0  # a marked retry this late has given up; it would hold its place in the queue for ever
-FORGET_MS = 20_000.0  # a customer unseen for so long is forgotten, or later if its stores take longer to fill
-DRIFT = 0.5  # of the burst: a count this far from the store is put right by a call of its own
-TOLD = 0.01  # of the burst: what a home is told by itself
-LUMP, CROWDED = 0.08, 0.4  # of the burst: reported at once; calling less freely leaves calls out by chance
-ASK_FIRST, ASK_LEAST = 0.5, 0.01  # how freely the counter is called: at start, at least
-ASK_LESS, ASK_MORE = 0.7, 0.04  # what a late and a prompt answer do to that
-LATE_ANSWER = 0.8  # of the counter's time-out: an answer this slow is a sign of a crowded counter
-KEEP, LEARN = 0.9, 0.01  # weight of the past in moving means; how far an answer moves what a class takes
-DREAD = 10.0  # what a bad sign moves a backend toward
-LEAP = 1.5  # of what the fleet is held for: a sign counts for that and one more at most
-NEWS_MS = 100.0  # without a sign from the fleet for so long, a backend with nothing from here gets a request
-BROKEN = 3.0  # in place of that where one connection or one spoilt answer may be to blame
-OVERDUE = 4.0  # of what an attempt is expected to take: by then a second copy goes elsewhere
-TIE = 1.15  # backends within this factor of the best are as good: choose at random, so that no herd forms
-NEAR, LOOK = 5, 16  # backends that a gateway keeps to, so that it knows them; and compares for one send
-GOLDEN = 0.618  # of the ring: multiples of it lie as far apart as can be, however many there are
-FEW = 3  # with fewer of them sound, warm ones further on are taken too
-COLD_PART = 0.8  # of the work that would push over a cold backend of the least speed, all gateways together
-RETRY_PART = 0.1  # further attempts earned by each first try
-PATIENCE, CHEAP_PATIENCE = 0.33, 0.25  # of the aim: the forecast that work of most and of no worth may meet
-SPARE_PATIENCE = 0.5  # of that: what requests beyond their quota may meet
-WAIT_PART, WAIT_LEAST = 0.25, 0.4  # of the aim: the wait for this process that work of most worth may have
-BEYOND = 0.3  # had, and of none; of that: for a customer beyond its bucket, or a marked retry before its time
-LABELS = 256  # timers of one request: more than it can have attempts
-RESOLVE, REACH_MS = 16.0, 300.0  # how sharply sends thin out past the patience; a send arrives by then
+# ---- constants: ratios unless the name ends in _MS
+# Reserves, of the burst of the customer's slice
+RETRY_RESERVE = 0.02  # left by first attempts to marked retries that can still meet their target
+LATE_RESERVE = 0.6  # left by marked retries past their target to requests that can still meet theirs
+# Reserves, of the burst, in the shared bucket
+UNREPORTED = 0.1  # for usage that peers have not been able to report yet
+NEW_RESERVE = 0.05  # left by first attempts to marked retries
+NO_SHOW_MS = 2000.0  # a marked retry this late has given up; else its virtual queue entry would never end
+CUSTOMER_TTL_MS = 20_000.0  # idle customers are dropped after this, or later if their buckets fill slower
+MAX_DRIFT = 0.5  # of the burst: a counter total this far off is corrected by a separate call
+MIN_REPORT = 0.01  # of the burst: the least usage reported to an owner without a query
+REPORT_STEP, FULL_CALL_RATE = (
+    0.08,
+    0.4,
+)  # of the burst, reported at a time; below it calls are skipped at random
+CALL_RATE_START, CALL_RATE_MIN = 0.5, 0.01  # rate of counter calls
+CALL_RATE_CUT, CALL_RATE_GAIN = 0.7, 0.04  # factor after a slow reply, increment after a prompt one
+SLOW_REPLY = 0.8  # of the counter's time-out: slower replies indicate an overloaded counter
+EWMA_KEEP, UNIT_GAIN = 0.9, 0.01  # weight of the past in moving averages; gain of a class's time per unit
+FAULT = 10.0  # slowness sample that a failure counts as
+FLEET_STEP = 1.5  # a sample for the fleet is capped at its slowness times this, plus one
+QUIET_MS = 100.0  # without a sample from the fleet for this long, an idle backend receives a request
+MILD_FAULT = 3.0  # replaces FAULT if a single connection or a single bad response may be the cause
+OVERDUE_FACTOR = 4.0  # of an attempt's expected duration, after which another backend gets a second copy
+TIE_FACTOR = 1.15  # backends this close to the best are chosen at random, to avoid herding
+MIN_SUBSET, MAX_COMPARED = 5, 16  # backends in a gateway's subset; backends compared for one attempt
+GOLDEN_RATIO = 0.618  # multiples of it, modulo the ring, lie far apart for any number of gateways
+MIN_SOUND = 3  # with fewer sound backends in the subset, warm ones outside it are added
+COLD_BUDGET = 0.8  # of the work that overloads the slowest cold backend, over all gateways together
+RETRY_RATIO = 0.1  # retry tokens earned by each client request
+MAX_WAIT, MIN_WAIT = 0.33, 0.25  # of the target: largest forecast wait for the highest worth, and for zero
+OVER_QUOTA_WAIT = 0.5  # of that wait: for requests beyond their quota
+QUEUE_WAIT, QUEUE_WAIT_MIN = 0.25, 0.4  # of the target: longest wait for this process; of that: at zero worth
+QUEUE_WAIT_CUT = 0.3  # of that wait: for customers beyond their bucket and marked retries that come early
+LABELS = 256  # timer labels per request: more than it can have attempts
+SHED_EXPONENT, SEND_MS = 16.0, 300.0  # how steeply sends thin out beyond the largest wait; time until arrival
 
 
 class Gateway:
-    """Decides for one gateway; hand it every event and carry out the actions it gives back."""
+    """Admission decisions of one gateway: call handle() for each event and execute the returned actions."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.random = Random(seed)
         self.backends: dict[int, Backend] = {}
         self.customers: dict[int, Customer] = {}
-        self.booked = Booked()
-        self.counts: dict[int, deque[tuple[Customer, float, float, Call | None]]] = {}  # calls not answered
+        self.keyed = KeyedRequests()
+        self.counter_calls: dict[int, deque[tuple[Customer, float, float, Call | None]]] = {}  # open
         self.calls: dict[int, Call] = {}
         self.pools = {0: Pool(settings.classes)}
-        self.asking = ASK_FIRST
-        self.retired = False  # another process has taken over: nothing new is let in, see snapshot.py
-        self.foreign: dict[tuple[int, int], tuple[int, int]] = {}  # attempts of the one before: numbers here
-        self.adopted = 0
-        self.usual_ms: dict[int, float] = {}  # by class: the time-out of first tries
+        self.asking = CALL_RATE_START
+        self.retired = False  # its state was handed over: admits nothing new, see snapshot.py
+        self.inherited: dict[tuple[int, int], tuple[int, int]] = {}  # predecessor's -> own
+        self.last_inherited = 0
+        self.timeouts_ms: dict[int, float] = {}  # by class: the usual time-out of first attempts
         intake = settings.peer_in_per_s * settings.peers
-        self.homes = Homes(intake)  # the stores kept here; asks: of those kept elsewhere
-        self.asks: Questions[tuple[Customer, Call | None, float]] = Questions(
+        self.owned = Homes(intake)  # buckets owned here; queries: buckets owned by peers
+        self.queries: Questions[tuple[Customer, Call | None, float]] = Questions(
             settings.gateways, settings.index, intake, Random(seed + 3)
         )
-        self.word = Word(settings.gateways, intake * (not self.asks.on), Random(seed + 1))
-        self.news = News(settings.gateways, settings.index, settings.peers, Random(seed + 2))
-        self.crowded_at = -inf  # the last sign of a crowded counter
-        self.started = inf  # when the first event came
-        self.follow(settings)
+        self.usage = Word(settings.gateways, intake * (not self.queries.on), Random(seed + 1))
+        self.gossip = News(settings.gateways, settings.index, settings.peers, Random(seed + 2))
+        self.crowded_at = -inf  # last sign of an overloaded counter
+        self.started = inf  # time of the first event
+        self.use_settings(settings)
         self.actions: Actions = []
         self.handlers: dict[type, Callable[[float, Any], None]] = {
-            RequestArrived: self.arrived,
-            RequestQueued: self.waited,
-            AttemptEnded: self.ended,
-            ResponseStarted: self.began,
-            CounterReply: self.count_answered,
-            FleetUpdate: self.fleet,
-            RequestWithdrawn: self.withdrawn,
-            TimerFired: self.overdue,
-            AttemptSettled: partial(settled, self),
-            SettingsChanged: partial(configured, self),
-            PlanAssigned: self.assigned,
-            PeerMessage: self.heard,
-            DiscoveryStatus: self.watched,
+            RequestArrived: self.on_request,
+            RequestQueued: self.on_request_queued,
+            AttemptEnded: self.on_attempt_ended,
+            ResponseStarted: self.on_response_started,
+            CounterReply: self.on_counter_reply,
+            FleetUpdate: self.on_fleet_update,
+            RequestWithdrawn: self.on_request_withdrawn,
+            TimerFired: self.on_timer,
+            AttemptSettled: partial(apply_settled, self),
+            SettingsChanged: partial(apply_settings, self),
+            PlanAssigned: self.on_plan_assigned,
+            PeerMessage: self.on_peer_message,
+            DiscoveryStatus: self.on_discovery_status,
         }
 
-    def follow(self, settings: Settings) -> None:
-        """Keep what follows from the settings."""
-        self.settings, self.counting = settings, settings.counter and not settings.meter_ms
-        golden = max(1, round(GOLDEN * settings.gateways))
+    def use_settings(self, settings: Settings) -> None:
+        """Stores the settings and the values derived from them."""
+        self.settings, self.uses_counter = settings, settings.counter and not settings.meter_ms
+        golden = max(1, round(GOLDEN_RATIO * settings.gateways))
         self.stride = next(n for n in range(golden, 2 * golden + 2) if gcd(n, settings.gateways) == 1)
-        self.forget_ms = max(
-            [FORGET_MS]
+        self.customer_ttl_ms = max(
+            [CUSTOMER_TTL_MS]
             + [
                 1000 * full / rate
                 for p in settings.plans
@@ -121,114 +126,114 @@
                 if rate
             ]
         )
-        self.most_worth = max(c.worth for c in settings.classes) * max(p.price for p in settings.plans) or 1.0
+        self.max_worth = max(c.worth for c in settings.classes) * max(p.price for p in settings.plans) or 1.0
 
-    def assigned(self, now: float, event: PlanAssigned) -> None:
-        """A customer's plan is another one from now on; what it has used stays used."""
+    def on_plan_assigned(self, now: float, event: PlanAssigned) -> None:
+        """Switches a known customer to another plan; its usage so far is kept."""
         if (customer := self.customers.get(event.customer)) is not None:
-            customer.change(now, self.settings.plans[event.plan])
+            customer.change_plan(now, self.settings.plans[event.plan])
 
     def handle(self, now: float, event: Event) -> Actions:
-        """Take in one event; the actions are to be carried out in order."""
+        """Processes one event and returns the actions, to be executed in order."""
         self.actions = []
         self.started = min(self.started, now)
         if handler := self.handlers.get(type(event)):
             handler(now, event)
-        if self.asks.open:
-            self.chase(now)
-        if self.asks.on and not self.retired:
-            self.actions += [SendToPeer(gateway, body) for gateway, body in self.homes.copies.due(now)]
-        if self.word.due(now) and not self.retired:
-            self.actions.append(SendToPeer(None, self.word.digest(now)))
-        if self.news.blind and not self.retired:
-            peers, words = self.news.ask(now)
-            self.actions += [SendToPeer(peer, words) for peer in peers]
+        if self.queries.open:
+            self.retry_queries(now)
+        if self.queries.on and not self.retired:
+            self.actions += [SendToPeer(gateway, body) for gateway, body in self.owned.copies.due(now)]
+        if self.usage.due(now) and not self.retired:
+            self.actions.append(SendToPeer(None, self.usage.digest(now)))
+        if self.gossip.blind and not self.retired:
+            peers, content = self.gossip.ask(now)
+            self.actions += [SendToPeer(peer, content) for peer in peers]
         return self.actions
 
-    def heard(self, now: float, event: PeerMessage) -> None:
-        """A peer tells what it has sent; what can't be read is counted, and named once for each sender."""
+    def on_peer_message(self, now: float, event: PeerMessage) -> None:
+        """Dispatches a peer's datagram; malformed ones are counted, and logged once per sender."""
         try:
-            self.asks.heard(event.sender)
+            self.queries.heard(event.sender)
             if event.body[:1] in ASKING:
-                self.home_heard(now, event)
+                self.on_owner_message(now, event)
             elif event.body[:1] in COPIES:
-                answers = self.homes.copies.hear(now, event.sender, event.body)
+                answers = self.owned.copies.hear(now, event.sender, event.body)
                 self.actions += [SendToPeer(event.sender, body) for body in answers]
             elif event.body[:1] not in KINDS:
-                self.word.hear(now, event.sender, event.body)
-            elif self.news.hear(now, event.sender, event.body):
+                self.usage.hear(now, event.sender, event.body)
+            elif self.gossip.hear(now, event.sender, event.body):
                 draining = [n for n, b in self.backends.items() if b.entry.state is BackendState.DRAINING]
-                if answer := self.news.answer(now, draining):
+                if answer := self.gossip.answer(now, draining):
                     self.actions.append(SendToPeer(event.sender, answer))
         except ValueError as error:
-            bad = self.word.bad.get(event.sender, 0)
-            self.word.bad[event.sender] = bad + 1
+            bad = self.usage.bad.get(event.sender, 0)
+            self.usage.bad[event.sender] = bad + 1
             if not bad:
-                self.actions.append(Log(f"gateway {event.sender} tells what can't be read: {error}"))
+                self.actions.append(Log(f"malformed datagram from gateway {event.sender}: {error}"))
 
-    def watched(self, now: float, event: DiscoveryStatus) -> None:
-        """Discovery answers or does not: without it peers are asked, with it nobody is suspected."""
-        self.news.watched(now, event.heard)
+    def on_discovery_status(self, now: float, event: DiscoveryStatus) -> None:
+        """Discovery is reachable or not; if not, peers are queried; if so, no backend is suspected."""
+        self.gossip.watched(now, event.heard)
 
-    def withdrawn(self, now: float, event: RequestWithdrawn | AttemptEnded) -> None:
+    def on_request_withdrawn(self, now: float, event: RequestWithdrawn | AttemptEnded) -> None:
         self.calls.pop(event.request, None)
 
-    # ---- quotas: the ordinary path
+    # ---- quotas: the request path
 
-    def customer(self, now: float, event: RequestArrived | RequestQueued) -> Customer:
-        """The customer of a request; one long unseen is dropped: a fresh one does as well."""
+    def customer_of(self, now: float, event: RequestArrived | RequestQueued) -> Customer:
+        """Returns the request's customer, and drops customers idle long enough for full buckets."""
         known = self.customers.pop(event.customer, None)
         if known is None:
             plan, width = self.settings.plans[event.plan], max(1, min(event.width, self.settings.gateways))
-            # so that rare reports are right on average
-            debt = -self.random.random() * LUMP * plan.burst * (not self.asks.on)
-            known = Customer(plan, width, now, event.customer, debt, self.started, self.asks.on)
-        self.customers[event.customer] = known  # the longest unseen stand first
+            # random, so that infrequent reports are unbiased
+            debt = -self.random.random() * REPORT_STEP * plan.burst * (not self.queries.on)
+            known = Customer(plan, width, now, event.customer, debt, self.started, self.queries.on)
+        self.customers[event.customer] = known  # least recently used first
         known.refill(now)
-        if (plan := known.plan).rate and plan.burst and self.word.hearing(now):
-            level = self.word.store(now, event.customer, plan.rate / plan.burst / 1000).level(now)
+        if (plan := known.plan).rate and plan.burst and self.usage.hearing(now):
+            level = self.usage.store(now, event.customer, plan.rate / plan.burst / 1000).level(now)
             known.store, known.told_at = level * plan.burst, now
             known.tokens = min(known.tokens, max(0.0, known.store))
-        for _ in range(2):  # more than can have come
+        for _ in range(2):  # more than are added per request
             first, oldest = next(iter(self.customers.items()))
-            if now - oldest.filled_at > self.forget_ms:
+            if now - oldest.filled_at > self.customer_ttl_ms:
                 del self.customers[first]
         return known
 
-    def arrived(self, now: float, event: RequestArrived) -> None:
-        """The bucket decides; what it cannot tell is asked, what it refuses gets a return time."""
-        customer, marks = self.customer(now, event), self.settings.marks_retry
+    def on_request(self, now: float, event: RequestArrived) -> None:
+        """Decides on a request by its bucket, then by the shared bucket; refusals carry a return time."""
+        customer, marks = self.customer_of(now, event), self.settings.marks_retry
         plan, pool = customer.plan, self.pool(event.pool)
         most = event.max_attempts or self.settings.max_attempts
-        usual_ms = self.usual_ms.get(event.cls, self.settings.classes[event.cls].deadline_ms)
+        usual_ms = self.timeouts_ms.get(event.cls, self.settings.classes[event.cls].deadline_ms)
         if not event.retry:
-            known = self.usual_ms.setdefault(event.cls, event.time_left_ms)
-            self.usual_ms[event.cls] = known + (event.time_left_ms - known) * (1 - KEEP)
+            known = self.timeouts_ms.setdefault(event.cls, event.time_left_ms)
+            self.timeouts_ms[event.cls] = known + (event.time_left_ms - known) * (1 - EWMA_KEEP)
         call = Call(event, self.settings.classes[event.cls], customer, now, pool, most, usual_ms)
         customer.first, customer.width = event.first_gateway, max(1, min(event.width, self.settings.gateways))
         self.calls[event.request] = call
         if event.retry and marks and customer.appointments:
             customer.appointments.popleft()
-        pool.retries = min(RETRY_MOST, pool.retries + RETRY_PART)
+        pool.retries = min(MAX_RETRY_TOKENS, pool.retries + RETRY_RATIO)
         if call.cls.effect is Effect.KEYED and event.key:
-            unknown = not self.booked.recall(now, call) and event.retry and marks
-            # guards a fresh start: what it was before is not known, and the first try may be too old by now.
-            # It could hurt a fleet, where nearly every retry comes to a gateway that its first try did not.
+            unknown = not self.keyed.recall(now, call) and event.retry and marks
+            # After a restart, an unknown key may belong to a first attempt whose dedup window has ended. Only
+            # then: in a fleet, nearly all retries arrive at another gateway than their first attempt.
             fresh = now - self.started < call.cls.deadline_ms > call.cls.window_ms
-            aged = event.cls in self.usual_ms and REACH_MS <= call.age_ms < call.cls.window_ms - REACH_MS
+            aged = event.cls in self.timeouts_ms and SEND_MS <= call.age_ms < call.cls.window_ms - SEND_MS
             fresh = fresh and not aged
-            if now >= call.ran_until - REACH_MS or (unknown and fresh):
+            if now >= call.dedup_until - SEND_MS or (unknown and fresh):
                 return self.fail(call)
         if self.retired:
             return self.refuse(now, call)
         room = not plan.ceiling_rate or customer.cap_tokens >= event.units
-        if event.reserved:  # promised ahead: before all other use, but not beyond a ceiling
+        if event.reserved:  # takes precedence over other usage, but not over the ceiling
             return self.admit(now, call, True, True) if room else self.refuse(now, call)
-        # guards a customer near its quota: else those that return too late take all that fills, and nobody is
-        # served in time. It could hurt a client whose retries have short time-outs, see Call.tardy.
-        tardy = marks and event.retry and call.tardy
+        # Near the quota, late retries would otherwise take all refilled tokens and nobody would be served in
+        # time. Clients that give their retries short time-outs could be affected, see Call.past_target.
+        late = marks and event.retry and call.past_target
         full = plan.burst * customer.share
-        kept = full * (TARDY if tardy else RESERVE if marks and not event.retry else 0.0)
+        kept = full * (LATE_RESERVE if late else RETRY_RESERVE if marks and not event.retry else 0.0)
         if room and (not plan.rate or customer.tokens - kept >= event.units):
             return self.admit(now, call, True)
         customer.dry = True
@@ -236,82 +241,84 @@
             return self.refuse(now, call)
         if plan.over_worth > plan.over_cost:
             return self.admit(now, call, full < event.units)
-        if plan.rate and self.word.hearing(now):  # peers tell what is left of the quota
-            kept = plan.burst * (TARDY if tardy else UNHEARD + (FIRST if marks and not event.retry else 0.0))
+        if plan.rate and self.usage.hearing(now):  # peers report the remaining quota
+            kept = plan.burst * (
+                LATE_RESERVE if late else UNREPORTED + (NEW_RESERVE if marks and not event.retry else 0.0)
+            )
             if customer.store - kept >= event.units:
                 return self.admit(now, call, True)
             return self.refuse(now, call)
-        if plan.rate and self.asks.on:
-            kept = plan.burst * (TARDY if tardy else FIRST if marks and not event.retry else 0.0)
-            if now < customer.shut_until or customer.most(now) - kept < event.units:
+        if plan.rate and self.queries.on:
+            kept = plan.burst * (LATE_RESERVE if late else NEW_RESERVE if marks and not event.retry else 0.0)
+            if now < customer.shut_until or customer.max_store(now) - kept < event.units:
                 return self.refuse(now, call)
-            if self.ask(now, customer, call, kept):
+            if self.ask_owner(now, customer, call, kept):
                 return
-        self.guess(now, call, tardy)
+        self.decide_alone(now, call, late)
 
-    def guess(self, now: float, call: Call, tardy: bool) -> None:
-        """No peer can tell what is left of the quota: the counter may, or what it told last."""
+    def decide_alone(self, now: float, call: Call, late: bool) -> None:
+        """Decides without peers, by the counter or by its last known total."""
         event, customer, full = call.event, call.customer, call.customer.plan.burst * call.customer.share
-        left = tardy and customer.tokens < full  # what there is is for others
-        if left or self.random.random() >= customer.room(now, self.asking):
-            return self.refuse(now, call)  # told to be empty
+        withheld = late and customer.tokens < full  # the remaining tokens are for others
+        if withheld or self.random.random() >= customer.pass_chance(now, self.asking):
+            return self.refuse(now, call)  # by the last known total there is no room
         answered_by = now + self.settings.counter_timeout_ms + 2 * self.settings.tick_ms
-        free = self.counting and self.random.random() * CROWDED < self.asking
-        if free and customer.debt + event.units > 0 and answered_by < call.give_up:
-            customer.debt += event.units  # hold the try and ask for its units, one try a lump
-            return self.settle(now, customer, call)
-        if self.counting or customer.tokens >= full:
-            return self.admit(now, call, True)  # a full bucket does, or a large request never would pass
+        may_call = self.uses_counter and self.random.random() * FULL_CALL_RATE < self.asking
+        if may_call and customer.debt + event.units > 0 and answered_by < call.deadline:
+            customer.debt += event.units  # hold the request until the counter replies
+            return self.report_debt(now, customer, call)
+        if self.uses_counter or customer.tokens >= full:
+            return self.admit(now, call, True)  # a full bucket suffices, else large requests never pass
         self.refuse(now, call)
 
-    def waited(self, now: float, event: RequestQueued) -> None:
-        """Guards this process: what waited past its part of the aim is refused before work is spent on it.
+    def on_request_queued(self, now: float, event: RequestQueued) -> None:
+        """Overload protection: refuses a request that waited too long for this process, before any work.
 
-        The bound is on each message's own wait, not on a rate: it needs no memory of the load, is gone with
-        it, and can't lock anybody out. The most worth may wait longest; who is beyond its bucket, or comes
-        before its time, goes first, so that nobody's retries take the place of another.
+        The limit applies to each message's own wait, not to a rate. So it needs no load history, ends with
+        the overload, and cannot lock anyone out. It grows with worth, and is lower for customers beyond their
+        bucket and for early retries, so that retries do not displace other requests.
         """
-        customer, marks, cls = self.customer(now, event), self.settings.marks_retry, event.cls
-        kind, plan = self.settings.classes[cls], customer.plan
-        if kind.effect is Effect.KEYED and kind.group is not Group.ALL:
-            return  # whether it may be refused depends on what became of its earlier tries
+        customer, marks, cls = self.customer_of(now, event), self.settings.marks_retry, event.cls
+        rules, plan = self.settings.classes[cls], customer.plan
+        if rules.effect is Effect.KEYED and rules.group is not Group.ALL:
+            return  # that depends on the outcomes of earlier attempts
         early = marks and event.retry and not (customer.appointments and customer.appointments[0] <= now)
-        beyond = (plan.rate and customer.tokens < event.units) or (
+        over = (plan.rate and customer.tokens < event.units) or (
             plan.ceiling_rate and customer.cap_tokens < event.units
         )
-        part = WAIT_LEAST + (1 - WAIT_LEAST) * kind.worth * plan.price / self.most_worth
-        if event.waited_ms > WAIT_PART * kind.aim_ms * part * (BEYOND if early or beyond else 1.0):
+        part = QUEUE_WAIT_MIN + (1 - QUEUE_WAIT_MIN) * rules.worth * plan.price / self.max_worth
+        if event.waited_ms > QUEUE_WAIT * rules.aim_ms * part * (QUEUE_WAIT_CUT if early or over else 1.0):
             if event.retry and marks and customer.appointments:
                 customer.appointments.popleft()
             if not event.retry:
-                self.booked.note(now, event.key, None)
+                self.keyed.record(now, event.key, None)
             wait = customer.return_time(now, event.units, NO_SHOW_MS * marks)
             self.actions.append(Refuse(0, wait))
 
     def admit(self, now: float, call: Call, inside: bool, counted: bool = False) -> None:
-        """Send what the quota lets pass, unless the fleet is pressed."""
+        """Sends a request unless the fleet is overloaded; inside: within quota; counted: already charged."""
         event, customer = call.event, call.customer
-        patience = self.patience(call) * (1.0 if inside else SPARE_PATIENCE)
-        spent = self.retired and (customer.plan.ceiling_rate or not counted)  # these stores are another's
-        backend = None if spent else self.choose(now, call, patience)
+        wait_limit = self.max_wait(call) * (1.0 if inside else OVER_QUOTA_WAIT)
+        not_owned = self.retired and (customer.plan.ceiling_rate or not counted)  # the successor's buckets
+        backend = None if not_owned else self.choose(now, call, wait_limit)
         if backend is None:
             customer.debt -= event.units if counted and not event.reserved else 0.0
             return self.refuse(now, call)
         customer.cap_tokens -= event.units if customer.plan.ceiling_rate else 0.0
         if inside:
-            self.used(now, customer, event.units)
+            self.record_usage(now, customer, event.units)
         if inside and not counted:
             customer.tokens -= event.units
             customer.debt += event.units
-            self.settle(now, customer)
+            self.report_debt(now, customer)
         self.send(now, call, backend)
 
     def refuse(self, now: float, call: Call) -> None:
-        """Final answer: the client is told when to come back."""
+        """Answers finally with a refusal and a return time."""
         if call.may_have_run and call.cls.effect is Effect.KEYED and call.cls.group is not Group.ALL:
-            return self.fail(call)  # another gateway might send it elsewhere
+            return self.fail(call)  # another gateway might send a retry to another dedup group
         if not call.may_have_run:
-            self.booked.never_ran(now, call.event.key)
+            self.keyed.never_ran(now, call.event.key)
             if self.retired and call.event.key:
                 self.actions.append(AttemptSettled(call.event.request, -1, key=call.event.key))
         wait = call.customer.return_time(now, call.event.units, NO_SHOW_MS * self.settings.marks_retry)
@@ -319,286 +326,286 @@
         self.calls.pop(call.event.request, None)
 
     def fail(self, call: Call) -> None:
-        """Final answer: nothing is promised."""
+        """Answers finally with a failure: the request may have run."""
         self.actions.append(Fail(call.event.request))
         self.calls.pop(call.event.request, None)
 
-    # ---- what the counter knows of a customer
+    # ---- shared buckets: counter, peers, owners
 
-    def used(self, now: float, customer: Customer, units: float) -> None:
-        """The shared store as peers tell it lacks own use at once."""
+    def record_usage(self, now: float, customer: Customer, units: float) -> None:
+        """Takes own usage from the local copy of the shared bucket."""
         if (plan := customer.plan).rate and plan.burst:
-            self.word.used(now, customer.number, plan.rate / plan.burst / 1000, units / plan.burst)
+            self.usage.used(now, customer.number, plan.rate / plan.burst / 1000, units / plan.burst)
 
-    def settle(self, now: float, customer: Customer, call: Call | None = None) -> None:
-        """Report own use, or take back what was counted in vain, in whole lumps."""
-        lump = LUMP * customer.plan.burst
-        if call is None and self.asks.on and self.ask(now, customer):
+    def report_debt(self, now: float, customer: Customer, call: Call | None = None) -> None:
+        """Reports the customer's debt, usage not reported yet; a negative debt is given back."""
+        step = REPORT_STEP * customer.plan.burst
+        if call is None and self.queries.on and self.ask_owner(now, customer):
             return
-        if self.word.hearing(now):
-            customer.debt = 0.0  # peers are told
+        if self.usage.hearing(now):
+            customer.debt = 0.0  # reported in digests
             return
-        lumps = ceil(customer.debt / lump) * lump if lump and self.counting else 0.0
-        if lumps and (call or self.random.random() * CROWDED < self.asking):
-            customer.debt -= lumps
-            self.count(customer, now, lumps, 0.0, call)
+        steps = ceil(customer.debt / step) * step if step and self.uses_counter else 0.0
+        if steps and (call or self.random.random() * FULL_CALL_RATE < self.asking):
+            customer.debt -= steps
+            self.add_count(customer, now, steps, 0.0, call)
 
-    def ask(self, now: float, customer: Customer, call: Call | None = None, kept: float = 0.0) -> bool:
-        """Tell the customer's home what was used, and ask it for a held try; false: none can be reached."""
+    def ask_owner(self, now: float, customer: Customer, call: Call | None = None, kept: float = 0.0) -> bool:
+        """Reports usage to the owner and requests units for a pending call; False if none is reachable."""
         plan, number = customer.plan, customer.number
         part = PARTS / plan.burst if plan.rate and plan.burst else 0.0
-        told = round(customer.debt * part)
-        place = self.asks.home(now, number, customer.first, customer.width) if part else None
-        if place is None or (call is None and abs(told) < PARTS * TOLD):
-            return place is not None
-        home, other = place
-        customer.debt -= told / part
-        need, stay = ceil(call.event.units * part) if call else 0, ceil(100 * kept / plan.burst)
-        most = customer.most(now) / plan.burst
-        question = Question(mark_of(number), plan.rate / plan.burst, told, need, stay, most, other)
-        if home == self.settings.index:
-            self.home_said(now, customer, call, self.homes.take(now, question))
+        reported = round(customer.debt * part)
+        owners = self.queries.home(now, number, customer.first, customer.width) if part else None
+        if owners is None or (call is None and abs(reported) < PARTS * MIN_REPORT):
+            return owners is not None
+        owner, backup = owners
+        customer.debt -= reported / part
+        need, keep = ceil(call.event.units * part) if call else 0, ceil(100 * kept / plan.burst)
+        level = customer.max_store(now) / plan.burst
+        question = Question(mark_of(number), plan.rate / plan.burst, reported, need, keep, level, backup)
+        if owner == self.settings.index:
+            self.apply_owner_answer(now, customer, call, self.owned.take(now, question))
             return True
-        self.actions.append(SendToPeer(home, self.asks.ask(now, home, question, (customer, call, kept))))
+        self.actions.append(SendToPeer(owner, self.queries.ask(now, owner, question, (customer, call, kept))))
         if call:
-            self.look_again(call)
+            self.set_query_timer(call)
         return True
 
-    def look_again(self, call: Call) -> None:
-        """Any event has questions chased; one that a held try waits for has an event of its own."""
-        request, wait_ms = call.event.request, self.asks.patience_ms + self.settings.tick_ms
+    def set_query_timer(self, call: Call) -> None:
+        """Sets a timer for a pending call's query; queries are otherwise retried with any event."""
+        request, wait_ms = call.event.request, self.queries.patience_ms + self.settings.tick_ms
         self.actions.append(SetTimer(wait_ms, request * LABELS + LABELS - 1, request))
 
-    def chase(self, now: float) -> None:
-        """Ask again what was not answered: the same home once, then the next one, and last the counter."""
-        for number, asked in self.asks.overdue(now):
-            customer, call, kept = asked.holder
-            held = call if call and call.event.request in self.calls else None
-            if held and now > held.aim - held.work:
-                self.guess(now, held, False)
-            elif (body := self.asks.again(now, number, asked)) is not None:
-                self.actions.append(SendToPeer(asked.home, body))
-                if held:
-                    self.look_again(held)
+    def retry_queries(self, now: float) -> None:
+        """Retries unanswered queries: once at the same owner, then at the next one, then by the counter."""
+        for number, query in self.queries.overdue(now):
+            customer, call, kept = query.holder
+            waiting = call if call and call.event.request in self.calls else None
+            if waiting and now > waiting.target - waiting.work:
+                self.decide_alone(now, waiting, False)
+            elif (body := self.queries.again(now, number, query)) is not None:
+                self.actions.append(SendToPeer(query.home, body))
+                if waiting:
+                    self.set_query_timer(waiting)
             else:
-                customer.debt += asked.question.told * customer.plan.burst / PARTS
-                if held and not self.ask(now, customer, held, kept):
-                    self.guess(now, held, False)
+                customer.debt += query.question.told * customer.plan.burst / PARTS
+                if waiting and not self.ask_owner(now, customer, waiting, kept):
+                    self.decide_alone(now, waiting, False)
 
-    def home_heard(self, now: float, event: PeerMessage) -> None:
-        """A peer asks this gateway as a home, or answers as one."""
+    def on_owner_message(self, now: float, event: PeerMessage) -> None:
+        """Handles a peer's query to this gateway as owner, or an owner's answer."""
         if event.body[0] == ASK:
             if not self.retired:
-                self.actions.append(SendToPeer(event.sender, self.homes.asked(now, event.sender, event.body)))
+                self.actions.append(SendToPeer(event.sender, self.owned.asked(now, event.sender, event.body)))
             return
         number, answer = read_answer(event.body)
-        if asked := self.asks.answered(now, event.sender, number):
-            customer, call, _ = asked.holder
-            self.home_said(now, customer, call, answer)
+        if query := self.queries.answered(now, event.sender, number):
+            customer, call, _ = query.holder
+            self.apply_owner_answer(now, customer, call, answer)
 
-    def home_said(self, now: float, customer: Customer, call: Call | None, answer: Answer) -> None:
-        """What the home knows is believed; a held try that it lets in has its units already."""
+    def apply_owner_answer(self, now: float, customer: Customer, call: Call | None, answer: Answer) -> None:
+        """Adopts the owner's level; the units of a pending call that it grants are charged already."""
         customer.refill(now)
-        customer.believe(now, answer.level * customer.plan.burst)
+        customer.set_store(now, answer.level * customer.plan.burst)
         customer.shut_until = now + answer.hold_ms
         if call and call.event.request in self.calls:
             self.admit(now, call, True, True) if answer.granted else self.refuse(now, call)
         elif call and answer.granted:
-            customer.debt -= call.event.units  # the client has left
+            customer.debt -= call.event.units  # the client has gone
         if customer.debt < 0:
-            self.settle(now, customer)
+            self.report_debt(now, customer)
 
-    def count(self, customer: Customer, now: float, use: float, drift: float, call: Call | None) -> None:
-        """Call the counter: for use (a held try's units among it), or to put the name right by drift."""
+    def add_count(self, customer: Customer, now: float, use: float, drift: float, call: Call | None) -> None:
+        """Calls the counter to add use (with a pending call's units), or drift, to correct its total."""
         name, _ = counter_name(now, customer.number, customer.plan.name)
-        self.counts.setdefault(name, deque()).append((customer, use, drift, call))
+        self.counter_calls.setdefault(name, deque()).append((customer, use, drift, call))
         self.actions.append(CounterAdd(name, use + drift, NAME_TTL_MS))
 
-    def count_answered(self, now: float, event: CounterReply) -> None:
-        """Guards against a slow, full or lost counter: never add twice, ask less, hold what was told."""
-        if not (asked := self.counts.get(event.name)):
+    def on_counter_reply(self, now: float, event: CounterReply) -> None:
+        """Handles a slow, overloaded or lost counter: never adds twice, calls less, keeps the last total."""
+        if not (open_calls := self.counter_calls.get(event.name)):
             return
-        customer, use, drift, call = asked.popleft()
-        if not asked:
-            del self.counts[event.name]
+        customer, use, drift, call = open_calls.popleft()
+        if not open_calls:
+            del self.counter_calls[event.name]
         answered = event.outcome is Outcome.OK
-        prompt = answered and event.elapsed_ms < LATE_ANSWER * self.settings.counter_timeout_ms
+        prompt = answered and event.elapsed_ms < SLOW_REPLY * self.settings.counter_timeout_ms
         if prompt:
-            self.asking = min(1.0, self.asking + ASK_MORE)
+            self.asking = min(1.0, self.asking + CALL_RATE_GAIN)
         elif event.outcome is not Outcome.RESET or now - event.elapsed_ms >= self.crowded_at:
-            # calls lost with one connection are one sign, not many of a crowded counter
-            self.asking, self.crowded_at = max(ASK_LEAST, self.asking * ASK_LESS), now
-        # a call whose connection was lost was most likely never read; one that timed out is in the line
-        vain = event.outcome.never_ran or event.outcome is Outcome.RESET
-        held = call if call and call.event.request in self.calls else None
+            # calls lost with one connection are one sign of overload, not several
+            self.asking, self.crowded_at = max(CALL_RATE_MIN, self.asking * CALL_RATE_CUT), now
+        # a call lost with its connection was probably never read; one that timed out is still queued there
+        not_added = event.outcome.never_ran or event.outcome is Outcome.RESET
+        waiting = call if call and call.event.request in self.calls else None
         name, age = counter_name(now, customer.number, customer.plan.name)
         if not answered or name != event.name:
-            if vain:
+            if not_added:
                 customer.debt += use - (call.event.units if call else 0.0)
-            if held:
-                self.admit(now, held, True, not vain)
+            if waiting:
+                self.admit(now, waiting, True, not not_added)
             return
         customer.refill(now)
-        gain = customer.told(now, event.total - use - drift, use, age) - drift
-        granted = held is not None and customer.store + use >= held.event.units
-        # what is beyond the quota takes nothing from the store, so it is given back
+        gain = customer.apply_counter_total(now, event.total - use - drift, use, age) - drift
+        granted = waiting is not None and customer.store + use >= waiting.event.units
+        # usage beyond the quota takes nothing from the shared bucket, so it is given back
         beyond = use if call and not granted else min(max(use, 0.0), max(0.0, -customer.store))
         customer.debt, customer.store = customer.debt - beyond, customer.store + beyond
-        if held:
-            self.admit(now, held, True, True) if granted else self.refuse(now, held)
+        if waiting:
+            self.admit(now, waiting, True, True) if granted else self.refuse(now, waiting)
         if customer.debt <= 0:
-            self.settle(now, customer)
-        if abs(gain) > DRIFT * customer.plan.burst:  # of two gateways that put it right the later takes back
-            self.count(customer, now, min(gain, 0.0), max(gain, 0.0), None)
+            self.report_debt(now, customer)
+        if abs(gain) > MAX_DRIFT * customer.plan.burst:  # if two gateways correct it, the later one reverts
+            self.add_count(customer, now, min(gain, 0.0), max(gain, 0.0), None)
 
     # ---- backends
 
-    def fleet(self, now: float, event: FleetUpdate) -> None:
-        """Follow the list; what it does not name as ready gets nothing new from this moment on."""
-        followed(self, now, event)
+    def on_fleet_update(self, now: float, event: FleetUpdate) -> None:
+        """Applies a list update; backends not listed as ready get nothing new from now on."""
+        apply_list_update(self, now, event)
 
     def pool(self, number: int) -> Pool:
-        """The pool of that number, made when it is first heard of."""
+        """Returns the pool with this number, created on first use."""
         if (known := self.pools.get(number)) is None:
             known = self.pools[number] = Pool(self.settings.classes)
         return known
 
-    def patience(self, call: Call) -> float:
-        """The wait that its class may meet: long-aimed cheap work must not fill a pressed fleet."""
+    def max_wait(self, call: Call) -> float:
+        """Returns the largest wait in ms for its class: low-worth work must not fill a busy fleet."""
         pool = call.pool
-        if pool.patience_for != pool.unit_ms:
-            classes, pool.patience_for = self.settings.classes, pool.unit_ms.copy()
+        if pool.max_wait_for != pool.unit_ms:
+            classes, pool.max_wait_for = self.settings.classes, pool.unit_ms.copy()
             worths = [c.worth / ms for c, ms in zip(classes, pool.unit_ms, strict=True)]
             live = self.settings.live_classes or len(classes)
             most, in_force = max(worths[:live]), list(zip(classes, worths, strict=True))[:live]
-            pool.patience = [
+            pool.max_wait_ms = [
                 min([cls.aim_ms] + [c.aim_ms for c, w in in_force if w >= worth])
-                * (CHEAP_PATIENCE + (PATIENCE - CHEAP_PATIENCE) * min(1.0, worth / most))
+                * (MIN_WAIT + (MAX_WAIT - MIN_WAIT) * min(1.0, worth / most))
                 for cls, worth in zip(classes, worths, strict=True)
             ]
-        return pool.patience[call.event.cls]
+        return pool.max_wait_ms[call.event.cls]
 
-    def pile(self, now: float, backend: Backend) -> float:
-        """What stands there from here and a request more, as a warm backend of size one would feel it."""
+    def queueing(self, now: float, backend: Backend) -> float:
+        """Returns 1 plus this gateway's load there, in mean requests, by the backend's current capacity."""
         if not backend.load:
             return 1.0
-        able = backend.pool.mean_work * (backend.entry.size or 1) * backend.warmth(now, self.settings)
+        able = backend.pool.mean_work * (backend.entry.size or 1) * backend.warm_fraction(now, self.settings)
         return 1 + backend.load / able
 
-    def width(self, ready: int) -> int:
-        """How many backends this gateway keeps to: each is kept to by NEAR gateways at least."""
-        return min(ready, max(NEAR, ceil(ready * NEAR / self.settings.gateways)))
+    def subset_size(self, ready: int) -> int:
+        """Returns the size of the subset; each backend is in the subsets of MIN_SUBSET gateways or more."""
+        return min(ready, max(MIN_SUBSET, ceil(ready * MIN_SUBSET / self.settings.gateways)))
 
-    def along(self, ring: list[int], places: Iterable[int]) -> Iterator[Backend]:
-        """Backends at these places of the ring, counted from where this gateway's part begins.
+    def ring_backends(self, ring: list[int], positions: Iterable[int]) -> Iterator[Backend]:
+        """Yields the backends at these ring positions, relative to the start of this gateway's subset.
 
-        Guards against hot spots: a customer's gateways stand in a row, and parts in the same row would lead
-        all that it asks to the same few backends. So neighbours by number begin far apart.
+        A customer's gateways have consecutive numbers. To avoid hot spots, consecutive gateways start far
+        apart on the ring; else all requests of a customer would reach the same few backends.
         """
         gateways = self.settings.gateways
         start = self.settings.index * self.stride % gateways * len(ring) // gateways
-        return (self.backends[ring[(start + place) % len(ring)]] for place in places)
+        return (self.backends[ring[(start + position) % len(ring)]] for position in positions)
 
-    def near(self, call: Call) -> list[Backend]:
-        """This gateway's part of the ready backends, or of the group that drops a repeat."""
-        ring = call.pool.rings.get(call.ran_group or (Group.ALL, 0), [])
-        width = self.width(len(ring))
-        picked = range(width) if width <= LOOK else self.random.sample(range(width), LOOK)
-        return list(self.along(ring, picked))
+    def subset(self, call: Call) -> list[Backend]:
+        """Returns a sample of this gateway's subset of the ready backends, or of the call's dedup group."""
+        ring = call.pool.rings.get(call.dedup_group or (Group.ALL, 0), [])
+        width = self.subset_size(len(ring))
+        positions = range(width) if width <= MAX_COMPARED else self.random.sample(range(width), MAX_COMPARED)
+        return list(self.ring_backends(ring, positions))
 
     def candidates(self, now: float, call: Call) -> list[Backend]:
-        """Those of its part that can be connected to and have room; warm ones further on where few are left.
+        """Returns the sound backends of the subset, with warm ones from outside it if few are left.
 
-        Guards against a part that is gone, cold and spent, while the rest of the fleet has room. Further on
-        only warm ones are taken: the budgets of cold ones count on the gateways that keep to them. Where
-        nothing is left at all, what could not be connected to is tried all the same.
+        The subset may be gone, or cold without budget left, while the rest of the fleet has room. Outside it
+        only warm backends qualify, as a cold one's budget is divided among the gateways of its subset. If
+        none is left, backends that refused connections are tried nevertheless.
         """
-        mine = self.near(call)
-        room = [b for b in mine if self.cold_room(now, b, call.work)]
-        suspects = self.news.suspects(now, len(self.backends)) if self.news.blind else ()
-        sound = [b for b in room if b.circuit.lets(now) and low(b.entry.backend) not in suspects]
-        if len(sound) >= FEW or len(mine) < NEAR:
+        subset = self.subset(call)
+        room = [b for b in subset if self.has_cold_budget(now, b, call.work)]
+        suspects = self.gossip.suspects(now, len(self.backends)) if self.gossip.blind else ()
+        sound = [b for b in room if b.circuit.allows(now) and low(b.entry.backend) not in suspects]
+        if len(sound) >= MIN_SOUND or len(subset) < MIN_SUBSET:
             return sound or room
-        ring = call.pool.rings[call.ran_group or (Group.ALL, 0)]
-        width = self.width(len(ring))
-        further = (
+        ring = call.pool.rings[call.dedup_group or (Group.ALL, 0)]
+        width = self.subset_size(len(ring))
+        outside = (
             b
-            for b in self.along(ring, range(width, min(len(ring), width + LOOK)))
-            if b.warmth(now, self.settings) >= 1
-            and b.circuit.lets(now)
+            for b in self.ring_backends(ring, range(width, min(len(ring), width + MAX_COMPARED)))
+            if b.warm_fraction(now, self.settings) >= 1
+            and b.circuit.allows(now)
             and low(b.entry.backend) not in suspects
         )
-        return [*sound, *islice(further, NEAR - len(sound))] or room
+        return [*sound, *islice(outside, MIN_SUBSET - len(sound))] or room
 
     def forecast(self, now: float, backend: Backend, call: Call, fleet: float) -> float:
-        """Expected time of a send to this backend; silence bounds it from below.
+        """Returns the expected duration of an attempt in ms, at least the time the backend has been silent.
 
-        One attempt without an answer is no silence while others are answered: its connection may be dead and
-        the backend sound. It could hurt where a backend starves only some requests; they fall overdue.
+        One unanswered attempt is no silence while others are answered, as only its connection may be dead.
+        A backend that starves only some requests is missed here; these become overdue, see on_timer.
         """
-        expected = call.work * backend.slowness[call.event.cls].now(now, fleet) * self.pile(now, backend)
+        expected = call.work * backend.slowness[call.event.cls].now(now, fleet) * self.queueing(now, backend)
         if not backend.out:
             return expected
-        sent_at, own, *_ = next(iter(backend.out.values()))
-        return max(expected, now - max(sent_at + own, backend.heard_at))
-
-    def cold_room(self, now: float, backend: Backend, work: float) -> bool:
-        """Guards a cold backend: all gateways' work in a window stays well inside what pushes it over."""
-        # it does one request at a time at least; a part below one request is rounded by chance
-        s, pool, warmth = self.settings, backend.pool, backend.warmth(now, self.settings)
-        if warmth >= 1 or self.retired:
-            return warmth >= 1
+        sent_at, work, *_ = next(iter(backend.out.values()))
+        return max(expected, now - max(sent_at + work, backend.heard_at))
+
+    def has_cold_budget(self, now: float, backend: Backend, work: float) -> bool:
+        """Checks a cold backend's budget: all gateways' work per window stays below what overloads it."""
+        # it handles at least one request at a time; budgets below one request are rounded at random
+        s, pool, warm = self.settings, backend.pool, backend.warm_fraction(now, self.settings)
+        if warm >= 1 or self.retired:
+            return warm >= 1
         if backend.cold_turn != now // s.overload_ms:
             backend.cold_turn = now // s.overload_ms
             ready = len(pool.rings[Group.ALL, 0])
-            users = max(1.0, s.gateways * self.width(ready) / max(1, ready))
-            budget = COLD_PART * s.fall_multiple * warmth * s.overload_ms / users
+            sharers = max(1.0, s.gateways * self.subset_size(ready) / max(1, ready))
+            budget = COLD_BUDGET * s.fall_multiple * warm * s.overload_ms / sharers
             backend.cold_left = budget + self.random.random() * pool.mean_work
         return backend.cold_left >= work
 
-    def choose(self, now: float, call: Call, patience: float = inf) -> Backend | None:
-        """The backend with the least expected delay, at random among near ties; None: refuse."""
+    def choose(self, now: float, call: Call, wait_limit: float = inf) -> Backend | None:
+        """Returns a backend with the least expected duration, at random among near ties; None to refuse."""
         pool = call.pool
-        fleet = pool.slowness.now(now)  # one bad backend is no sign of a pressed fleet
+        fleet = pool.slowness.now(now)  # one bad backend does not mean an overloaded fleet
         near = self.candidates(now, call)
         fresh = [b for b in near if b not in call.tried or len(near) == 1] if call.tried else near
         rated = [(self.forecast(now, b, call, fleet), b) for b in fresh]
         if not rated:
             return None
         least = min(f for f, _ in rated)
-        best = self.random.choice([b for f, b in rated if f <= least * TIE])
-        drag = min(fleet, best.slowness[call.event.cls].now(now, fleet))
-        wait = drag * pool.mean_work * self.pile(now, best)
-        first = patience < inf and not call.tried
-        late = (wait + call.work - pool.mean_work) / max(1.0, call.aim - now) if first else 0.0
-        over = max(1.0, wait / patience, late)
-        if over > 1 and not best.out and now - pool.slowness.at > NEWS_MS and call.work < call.aim - now:
-            return best  # nobody would learn that the jam is over if all were refused
-        return best if self.random.random() <= over**-RESOLVE else None
-
-    def group(self, backend: Backend, cls: RequestClass) -> tuple[Group, int]:
-        """The backends that drop each other's repeats of this class."""
+        best = self.random.choice([b for f, b in rated if f <= least * TIE_FACTOR])
+        slowness = min(fleet, best.slowness[call.event.cls].now(now, fleet))
+        wait = slowness * pool.mean_work * self.queueing(now, best)
+        first_send = wait_limit < inf and not call.tried
+        late = (wait + call.work - pool.mean_work) / max(1.0, call.target - now) if first_send else 0.0
+        over = max(1.0, wait / wait_limit, late)
+        if over > 1 and not best.out and now - pool.slowness.at > QUIET_MS and call.work < call.target - now:
+            return best  # if all were refused, the end of the overload would go unnoticed
+        return best if self.random.random() <= over**-SHED_EXPONENT else None
+
+    def dedup_group(self, backend: Backend, cls: RequestClass) -> tuple[Group, int]:
+        """Returns the group of backends that drop each other's duplicates of this class."""
         entry = backend.entry
         return cls.group, {Group.ALL: 0, Group.ZONE: entry.zone, Group.CELL: entry.cell}[cls.group]
 
     # ---- attempts
 
     def send(self, now: float, call: Call, backend: Backend) -> None:
-        """Start an attempt and remember what it may do."""
-        pool, pile, number = call.pool, self.pile(now, backend), len(call.tried)
-        due = OVERDUE * max(1.0, pool.slowness.now(now)) * (pool.mean_work * pile + call.work)
-        backend.out[call.event.request, number] = now, call.work, pile, call.event.cls, now + due
-        call.out.append(number)
+        """Starts an attempt and records it."""
+        pool, queueing, number = call.pool, self.queueing(now, backend), len(call.tried)
+        due = OVERDUE_FACTOR * max(1.0, pool.slowness.now(now)) * (pool.mean_work * queueing + call.work)
+        backend.out[call.event.request, number] = now, call.work, queueing, call.event.cls, now + due
+        call.pending.append(number)
         backend.load += call.work
         backend.cold_left -= call.work
-        backend.circuit.sent(now)
-        pool.mean_work += (call.work - pool.mean_work) * (1 - KEEP) / 2
+        backend.circuit.attempt_sent(now)
+        pool.mean_work += (call.work - pool.mean_work) * (1 - EWMA_KEEP) / 2
         call.tried.append(backend)
         if call.event.key:
-            self.booked.note(now, call.event.key, self.group(backend, call.cls))
+            self.keyed.record(now, call.event.key, self.dedup_group(backend, call.cls))
         self.actions.append(Send(call.event.request, backend.entry.backend))
         if self.retired:
-            group = self.group(backend, call.cls) if call.event.key else None
+            group = self.dedup_group(backend, call.cls) if call.event.key else None
             self.actions.append(
                 AttemptSettled(
                     call.event.request,
@@ -609,40 +616,40 @@
                     self.settings.classes[call.event.cls].name,
                     now,
                     call.work,
-                    pile,
+                    queueing,
                     now + due,
                     key=call.event.key,
                     group=group,
                 )
             )
-        self.watch(now, call, due)
+        self.set_overdue_timer(now, call, due)
 
-    def watch(self, now: float, call: Call, due: float) -> None:
-        """Have a look at the attempt sent last once it is overdue, where another could follow then."""
+    def set_overdue_timer(self, now: float, call: Call, due: float) -> None:
+        """Sets a timer for when the last attempt is overdue, if another may follow then."""
         number = len(call.tried)
         repeatable = call.cls.effect is not Effect.UNSAFE and self.settings.second_copies
-        if repeatable and number < call.most and now + due < call.give_up:
+        if repeatable and number < call.max_attempts and now + due < call.deadline:
             self.actions.append(SetTimer(due, call.event.request * LABELS + number - 1, call.event.request))
 
-    def overdue(self, now: float, event: TimerFired) -> None:
-        """Guards against an answer that never comes or stops half way, with its connection left open.
+    def on_timer(self, now: float, event: TimerFired) -> None:
+        """Sends a second copy of an overdue attempt to another backend, while the first may still answer.
 
-        A second copy goes elsewhere while the first may still answer. It covers a backend that stands still
-        or has vanished too. Where the whole fleet is slow, copies would only add to the load: the time grows
-        with its slowness, they need patience like any first try, and further attempts are rationed.
+        This covers responses that never come or stop half way on an open connection, and backends that hang
+        or have vanished. If the whole fleet is slow, copies would only add load: so the time grows with its
+        slowness, copies are subject to the largest wait like first attempts, and retries are limited.
         """
         request, number = divmod(event.label, LABELS)
         call = self.calls.get(request)
-        if call is None or call.begun or number not in call.out or number != len(call.tried) - 1:
+        if call is None or call.streaming or number not in call.pending or number != len(call.tried) - 1:
             return
-        sent_at, *_, due = call.tried[number].out.get((request, number), (now, now + NEWS_MS))
-        self.may_run(call, number, sent_at)
-        self.again(now, call, self.patience(call))
+        sent_at, *_, due = call.tried[number].out.get((request, number), (now, now + QUIET_MS))
+        self.mark_possible_run(call, number, sent_at)
+        self.retry(now, call, self.max_wait(call))
         if number == len(call.tried) - 1:
-            self.watch(now, call, due - sent_at)
+            self.set_overdue_timer(now, call, due - sent_at)
 
-    def ended(self, now: float, event: AttemptEnded) -> None:
-        """Learn from the outcome, then answer the request or try again as far as its class allows."""
+    def on_attempt_ended(self, now: float, event: AttemptEnded) -> None:
+        """Records the outcome, then answers the request or retries as far as its class allows."""
         backend = self.backends.get(event.backend)
         known = backend.out.pop((event.request, event.attempt), None) if backend else None
         call = self.calls.get(event.request)
@@ -653,30 +660,30 @@
             self.actions.append(settlement(self, event, call, backend, known))
         if call is None:
             return
-        if event.used_percent is not None:  # the site has a meter: it takes the counter's place
-            call.customer.follow(now, event.used_percent >= 100)
+        if event.used_percent is not None:  # the deployment has a meter instead of the counter
+            call.customer.adjust_share(now, event.used_percent >= 100)
         if event.outcome is Outcome.OK:
             units = event.true_units or call.event.units
-            if not self.retired:  # else it is told to the owner of the quota
+            if not self.retired:  # else the successor charges it
                 more = 0.0 if call.event.reserved else units - call.event.units
-                call.customer.took(more, units)
-                self.used(now, call.customer, more)
-                if self.asks.on:
-                    self.settle(now, call.customer)
-        if event.attempt in call.out:
-            call.out.remove(event.attempt)
+                call.customer.record_units(more, units)
+                self.record_usage(now, call.customer, more)
+                if self.queries.on:
+                    self.report_debt(now, call.customer)
+        if event.attempt in call.pending:
+            call.pending.remove(event.attempt)
         if event.over:
-            self.actions += [Cancel(event.request, n) for n in call.out if self.settings.cancel]
-            return self.withdrawn(now, event)
+            self.actions += [Cancel(event.request, n) for n in call.pending if self.settings.cancel]
+            return self.on_request_withdrawn(now, event)
         if not event.outcome.never_ran:
-            self.may_run(call, event.attempt, now - event.elapsed_ms)
-        if not call.out or event.attempt == len(call.tried) - 1:  # else the copy sent last goes on
-            self.again(now, call)
+            self.mark_possible_run(call, event.attempt, now - event.elapsed_ms)
+        if not call.pending or event.attempt == len(call.tried) - 1:  # else the last copy is still pending
+            self.retry(now, call)
 
-    def began(self, now: float, event: ResponseStarted) -> None:
-        """The answer is the client's: no copy follows, and where the work is done it is no load any more."""
+    def on_response_started(self, now: float, event: ResponseStarted) -> None:
+        """A response started: no more copies; once the backend's work is done, it is no load any more."""
         if (call := self.calls.get(event.request)) is not None:
-            call.begun = True
+            call.streaming = True
         backend = self.backends.get(event.backend)
         if event.work_done and backend and (sent := backend.out.pop((event.request, event.attempt), None)):
             backend.load = max(0.0, backend.load - sent[1]) if backend.out else 0.0
@@ -693,56 +700,56 @@
             if self.retired:
                 self.actions.append(settlement(self, done, None, backend, sent))
 
-    def may_run(self, call: Call, number: int, sent_at: float) -> None:
-        """An attempt may have run, or may yet: a keyed request then keeps to the group that knows it."""
+    def mark_possible_run(self, call: Call, number: int, sent_at: float) -> None:
+        """Records that an attempt may have run, or may yet; binds a keyed request to its dedup group."""
         call.may_have_run = True
-        if call.cls.effect is Effect.KEYED and call.ran_group is None:
-            call.ran_group = self.group(call.tried[number], call.cls)
-            call.ran_until = sent_at + call.cls.window_ms
+        if call.cls.effect is Effect.KEYED and call.dedup_group is None:
+            call.dedup_group = self.dedup_group(call.tried[number], call.cls)
+            call.dedup_until = sent_at + call.cls.window_ms
 
-    def again(self, now: float, call: Call, patience: float = inf) -> None:
-        """The one table of further attempts: by effect, and by what may have run."""
+    def retry(self, now: float, call: Call, wait_limit: float = inf) -> None:
+        """Decides on another attempt, by the effect of running twice and by what permitted have run."""
         safe, keyed = call.cls.effect is Effect.SAFE, call.cls.effect is Effect.KEYED
         harmless = safe or not call.may_have_run
-        allowed = harmless or (keyed and now < call.ran_until - REACH_MS)
+        allowed = harmless or (keyed and now < call.dedup_until - SEND_MS)
         refusable = harmless or (keyed and call.cls.group is Group.ALL)
-        more = len(call.tried) < call.most and now < call.give_up - self.settings.tick_ms
-        may = allowed and more and call.pool.retries >= 1
-        if may and (backend := self.choose(now, call, patience)) is not None:
+        attempts_left = len(call.tried) < call.max_attempts and now < call.deadline - self.settings.tick_ms
+        permitted = allowed and attempts_left and call.pool.retries >= 1
+        if permitted and (backend := self.choose(now, call, wait_limit)) is not None:
             call.pool.retries -= 1
             return self.send(now, call, backend)
-        if call.out:
-            return  # what is out may still answer
+        if call.pending:
+            return  # a pending attempt may still answer
         if refusable:
             return self.refuse(now, call)
         self.fail(call)
 
-    def learn(self, now: float, backend: Backend, event: AttemptEnded, sent: Sent) -> None:
-        """Every kind of sign moves one measure; what came of a request's run tells of its class only."""
-        sent_at, work, pile, cls, due = sent
-        took, pool = max(0.0, event.elapsed_ms - event.lag_ms) / pile / work, backend.pool
+    def learn(self, now: float, backend: Backend, event: AttemptEnded, sent: OpenAttempt) -> None:
+        """Updates slowness from an outcome; results of running a request count for its class only."""
+        sent_at, work, queueing, cls, due = sent
+        ratio, pool = max(0.0, event.elapsed_ms - event.lag_ms) / queueing / work, backend.pool
         fleet = pool.slowness.now(now)
-        heard = backend.heard_at > sent_at  # then one connection may be silent, but not the backend
+        alive = backend.heard_at > sent_at  # then its connection may be silent, but not the backend
         if event.outcome in (Outcome.OK, Outcome.ERROR, Outcome.FULL):
             backend.heard_at = now
             backend.circuit.answered()
         elif event.outcome is Outcome.CONNECT_FAILED:
-            backend.circuit.could_not_connect(now)
+            backend.circuit.connect_failed(now)
         else:
-            backend.circuit.unknown()
+            backend.circuit.outcome_unknown()
         overdue = event.outcome is Outcome.CANCELLED and now > due
         if event.outcome is Outcome.OK:
             if event.lag_ms >= event.elapsed_ms:
-                return  # how much of its time was the backend's can't be told
-            backend.slowness[cls].sign(now, took, 1 - KEEP, fleet)
-            if pile < 2:  # a jam is not learnt as usual
-                pool.unit_ms[cls] *= 1 + min(took - 1, 1.0) * LEARN
+                return  # the backend's part of the time is unknown
+            backend.slowness[cls].observe(now, ratio, 1 - EWMA_KEEP, fleet)
+            if queueing < 2:  # times under load are not baseline times
+                pool.unit_ms[cls] *= 1 + min(ratio - 1, 1.0) * UNIT_GAIN
         elif overdue or event.outcome not in (Outcome.CANCELLED, Outcome.WRONG_INSTANCE):
-            # it may fail just this class; a process that has died refuses new connections too
-            own = overdue or event.outcome in (Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET)
-            mild = overdue or event.outcome is Outcome.RESET or (heard and event.outcome is Outcome.TIMEOUT)
-            for c in [cls] if own else range(len(pool.unit_ms)):
-                backend.slowness[c].sign(now, BROKEN if mild else max(DREAD, took), BLAME, fleet)
-        # "full" tells of this backend: it may be draining or cold, or others may have sent it too much
-        if event.outcome is Outcome.OK or (event.outcome is Outcome.TIMEOUT and not heard):
-            pool.slowness.sign(now, min(took, fleet * LEAP + 1), 1 - KEEP)
+            # it may fail this class only; a dead process also refuses new connections
+            class_only = overdue or event.outcome in (Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET)
+            mild = overdue or event.outcome is Outcome.RESET or (alive and event.outcome is Outcome.TIMEOUT)
+            for c in [cls] if class_only else range(len(pool.unit_ms)):
+                backend.slowness[c].observe(now, MILD_FAULT if mild else max(FAULT, ratio), BAD_WEIGHT, fleet)
+        # FULL concerns this backend only: it may be draining, cold, or overloaded by other gateways
+        if event.outcome is Outcome.OK or (event.outcome is Outcome.TIMEOUT and not alive):
+            pool.slowness.observe(now, min(ratio, fleet * FLEET_STEP + 1), 1 - EWMA_KEEP)
--- a/troutdock/admission/proxy_admission.py
+++ b/troutdock/admission/proxy_admission.py
@@ -368,7 +368,7 @@
         pool.mean_work += (call.work.mean - pool.mean_work) * 0.05
         backend.out[call.event.request, number] = now, choice.expected
         backend.connects(now)
-        backend.circuit.sent(now)
+        backend.circuit.attempt_sent(now)
         self.loads_changed[backend.entry.backend] = None
         call.tried.append(backend)
         call.out.append(number)
@@ -453,9 +453,9 @@
             backend.circuit.answered()
             backend.keeps(now)
         elif outcome is Outcome.CONNECT_FAILED:
-            backend.circuit.could_not_connect(now)
+            backend.circuit.connect_failed(now)
         else:
-            backend.circuit.unknown()
+            backend.circuit.outcome_unknown()
         if (
             outcome is Outcome.WRONG_INSTANCE
         ):  # another one serves at its address: it has ended, whatever the list says
--- a/troutdock/admission/request_records.py
+++ b/troutdock/admission/request_records.py
@@ -1,4 +1,4 @@
-"""Requests at one gateway: those not answered yet, and keyed ones that may have run (no I/O, no clock)."""
+"""Pending requests of one gateway, and keyed requests that may have run (no I/O, no clock)."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from troutdock.admission.interface import Group, RequestArrived, RequestClass
 from troutdock.admission.customer_quota import Customer
 
-WHOLE = 0.95  # of the usual time-out: a retry with less of it has begun to run out of its deadline
-KEYS, KEY_MS = 20_000, 600_000.0  # keyed requests that are remembered: at most, and for how long
+FULL_TIMEOUT = 0.95  # of the usual time-out: a retry with less is limited by its remaining deadline
+MAX_KEYS, KEY_TTL_MS = 20_000, 600_000.0  # keyed requests kept: how many, and for how long
 
 
 class Call:
-    """A request not yet answered: what has been tried and what may have run."""
+    """A pending request: its attempts, and whether one may have run."""
 
     def __init__(
         self,
@@ -22,70 +22,77 @@
         customer: Customer,
         now: float,
         pool: Pool,
-        most: int,
-        usual_ms: float,
+        max_attempts: int,
+        usual_timeout_ms: float,
     ) -> None:
-        self.event, self.cls, self.customer, self.pool, self.most = event, cls, customer, pool, most
-        self.usual_ms = usual_ms  # the time-out that first tries of its class have here
+        self.event, self.cls, self.customer, self.pool, self.max_attempts = (
+            event,
+            cls,
+            customer,
+            pool,
+            max_attempts,
+        )
+        self.usual_timeout_ms = usual_timeout_ms  # of first attempts of its class here
         self.work = pool.unit_ms[event.cls] * max(event.units, 0.01)
-        self.give_up, self.aim = now + event.time_left_ms, now + min(cls.aim_ms, event.time_left_ms)
+        self.deadline, self.target = now + event.time_left_ms, now + min(cls.aim_ms, event.time_left_ms)
         self.tried: list[Backend] = []
-        self.out: list[int] = []  # the attempts that have not ended
-        self.may_have_run = self.begun = False  # begun: the answer is on its way to the client
-        self.ran_group: tuple[Group, int] | None = None
-        self.ran_until = inf
+        self.pending: list[int] = []  # attempts that have not ended
+        self.may_have_run = self.streaming = False  # streaming: the response has started
+        self.dedup_group: tuple[Group, int] | None = None
+        self.dedup_until = inf
 
     @property
     def age_ms(self) -> float:
-        """As a retry: how long ago its first try came, at most. Clients wait no longer than the deadline."""
+        """For a retry: the largest time since its first attempt, as clients wait no longer than the deadline."""
         return self.cls.deadline_ms - self.event.time_left_ms
 
     @property
-    def tardy(self) -> bool:
-        """As a retry: too late for its aim.
+    def past_target(self) -> bool:
+        """For a retry: whether it can no longer meet its latency target.
 
-        A time-out as long as a first try's tells no age: clients may give each try a part of the deadline.
+        A time-out as long as a first attempt's reveals no age: clients may give each attempt a part of the
+        deadline.
         """
-        told = self.event.time_left_ms < WHOLE * self.usual_ms
+        told = self.event.time_left_ms < FULL_TIMEOUT * self.usual_timeout_ms
         return told and self.age_ms + self.work > self.cls.aim_ms
 
 
-class Booked:
-    """Which keyed requests were sent and may have run: a client's retry must not run them a second time.
+class KeyedRequests:
+    """Keyed requests that were sent and may have run: a client's retry must not run them again.
 
-    One whose first try was refused is remembered too: its retry is known to be harmless. Nodes drop repeats
-    within the class's window, counted from the first send. What is forgotten, by age or for want of room, is
-    the oldest; a retry of it counts as a first try.
+    Requests refused at the first attempt are kept too, as their retries are known to be safe. Backends drop
+    duplicates within the class's window, which starts with the first send. Entries beyond KEY_TTL_MS or
+    MAX_KEYS are dropped, the oldest first; a retry of a dropped one counts as a first attempt.
     """
 
     def __init__(self) -> None:
-        # when it was sent first, whose backends know it (None: it was refused unsent), by how many requests
-        self.first: dict[int, tuple[float, tuple[Group, int] | None, int]] = {}
+        # by key: time of the first send, dedup group (None: refused unsent), number of requests
+        self.entries: dict[int, tuple[float, tuple[Group, int] | None, int]] = {}
 
-    def note(self, now: float, key: int, group: tuple[Group, int] | None) -> None:
-        """An attempt goes out, or a first try is refused (None); only the first send of a key counts."""
-        known = self.first.get(key)
+    def record(self, now: float, key: int, group: tuple[Group, int] | None) -> None:
+        """Records a send, or a refused first attempt (group None); only the first send of a key counts."""
+        known = self.entries.get(key)
         if key and (known is None or (known[1] is None and group is not None)):
-            self.first.pop(key, None)
-            self.first[key] = now, group, 1
-            oldest = next(iter(self.first))
-            if len(self.first) > KEYS or now - self.first[oldest][0] > KEY_MS:
-                del self.first[oldest]
+            self.entries.pop(key, None)
+            self.entries[key] = now, group, 1
+            oldest = next(iter(self.entries))
+            if len(self.entries) > MAX_KEYS or now - self.entries[oldest][0] > KEY_TTL_MS:
+                del self.entries[oldest]
 
     def recall(self, now: float, call: Call) -> bool:
-        """What an earlier try of the request has left is true of this one; false: none is known."""
-        known = self.first.get(call.event.key)
-        if known is None or now - known[0] >= KEY_MS:
+        """Applies the record of an earlier attempt to the call; returns False if there is none."""
+        known = self.entries.get(call.event.key)
+        if known is None or now - known[0] >= KEY_TTL_MS:
             return False
         sent_at, group, requests = known
         if group is not None:
-            self.first[call.event.key] = sent_at, group, requests + 1
-            call.may_have_run, call.ran_group = True, group
-            call.ran_until = sent_at + call.cls.window_ms
+            self.entries[call.event.key] = sent_at, group, requests + 1
+            call.may_have_run, call.dedup_group = True, group
+            call.dedup_until = sent_at + call.cls.window_ms
         return True
 
     def never_ran(self, now: float, key: int) -> None:
-        """A request is refused, and none of its own attempts has run; another one's of its key may have."""
-        if key and self.first.get(key, (0.0, None, 1))[2] == 1:
-            self.first.pop(key, None)
-            self.note(now, key, None)
+        """Records a refusal without any run; keeps the key if another request with it may have run."""
+        if key and self.entries.get(key, (0.0, None, 1))[2] == 1:
+            self.entries.pop(key, None)
+            self.record(now, key, None)
--- a/troutdock/admission/snapshot.py
+++ b/troutdock/admission/snapshot.py
@@ -26,11 +26,11 @@
 from typing import Any
 
 from troutdock.admission.gateway import Gateway
-from troutdock.admission.backend_health import Sent, Slowness
+from troutdock.admission.backend_health import OpenAttempt, Slowness
 from troutdock.admission.interface import Group
 from troutdock.admission.customer_quota import Customer
-from troutdock.admission.request_records import KEYS
-from troutdock.admission.state_handover import adopt
+from troutdock.admission.request_records import MAX_KEYS
+from troutdock.admission.state_handover import adopt_attempt
 
 VERSION = 2
 OLDEST = 2  # that can be read: rows without heads came before
@@ -100,7 +100,7 @@
         ],
         "booked": [
             [key, at, None if group is None else [group[0].value, group[1]], requests]
-            for key, (at, group, requests) in gateway.booked.first.items()
+            for key, (at, group, requests) in gateway.keyed.entries.items()
         ],
     }
     state = {
@@ -136,8 +136,8 @@
 
 def forget(gateway: Gateway) -> None:
     """The gateway before this one has ended: its attempts that were never settled are no load any more."""
-    numbers = {*gateway.foreign.values()}
-    gateway.foreign.clear()
+    numbers = {*gateway.inherited.values()}
+    gateway.inherited.clear()
     for backend in gateway.backends.values():
         for key in [key for key in backend.out if key in numbers]:
             backend.load -= backend.out.pop(key)[1]
@@ -199,17 +199,17 @@
     for name, value in figures.items():
         setattr(gateway, name, min(1.0, value) if name == "asking" else value)
     gateway.customers.update(customers)
-    for key in list(booked)[-KEYS:]:
-        gateway.booked.first[key] = booked[key]
+    for key in list(booked)[-MAX_KEYS:]:
+        gateway.keyed.entries[key] = booked[key]
     for row in pools:
         pool = gateway.pool(row["number"])
-        pool.patience_for = []
+        pool.max_wait_for = []
         for name in row.keys() & {"slowness", "retries", "mean_work"}:
             setattr(pool, name, row[name])
         if "unit_ms" in row:
             pool.unit_ms = [
-                mine if at is None else row["unit_ms"][at]
-                for mine, at in zip(pool.unit_ms, came_from, strict=True)
+                own if at is None else row["unit_ms"][at]
+                for own, at in zip(pool.unit_ms, came_from, strict=True)
             ]
     for row in backends:
         known = gateway.backends.get(row["number"])
@@ -218,13 +218,13 @@
                 setattr(known, name, row[name])
             if "slowness" in row:
                 known.slowness = [
-                    mine if at is None else copy(row["slowness"][at])
-                    for mine, at in zip(known.slowness, came_from, strict=True)
+                    own if at is None else copy(row["slowness"][at])
+                    for own, at in zip(known.slowness, came_from, strict=True)
                 ]
-    for number, up, theirs, (at, work, pile, cls, due) in attempts:
-        known, mine = gateway.backends.get(number), adopt(gateway, *theirs)
-        if known is not None and known.entry.up_since_ms == up:
-            known.out[mine] = at, work, pile, came_from.index(cls) if cls in came_from else 0, due
+    for number, up_since, predecessor_key, (at, work, pile, cls, due) in attempts:
+        known, own = gateway.backends.get(number), adopt_attempt(gateway, *predecessor_key)
+        if known is not None and known.entry.up_since_ms == up_since:
+            known.out[own] = at, work, pile, came_from.index(cls) if cls in came_from else 0, due
             known.load += work
     return unknown.names
 
@@ -250,7 +250,7 @@
     return read
 
 
-def _attempt(row: dict[str, Any], names: list[str]) -> tuple[int, float, tuple[int, int], Sent]:
+def _attempt(row: dict[str, Any], names: list[str]) -> tuple[int, float, tuple[int, int], OpenAttempt]:
     cls = int(row["class"])
     if not 0 <= cls < len(names):
         raise ValueError(f"an attempt of class {cls}, of {len(names)}")
--- a/troutdock/admission/state_handover.py
+++ b/troutdock/admission/state_handover.py
@@ -1,8 +1,7 @@
-"""One gateway after the other, and one set of settings after the other (no I/O).
+"""Hand-over from one gateway to its successor, and from old settings to new ones (no I/O).
 
-What a retired gateway tells of its attempts, and what the next one does with it: the states are those of
-snapshot.py. What stands here settles loads and quotas; it chooses no backend, tries nothing again and turns
-nobody away.
+A retired gateway reports the outcomes of its attempts, and its successor applies them to loads and quotas.
+The states are those of snapshot.py. This module selects no backend, retries nothing and refuses nothing.
 """
 
 from __future__ import annotations
@@ -11,7 +10,7 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from troutdock.admission.backend_health import Backend, Sent, Slowness
+from troutdock.admission.backend_health import Backend, OpenAttempt, Slowness
 from troutdock.admission.interface import (
     AttemptEnded,
     Outcome,
@@ -26,10 +25,14 @@
 
 
 def settlement(
-    gateway: Gateway, event: AttemptEnded, call: Call | None, backend: Backend | None, sent: Sent | None
+    gateway: Gateway,
+    event: AttemptEnded,
+    call: Call | None,
+    backend: Backend | None,
+    sent: OpenAttempt | None,
 ) -> AttemptSettled:
-    """What the gateway that has this one's state is to know of an attempt's end."""
-    told = AttemptSettled(
+    """Returns the report of an attempt's end for the gateway that took over this one's state."""
+    report = AttemptSettled(
         event.request,
         event.attempt,
         event.outcome,
@@ -38,64 +41,64 @@
         lag_ms=event.lag_ms,
     )
     if backend and sent:
-        told.up_since_ms = backend.entry.up_since_ms
-        told.sent_at, told.work, told.pile, number, told.due_at = sent
-        told.cls = gateway.settings.classes[number].name
+        report.up_since_ms = backend.entry.up_since_ms
+        report.sent_at, report.work, report.pile, number, report.due_at = sent
+        report.cls = gateway.settings.classes[number].name
     if call and event.outcome is Outcome.OK:
-        told.customer, told.plan = call.customer.number, call.customer.plan.name
-        told.true_units = event.true_units or call.event.units
-        told.units = told.true_units - call.event.units
-    return told
+        report.customer, report.plan = call.customer.number, call.customer.plan.name
+        report.true_units = event.true_units or call.event.units
+        report.units = report.true_units - call.event.units
+    return report
 
 
-def settled(gateway: Gateway, now: float, event: AttemptSettled) -> None:
-    """An attempt of the gateway before this one: load while it is out, and then a sign like any other."""
-    mine = gateway.foreign.get((event.request, event.attempt))
-    if event.outcome is None and mine is None:
-        mine = adopt(gateway, event.request, event.attempt)
-    if gateway.retired:  # the next one knows the attempt by this one's number, or not at all
-        number, attempt = mine or (0, min(event.attempt, 0))
+def apply_settled(gateway: Gateway, now: float, event: AttemptSettled) -> None:
+    """Applies a report on an attempt of the predecessor: load while it is pending, then a health sample."""
+    own_key = gateway.inherited.get((event.request, event.attempt))
+    if event.outcome is None and own_key is None:
+        own_key = adopt_attempt(gateway, event.request, event.attempt)
+    if gateway.retired:  # the successor knows the attempt by this gateway's number, or not at all
+        number, attempt = own_key or (0, min(event.attempt, 0))
         gateway.actions.append(replace(event, request=number, attempt=attempt))
     if event.attempt < 0:
-        return gateway.booked.never_ran(now, event.key)
+        return gateway.keyed.never_ran(now, event.key)
     backend = gateway.backends.get(event.backend)
     if backend and backend.entry.up_since_ms != event.up_since_ms:
-        backend = None  # started anew since
+        backend = None  # restarted since
     cls = next((n for n, c in enumerate(gateway.settings.classes) if c.name == event.cls), None)
     sent = event.sent_at, event.work, event.pile, cls or 0, event.due_at
     if event.outcome is None:
-        gateway.booked.note(event.sent_at, event.key, event.group)
-        if backend and mine:
-            backend.out[mine] = sent
+        gateway.keyed.record(event.sent_at, event.key, event.group)
+        if backend and own_key:
+            backend.out[own_key] = sent
             backend.load += event.work
         return
-    gateway.foreign.pop((event.request, event.attempt), None)
-    known = backend.out.pop(mine, None) if backend and mine else None
+    gateway.inherited.pop((event.request, event.attempt), None)
+    known = backend.out.pop(own_key, None) if backend and own_key else None
     if backend and known:
         backend.load = max(0.0, backend.load - known[1]) if backend.out else 0.0
-    if backend and known and cls is not None:  # a class that is gone teaches nothing
+    if backend and known and cls is not None:  # a removed class is not measured
         ended = AttemptEnded(0, 0, event.backend, event.outcome, event.elapsed_ms, True, lag_ms=event.lag_ms)
         gateway.learn(now, backend, ended, sent)
     customer = gateway.customers.get(event.customer)
     if customer and event.true_units and customer.plan.name == event.plan:
         customer.refill(now)
-        customer.took(event.units, event.true_units)
+        customer.record_units(event.units, event.true_units)
 
 
-def adopt(gateway: Gateway, request: int, attempt: int) -> tuple[int, int]:
-    """A number of this gateway's own, below nought, for an attempt of the one before."""
-    gateway.adopted -= 1
-    gateway.foreign[request, attempt] = gateway.adopted, 0
-    return gateway.adopted, 0
+def adopt_attempt(gateway: Gateway, request: int, attempt: int) -> tuple[int, int]:
+    """Assigns a negative number of this gateway to an attempt of its predecessor."""
+    gateway.last_inherited -= 1
+    gateway.inherited[request, attempt] = gateway.last_inherited, 0
+    return gateway.last_inherited, 0
 
 
-def configured(gateway: Gateway, now: float, event: SettingsChanged) -> None:
-    """Take over new settings as a whole; what was learnt stays, and what is open keeps its rules."""
+def apply_settings(gateway: Gateway, now: float, event: SettingsChanged) -> None:
+    """Applies new settings; keeps measurements, and pending requests keep their class's rules."""
     before, after = gateway.settings.classes, event.settings.classes
     # a class removed too long ago has None: only its measurements would be affected
     moved = [n or 0 for n in previous_indexes(after, before)]
-    gateway.follow(event.settings)
-    gateway.usual_ms.clear()
+    gateway.use_settings(event.settings)
+    gateway.timeouts_ms.clear()
     for pool in gateway.pools.values():
         pool.renumber(before, after)
     for call in gateway.calls.values():
@@ -109,4 +112,4 @@
         }
     plans = {plan.name: plan for plan in event.settings.plans}
     for customer in gateway.customers.values():
-        customer.change(now, plans.get(customer.plan.name, customer.plan))
+        customer.change_plan(now, plans.get(customer.plan.name, customer.plan))
--- a/troutdock/admission/tenant.py
+++ b/troutdock/admission/tenant.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from troutdock.admission.diba import VirtualQueue, spread_of
+from troutdock.admission.diba import VirtualQueue, variation_of
 from troutdock.admission.interface import Plan
 
 EARLY_MS, NO_SHOW_MS = 60.0, 1500.0  # a try so long before or after a return time is the one that was told it
@@ -56,5 +56,5 @@
     def return_time(self, now: float, share: float) -> float:
         """DIBA: for how many milliseconds a refused try is to stay away; share: of the quota, here."""
         fill = self.plan.rate * share if self.is_limited else max(1.0, self.pace)
-        spread = spread_of(int(self.answers), self.job_sum, self.job_squares) if self.answers >= 2 else 0.0
-        return self.appoint(now, fill * (1 + spread), NO_SHOW_MS)
+        spread = variation_of(int(self.answers), self.job_sum, self.job_squares) if self.answers >= 2 else 0.0
+        return self.schedule_return(now, fill * (1 + spread), NO_SHOW_MS)
