--- a/troutdock/admission/__init__.py
+++ b/troutdock/admission/__init__.py
@@ -1,4 +1,4 @@
-"""troutdock.admission: the decisions of an admission gateway for a service sold by plan."""
+"""Admission control of a gateway for a service whose customers have plans with quotas."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def __getattr__(name: str) -> Any:
-    """Loaded when asked for: the whole gateway's proxy starts without the decisions of a single site."""
+    """Imports lazily, so that the proxy starts without loading the single-site gateway."""
     if name == "Gateway":
         from troutdock.admission.gateway import Gateway
 
--- a/troutdock/admission/gateway.py
+++ b/troutdock/admission/gateway.py
@@ -31,7 +31,7 @@
 from troutdock.admission.state_handover import apply_settings, apply_settled, settlement
 from troutdock.admission.usage_gossip import Word
 
-# ---- constants: ratios unless the name ends in _MS
+# ---- constants: ratios, unless the name ends in _MS
 # Reserves, of the burst of the customer's slice
 RETRY_RESERVE = 0.02  # left by first attempts to marked retries that can still meet their target
 LATE_RESERVE = 0.6  # left by marked retries past their target to requests that can still meet theirs
@@ -42,10 +42,8 @@
 CUSTOMER_TTL_MS = 20_000.0  # idle customers are dropped after this, or later if their buckets fill slower
 MAX_DRIFT = 0.5  # of the burst: a counter total this far off is corrected by a separate call
 MIN_REPORT = 0.01  # of the burst: the least usage reported to an owner without a query
-REPORT_STEP, FULL_CALL_RATE = (
-    0.08,
-    0.4,
-)  # of the burst, reported at a time; below it calls are skipped at random
+# Usage is added to the counter in steps, of the burst. Below the full call rate, calls are skipped at random.
+REPORT_STEP, FULL_CALL_RATE = 0.08, 0.4
 CALL_RATE_START, CALL_RATE_MIN = 0.5, 0.01  # rate of counter calls
 CALL_RATE_CUT, CALL_RATE_GAIN = 0.7, 0.04  # factor after a slow reply, increment after a prompt one
 SLOW_REPLY = 0.8  # of the counter's time-out: slower replies indicate an overloaded counter
--- a/troutdock/admission/interface.py
+++ b/troutdock/admission/interface.py
@@ -1,4 +1,4 @@
-"""What a gateway is told and what it may do: settings, events, actions. All times are milliseconds."""
+"""Interface of the admission state machines: settings, events and actions. All times are milliseconds."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
     @property
     def never_ran(self) -> bool:
-        """True where the outcome proves that the backend did not run the request."""
+        """True if the outcome proves that the backend did not run the request."""
         return self in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.WRONG_INSTANCE)
 
 
 class Effect(Enum):
-    """What running a request twice would do."""
+    """What running a request twice would do: nothing, nothing within its dedup window, or damage."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -35,7 +35,7 @@
 
 
 class Group(Enum):
-    """Which backends drop each other's repeats of a keyed request."""
+    """Dedup group: the backends among which duplicates of a keyed request are dropped."""
 
     ALL = "all"
     ZONE = "zone"
@@ -43,7 +43,7 @@
 
 
 class ListKind(IntEnum):
-    """What a fleet update holds."""
+    """What a fleet update contains."""
 
     CHANGES = 0
     FULL = 1
@@ -52,7 +52,7 @@
 
 
 class BackendState(IntEnum):
-    """What the list of backends knows of one."""
+    """A backend's state in the list of backends."""
 
     GONE = 0
     READY = 1
@@ -63,7 +63,7 @@
 
 
 def _check(what: object, at_least: dict[str, float]) -> None:
-    """Raise ValueError naming the first field that is not a number of at least the given size."""
+    """Raises ValueError, naming the first field that is not a number or below its minimum."""
     for name, least in at_least.items():
         value = getattr(what, name)
         if isinstance(value, bool) or not isinstance(value, int | float) or not least <= value < float("inf"):
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A kind of request."""
+    """A class of requests with a common latency target (aim_ms), deadline, priority (worth) and effect."""
 
     aim_ms: float
     deadline_ms: float
@@ -97,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What a customer of this plan may use over all gateways; 0 means no such limit."""
+    """Limits of a customer with this plan over all gateways; 0 means no limit."""
 
     rate: float
     burst: float
@@ -116,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """The deployment as one gateway is told it at start."""
+    """The deployment's configuration, as one gateway receives it at start."""
 
     gateways: int
     index: int
@@ -146,7 +146,7 @@
     meter_ms: float = 0.0
     settled_after: bool = False
     report_fields: tuple[str, ...] = ()
-    live_classes: int = 0  # the first so many are in force, those behind only for what is open; 0: all are
+    live_classes: int = 0  # how many are in force; the rest serve pending requests only; 0: all
 
     def __post_init__(self) -> None:
         _check(
@@ -178,13 +178,13 @@
                 raise ValueError(f"Settings.{name}: at least one is needed")
 
 
-MAX_RETIRED_CLASSES = 16  # removed classes still kept: far more than reloads within one deadline remove
+MAX_RETIRED_CLASSES = 16  # removed classes still kept; reloads within one deadline remove far fewer
 
 
 def merge_settings(before: Settings, after: Settings) -> Settings:
-    """The new settings, with the classes that are gone kept behind its own, the latest first.
+    """Returns the new settings, with removed classes appended to its own, the most recent first.
 
-    A class is the same one if name, effect and group are; with other figures its new ones hold.
+    Classes are identified by name, effect and group; of the same class, the new figures apply.
     """
 
     def identity(cls: RequestClass) -> tuple[str, Effect, Group]:
@@ -196,7 +196,7 @@
 
 
 def previous_indexes(before: tuple[RequestClass, ...], after: tuple[RequestClass, ...]) -> list[int | None]:
-    """For each class its number in before: the same one, else one of its name, else None."""
+    """Returns for each class its index in before: of the same class, else by name, else None."""
     same = {(cls.name, cls.effect, cls.group): n for n, cls in reversed(list(enumerate(before)))}
     named = {cls.name: n for n, cls in reversed(list(enumerate(before)))}
     return [same.get((cls.name, cls.effect, cls.group), named.get(cls.name)) for cls in after]
@@ -207,7 +207,7 @@
 
 @dataclass(slots=True)
 class BackendEntry:
-    """One line of the list of backends; up_since_ms 0 means long ago."""
+    """An entry of the list of backends; up_since_ms 0 means long ago."""
 
     backend: BackendId
     state: BackendState = BackendState.READY
@@ -216,12 +216,12 @@
     cell: int = 0
     size: float = 1.0
     up_since_ms: float = 0.0
-    warm_at_ms: float = 0.0  # when it is as quick as ever, where it tells so itself
+    warm_at_ms: float = 0.0  # when it reaches full speed, if it reports that
 
 
 @dataclass(slots=True)
 class FleetUpdate:
-    """News from the list of a pool's backends; a backend belongs to one pool."""
+    """An update of a pool's list of backends; a backend belongs to one pool."""
 
     kind: ListKind
     entries: list[BackendEntry]
@@ -231,21 +231,21 @@
 
 @dataclass(slots=True)
 class DiscoveryStatus:
-    """Whether discovery was heard by the last call to it; what it said comes as a FleetUpdate."""
+    """Whether discovery answered the last call; its answer follows as a FleetUpdate."""
 
     heard: bool
 
 
 @dataclass(slots=True)
 class SettingsChanged:
-    """New settings, made by merge_settings; what is open keeps the rules that it came under."""
+    """New settings, made by merge_settings; pending requests keep the rules they arrived under."""
 
     settings: Settings
 
 
 @dataclass(slots=True)
 class PlanAssigned:
-    """From now on the customer has this plan, and its requests name it; nothing where it is not known yet."""
+    """From now on the customer has this plan, and its requests name it; ignored for unknown customers."""
 
     customer: int
     plan: int
@@ -253,12 +253,12 @@
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A client's try; the gateway owes it one final answer within time_left_ms.
+    """A client's request; the gateway has to give one final answer within time_left_ms.
 
-    pool: whose backends may take it. max_attempts: at most so many, 0 for as many as the settings say.
-    key: a number for what nodes know a keyed request by, the same in the client's retries; 0: not told.
-    reserved: its units are kept ahead for it and taken off that; the bucket bears none of them.
-    priority: its rank where the fleet is pressed, 0 the highest.
+    pool: the pool whose backends may serve it. max_attempts: limit of attempts; 0: that of the settings.
+    key: a number for its idempotency key, the same in the client's retries; 0: none given.
+    reserved: its units were reserved and are charged to the reservation, not to the bucket.
+    priority: its rank if the fleet is overloaded; 0 is the highest.
     """
 
     request: int
@@ -279,9 +279,9 @@
 
 @dataclass(slots=True)
 class RequestQueued:
-    """A client's try has waited so long for this process, before any work was spent on it.
+    """A client's request waited for this process, and no work was spent on it yet.
 
-    The answer is a Refuse of request 0: its final answer; or nothing: RequestArrived may follow. The fields
+    The answer is a Refuse of request 0, which is final, or nothing, and RequestArrived may follow. The fields
     are those of RequestArrived.
     """
 
@@ -297,9 +297,9 @@
 
 @dataclass(slots=True)
 class ResponseStarted:
-    """A streamed answer has begun; from now on it is the client's.
+    """A streamed response has started, and is being passed on to the client.
 
-    work_done: the backend has done its work, and the rest is the answer's way; lag_ms as in AttemptEnded.
+    work_done: the backend has finished its work, only transfer is left; lag_ms as in AttemptEnded.
     """
 
     request: int
@@ -312,10 +312,10 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """The one outcome of an attempt; over: the request is concluded.
+    """The outcome of an attempt, once per attempt; over: the request is concluded.
 
-    lag_ms: the part of elapsed_ms that was not the backend's work: the gateway itself was late, or a long
-    message was on its way. Infinite where that part can't be told: then its time is no sign of anything.
+    lag_ms: the part of elapsed_ms that was not the backend's work, but a delay of the gateway or the transfer
+    of a long message. Infinite if that part is unknown: then the time is not used as a sample.
     """
 
     request: int
@@ -332,7 +332,7 @@
 
 @dataclass(slots=True)
 class RequestWithdrawn:
-    """The client left; nothing more is owed."""
+    """The client has gone; no answer is needed any more."""
 
     request: int
 
@@ -346,7 +346,7 @@
 
 @dataclass(slots=True)
 class ProbeEnded:
-    """What one probe found."""
+    """The outcome of a probe."""
 
     backend: BackendId
     outcome: Outcome
@@ -374,13 +374,13 @@
 
 @dataclass(slots=True)
 class AttemptSettled:
-    """What has become of an attempt at a gateway whose state another one has.
+    """The progress of an attempt of a gateway whose state was handed over.
 
-    An action of the retired gateway, and an event of the other: its number of the request means nothing
-    there but the same attempt. outcome None: it has been sent just now. Attempt -1: the request was refused,
-    and nothing of it has run. cls, plan: by name, as the two may number them differently. work, pile and
-    due_at as they were at the send, in milliseconds of an idle backend's time, as a multiple, and as a time.
-    units: the true ones less the guess, only with true_units over 0.
+    An action of the retired gateway, and an event of its successor, where the request number only identifies
+    the attempt. outcome None: it was just sent. Attempt -1: the request was refused, and no attempt of it has
+    run. cls, plan: names, as the numbers may differ between the two. work, pile, due_at: values at the time
+    of the send: ms on an idle backend, the backend's queueing factor, and the time when it is overdue.
+    units: true units minus the estimate, only if true_units is above 0.
     """
 
     request: int
@@ -403,12 +403,12 @@
     group: tuple[Group, int] | None = None
 
 
-# ---- events of the whole gateway, where ingresses know one another
+# ---- events of an ingress that knows its peers
 
 
 @dataclass(slots=True)
 class IngressMembership:
-    """How many ingresses there are, this one among them, and how many of them it hears."""
+    """Number of ingresses including this one, and of those that it receives messages from."""
 
     ingresses: int
     heard: int
@@ -416,7 +416,7 @@
 
 @dataclass(slots=True)
 class PeerLoad:
-    """Open attempts of another ingress by backend, as they are now; whole: it has no others."""
+    """Current pending attempts of another ingress by backend; whole: the list is complete."""
 
     origin: str
     out: dict[BackendId, int]
@@ -425,12 +425,12 @@
 
 @dataclass(slots=True)
 class LeasesDue:
-    """Grants of the fleet's quotas may have come, or time has gone by."""
+    """Quota grants may have arrived, or time has passed, so the leases have to be checked."""
 
 
 @dataclass(slots=True)
 class BackendSuspected:
-    """A backend has not called for a while, or does again."""
+    """A backend has not sent heartbeats for a while (silent), or sends them again."""
 
     backend: BackendId
     silent: bool
@@ -463,7 +463,7 @@
 
 @dataclass(slots=True)
 class Send:
-    """Start an attempt; timeout_ms 0: until the client gives up."""
+    """Starts an attempt; timeout_ms 0: until the client gives up."""
 
     request: int
     backend: BackendId
@@ -472,7 +472,7 @@
 
 @dataclass(slots=True)
 class Cancel:
-    """Stop waiting for an attempt."""
+    """Stops waiting for an attempt."""
 
     request: int
     attempt: int
@@ -480,7 +480,7 @@
 
 @dataclass(slots=True)
 class Refuse:
-    """Final answer: refused, coming back is harmless."""
+    """Final answer: refused; a retry by the client is safe."""
 
     request: int
     retry_after_ms: float = 0.0
@@ -488,14 +488,14 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: failed, nothing is promised."""
+    """Final answer: failed; the request may have run."""
 
     request: int
 
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for TimerFired after so long; request: whose end ends the timer too, 0 for none."""
+    """Requests TimerFired after after_ms; cancelled when the given request ends, 0 for none."""
 
     after_ms: float
     label: int
@@ -504,14 +504,14 @@
 
 @dataclass(slots=True)
 class Probe:
-    """Examine a backend."""
+    """Probes a backend."""
 
     backend: BackendId
 
 
 @dataclass(slots=True)
 class SendToPeer:
-    """Send bytes to one gateway, or to all others (None)."""
+    """Sends bytes to one gateway, or to all others (None)."""
 
     gateway: int | None
     body: bytes
@@ -519,7 +519,7 @@
 
 @dataclass(slots=True)
 class CounterAdd:
-    """Add to a named number of the shared counter and learn its total."""
+    """Adds to a named total of the shared counter; CounterReply returns the total."""
 
     name: int
     amount: float
@@ -528,7 +528,7 @@
 
 @dataclass(slots=True)
 class Log:
-    """A line for the operators; rare state changes only."""
+    """A log line for operators; rare state changes only."""
 
     text: str
 
--- a/troutdock/admission/request_records.py
+++ b/troutdock/admission/request_records.py
@@ -43,7 +43,7 @@
 
     @property
     def age_ms(self) -> float:
-        """For a retry: the largest time since its first attempt, as clients wait no longer than the deadline."""
+        """For a retry: the largest time since its first attempt; clients wait at most until the deadline."""
         return self.cls.deadline_ms - self.event.time_left_ms
 
     @property
@@ -53,8 +53,8 @@
         A time-out as long as a first attempt's reveals no age: clients may give each attempt a part of the
         deadline.
         """
-        told = self.event.time_left_ms < FULL_TIMEOUT * self.usual_timeout_ms
-        return told and self.age_ms + self.work > self.cls.aim_ms
+        shortened = self.event.time_left_ms < FULL_TIMEOUT * self.usual_timeout_ms
+        return shortened and self.age_ms + self.work > self.cls.aim_ms
 
 
 class KeyedRequests:
@@ -66,7 +66,7 @@
     """
 
     def __init__(self) -> None:
-        # by key: time of the first send, dedup group (None: refused unsent), number of requests
+        # by key: time of the first send, dedup group (None if refused unsent), request count
         self.entries: dict[int, tuple[float, tuple[Group, int] | None, int]] = {}
 
     def record(self, now: float, key: int, group: tuple[Group, int] | None) -> None:
--- a/troutdock/admission/snapshot.py
+++ b/troutdock/admission/snapshot.py
@@ -1,20 +1,20 @@
-"""What a gateway knows, as plain data, and a gateway that goes on from it (no I/O).
-
-Theory of operation. One gateway owns each budget (buckets, ceilings, cold backends) at any time:
-
-    owner     take               -> retired, and its state is the other's
-    retired   lets nothing new in; what is open goes on, further attempts go to warm backends only, and what
-              comes of each is an action, Settled, for the other
-    retired   resume             -> owner again: the other never took the state, or has died; in that case
-                                    ceilings start empty, as what it spent is unknown
-    fresh     restore            -> owner of the state; attempts that were out are load until settled
-    owner     forget             -> the one before has ended: what it has not told is not waited for
-
-The state is made of names: rows hold the fields that their head lists, and sections may be missing. So a
-program can go on from the state of an older or a newer one; what it does not know is left out and named.
-Restoring is whole or not at all: ValueError leaves the gateway as it was. What the gateway itself knows
-better (which backends there are, its settings) is not taken from the state. All times are Unix time in
-milliseconds, so what goes by between take and restore counts as time gone by.
+"""Exports a gateway's state as plain data and restores it in a successor (no I/O).
+
+Theory of operation. At any time one gateway owns each budget (buckets, ceilings, cold backends):
+
+    owner     take               -> retired; the successor owns the state
+    retired   admits nothing new; pending requests continue, with further attempts to warm backends only, and
+              the progress of each attempt is reported to the successor by an action, AttemptSettled
+    retired   resume             -> owner again, if the successor never took the state or has died; if it has
+                                    died, ceilings start empty, as its usage is unknown
+    new       restore            -> owner of the state; pending attempts count as load until settled
+    owner     forget             -> the predecessor has ended; attempts not settled by then are dropped
+
+The state is self-describing: each section lists its fields, and sections may be missing. So a program can
+restore the state of an older or a newer version; unknown names are skipped and reported. Restoring is
+atomic: on ValueError the gateway is unchanged. The list of backends and the settings are the gateway's own,
+not taken from the state. All times are Unix time in milliseconds, so the time between take and restore
+counts as elapsed.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 from troutdock.admission.state_handover import adopt_attempt
 
 VERSION = 2
-OLDEST = 2  # that can be read: rows without heads came before
+OLDEST = 2  # oldest readable version: earlier ones have rows without a list of fields
 _NUMBERS = (
     "even",
     "share",
@@ -65,7 +65,7 @@
 
 
 def take(gateway: Gateway) -> dict[str, Any]:
-    """The state; the gateway lets nothing new in from here on."""
+    """Returns the state and retires the gateway: it admits nothing new from now on."""
     gateway.retired = True
     rows: dict[str, list[list[Any]]] = {
         "customers": [
@@ -110,16 +110,17 @@
         **{name: {"fields": list(fields), "rows": rows[name]} for name, fields in _SECTIONS.items()},
     }
     for customer in gateway.customers.values():
-        customer.debt = 0.0  # the other reports it
+        customer.debt = 0.0  # the successor reports it
     return state
 
 
 def resume(gateway: Gateway, now: float, untouched: Any = None) -> None:
-    """The other has died: go on, and spend nothing of a ceiling that it may have spent.
+    """Makes a retired gateway the owner again, with empty ceilings, as the successor may have spent them.
 
-    For a gateway that has waited for the other's state as well: what that spent meanwhile is not known.
+    Also used by a gateway that has waited for a predecessor's state in vain, whose usage is unknown.
 
-    untouched: the state that was taken, where the other is known to have spent nothing of it.
+    Args:
+        untouched: the state that was taken, if the successor is known to have spent nothing of it.
     """
     gateway.retired = False
     debts: dict[int, float] = {}
@@ -127,7 +128,7 @@
         at = {name: n for n, name in enumerate(_CUSTOMER)}
         debts = {row[at["number"]]: row[at["debt"]] for row in untouched["customers"]["rows"]}
     if untouched is None:
-        gateway.started = now  # of customers that come for the first time nothing is known either
+        gateway.started = now  # usage of new customers is unknown too
     for customer in gateway.customers.values():
         if untouched is None:
             customer.cap_tokens, customer.filled_at = 0.0, max(customer.filled_at, now)
@@ -135,7 +136,7 @@
 
 
 def forget(gateway: Gateway) -> None:
-    """The gateway before this one has ended: its attempts that were never settled are no load any more."""
+    """Drops the predecessor's unsettled attempts from the load, once it has ended."""
     numbers = {*gateway.inherited.values()}
     gateway.inherited.clear()
     for backend in gateway.backends.values():
@@ -145,33 +146,39 @@
 
 
 class _Unknown:
-    """Names in a state that this program does not know, or does not find."""
+    """Collects the names that this program does not know, or misses, in a state."""
 
     def __init__(self) -> None:
         self.names: list[str] = []
 
     def rows(self, state: dict[str, Any], section: str) -> Iterator[dict[str, Any]]:
-        """The rows of a section, with the fields that are known, by name."""
+        """Yields the rows of a section as dicts of the known fields."""
         known = _SECTIONS[section]
         if section not in state:
             self.names.append(f"no {section}")
             return
-        heads = [str(name) for name in state[section]["fields"]]
-        self.names += [f"{section}.{name}" for name in heads if name not in known]
-        self.names += [f"no {section}.{name}" for name in known if name not in heads]
+        field_names = [str(name) for name in state[section]["fields"]]
+        self.names += [f"{section}.{name}" for name in field_names if name not in known]
+        self.names += [f"no {section}.{name}" for name in known if name not in field_names]
         for row in state[section]["rows"]:
-            yield {name: value for name, value in zip(heads, row, strict=True) if name in known}
+            yield {name: value for name, value in zip(field_names, row, strict=True) if name in known}
 
 
 def restore(gateway: Gateway, state: Any) -> list[str]:
-    """Go on from a state; ValueError if it is none, and then nothing is taken from it.
+    """Restores a state.
 
-    The answer: what the state holds that is not known here and left out, and "no ..." for what it lacks.
+    Returns:
+        Names in the state that are unknown here and were skipped, and "no ..." for names that it lacks.
+
+    Raises:
+        ValueError: it is not a valid state; the gateway is unchanged.
     """
     unknown = _Unknown()
     try:
         if not _number(state["version"]) >= OLDEST:
-            raise ValueError(f"a state of version {state['version']!r}, and {OLDEST} is the oldest known")
+            raise ValueError(
+                f"state version {state['version']!r} is not supported; the oldest supported one is {OLDEST}"
+            )
         names = [str(name) for name in state["classes"]]
         unknown.names += sorted(
             str(name) for name in state if name not in ("version", "classes", *_GATEWAY, *_SECTIONS)
@@ -190,12 +197,12 @@
                 _number(row["at"]),
                 _read_group(row["group"]),
                 int(row.get("requests", 2)),
-            )  # 2: it is not known that it never ran
+            )  # 2: it may have run
             for row in unknown.rows(state, "booked")
         }
         figures = {name: _number(state[name]) for name in _GATEWAY if name in state}
     except (KeyError, TypeError, AttributeError, IndexError, OverflowError) as error:
-        raise ValueError(f"no state of a gateway: {error!r}") from error
+        raise ValueError(f"not a gateway state: {error!r}") from error
     for name, value in figures.items():
         setattr(gateway, name, min(1.0, value) if name == "asking" else value)
     gateway.customers.update(customers)
@@ -238,7 +245,7 @@
     if "mean_work" in row:
         read["mean_work"] = _number(row["mean_work"], 1e-6)
     if "unit_ms" in row:
-        read["unit_ms"] = _each([_number(ms, 1e-6) for ms in row["unit_ms"]], names)
+        read["unit_ms"] = _per_class([_number(ms, 1e-6) for ms in row["unit_ms"]], names)
     return read
 
 
@@ -246,14 +253,14 @@
     read = {name: _number(value) for name, value in row.items() if name not in ("number", "slowness")}
     read["number"], read["up_since"] = int(row["number"]), _number(row["up_since"])
     if "slowness" in row:
-        return {**read, "slowness": _each([_read_slowness(s) for s in row["slowness"]], names)}
+        return {**read, "slowness": _per_class([_read_slowness(s) for s in row["slowness"]], names)}
     return read
 
 
 def _attempt(row: dict[str, Any], names: list[str]) -> tuple[int, float, tuple[int, int], OpenAttempt]:
     cls = int(row["class"])
     if not 0 <= cls < len(names):
-        raise ValueError(f"an attempt of class {cls}, of {len(names)}")
+        raise ValueError(f"attempt of class {cls}, but the state has {len(names)} classes")
     sent = (
         _number(row["sent_at"]),
         _number(row["work"], 0),
@@ -264,15 +271,15 @@
     return int(row["backend"]), _number(row["up_since"]), (int(row["request"]), int(row["attempt"])), sent
 
 
-def _each(found: list[Any], names: list[str]) -> list[Any]:
-    if len(found) != len(names):
-        raise ValueError(f"{len(found)} figures for {len(names)}: {', '.join(names)}")
-    return found
+def _per_class(values: list[Any], names: list[str]) -> list[Any]:
+    if len(values) != len(names):
+        raise ValueError(f"{len(values)} values for {len(names)} classes: {', '.join(names)}")
+    return values
 
 
 def _number(raw: Any, least: float = -inf) -> float:
     if isinstance(raw, bool) or not isinstance(raw, int | float) or not raw >= least:
-        raise ValueError(f"{raw!r} is no number of at least {least}")
+        raise ValueError(f"{raw!r} is not a number of at least {least}")
     return raw
 
 
@@ -292,7 +299,7 @@
 
 
 def _customer(gateway: Gateway, row: dict[str, Any]) -> Customer | None:
-    """None: its plan is gone."""
+    """Returns None if its plan no longer exists."""
     plan = next((p for p in gateway.settings.plans if p.name == row["plan"]), None)
     if plan is None:
         return None
@@ -301,7 +308,7 @@
         if name in row:
             setattr(customer, name, _number(row[name]))
     if not 0 < customer.even <= 1 or not 0 < customer.share <= 1:
-        raise ValueError(f"a customer with shares {customer.even!r} and {customer.share!r}")
+        raise ValueError(f"customer with shares {customer.even!r} and {customer.share!r} outside (0, 1]")
     customer.dry = bool(row.get("dry"))
     appointments = row.get("appointments")
     customer.appointments = deque(_number(at) for at in appointments) if appointments else None
