--- a/tests/engine/test_engine.py
+++ b/tests/engine/test_engine.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
-from simulated import SimulatedWorld, Told
+from simulated import SimulatedWorld, RecordedExchange
 
 from troutdock.admission.interface import BackendState, ListKind, Outcome
 from troutdock.engine import BadRequest, Call, Engine
@@ -148,7 +148,7 @@
 # ---- the state table, row by row
 
 
-def sent(cls: int = SAFE, **changes: Any) -> tuple[SimulatedWorld, Told]:
+def sent(cls: int = SAFE, **changes: Any) -> tuple[SimulatedWorld, RecordedExchange]:
     world = SimulatedWorld()
     told = world.arrive(cls, **changes)
     assert len(world.out) == 1
--- a/tests/engine/test_engine_fabric.py
+++ b/tests/engine/test_engine_fabric.py
@@ -11,7 +11,7 @@
 from hypothesis import given
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
-from simulated import SimulatedTime, SimulatedTransport, SimulatedWorld, Told, need
+from simulated import SimulatedTime, SimulatedTransport, SimulatedWorld, RecordedExchange, need
 
 from troutdock.admission.proxy_admission import Call, Fabric
 from troutdock.admission.interface import BackendState, Effect, ListKind, Outcome, RequestArrived
@@ -52,7 +52,7 @@
 IDS = (1, 2, 3, 4)
 
 
-class Refusal(Told):
+class Refusal(RecordedExchange):
     """An exchange that knows what was sent of its request."""
 
     effect = Effect.SAFE
--- a/tests/http/test_taking_in.py
+++ b/tests/http/test_taking_in.py
@@ -6,7 +6,7 @@
 from unittest.mock import Mock
 
 from loopback import answer, request, run, world
-from simulated import SimulatedWorld, Told
+from simulated import SimulatedWorld, RecordedExchange
 
 from troutdock.admission.interface import RequestQueued
 
@@ -15,7 +15,7 @@
     """A digest that was due stood in a refusal's place, and the request had no answer at all."""
     w, peers = SimulatedWorld(gateways=3, peers=True, peer_in_per_s=100.0), Mock()
     w.engine.tell_by(peers)
-    exchange = Told(w.time.now(), w.time.now() + 4000, w.time)
+    exchange = RecordedExchange(w.time.now(), w.time.now() + 4000, w.time)
     for waited_ms, refused in ((11.0, False), (2000.0, True)):
         w.time.advance(1000)
         w.engine._gateway.usage.used(w.time.now(), 9, 0.0001, 0.5)
--- a/tests/rules/test_decisions.py
+++ b/tests/rules/test_decisions.py
@@ -1,4 +1,4 @@
-"""The five rules: plain sequences, odd legal orders, and proof that the checker can fail."""
+"""The five safety rules: plain sequences, unusual legal orders, and checks that the checker can fail."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 @pytest.mark.parametrize("outcome", MAY_HAVE_RUN + NEVER_RAN)
 @pytest.mark.parametrize("cls", [SAFE, KEYED, KEYED_ALL, UNSAFE])
-def test_further_attempts_follow_the_class_and_the_proof(cls: int, outcome: Outcome) -> None:
+def test_retries_follow_the_effect_and_whether_the_request_may_have_run(cls: int, outcome: Outcome) -> None:
     g = gateway()
     send = first_send(g, 1, cls)
     (action,) = g.handle(START + 50, ended(1, send.backend, outcome))
@@ -46,7 +46,7 @@
         return
     assert isinstance(action, Send)
     if cls == KEYED and outcome in MAY_HAVE_RUN:
-        assert action.backend % 2 == send.backend % 2  # its cell
+        assert action.backend % 2 == send.backend % 2  # same cell
     else:
         assert action.backend != send.backend
 
@@ -54,7 +54,7 @@
 @pytest.mark.parametrize(
     ("cls", "kind"), [(KEYED, Fail), (KEYED_ALL, Refuse), (UNSAFE, Fail), (SAFE, Refuse)]
 )
-def test_no_send_past_the_window_and_no_false_promise(cls: int, kind: type) -> None:
+def test_no_send_past_the_dedup_window_and_no_unsafe_refusal(cls: int, kind: type) -> None:
     g = gateway(max_attempts=3 if cls in (KEYED, KEYED_ALL) else 1)
     send = first_send(g, 1, cls)
     (action,) = g.handle(START + 3000, ended(1, send.backend, Outcome.RESET, took=3000))
@@ -86,7 +86,7 @@
     assert sends <= 500 * 1.1 + 10
 
 
-def test_nothing_new_goes_to_a_draining_or_vanished_backend_even_on_a_retry() -> None:
+def test_a_draining_or_removed_backend_gets_nothing_new_even_on_a_retry() -> None:
     g = gateway(1, 2)
     send = first_send(g, 1, SAFE)
     other = 3 - send.backend
@@ -105,10 +105,10 @@
     assert first_send(g, 2, SAFE).backend == 1
 
 
-def test_a_cold_backend_gets_its_part_in_any_window() -> None:
-    """A flood while one backend is cold: within any 3 s it takes less than twice its guaranteed part."""
+def test_a_cold_backend_gets_at_most_its_budget_in_any_window() -> None:
+    """Under heavy load, a cold backend gets less than twice its guaranteed share within any 3 s."""
     g = gateway(1, 2, 3)
-    for n in range(300):  # warm up what is known of the fleet
+    for n in range(300):  # give the gateway samples of the fleet
         send = first_send(g, n, SAFE, START + n * 20)
         g.handle(START + n * 20 + 15, ended(n, send.backend, took=150))
     begin = START + 6000
@@ -162,8 +162,8 @@
     assert g.handle(START + 2, ended(2, send.backend, Outcome.RESET)) == []
 
 
-def test_an_idle_fleet_is_used_after_any_trouble() -> None:
-    """Guards against evidence that keeps itself alive: all answers bad, then nothing out."""
+def test_an_idle_fleet_is_used_again_after_any_failure() -> None:
+    """Bad samples must not persist for lack of new ones: all answers are bad, then nothing is pending."""
     g = gateway()
     for n in range(200):
         for a in g.handle(START + n, request(n)):
@@ -172,15 +172,15 @@
     assert first_send(g, 999, SAFE, START + 300)
 
 
-def test_a_pressed_fleet_is_not_piled_up() -> None:
-    """Guards against piles that take the whole aim: nothing answers, what is out stays bounded."""
+def test_pending_work_on_an_overloaded_fleet_is_bounded() -> None:
+    """Queues must not use up the latency target: if nothing answers, pending work stays bounded."""
     g = gateway()
     sent = sum(isinstance(a, Send) for n in range(2000) for a in g.handle(START + n, request(n)))
     assert 4 <= sent < 200
 
 
-def test_an_overdue_attempt_counts_before_its_answer() -> None:
-    """Found in incident i208070: after a crash the rest was overdriven long before its late answers told so."""
+def test_an_overdue_attempt_counts_before_its_outcome() -> None:
+    """After a crash the other backends were overloaded long before their late answers showed it (i208070)."""
     g = gateway(1, 2)
     send = first_send(g, 1, UNSAFE)
     later = START + 2000
@@ -210,7 +210,7 @@
             now + 5, ended(n, send.backend, Outcome.ERROR if bad else Outcome.OK, took=5 if bad else 150)
         )
     assert len(tries) < 60
-    assert tries[-1] > START + 5_000  # ever more rarely while it goes on failing
+    assert tries[-1] > START + 5_000  # less and less often while it keeps failing
 
 
 STEPS = st.lists(
@@ -232,19 +232,19 @@
     def took(actions: list) -> None:
         for a in actions:
             if isinstance(a, Send):
-                out.append((a.request, len(checker.tries[a.request].sends) - 1, a.backend, now))
+                out.append((a.request, len(checker.requests[a.request].sends) - 1, a.backend, now))
 
     def end(pick: int, outcome: Outcome) -> None:
         call, attempt, backend, sent = out.pop(pick)
-        t = checker.tries[call]
+        t = checker.requests[call]
         over = t.closed or outcome is Outcome.OK
         took(checker.feed(now, AttemptEnded(call, attempt, backend, outcome, now - sent, over)))
 
     for what, pick, gap in steps:
         now += gap
-        for i in reversed(range(len(out))):  # time-outs at the deadline come on time
-            if checker.tries[out[i][0]].give_up <= now:
-                late, now = now, checker.tries[out[i][0]].give_up
+        for i in reversed(range(len(out))):  # time-outs at the deadline are on time
+            if checker.requests[out[i][0]].give_up <= now:
+                late, now = now, checker.requests[out[i][0]].give_up
                 end(i, Outcome.TIMEOUT)
                 now = late
         if what == "ask":
@@ -256,7 +256,7 @@
             )
         elif what == "end" and out:
             end(pick % len(out), list(Outcome)[pick // 7 % 8])
-        elif what == "leave" and checker.tries:
+        elif what == "leave" and checker.requests:
             checker.feed(now, RequestWithdrawn(1 + pick % number))
         elif what == "fleet":
             state, kind = list(BackendState)[pick % 3], list(ListKind)[pick // 3 % 4]
@@ -264,18 +264,18 @@
             checker.feed(now, fleet(*ids, state=state, kind=kind, up=now if pick % 5 == 0 else 0.0))
         elif what == "timer":
             checker.feed(now, TimerFired(pick % 2))
-        elif what == "restart" and restart is not None:  # what it held is the clients' to retry
+        elif what == "restart" and restart is not None:  # its requests are retried by the clients
             out.clear()
-            for t in checker.tries.values():
+            for t in checker.requests.values():
                 t.closed = True
             checker.handle = restart()
             checker.feed(
-                now, fleet(*[i for i in checker.named if i not in checker.told], kind=ListKind.CACHED)
+                now, fleet(*[i for i in checker.known if i not in checker.unavailable], kind=ListKind.CACHED)
             )
     for _ in range(20):
         now += 1
         for _ in range(len(out)):
-            end(0, Outcome.TIMEOUT if checker.tries[out[0][0]].give_up <= now else Outcome.OK)
+            end(0, Outcome.TIMEOUT if checker.requests[out[0][0]].give_up <= now else Outcome.OK)
     checker.finish()
     return checker
 
@@ -288,7 +288,7 @@
     steps=[("fleet", 3, 0), ("fleet", 622, 0), ("ask", 0, 251)], marks=False
 )  # a failed list with entries
 @hypothesis_settings(derandomize=True, max_examples=300, deadline=None)
-def test_the_rules_hold_under_odd_legal_orders(steps: list, marks: bool) -> None:
+def test_the_rules_hold_under_unusual_legal_orders(steps: list, marks: bool) -> None:
     s = settings(plans=PLANS, marks_retry=marks, counter=True)
     play(Gateway(s, 3).handle, s, steps, lambda: Gateway(s, 4).handle)
 
@@ -321,7 +321,7 @@
         play(g.handle, settings(), steps)
 
 
-def test_the_checker_sees_a_passed_ceiling() -> None:
+def test_the_checker_detects_an_exceeded_ceiling() -> None:
     s = settings(plans=(Plan(1000, 1000, ceiling_rate=10, ceiling_burst=20),))
     free = settings(plans=(Plan(1000, 1000),))
     checker = Checker(Gateway(free, 1).handle, s)
@@ -331,8 +331,8 @@
             checker.feed(START, request(n))
 
 
-def test_a_keyed_repeat_is_not_begun_where_a_new_connection_could_outlast_the_window() -> None:
-    """On sockets a send may take the time to connect before its last byte is there."""
+def test_a_keyed_retry_is_not_started_if_connecting_could_outlast_the_window() -> None:
+    """With sockets, a send may need the time to connect before its last byte arrives."""
     for took, again in ((2600.0, True), (2800.0, False)):
         g = gateway(1, 2, 3, 4)
         send = first_send(g, 1, KEYED_ALL)
--- a/tests/support/build.py
+++ b/tests/support/build.py
@@ -1,4 +1,4 @@
-"""Small builders that the tests share."""
+"""Builders of settings, events and gateways shared by the tests."""
 
 from __future__ import annotations
 
--- a/tests/support/checker.py
+++ b/tests/support/checker.py
@@ -1,4 +1,4 @@
-"""The five rules as seen from outside one gateway."""
+"""Checks the five safety rules from outside one gateway."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 
 
 class RuleBroken(AssertionError):
-    """What was broken and where."""
+    """An action broke a rule; the message names the rule and the request."""
 
 
 @dataclass
-class Try:
-    """A request as the outside knows it."""
+class ObservedRequest:
+    """A request as observed from outside the gateway."""
 
     event: RequestArrived
     cls: RequestClass
@@ -46,9 +46,9 @@
 
     def __init__(self, handle: Callable[[float, Event], list[Action]], settings: Settings) -> None:
         self.handle, self.settings = handle, settings
-        self.tries: dict[int, Try] = {}
-        self.told: dict[int, float] = {}  # draining or gone since
-        self.named: dict[int, tuple[int, int]] = {}
+        self.requests: dict[int, ObservedRequest] = {}
+        self.unavailable: dict[int, float] = {}  # by backend: draining or removed since
+        self.known: dict[int, tuple[int, int]] = {}
         self.ceilings: dict[int, tuple[float, float]] = {}
 
     def need(self, good: bool, what: str) -> None:
@@ -65,36 +65,36 @@
     def observe(self, now: float, event: Event) -> None:
         match event:
             case RequestArrived():
-                self.tries[event.request] = Try(
+                self.requests[event.request] = ObservedRequest(
                     event, self.settings.classes[event.cls], now + event.time_left_ms
                 )
             case RequestWithdrawn():
-                self.tries[event.request].closed = True
-            case AttemptEnded() if event.request in self.tries:
-                t = self.tries[event.request]
+                self.requests[event.request].closed = True
+            case AttemptEnded() if event.request in self.requests:
+                t = self.requests[event.request]
                 sent, backend, _ = t.sends[event.attempt]
                 t.sends[event.attempt] = (sent, backend, event.outcome)
                 t.closed |= event.over
             case FleetUpdate() if event.kind is not ListKind.FAILED:
                 ready = {e.backend for e in event.entries if e.state is BackendState.READY}
                 for e in event.entries:
-                    self.named[e.backend] = (e.zone, e.cell)
+                    self.known[e.backend] = (e.zone, e.cell)
                     if e.state is not BackendState.READY:
-                        self.told.setdefault(e.backend, now)
+                        self.unavailable.setdefault(e.backend, now)
                 if event.kind is not ListKind.CHANGES:
-                    for b in self.named.keys() - ready:
-                        self.told.setdefault(b, now)
+                    for b in self.known.keys() - ready:
+                        self.unavailable.setdefault(b, now)
                 for b in ready:
-                    self.told.pop(b, None)
+                    self.unavailable.pop(b, None)
 
     def group(self, backend: int, cls: RequestClass) -> int:
-        zone, cell = self.named[backend]
+        zone, cell = self.known[backend]
         return {Group.ALL: 0, Group.ZONE: zone, Group.CELL: cell}[cls.group]
 
     def judge(self, now: float, action: Action) -> None:
         if not isinstance(action, Send | Refuse | Fail | Cancel):
             return
-        t = self.tries[action.request]
+        t = self.requests[action.request]
         risky = [(sent, b) for sent, b, o in t.sends if o is None or not o.never_ran]
         if isinstance(action, Cancel):
             return
@@ -110,12 +110,14 @@
             self.need(good, f"request {action.request}: refused though it may have run")
         t.closed = True
 
-    def judge_send(self, now: float, action: Send, t: Try, risky: list[tuple[float, int]]) -> None:
+    def judge_send(
+        self, now: float, action: Send, t: ObservedRequest, risky: list[tuple[float, int]]
+    ) -> None:
         out = any(o is None for _, _, o in t.sends)
         self.need(not out or self.settings.second_copies, f"request {action.request}: two attempts at once")
         self.need(len(t.sends) < self.settings.max_attempts, f"request {action.request}: too many attempts")
-        self.need(action.backend in self.named, f"request {action.request}: to an unknown backend")
-        since = self.told.get(action.backend)
+        self.need(action.backend in self.known, f"request {action.request}: to an unknown backend")
+        since = self.unavailable.get(action.backend)
         self.need(
             since is None or now <= since + self.settings.drain_grace_ms,
             f"request {action.request}: to a draining backend",
@@ -134,17 +136,17 @@
         t.sends.append((now, action.backend, None))
 
     def draw_ceiling(self, now: float, event: RequestArrived) -> None:
-        """This gateway's part of the customer's second store, which a restart finds as it stands."""
+        """Charges this gateway's share of the customer's ceiling, which persists over a restart of the gateway."""
         plan = self.settings.plans[event.plan]
         if not plan.ceiling_rate:
             return
         at, level = self.ceilings.get(event.customer, (now, plan.ceiling_burst / event.width))
         fill = (now - at) / 1000 * plan.ceiling_rate / event.width
         level = min(plan.ceiling_burst / event.width, level + fill) - event.units
-        self.need(level >= -1e-6, f"customer {event.customer}: ceiling passed by {-level}")
+        self.need(level >= -1e-6, f"customer {event.customer}: ceiling exceeded by {-level}")
         self.ceilings[event.customer] = now, level
 
     def finish(self) -> None:
-        """All that was taken is answered."""
-        for number, t in self.tries.items():
+        """Checks that every request was answered."""
+        for number, t in self.requests.items():
             self.need(t.closed, f"request {number}: never answered")
--- a/tests/support/simulated.py
+++ b/tests/support/simulated.py
@@ -1,4 +1,4 @@
-"""The engine's ports in simulated time: every order of events is a test, and nothing waits."""
+"""Simulated clock, transport and counter of the engine: tests control the order of events, without waiting."""
 
 from __future__ import annotations
 
@@ -69,7 +69,7 @@
             self._callback(*self._args)
 
 
-FAULTS: list[str] = []  # of the world in play: the engine guards itself against what its ports raise
+FAULTS: list[str] = []  # of the current world; recorded as the engine catches exceptions of its ports
 
 
 def need(good: bool, what: str) -> None:
@@ -83,7 +83,7 @@
 
 
 class SimulatedTransport:
-    """Attempts that wait for the test to end them; it checks what may be sent."""
+    """Attempts that the test ends explicitly; checks which attempts may be sent."""
 
     new_attempt = Attempt
 
@@ -101,7 +101,7 @@
 
     def start(self, attempt: Attempt) -> None:
         call = attempt.owner
-        told: Told = call.exchange
+        told: RecordedExchange = call.exchange
         need(told.final is None and not told.withdrawn, "an attempt after the final answer")
         need(call.begun is None, "an attempt while an answer is passed on")
         effect = self._world.settings.classes[call.request.arrival.cls].effect
@@ -135,7 +135,7 @@
 
 
 class SimulatedCounter:
-    """Calls that wait for the test to answer them, in their order, or for their time-out."""
+    """Calls that the test answers in order, or that time out."""
 
     def __init__(self, world: SimulatedWorld) -> None:
         self._world = world
@@ -156,8 +156,8 @@
         engine.count_answered(CounterReply(name, outcome, 3.0, self.totals.get(name, 0.0)))
 
 
-class Told:
-    """An exchange, and what it was told."""
+class RecordedExchange:
+    """An exchange that records its final answer."""
 
     def __init__(self, arrived: float, deadline: float, clock: SimulatedTime) -> None:
         self.arrived, self.deadline, self._clock = arrived, deadline, clock
@@ -166,7 +166,7 @@
         self.withdrawn = False
         self.outcomes: list[Outcome | None] = []
 
-    def _tell(self, what: str) -> None:
+    def _record(self, what: str) -> None:
         need(self.final is None, f"{what} after {self.final}")
         need(not self.withdrawn, f"{what} to a client that has left")
         need(self._clock.now() <= self.deadline, f"{what} too late")
@@ -175,16 +175,16 @@
     streams = False
 
     def served(self, answer: Any) -> None:
-        self._tell("served")
+        self._record("served")
 
     def refused(self, retry_after_ms: float) -> None:
-        self._tell("refused")
+        self._record("refused")
 
     def failed(self, why: Any) -> None:
-        self._tell("failed")
+        self._record("failed")
 
     def broken(self) -> None:
-        self._tell("broken")
+        self._record("broken")
 
 
 class SimulatedRequest(Request):
@@ -194,7 +194,7 @@
 
 
 class SimulatedWorld:
-    """An engine among simulated ports, with two pools of two and of one backend."""
+    """An engine with simulated ports and two pools, of two backends and of one."""
 
     def __init__(self, make: type[Engine] = Engine, **changes: Any) -> None:
         FAULTS.clear()
@@ -213,7 +213,7 @@
             self.engine.add_pool(transport)
         self.counter = SimulatedCounter(self)
         self.engine.count_with(self.counter)
-        self.told: list[Told] = []
+        self.told: list[RecordedExchange] = []
         self.calls: list[Any] = []
         self.fleet([1, 2, 3], pool=0)
         self.fleet([9], pool=1)
@@ -237,8 +237,8 @@
         timeout_ms: float = 1000.0,
         pool: int = 0,
         most: int = 0,
-    ) -> Told:
-        told = Told(self.time.now(), self.time.now() + timeout_ms, self.time)
+    ) -> RecordedExchange:
+        told = RecordedExchange(self.time.now(), self.time.now() + timeout_ms, self.time)
         arrival = RequestArrived(0, customer, plan, cls, units, 0, 2, timeout_ms, False, pool, most)
         self.told.append(told)
         repeatable = self.settings.classes[cls].effect is not Effect.UNSAFE
@@ -253,14 +253,14 @@
         return next(t for t in self.transports if attempt in t.out)
 
     def check(self) -> None:
-        """Between two events: where no call is open nothing is waited for but the counter."""
+        """Checks between two events that without an open call only the counter has pending timers."""
         assert not FAULTS, FAULTS
         if not self.engine.open:
             assert not self.out, "an attempt is left behind"
             assert self.time.pending == len(self.counter.calls), "a timer is left behind"
 
     def finish(self) -> None:
-        """Let all time pass; then every call has had its one end, and nothing is left behind."""
+        """Advances past every time-out, then checks that each call ended once and nothing is left."""
         for told in self.told:
             assert told.final is None or not told.withdrawn
         self.time.advance(60_000)
@@ -273,7 +273,7 @@
 
 
 def assert_settled(engine: Engine) -> None:
-    """No call is open, all that were taken are accounted for, and no load is believed to be out."""
+    """Checks that no call is open, that all are accounted for, and that no load is recorded as pending."""
     tally, gateway = engine.tally, engine._gateway
     assert engine.open == 0 and not engine._open_ids
     assert tally.taken == tally.served + tally.refused + tally.failed + tally.withdrawn, tally
--- a/tests/system/test_fabric.py
+++ b/tests/system/test_fabric.py
@@ -164,7 +164,7 @@
     f = fabric(backends=2)
     f.handle(1.0, PeerLoad("x", {1: 2}))
     assert {of(Send, f.handle(2.0, arrival(n)))[0].backend for n in (1, 2)} == {2}
-    f.handle(3.0, PeerLoad("x", {}, whole=True))
+    f.handle(3.0, PeerLoad("x", {}, complete=True))
     assert f.backends[1].load == 0
 
 
--- a/tests/test_begun.py
+++ b/tests/test_begun.py
@@ -1,4 +1,4 @@
-"""An answer that has begun: what the decision module makes of it, and of messages that are long on their way."""
+"""Responses that have started, and messages with a long transfer, as handled by the gateway."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 @pytest.mark.parametrize("work_done", [False, True])
-def test_no_copy_follows_an_answer_that_has_begun(work_done: bool) -> None:
+def test_no_copy_is_sent_after_the_response_started(work_done: bool) -> None:
     g = gateway(second_copies=True)
     send, timer = sent(g)
     assert g.handle(START + 50, ResponseStarted(1, 0, send.backend, 50, work_done)) == []
@@ -30,33 +30,35 @@
     assert not g.calls
 
 
-def test_work_that_is_done_is_no_load_while_its_answer_is_on_its_way() -> None:
+def test_finished_work_is_no_load_while_its_response_is_transferred() -> None:
     g = gateway(second_copies=True)
     send, _ = sent(g)
     backend = g.backends[send.backend]
     assert backend.load > 0
     g.handle(START + 50, ResponseStarted(1, 0, send.backend, 50))
-    assert backend.load > 0  # a handler that writes its answer while it works
+    assert backend.load > 0  # the handler may still be working while it writes
     g.handle(START + 50, ResponseStarted(1, 0, send.backend, 50, True))
     assert backend.load == 0 and not backend.out
     g.handle(START + 5000, ended(1, send.backend, Outcome.OK, took=5000))
-    assert backend.load == 0 and backend.slowness[0].now(START + 5000) < 2  # five seconds were no work
+    assert (
+        backend.load == 0 and backend.slowness[0].now(START + 5000) < 2
+    )  # five seconds of transfer are no work
 
 
-def test_what_it_took_is_learnt_less_the_way_of_the_request() -> None:
+def test_transfer_time_is_subtracted_from_the_sample() -> None:
     slow, prompt, untold = [gateway(seed=3) for _ in range(3)]
     for g, lag in ((slow, 0.0), (prompt, 900.0), (untold, inf)):
         send, _ = sent(g) if g.settings.second_copies else (g.handle(START, request(1))[0], None)
         g.handle(START + 1000, ResponseStarted(1, 0, send.backend, 1000, True, lag))
     assert slow.pools[0].slowness.now(START + 1000) > prompt.pools[0].slowness.now(START + 1000)
-    # where that part can't be told its time is no sign, good or bad, but the backend has been heard of
+    # if that part is unknown, the time is no sample, but the backend has answered
     assert untold.pools[0].slowness.at == -inf and {b.heard_at for b in untold.backends.values()} == {
         -inf,
         START + 1000,
     }
 
 
-def test_an_answer_that_breaks_off_after_it_began_is_not_tried_again() -> None:
+def test_a_response_that_breaks_off_after_its_start_is_not_retried() -> None:
     async def test() -> None:
         async def breaks(peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n" + b"x" * 300_000)
@@ -76,8 +78,8 @@
     run(test())
 
 
-def test_the_way_of_long_messages_is_not_taken_for_their_backends_work() -> None:
-    """A backend that answers at once and writes slowly stays in favour."""
+def test_transfer_of_long_messages_does_not_count_as_work() -> None:
+    """A backend that answers at once and writes slowly does not count as slow."""
 
     async def test() -> None:
         async def slowly(peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
@@ -97,7 +99,7 @@
     run(test())
 
 
-def test_a_small_answer_in_pieces_counts_to_its_first_bytes() -> None:
+def test_a_small_response_in_pieces_is_timed_to_its_first_bytes() -> None:
     async def test() -> None:
         async def in_pieces(peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
             writer.write(b"HTTP/1.1 200 OK\r\n")
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""What must hold at every size: many gateways together, many backends, rare evidence."""
+"""Invariants at every size: many gateways together, many backends, rare samples."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from troutdock.admission.gateway import Gateway
 from troutdock.admission.interface import ListKind, Outcome, Plan, Send
 
-WORK_MS = 150.0  # what the requests here are first believed to take
+WORK_MS = 150.0  # initial estimate of the requests' duration
 
 
 def sends(g: Gateway, now: float, number: int, cls: int = 0, left: float = 4000.0) -> list[Send]:
@@ -18,7 +18,7 @@
 def cold_work(
     gateways: int, warm: int, cold: int, seconds: int, kind: type[Gateway] = Gateway
 ) -> list[list[float]]:
-    """When each cold backend got work, all starting at once under a flood of tries through every gateway."""
+    """Returns when each cold backend got work, all starting at once under heavy load through every gateway."""
     got: list[list[float]] = [[] for _ in range(cold)]
     for index in range(gateways):
         base = gateway(
@@ -43,30 +43,28 @@
 def test_all_gateways_together_keep_within_a_cold_backends_budget(
     gateways: int, warm: int, cold: int
 ) -> None:
-    """A part of a 300th of a request is rounded by chance: not everybody sends, and not nobody."""
+    """Shares as small as a 300th of a request are rounded at random: neither all gateways send, nor none."""
     got = cold_work(gateways, warm, cold, 9)
-    limit = (
-        2 * 0.2 * 3000 * 3
-    )  # fall multiple x capacity x window, on three cores as the bench's servers have
+    limit = 2 * 0.2 * 3000 * 3  # fall multiple x capacity x window, on three cores
     for when in got:
         for begin in when:
             assert sum(begin <= t < begin + 3000 for t in when) * WORK_MS < limit
     assert sum(map(len, got)) > 0
 
 
-class Reckless(Gateway):
-    """A gateway that knows no cold backends, to show that the count above can fail."""
+class IgnoresCold(Gateway):
+    """A gateway that ignores cold backends, to show that the check above can fail."""
 
     def has_cold_budget(self, now, backend, work) -> bool:
         return True
 
 
-def test_the_count_of_cold_work_sees_a_reckless_fleet() -> None:
-    got = cold_work(60, 20, 10, 9, Reckless)
+def test_the_cold_work_check_detects_gateways_that_ignore_cold_backends() -> None:
+    got = cold_work(60, 20, 10, 9, IgnoresCold)
     assert any(sum(t < START + 3000 for t in when) * WORK_MS > 3600 for when in got)
 
 
-def test_each_backend_is_kept_to_by_as_many_gateways() -> None:
+def test_each_backend_is_in_the_subsets_of_as_many_gateways() -> None:
     met = dict.fromkeys(range(1, 71), 0)
     for index in range(300):
         g = gateway(*met, gateways=300, index=index)
@@ -80,8 +78,8 @@
 @pytest.mark.parametrize(
     ("gateways", "backends", "least"), [(40, 60, 24), (40, 40, 16), (100, 60, 16), (8, 20, 18)]
 )
-def test_gateways_in_a_row_keep_to_different_backends(gateways: int, backends: int, least: int) -> None:
-    """A customer comes through some gateways in a row; with parts in the same row four of forty met 13 of 60."""
+def test_consecutive_gateways_have_different_subsets(gateways: int, backends: int, least: int) -> None:
+    """A customer uses consecutive gateways; with consecutive subsets, four of forty reached only 13 of 60."""
     all_of_them = [
         gateway(*range(1, backends + 1), gateways=gateways, index=index) for index in range(gateways)
     ]
@@ -93,7 +91,7 @@
 
 
 def test_the_work_of_an_event_does_not_grow_with_the_fleet() -> None:
-    """Counted in backends looked at, not in seconds."""
+    """Counted in forecasts per request, not in seconds."""
     looked = {}
     for backends in (10, 1000):
 
@@ -115,7 +113,7 @@
 
 
 def test_a_backend_that_fails_one_class_loses_that_class_only() -> None:
-    """Found on hobart-tariffs-later: good answers of one class covered for the failures of another."""
+    """Good answers of one class concealed the failures of another."""
     g = gateway(*range(1, 6), classes=(SAFE, UNSAFE), plans=(Plan(0, 0),))
     got = {0: 0, 1: 0}
     for n in range(1200):
@@ -130,7 +128,7 @@
     assert got[0] > 60
 
 
-def test_backends_that_left_are_forgotten() -> None:
+def test_removed_backends_are_dropped() -> None:
     g = gateway(1)
     for n in range(2, 500):
         g.handle(START, fleet(n, kind=ListKind.FULL))
@@ -145,4 +143,4 @@
     again = [
         a for a in g.handle(START + 50, ended(1, send.backend, Outcome.RESET, took=50)) if isinstance(a, Send)
     ]
-    assert again and again[0].backend % 2 == send.backend % 2  # its cell
+    assert again and again[0].backend % 2 == send.backend % 2  # same cell
--- a/tests/test_hold.py
+++ b/tests/test_hold.py
@@ -1,4 +1,4 @@
-"""What has to hold in service: bad clients, spoilt answers, new configurations, memory."""
+"""Robustness in service: bad clients, malformed responses, new configurations, bounded memory."""
 
 from __future__ import annotations
 
@@ -56,8 +56,8 @@
         "Transfer-Encoding: chunked;q=1",
     ],
 )
-def test_a_request_whose_end_cannot_be_told_hides_none(head: str) -> None:
-    """Guards against a second request in the body of the first: 400, and nothing behind it is read."""
+def test_a_request_with_ambiguous_length_hides_no_second_one(head: str) -> None:
+    """Request smuggling, a second request in the body of the first: 400, and nothing after it is read."""
 
     async def test() -> None:
         async with world(answer()) as w:
@@ -77,20 +77,20 @@
 
 
 @pytest.mark.parametrize(("length", "status"), [(budget_for(64) + 1, 413), (60_000_000, 413), (10**30, 400)])
-def test_a_body_that_is_too_long_is_refused_at_its_head(length: int, status: int) -> None:
+def test_a_body_that_is_too_long_is_refused_by_its_header(length: int, status: int) -> None:
     async def test() -> None:
         async with world(answer()) as w:
             client = await w.client()
             assert (await client.ask(request(body="", Content_Length=str(length))))[
                 0
-            ] == status  # no byte of it has come
+            ] == status  # no byte of it was received
             assert await client.reader.read() == b""
 
     run(test())
 
 
-def test_an_error_arrives_though_the_client_sends_on() -> None:
-    """What is only drained is not read as a request, and no reset takes the error away."""
+def test_an_error_response_arrives_while_the_client_keeps_sending() -> None:
+    """Drained bytes are not parsed as a request, and no reset discards the error response."""
 
     async def test() -> None:
         async with world(answer()) as w:
@@ -106,10 +106,10 @@
 
 
 @pytest.mark.parametrize("begin", [b"", b"\r\n", b"POST /vat-fi", request()[:-3]])
-def test_a_message_has_its_time_from_the_connections_start(
+def test_the_first_messages_time_limit_starts_with_the_connection(
     begin: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Drip-fed bytes win no time: the client gets an error or a close."""
+    """Bytes sent one by one don't extend the limit: the client gets an error or a close."""
     for limit in ("HEAD_S", "SILENT_S", "GRACE_S"):
         monkeypatch.setattr(body_limits, limit, 0.2)
     monkeypatch.setattr("troutdock.daemon.SWEEP_S", 0.05)
@@ -133,7 +133,7 @@
     run(test())
 
 
-def test_a_message_on_a_used_connection_has_its_time_from_its_first_byte(
+def test_a_later_messages_time_limit_starts_with_its_first_byte(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     for limit in ("HEAD_S", "SILENT_S", "GRACE_S"):
@@ -144,7 +144,7 @@
         async with world(answer()) as w:
             client = await w.client()
             assert (await client.ask(request()))[0] == 200
-            await asyncio.sleep(0.4)  # between requests there is no such limit
+            await asyncio.sleep(0.4)  # no limit between requests
             assert (await client.ask(request(number=2)))[0] == 200
             client.writer.write(request(number=3)[:-1])
             assert (await client.answer())[0] == 408
@@ -153,8 +153,8 @@
     run(test())
 
 
-def test_silent_and_half_sent_connections_do_not_keep_others_out() -> None:
-    """64 descriptors leave eight for clients; none of the forty has sent a whole request."""
+def test_silent_and_incomplete_connections_do_not_block_others() -> None:
+    """64 descriptors leave eight for clients; none of the forty clients has sent a complete request."""
 
     async def test() -> None:
         async with world(answer(), sockets=64) as w:
@@ -165,15 +165,15 @@
                 if number % 2:
                     client.writer.write(request()[:30])
             assert (await asyncio.wait_for(w.ask(request(number=2)), 1.0))[0] == 200
-            assert (await used.ask(request(number=3)))[0] == 200  # they went before it
+            assert (await used.ask(request(number=3)))[0] == 200  # the others were closed first
 
     run(test())
 
 
-def test_connections_between_requests_take_only_a_part_of_the_places() -> None:
-    """Found in incident r1a30be: clients that ask once and stay had filled what they may hold, and asked no more.
+def test_idle_connections_take_only_a_part_of_the_places() -> None:
+    """Clients that send one request and stay connected must not occupy all places (incident r1a30be).
 
-    80 descriptors leave 16 places for clients. The one that asks again and again is never the longest idle.
+    80 descriptors leave 16 places for clients. A client that sends requests regularly is never the longest idle.
     """
 
     async def test() -> None:
@@ -185,7 +185,7 @@
                 once.append(await w.client())
                 assert (await once[-1].ask(request(number=number + 1)))[0] == 200
             for client in once[:6]:
-                assert await client.reader.read() == b""  # closed in good order, with room for all of them
+                assert await client.reader.read() == b""  # closed in order, to make room for all of them
             await until(lambda: len(server.idle) == len(server._clients) == 4)
             assert (await once[-1].ask(request(number=50)))[0] == 200
             assert (await used.ask(request(number=51)))[0] == 200
@@ -193,7 +193,7 @@
     run(test())
 
 
-def test_an_id_of_an_open_request_is_refused_and_never_sent_on() -> None:
+def test_a_duplicate_id_of_an_open_request_is_refused_and_never_forwarded() -> None:
     async def test() -> None:
         async with world(silence) as w:
             first = await w.client()
@@ -204,7 +204,7 @@
             w.backends[0].writers[0].write(OK)
             assert (await first.answer())[0] == 200
             w.backends[0].script = answer()
-            assert (await w.ask(request()))[0] == 200  # it is open no more
+            assert (await w.ask(request()))[0] == 200  # the request is no longer open
             assert len(w.backends[0].requests) == 2
 
     run(test())
@@ -219,7 +219,7 @@
         "units=2,spread=2,first=7",
     ],
 )
-def test_a_figure_that_no_request_has_moves_nothing(quota: str) -> None:
+def test_implausible_quota_values_change_nothing(quota: str) -> None:
     async def test() -> None:
         async with world(
             answer(),
@@ -244,14 +244,14 @@
     run(test())
 
 
-# ---- answers of backends
+# ---- responses of backends
 
 
 @pytest.mark.parametrize(
     "behind", [OK, b"noise", b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong", b"\x00\xff"]
 )
 @pytest.mark.parametrize("together", [True, False])
-def test_what_stands_behind_a_good_answer_is_nobodys_answer(behind: bytes, together: bool) -> None:
+def test_bytes_after_a_complete_response_are_never_used_as_one(behind: bytes, together: bool) -> None:
     async def test() -> None:
         async def script(peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
             writer.write(OK + behind if together else OK)
@@ -264,7 +264,7 @@
             for number in range(3):
                 status, _, body = await client.ask(request(number=number))
                 assert (status, body) == (200, b"done")
-            assert w.backends[0].connections == 3  # each was closed after its answer
+            assert w.backends[0].connections == 3  # each was closed after its response
 
     run(test())
 
@@ -284,8 +284,8 @@
         b"HTTP/1.1 100 Continue\r\n\r\n" * 700,
     ],
 )
-def test_a_spoilt_answer_is_a_reset_at_once_though_the_connection_stays_open(spoilt: bytes) -> None:
-    """An unsafe request fails early, not when its time is up; its connection is used no more."""
+def test_a_malformed_response_counts_as_a_reset_at_once(spoilt: bytes) -> None:
+    """An unsafe request fails at once, not at its deadline; its connection is not reused."""
 
     async def test() -> None:
         async with world(sends(spoilt, close=False)) as w:
@@ -314,7 +314,7 @@
         ("", 2.0),
     ],
 )
-def test_billed_units_beyond_what_a_request_has_are_not_believed(billed: str, believed: float) -> None:
+def test_implausible_billed_units_are_not_charged(billed: str, believed: float) -> None:
     async def test() -> None:
         async with world(answer(head=f"Billed-Units: {billed}\r\n".encode())) as w:
             assert (await w.ask(request()))[0] == 200
@@ -324,8 +324,8 @@
     run(test())
 
 
-def test_an_attempt_given_up_after_its_backend_moved_is_never_written() -> None:
-    """Found by reading: it waited on in the pool that had been replaced, and was sent after its end."""
+def test_an_attempt_given_up_after_its_backend_moved_is_never_sent() -> None:
+    """The attempt stayed in the queue of a replaced connection pool and was sent after it had ended."""
 
     async def test() -> None:
         from outcomes import Outcomes
@@ -348,7 +348,7 @@
     run(test())
 
 
-def test_a_backend_that_has_started_anew_gets_new_connections() -> None:
+def test_a_restarted_backend_gets_new_connections() -> None:
     async def test() -> None:
         from outcomes import Outcomes
 
@@ -382,7 +382,9 @@
 
             async def tell(peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
                 if b"from=" not in data:
-                    writer.write(one_line(new_backend, "s-new", 2))  # of a lower version than the old agent's
+                    writer.write(
+                        one_line(new_backend, "s-new", 2)
+                    )  # with a lower version than the old agent's
 
             agent = Peer(tell)
             await agent.start()
@@ -397,7 +399,7 @@
             await until(lambda: len(agent.requests) == 2 and counter.connections == 1)
             assert b"from=" not in agent.requests[0] and b"from=2&" in agent.requests[1]
             await until(lambda: w.discovery.closed == 1)
-            w.counter.writers[0].write(b"$1\r\n4\r\n")  # the call on the old connection has its answer
+            w.counter.writers[0].write(b"$1\r\n4\r\n")  # the call on the old connection gets its reply
             await until(lambda: len(told) == 1)
             assert told[0].outcome is Outcome.OK and told[0].total == 4
             await until(lambda: w.counter.closed == 1)
@@ -452,7 +454,7 @@
     run(test())
 
 
-def test_sighup_before_the_service_is_there_is_kept_for_it(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_sighup_before_the_service_has_started_is_deferred(monkeypatch: pytest.MonkeyPatch) -> None:
     from troutdock.__main__ import Reloads
 
     before = signal.getsignal(signal.SIGHUP)
@@ -518,7 +520,7 @@
         b"$2\r\n5\r\n",
     ],
 )
-def test_after_a_spoilt_reply_the_amount_may_be_there_and_a_new_connection_comes_at_once(
+def test_after_a_malformed_reply_the_amount_may_be_added_and_a_new_connection_opens_at_once(
     spoilt: bytes,
 ) -> None:
     async def test() -> None:
@@ -539,7 +541,7 @@
     run(test())
 
 
-def test_answers_for_one_name_come_in_the_order_of_its_calls_over_two_connections() -> None:
+def test_replies_for_one_name_keep_the_order_of_calls_over_two_connections() -> None:
     async def test() -> None:
         old, new = Peer(silence, read_call), Peer(sends(b"$1\r\n2\r\n", close=False), read_call)
         await old.start()
@@ -562,7 +564,7 @@
         c.counter.call(7, 1.0, 1000.0)
         c.counter.call(8, 1.0, 1000.0)
         await until(lambda: len(c.answers) == 1)
-        assert c.answers[0].name == 8  # that of 7 waits for the first of its name
+        assert c.answers[0].name == 8  # the reply for 7 waits for the first call with its name
         old.writers[0].write(b"$1\r\n1\r\n")
         await until(lambda: len(c.answers) == 3)
         assert [(a.name, a.total) for a in c.answers[1:]] == [(7, 1.0), (7, 2.0)]
@@ -581,7 +583,7 @@
     assert max(waits) <= 10_000 and len(customer.appointments or ()) <= 20
 
 
-def test_customers_that_came_once_are_soon_forgotten_and_rings_of_empty_groups_go() -> None:
+def test_idle_customers_and_rings_of_empty_groups_are_dropped() -> None:
     g = Gateway(settings(plans=(Plan(rate=2, burst=8),)), 1)
     for n in range(1, 100):
         g.handle(START, fleet(n))
@@ -591,19 +593,19 @@
     assert len(g.customers) <= 210
 
 
-def test_a_ceiling_of_a_new_customer_is_as_full_as_the_gateway_has_been_up() -> None:
+def test_a_new_customers_ceiling_has_refilled_since_the_gateways_start() -> None:
     plan = Plan(rate=10, burst=20, ceiling_rate=20, ceiling_burst=40, ceiling_slack=4)
     g = Gateway(settings(plans=(plan,)), 1)
     g.handle(START, fleet(1, 2, 3))
     (just,) = g.handle(START, arrival(1, customer=1, units=2.0))
-    assert isinstance(just, Refuse)  # before its start it may have sent on anything
+    assert isinstance(just, Refuse)  # its usage before the start is unknown
     later = g.handle(START + 10_000, arrival(2, customer=2, units=2.0))
     assert any(isinstance(action, Send) for action in later)
-    assert g.customers[2].cap_tokens == 20 - 2  # its even part of the ceiling
+    assert g.customers[2].cap_tokens == 20 - 2  # its even share of the ceiling
 
 
-def test_one_reset_does_not_empty_a_backend() -> None:
-    """Spoilt answers come from all backends alike: blame for each class would leave the choice to chance."""
+def test_one_reset_does_not_exclude_a_backend() -> None:
+    """Malformed responses affect all backends alike: penalties for every class would make selection random."""
     g = Gateway(settings(plans=(Plan(rate=0, burst=0),)), 1)
     g.handle(START, fleet(1, 2))
     (send,) = (a for a in g.handle(START + 1, arrival(1, cls=0)) if isinstance(a, Send))
@@ -616,8 +618,8 @@
     "framed",
     [b"Content-Length: 400000\r\n\r\n%b", b"Transfer-Encoding: chunked\r\n\r\n61a80\r\n%b\r\n0\r\n\r\n"],
 )
-def test_an_answer_larger_than_a_requests_body_may_be_is_served_whole(framed: bytes) -> None:
-    """Found in logs: thousands of good answers of 128 to 400 KB were taken for spoilt ones."""
+def test_a_response_above_the_request_body_limit_is_served_completely(framed: bytes) -> None:
+    """Thousands of valid responses of 128 to 400 KB were treated as malformed."""
     body = bytes(range(250)) * 1600
 
     async def test() -> None:
@@ -627,7 +629,7 @@
     run(test())
 
 
-def test_the_bound_on_an_answer_follows_the_memory() -> None:
+def test_the_response_size_limit_follows_the_memory() -> None:
     config = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": SETTINGS}
     small, large = (
         read_config(json.dumps(config | {"limits": {"memory_mb": mb}})).max_answer for mb in (32, 128)
@@ -635,8 +637,8 @@
     assert small > 600_000 and 4 * small == pytest.approx(large, abs=4) and large < 3_000_000
 
 
-def test_an_unsafe_request_is_not_risked_on_a_connection_of_an_age_that_was_reset() -> None:
-    """Found by a trace: of those idle for over 0.1 s a third were reset at the next request, of new ones none for that."""
+def test_an_unsafe_request_avoids_connections_idle_as_long_as_one_that_was_reset() -> None:
+    """In a trace, a third of the connections idle for over 0.1 s were reset at the next request, of new ones none."""
 
     async def test() -> None:
         used: set[asyncio.StreamWriter] = set()
@@ -658,8 +660,8 @@
     run(test())
 
 
-def test_one_stuck_attempt_does_not_press_the_fleet() -> None:
-    """Found on the incident re163d6: a rare time-out of 25 times the usual had a gateway refuse all for seconds."""
+def test_one_stuck_attempt_does_not_make_the_fleet_count_as_overloaded() -> None:
+    """One time-out of 25 times the usual duration made a gateway refuse everything for seconds (re163d6)."""
     g = Gateway(settings(plans=(Plan(rate=0, burst=0),)), 1)
     g.handle(START, fleet(1, 2, 3, 4))
     (send,) = (a for a in g.handle(START, arrival(1)) if isinstance(a, Send))
@@ -667,8 +669,8 @@
     assert g.pools[0].slowness.now(START + 4000) < 2
 
 
-def test_a_pressed_fleet_is_asked_for_news() -> None:
-    """With all refused no answer would tell that the jam is over."""
+def test_an_overloaded_fleet_is_probed_by_requests() -> None:
+    """If all requests were refused, the end of the overload would go unnoticed."""
     g = Gateway(settings(plans=(Plan(rate=0, burst=0),)), 1)
     g.handle(START, fleet(1, 2, 3, 4))
     g.pools[0].slowness.observe(START, 50.0, 1.0)
@@ -678,8 +680,8 @@
     assert sent[:2] == [False, False] and sent[2]
 
 
-def test_a_watch_whose_connection_fell_silent_is_begun_anew_within_two_seconds() -> None:
-    """Found on the incident re163d6: the list stood still for 11 s while every backend was replaced."""
+def test_a_silent_watch_is_reconnected_within_two_seconds() -> None:
+    """The list was stale for 11 s while every backend was replaced (incident re163d6)."""
 
     async def test() -> None:
         async with world(answer()) as w:  # the agent never answers
@@ -691,7 +693,7 @@
     run(test())
 
 
-def test_a_counter_that_fell_silent_is_left_without_a_further_call() -> None:
+def test_a_silent_counter_is_disconnected_without_a_further_call() -> None:
     async def test() -> None:
         peer = Peer(silence, read_call)
         await peer.start()
--- a/tests/test_ordinary_path.py
+++ b/tests/test_ordinary_path.py
@@ -1,4 +1,4 @@
-"""The design's ordinary path, with figures worked out by hand."""
+"""The request path through quotas, with values calculated by hand."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 def bucket(tokens: float, **changes):
-    """A gateway that has one customer with so much in its bucket, of 4 units at most; no counter."""
+    """Returns a gateway with one customer whose bucket has the given tokens, of 4 at most; no counter."""
     g = gateway(*range(1, 30), plans=(PLAN,), gateways=4, **changes)
     g.customers[9] = c = Customer(PLAN, 4, START, 9)
     c.tokens = tokens
@@ -47,38 +47,42 @@
     ("tokens", "retry", "age_ms", "kind"),
     [
         (1.05, False, 0, Refuse),
-        (1.1, False, 0, Send),  # new ones leave a little to retries that can be in time
+        (1.1, False, 0, Send),  # first attempts leave a reserve to retries that can meet their target
         (1.05, True, 1000, Send),
-        (0.95, True, 1000, Refuse),  # which may empty the bucket
+        (0.95, True, 1000, Refuse),  # such retries may empty the bucket
         (1.1, True, 2000, Refuse),
         (3.3, True, 2000, Refuse),
         (3.5, True, 2000, Send),
     ],
-)  # the late take what is spare
-def test_who_may_take_the_last_of_a_bucket(tokens: float, retry: bool, age_ms: float, kind: type) -> None:
-    """Of 4 units: a class with an aim of 1.5 s and a deadline of 6 s."""
+)  # late retries only get what is left over
+def test_first_attempts_and_late_retries_leave_a_reserve_in_the_bucket(
+    tokens: float, retry: bool, age_ms: float, kind: type
+) -> None:
+    """A bucket of 4 units; a class with a latency target of 1.5 s and a deadline of 6 s."""
     g, _ = bucket(tokens, marks_retry=True)
     assert only(g.handle(START, request(1, width=4, retry=retry, left=6000.0 - age_ms)), kind)
 
 
 @pytest.mark.parametrize(("left", "kind"), [(4000.0, Send), (3990.0, Send), (3500.0, Refuse)])
-def test_a_retry_with_the_time_out_of_a_first_try_is_not_taken_for_late(left: float, kind: type) -> None:
-    """Clients that give each try two thirds of the deadline: the time-out tells an age only once it is cut short."""
+def test_a_retry_with_the_time_out_of_a_first_attempt_does_not_count_as_late(left: float, kind: type) -> None:
+    """Clients may give each attempt two thirds of the deadline; only a shorter time-out reveals a retry's age."""
     g, c = bucket(4.0, marks_retry=True)
     g.handle(START, request(1, customer=8, width=4, left=4000.0))
     c.tokens = 1.1
     assert only(g.handle(START, request(2, width=4, retry=True, left=left)), kind)
 
 
-def test_a_customer_beyond_its_quota_is_served_in_time_though_all_that_are_refused_return() -> None:
-    """Three times what the quota gives, and every refused try comes back once, after its aim.
+def test_a_customer_over_quota_is_served_in_time_while_all_refused_clients_return() -> None:
+    """Three times the quota's rate, and each refused request returns once, after its latency target.
 
     What is served in time is near to what the quota gives; with the late ones first it was next to nothing.
     """
     g, _ = bucket(4.0, marks_retry=True)
     due: list[tuple[float, int]] = []
     in_time = late = number = 0
-    for step in range(1, 1201):  # a minute: a new try each 50 ms, where the slice gives one each 500 ms
+    for step in range(
+        1, 1201
+    ):  # one minute: a new request every 50 ms, while the slice admits one every 500 ms
         now = START + 50.0 * step
         tries = [(False, 0.0)]
         while due and due[0][0] <= now:
@@ -94,20 +98,20 @@
     assert in_time >= 110 and late <= 12
 
 
-def test_a_full_bucket_lets_a_larger_request_pass_where_nothing_can_be_asked() -> None:
+def test_a_full_bucket_admits_a_larger_request_without_counter_or_peers() -> None:
     for tokens, kind in ((4.0, Send), (3.9, Refuse)):
         g, _ = bucket(tokens)
         assert only(g.handle(START, request(1, width=4, units=6.0)), kind)
 
 
-def test_a_dry_slice_grows_by_half_each_second_up_to_the_whole_quota() -> None:
+def test_an_exhausted_slice_grows_by_half_each_second_up_to_the_full_quota() -> None:
     c = Customer(PLAN, 4, START)
     shares = []
     for n in range(1, 6):
         c.dry = True
         c.adjust_share(START + n * 1000, False)
         c.dry = True
-        c.adjust_share(START + n * 1000 + 500, False)  # within the second: held
+        c.adjust_share(START + n * 1000 + 500, False)  # within the same second: unchanged
         shares.append(c.share)
     assert shares == [0.375, 0.5625, 0.84375, 1.0, 1.0]
     c.dry = False
@@ -115,7 +119,7 @@
     assert c.share == 1.0
 
 
-def test_an_over_used_slice_falls_back_toward_the_even_split_and_no_further() -> None:
+def test_an_overused_slice_shrinks_to_the_even_split_and_no_further() -> None:
     c = Customer(PLAN, 4, START)
     c.share = 1.0
     c.adjust_share(START + 1000, True)
@@ -126,21 +130,21 @@
     assert c.share == pytest.approx(0.25)
 
 
-def test_no_growth_while_the_shared_store_has_no_room() -> None:
+def test_no_growth_while_the_shared_bucket_has_no_room() -> None:
     c = Customer(PLAN, 4, START)
     c.dry, c.store = True, 7.0  # of 16
     c.adjust_share(START + 1000, False)
     assert c.share == 0.25
 
 
-def test_one_answer_tells_the_shared_store_by_itself() -> None:
-    """Two readings a minute apart, or a restarted gateway, could not be compared."""
+def test_one_counter_total_determines_the_shared_bucket() -> None:
+    """Differences of two readings would fail over a minute's end or a restart of the gateway."""
     c = Customer(PLAN, 4, START)
     assert c.apply_counter_total(START, 100.0, 2.0, 12_000.0) == 0.0  # 16 - 100 + 8 x 12 = 12, less 2
     assert c.store == pytest.approx(10.0)
 
 
-def test_the_bucket_holds_no_more_than_the_shared_store_and_is_lifted_to_its_slice_of_it() -> None:
+def test_the_bucket_is_limited_to_the_shared_bucket_and_raised_to_its_share() -> None:
     c = Customer(PLAN, 2, START)
     c.apply_counter_total(START, 14.0, 0.0, 0.0)
     assert c.tokens == pytest.approx(2.0)
@@ -148,7 +152,7 @@
     assert c.tokens == pytest.approx(7.5)
 
 
-def test_a_store_that_ran_over_is_told_to_the_name() -> None:
+def test_an_overflow_of_the_shared_bucket_is_returned_for_correction() -> None:
     c = Customer(PLAN, 4, START)
     assert c.apply_counter_total(START, 4.0, 1.0, 2000.0) == pytest.approx(
         12.0
@@ -156,8 +160,8 @@
     assert c.store == pytest.approx(15.0)
 
 
-def test_a_fresh_name_takes_over_what_was_missing() -> None:
-    """Each minute's new name, or a lost counter, would else give every heavy customer a new burst."""
+def test_a_new_counter_name_takes_over_earlier_usage() -> None:
+    """Else each minute's new counter name, or a lost counter, would give every heavy customer a new burst."""
     c = Customer(PLAN, 4, START)
     c.store, c.told_at = 0.0, START
     assert c.apply_counter_total(START + 500, 0.0, 0.0, 100.0) == pytest.approx(16 + 0.8 - 4)
@@ -192,23 +196,23 @@
     assert c.end_of_queue_time == pytest.approx(START + 6000)
 
 
-def test_the_spread_of_units_quickens_the_returns() -> None:
+def test_variation_of_units_shortens_return_times() -> None:
     c = Customer(PLAN, 4, START)
     c.answers, c.unit_sum, c.unit_squares = 1, 1.0, 1.0
-    # One answer: sigma counts as nothing; 2 units a second / 1 unit.
+    # One answer: sigma is 0; 2 units a second / 1 unit.
     assert c.return_time(START, 5.0, 0.0) == pytest.approx(500)
     c.answers, c.unit_sum, c.unit_squares = 2, 4.0, 10.0
-    # mu 2, sigma 1: 2 / 2 x 1.5 a second; two in line: append one interval after the end at 500.
+    # mu 2, sigma 1: 2 / 2 x 1.5 a second; two queued: append one interval after the end at 500.
     assert c.return_time(START, 5.0, 0.0) == pytest.approx(500 + 2000 / 3)
 
 
-def test_the_queue_is_never_below_nought() -> None:
+def test_the_queue_length_is_never_negative() -> None:
     g, c = bucket(4.0, marks_retry=True)
     g.handle(START, request(1, width=4, retry=True))
     assert not c.appointments
 
 
-def test_due_appointments_leave_the_queue() -> None:
+def test_expired_appointments_leave_the_queue() -> None:
     c = Customer(PLAN, 4, START)
     for _ in range(3):
         c.return_time(START, 2.0, 0.0)
@@ -228,8 +232,8 @@
         assert len(c.appointments) == left
 
 
-def test_an_unkept_appointment_lapses_at_last() -> None:
-    """Clients that never come back would otherwise hold their places for ever."""
+def test_a_missed_appointment_expires() -> None:
+    """Else clients that never return would stay in the virtual queue for ever."""
     c = Customer(PLAN, 4, START)
     c.return_time(START, 2.0, 2000.0)
     c.return_time(START + 2999, 2.0, 2000.0)
@@ -238,7 +242,7 @@
     assert len(c.appointments) == 1
 
 
-def test_beyond_the_bucket_a_try_is_refused_at_once_with_a_return_time() -> None:
+def test_a_request_beyond_the_bucket_is_refused_at_once_with_a_return_time() -> None:
     g = gateway(*range(1, 30), plans=(PLAN,))
     sent = refused = 0
     for n in range(20):
@@ -249,7 +253,7 @@
     assert (sent, refused) == (8, 12)
 
 
-def test_true_units_are_settled_on_the_bucket() -> None:
+def test_true_units_are_charged_to_the_bucket() -> None:
     g = gateway(plans=(PLAN,), settled_after=True)
     (send,) = only(g.handle(START, request(1, units=2.0)), Send)
     assert g.customers[9].tokens == pytest.approx(6.0)
@@ -263,7 +267,7 @@
 
 
 def ask(g, number: int, now: float = START, **what) -> CounterAdd:
-    """A try that the thin slice cannot tell is held, and its units asked for."""
+    """Sends a request that is too large for the slice: it is held while its units are requested."""
     (count,) = g.handle(now, request(number, width=200, **what))
     assert isinstance(count, CounterAdd)
     return count
@@ -279,17 +283,17 @@
 
 
 def level_zero(g, count: CounterAdd, now: float = START + 3) -> float:
-    """The total at which the store is empty."""
+    """Returns the total at which the shared bucket is empty."""
     return PLAN.burst + counter_name(now, count.name & (2**33 - 1), PLAN.name)[1] / 1000 * PLAN.rate
 
 
-def test_a_slice_too_thin_for_one_request_asks_and_lets_in_what_the_store_holds() -> None:
+def test_a_slice_smaller_than_a_request_admits_what_the_shared_bucket_has() -> None:
     g, count = held()
     before = level_zero(g, count) - 6.0
     assert only(answer(g, count, before + count.amount), Send)
 
 
-def test_what_the_store_does_not_hold_is_refused_with_a_return_time_and_given_back() -> None:
+def test_a_request_beyond_the_shared_bucket_is_refused_and_its_units_given_back() -> None:
     g, count = held()
     actions = answer(g, count, level_zero(g, count) - 1.0 + count.amount)
     (refused,) = only(actions, Refuse)
@@ -299,24 +303,24 @@
     )
 
 
-def test_what_was_just_told_empty_is_refused_at_once() -> None:
+def test_a_bucket_just_reported_empty_refuses_at_once() -> None:
     g, count = held()
     answer(g, count, level_zero(g, count) + count.amount)
     refused = sum(isinstance(g.handle(START + 4, request(n, width=200))[0], Refuse) for n in range(2, 22))
     assert refused == 20
 
 
-def test_a_silent_counter_lets_the_last_told_store_decide_and_is_never_told_twice() -> None:
+def test_with_a_silent_counter_the_last_total_decides_and_nothing_is_added_twice() -> None:
     for outcome in (Outcome.TIMEOUT, Outcome.FULL):
         g, count = held()
-        g.asking = 0.0  # no further calls: what is owed stays to be seen
+        g.asking = 0.0  # no further calls, so that the debt stays visible
         owed = g.customers[9].debt
         assert only(answer(g, count, 0.0, outcome), Send)
         added = 0.0 if outcome is Outcome.TIMEOUT else count.amount
         assert g.customers[9].debt == pytest.approx(owed + added)
 
 
-def test_a_held_try_whose_client_left_takes_nothing() -> None:
+def test_a_held_request_whose_client_left_is_not_charged() -> None:
     g, count = held()
     g.handle(START + 1, RequestWithdrawn(1))
     actions = answer(g, count, level_zero(g, count) - 10.0 + count.amount)
@@ -326,24 +330,24 @@
     )
 
 
-def test_no_try_is_held_beyond_its_time() -> None:
-    """Found on kolkata-fleet-later big-1: a client with 20 ms left was held for an answer that came too late."""
+def test_no_request_is_held_beyond_its_deadline() -> None:
+    """A client with 20 ms left was held for a counter reply that came too late."""
     g = gateway(**THIN)
     (final,) = g.handle(START, request(1, width=200, units=4.0, left=20.0))
     assert isinstance(final, Send | Refuse)
 
 
-def test_an_answer_of_the_last_name_and_one_to_no_question_do_no_harm() -> None:
+def test_replies_for_the_previous_name_or_without_a_call_are_harmless() -> None:
     g = gateway(*range(1, 30), **THIN)
     turn = START + 60_000 - counter_name(START, 9, PLAN.name)[1]
     count = ask(g, 2, turn - 1, units=4.0)
     assert answer(g, CounterAdd(77, 0.0, 0.0), 5.0) == []
-    assert only(answer(g, count, 1e6, now=turn + 2), Send)  # it tells nothing of the name of now
+    assert only(answer(g, count, 1e6, now=turn + 2), Send)  # it does not apply to the current name
     assert answer(g, count, 5.0) == []
 
 
-def test_two_gateways_that_put_a_name_right_at_once_leave_it_right() -> None:
-    """The later of two corrections is taken back, and that is not corrected again (rough-2: 16,484 such calls)."""
+def test_two_gateways_that_correct_a_total_at_once_leave_it_correct() -> None:
+    """The later of two corrections is reverted, and that is not corrected again (it once took 16,484 calls)."""
     total, queue = 0.0, []
     gates = [gateway(seed=n, **{**THIN, "index": n}) for n in range(5)]
     for g in gates:
@@ -360,8 +364,8 @@
     assert calls <= 16
 
 
-def test_reports_of_200_gateways_are_right_on_average() -> None:
-    """A share below one lump still means something: each rounds by its own chance, none is starved."""
+def test_reports_of_200_gateways_are_unbiased() -> None:
+    """Usage below one report step is rounded at random by each gateway, so the sum is unbiased."""
     used = told = 0.0
     for n in range(200):
         g = gateway(seed=n, **{**THIN, "index": n})
@@ -370,7 +374,7 @@
     assert told == pytest.approx(used, rel=0.2)
 
 
-def test_time_outs_of_the_counter_make_it_called_less_and_it_is_found_again() -> None:
+def test_counter_time_outs_lower_the_call_rate_and_replies_restore_it() -> None:
     g = gateway(*range(1, 300), **THIN)
 
     def calls(first: int) -> int:
@@ -381,7 +385,7 @@
                 found += 1
         return found
 
-    assert calls(0) < 40  # the first ones go unanswered
+    assert calls(0) < 40  # the first ones are not answered
     assert calls(1000) < 20
     for n in range(2000, 9000):
         for c in only(g.handle(START, request(n, 0, n, width=200)), CounterAdd):
@@ -403,8 +407,8 @@
         )
 
 
-def test_idle_customers_are_forgotten() -> None:
-    """A gateway in service for weeks must not keep every customer, call or question it ever saw."""
+def test_idle_customers_are_dropped() -> None:
+    """A gateway that runs for weeks must not keep every customer, call or query."""
     g = gateway(*range(1, 9), **THIN)
     for n in range(3000):
         now = START + n * 100
@@ -418,7 +422,7 @@
     assert len(g.customers) <= 601 and not g.calls and not g.counter_calls
 
 
-def test_a_meter_takes_the_counters_place() -> None:
+def test_a_meter_replaces_the_counter() -> None:
     g = gateway(*range(1, 9), plans=(PLAN,), counter=True, meter_ms=1000)
     c = None
     for n, (used, share) in enumerate([(50.0, 0.5), (50.0, 0.75), (120.0, 0.625), (100.0, 0.5625)]):
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -1,4 +1,4 @@
-"""A payment's retry, sent by its client, never books twice: at the module, and at nodes that record each run."""
+"""A client's retry of a keyed request never runs twice: at the gateway, and at backends that record runs."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 PAY = RequestClass(1000, 4000, 5, Effect.KEYED, Group.ALL, 3000)
 CELL = RequestClass(1000, 4000, 5, Effect.KEYED, Group.CELL, 3000)
-OLD = 5000.0  # the gateway has been up for longer than any client waits
+OLD = 5000.0  # uptime of the gateway, longer than any client waits
 
 
 def made(cls: RequestClass = PAY, **changes: Any) -> Gateway:
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.OK, Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET])
-def test_what_may_have_run_is_sent_again_within_the_window_only(outcome: Outcome) -> None:
+def test_a_request_that_may_have_run_is_retried_within_the_window_only(outcome: Outcome) -> None:
     for after, allowed in ((2000, True), (2650, True), (2750, False), (3500, False), (60_000, False)):
         g = made()
         sent = ask(g, START, 1)
@@ -53,13 +53,13 @@
             assert isinstance(again, Fail)
 
 
-def test_one_that_is_still_out_or_whose_client_left_counts_too() -> None:
+def test_a_pending_attempt_or_one_whose_client_left_counts_too() -> None:
     g = made()
     assert isinstance(ask(g, START, 1), Send)
     assert isinstance(ask(g, START + 2900, 2, retry=True), Fail)
 
 
-def test_what_was_refused_unsent_is_a_first_try() -> None:
+def test_a_retry_of_a_request_refused_unsent_is_a_first_attempt() -> None:
     g = made()
     g.handle(START, fleet())  # no backend
     assert isinstance(ask(g, START + OLD, 1), Refuse)
@@ -67,10 +67,10 @@
     assert isinstance(ask(g, START + 2 * OLD, 2, retry=True), Send)
 
 
-def test_what_surely_never_ran_is_a_first_try_again() -> None:
+def test_a_retry_of_a_request_that_never_ran_is_a_first_attempt() -> None:
     g = made()
     sent = ask(g, START, 1)
-    g.handle(START, fleet())  # nobody to try again at
+    g.handle(START, fleet())  # no backend for a retry
     assert [
         a
         for a in g.handle(START + 9, ended(1, sent.backend, Outcome.CONNECT_FAILED))
@@ -88,69 +88,71 @@
     assert isinstance(ask(g, START + 3000, 9, retry=True), Fail)
 
 
-def test_a_retry_goes_to_those_that_know_the_first_and_is_not_refused_where_that_promises_too_much() -> None:
+def test_a_retry_stays_in_its_dedup_group_and_is_not_refused_if_a_refusal_would_be_unsafe() -> None:
     for seed in range(8):
         g = made(CELL, seed=seed)
         sent = ask(g, START, 1)
         g.handle(START + 20, ended(1, sent.backend, Outcome.OK))
         again = ask(g, START + 500, 2, retry=True)
-        assert isinstance(again, Send) and again.backend % 2 == sent.backend % 2  # its cell
+        assert isinstance(again, Send) and again.backend % 2 == sent.backend % 2  # same cell
         g.handle(START + 520, ended(2, again.backend, Outcome.OK))
         g.handle(START + 600, fleet(3 - sent.backend % 2))  # only the other cell is left
         assert isinstance(ask(g, START + 700, 3, retry=True), Fail)
 
 
-def test_a_gateway_that_has_just_started_fails_a_marked_retry_that_it_can_not_know() -> None:
+def test_a_gateway_that_has_just_started_fails_a_marked_retry_with_an_unknown_key() -> None:
     g = made()
     assert isinstance(ask(g, START + 100, 1, retry=True), Fail)
-    assert isinstance(ask(g, START + 100, 2, key=78), Send)  # no retry
+    assert isinstance(ask(g, START + 100, 2, key=78), Send)  # not a retry
     assert isinstance(
         ask(g, START + OLD, 3, key=79, retry=True), Send
-    )  # as PROTOCOL has it, within its window
+    )  # within its window, as PROTOCOL specifies
 
 
-def test_what_a_fresh_gateway_has_refused_itself_may_come_back_to_it() -> None:
-    """It was told that coming back is harmless; unread or not."""
+def test_a_new_gateway_admits_retries_of_requests_that_it_refused_itself() -> None:
+    """The refusal told the client that a retry is safe, whether or not the request was read."""
     g = made()
     g.handle(START, fleet())
     assert isinstance(ask(g, START, 1), Refuse)
     (unread,) = g.handle(START, RequestQueued(9, 0, 0, 1.0, 2, False, 900.0, 78))
     assert isinstance(unread, Refuse)
-    g.handle(START, RequestQueued(9, 0, 0, 1.0, 2, True, 900.0, 79))  # a retry: what was before is not known
+    g.handle(
+        START, RequestQueued(9, 0, 0, 1.0, 2, True, 900.0, 79)
+    )  # a retry: its earlier attempt is unknown
     g.handle(START, fleet(1, 2))
     assert isinstance(ask(g, START + 100, 2, key=77, retry=True), Send)
     assert isinstance(ask(g, START + 100, 3, key=78, retry=True), Send)
     assert isinstance(ask(g, START + 100, 4, key=79, retry=True), Fail)
 
 
-def test_one_request_that_never_ran_does_not_forget_another_of_its_key() -> None:
+def test_a_request_that_never_ran_keeps_the_record_of_another_with_its_key() -> None:
     g = made()
     first = ask(g, START, 1)
     again = ask(g, START + 10, 2, retry=True)
     g.handle(START + 30, ended(2, again.backend, Outcome.OK))
     g.handle(START + 40, fleet())
-    g.handle(START + 50, ended(1, first.backend, Outcome.CONNECT_FAILED))  # refused: it never ran itself
+    g.handle(
+        START + 50, ended(1, first.backend, Outcome.CONNECT_FAILED)
+    )  # refused: its own attempt never ran
     g.handle(START + 50, fleet(1, 2))
     assert isinstance(ask(g, START + 3500, 3, retry=True), Fail)
 
 
-def test_memory_is_bounded_and_forgets_the_oldest() -> None:
+def test_memory_is_bounded_and_the_oldest_are_dropped() -> None:
     g = made()
     for n in range(MAX_KEYS + 50):
         g.keyed.record(START, n + 1, (Group.ALL, 0))
     assert len(g.keyed.entries) == MAX_KEYS and 1 not in g.keyed.entries and MAX_KEYS + 50 in g.keyed.entries
     g.keyed.record(START + KEY_TTL_MS + 1, 1, (Group.ALL, 0))
     assert len(g.keyed.entries) == MAX_KEYS
-    assert isinstance(
-        ask(g, START + KEY_TTL_MS + 2, 2, key=MAX_KEYS, retry=True), Send
-    )  # too old to be remembered
+    assert isinstance(ask(g, START + KEY_TTL_MS + 2, 2, key=MAX_KEYS, retry=True), Send)  # expired
 
 
 WINDOW_MS = 600.0
 
 
 class Ledger:
-    """Nodes that book each payment once within their window, together, and again after it."""
+    """Backends that together run each payment once within the dedup window, and again after it."""
 
     def __init__(self, answers: bool) -> None:
         self.answers, self.runs, self.first = answers, 0, {}  # type: ignore[var-annotated]
@@ -173,8 +175,8 @@
 
 
 @pytest.mark.parametrize("answers", [True, False])
-def test_nodes_book_a_payment_once_however_late_its_client_comes_back(answers: bool) -> None:
-    """Its earlier try was answered, or broke off after it had run."""
+def test_backends_run_a_payment_once_however_late_its_client_retries(answers: bool) -> None:
+    """Its earlier attempt was answered, or broke off after it had run."""
 
     async def test() -> None:
         ledger = Ledger(answers)
@@ -186,16 +188,16 @@
                 status, _, _ = await w.ask(message("payment-book", 2 + n, Client_Retry="1"))
                 assert (status == 200) == (answers and n == 0)
             assert ledger.runs == 1
-            if answers:  # another payment is none of that
+            if answers:  # another payment is not affected
                 assert (await w.ask(message("payment-book", 9, Idempotency_Key="cd" * 16)))[0] == 200
 
     run(test())
 
 
-def test_a_restarted_ingress_books_nothing_that_it_can_not_know() -> None:
+def test_a_restarted_ingress_runs_no_retry_with_an_unknown_key() -> None:
     async def test() -> None:
         ledger = Ledger(True)
-        async with world(silence, settings=settings()) as w:  # its ingress is gone with the block
+        async with world(silence, settings=settings()) as w:  # its ingress ends with the block
             client = await w.client()
             client.writer.write(message("payment-book", 1))
             await asyncio.sleep(0.05)
@@ -210,12 +212,12 @@
     ("age_ms", "seen", "kind"),
     [(1200.0, True, Send), (1200.0, False, Fail), (2800.0, True, Fail), (0.0, True, Fail)],
 )
-def test_a_fresh_gateway_lets_in_a_retry_that_its_time_out_shows_to_be_within_the_window(
+def test_a_new_gateway_admits_a_retry_whose_time_out_shows_that_it_is_within_the_window(
     age_ms, seen, kind
 ) -> None:
-    """In a fleet nearly every retry comes to another gateway than its first try; 0: it tells no age at all."""
+    """In a fleet nearly every retry arrives at another gateway than its first attempt; 0: no age is known."""
     g = made()
-    if seen:  # what time-outs first tries have here
+    if seen:  # the usual time-out of first attempts here
         ask(g, START, 1, key=5)
     retry = request(2, retry=True, left=4000.0 - age_ms)
     retry.key = 77
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -19,7 +19,7 @@
 MODULE = [line for name in POLICY for line in (ROOT / name).read_text().splitlines()]
 
 
-def test_the_module_keeps_its_limits() -> None:
+def test_policy_files_keep_their_size_limits() -> None:
     # 1,200 are the most that may run; up to 800 in one piece are what the operators want to read
     assert sum(bool(line.strip()) for line in MODULE) <= 1200
     for name in POLICY:
@@ -28,7 +28,7 @@
     assert "troutdock/admission/interface.py" in MODULE[0]
 
 
-def test_the_module_has_no_clock_io_or_sets() -> None:
+def test_policy_files_have_no_clock_io_or_sets() -> None:
     text = "\n".join(MODULE)
     assert not re.search(r"^\s*(import|from) (time|os|sys|socket|threading|asyncio|datetime)\b", text, re.M)
     assert not re.search(r"\bset\(|\bopen\(|\bprint\(|\bglobal\b", text)
@@ -136,7 +136,7 @@
 
 
 @pytest.mark.parametrize("part", MAY_IMPORT)
-def test_arrows_go_one_way(part: str) -> None:
+def test_packages_import_only_what_they_may(part: str) -> None:
     where = PACKAGE / part
     files = sorted(where.glob("*.py")) if where.is_dir() else [where.with_suffix(".py")]
     assert files
@@ -145,14 +145,14 @@
         assert found <= MAY_IMPORT[part] | {"admission"}, file
 
 
-def test_the_engine_knows_neither_loop_nor_socket_nor_clock() -> None:
+def test_the_engine_imports_no_event_loop_socket_or_clock() -> None:
     for file in (PACKAGE / "engine").glob("*.py"):
         assert not re.search(
             r"^\s*(import|from) (asyncio|socket|time|http|uvloop|httptools)\b", file.read_text(), re.M
         )
 
 
-def test_the_daemon_loads_nothing_that_it_does_not_use() -> None:
+def test_the_daemon_loads_no_unused_modules() -> None:
     code = "import sys, troutdock.__main__; print([m for m in sys.modules if m.startswith(('troutdock.', 'starlette'))])"
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT, check=True)
     assert "troutdock.daemon" in done.stdout
@@ -203,7 +203,7 @@
 ]
 
 
-def test_the_systems_decisions_keep_the_limits() -> None:
+def test_system_policy_files_keep_their_size_limit() -> None:
     assert (
         sum(bool(line.strip()) for name in SYSTEM_POLICY for line in (ROOT / name).read_text().splitlines())
         <= 1200
@@ -211,7 +211,7 @@
 
 
 @pytest.mark.parametrize("part", SYSTEM_MAY_IMPORT)
-def test_programs_import_rooms_and_never_one_another(part: str) -> None:
+def test_programs_do_not_import_one_another(part: str) -> None:
     files = sorted((PACKAGE / part).glob("*.py"))
     assert files
     for file in files:
--- a/troutdock/admission/gateway.py
+++ b/troutdock/admission/gateway.py
@@ -171,7 +171,7 @@
 
     def on_discovery_status(self, now: float, event: DiscoveryStatus) -> None:
         """Discovery is reachable or not; if not, peers are queried; if so, no backend is suspected."""
-        self.gossip.watched(now, event.heard)
+        self.gossip.watched(now, event.answered)
 
     def on_request_withdrawn(self, now: float, event: RequestWithdrawn | AttemptEnded) -> None:
         self.calls.pop(event.request, None)
--- a/troutdock/admission/interface.py
+++ b/troutdock/admission/interface.py
@@ -233,7 +233,7 @@
 class DiscoveryStatus:
     """Whether discovery answered the last call; its answer follows as a FleetUpdate."""
 
-    heard: bool
+    answered: bool
 
 
 @dataclass(slots=True)
@@ -411,16 +411,16 @@
     """Number of ingresses including this one, and of those that it receives messages from."""
 
     ingresses: int
-    heard: int
+    reachable: int
 
 
 @dataclass(slots=True)
 class PeerLoad:
-    """Current pending attempts of another ingress by backend; whole: the list is complete."""
+    """Current pending attempts of another ingress by backend; complete: the list is complete."""
 
     origin: str
     out: dict[BackendId, int]
-    whole: bool = False
+    complete: bool = False
 
 
 @dataclass(slots=True)
--- a/troutdock/admission/proxy_admission.py
+++ b/troutdock/admission/proxy_admission.py
@@ -327,7 +327,7 @@
                 known.pool.ready.pop(entry.backend, None)
 
     def _others_load(self, now: float, event: PeerLoad) -> None:
-        if event.whole:
+        if event.complete:
             for number, backend in self.backends.items():
                 if event.origin in backend.others and number not in event.out:
                     backend.tell_others(event.origin, 0)
