--- a/troutdock/admission/backend_list.py
+++ b/troutdock/admission/backend_list.py
@@ -18,8 +18,8 @@
     if event.kind is ListKind.FAILED:
         return  # a failed query is no information, whatever entries it has
     if event.kind in (ListKind.FULL, ListKind.CACHED):
-        named = {entry.backend: entry for entry in event.entries}
-        for gone in [n for n, b in gateway.backends.items() if b.pool is pool and n not in named]:
+        listed = {entry.backend: entry for entry in event.entries}
+        for gone in [n for n, b in gateway.backends.items() if b.pool is pool and n not in listed]:
             update_rings(gateway.backends.pop(gone), False)
             gateway.gossip.left(now, gone)
     if pool is gateway.pools[0]:  # peers exchange the version of this list
--- a/troutdock/admission/customer_quota.py
+++ b/troutdock/admission/customer_quota.py
@@ -50,10 +50,10 @@
         self.plan, self.even, self.number = plan, 1 / width, number
         # After a restart, earlier usage is unknown. The ceiling refills from the restart on, and so does the
         # slice if the owner can be queried at once; otherwise reports soon show what is left in the bucket.
-        gone = max(0.0, now - unspent_since) / 1000
-        full = min(plan.burst, gone * plan.rate) if asks_owner else plan.burst
+        elapsed_s = max(0.0, now - unspent_since) / 1000
+        full = min(plan.burst, elapsed_s * plan.rate) if asks_owner else plan.burst
         self.share, self.tokens = self.even, full * self.even
-        self.cap_tokens = min(plan.ceiling_burst, gone * plan.ceiling_rate) * self.even
+        self.cap_tokens = min(plan.ceiling_burst, elapsed_s * plan.ceiling_rate) * self.even
         super().__init__(now)
         self.filled_at = now
         self.answers, self.unit_sum, self.unit_squares = 0, 0.0, 0.0
@@ -61,14 +61,14 @@
         self.store, self.told_at = plan.burst, -inf  # shared bucket as last reported
         self.followed_at, self.dry = now, False
         self.first, self.width = 0, width  # its set of gateways, from its last request
-        self.shut_until = -inf  # its owner is overloaded: no query before
+        self.shut_until = -inf  # no query before this, as its owner is overloaded
 
     def refill(self, now: float) -> None:
         """Refills the slice and the ceiling for the elapsed time."""
-        gone, self.filled_at, plan = (now - self.filled_at) / 1000, now, self.plan
-        self.tokens = min(plan.burst * self.share, self.tokens + gone * plan.rate * self.share)
-        cap = plan.ceiling_burst * self.even
-        self.cap_tokens = min(cap, self.cap_tokens + gone * plan.ceiling_rate * self.even)
+        elapsed_s, self.filled_at, plan = (now - self.filled_at) / 1000, now, self.plan
+        self.tokens = min(plan.burst * self.share, self.tokens + elapsed_s * plan.rate * self.share)
+        limit = plan.ceiling_burst * self.even
+        self.cap_tokens = min(limit, self.cap_tokens + elapsed_s * plan.ceiling_rate * self.even)
 
     def change_plan(self, now: float, plan: Plan) -> None:
         """Switches the plan; tokens are kept up to the new bursts, and none are added."""
@@ -94,12 +94,14 @@
         self.tokens -= units
         self.debt += units
 
-    def adjust_share(self, now: float, over: bool) -> None:
-        """Grows an exhausted slice of a customer below its quota and shrinks one over it, once a second."""
+    def adjust_share(self, now: float, over_quota: bool) -> None:
+        """Grows an exhausted slice of a customer below its quota and shrinks one over_quota it, once a second."""
         if now - self.followed_at >= ADJUST_MS:
             grows = self.dry and self.store > AMPLE * self.plan.burst
-            fallen = max(self.even, self.share - (self.share - self.even) * SHARE_DECAY)
-            self.share = fallen if over else min(1.0, self.share * SHARE_GROWTH) if grows else self.share
+            shrunk = max(self.even, self.share - (self.share - self.even) * SHARE_DECAY)
+            self.share = (
+                shrunk if over_quota else min(1.0, self.share * SHARE_GROWTH) if grows else self.share
+            )
             self.followed_at, self.dry = now, False
 
     def pass_chance(self, now: float, call_rate: float) -> float:
--- a/troutdock/admission/interface.py
+++ b/troutdock/admission/interface.py
@@ -62,19 +62,25 @@
 # ---- settings
 
 
-def _check(what: object, at_least: dict[str, float]) -> None:
+def _check(instance: object, minimums: dict[str, float]) -> None:
     """Raises ValueError, naming the first field that is not a number or below its minimum."""
-    for name, least in at_least.items():
-        value = getattr(what, name)
-        if isinstance(value, bool) or not isinstance(value, int | float) or not least <= value < float("inf"):
-            raise ValueError(f"{type(what).__name__}.{name}: {value!r} is not a number of at least {least:g}")
-
-
-def _check_types(what: object, kinds: dict[str, type]) -> None:
+    for name, minimum in minimums.items():
+        value = getattr(instance, name)
+        if (
+            isinstance(value, bool)
+            or not isinstance(value, int | float)
+            or not minimum <= value < float("inf")
+        ):
+            raise ValueError(
+                f"{type(instance).__name__}.{name}: {value!r} is not a number of at minimum {minimum:g}"
+            )
+
+
+def _check_types(instance: object, kinds: dict[str, type]) -> None:
     for name, kind in kinds.items():
-        value = getattr(what, name)
+        value = getattr(instance, name)
         if not isinstance(value, kind):
-            raise ValueError(f"{type(what).__name__}.{name}: {value!r} is not a {kind.__name__}")
+            raise ValueError(f"{type(instance).__name__}.{name}: {value!r} is not a {kind.__name__}")
 
 
 @dataclass(frozen=True, slots=True)
