--- a/troutdock/admission/customer_quota.py
+++ b/troutdock/admission/customer_quota.py
@@ -95,7 +95,7 @@
         self.debt += units
 
     def adjust_share(self, now: float, over_quota: bool) -> None:
-        """Grows an exhausted slice of a customer below its quota and shrinks one over_quota it, once a second."""
+        """Grows an exhausted slice of a customer below its quota and shrinks one over it, once a second."""
         if now - self.followed_at >= ADJUST_MS:
             grows = self.dry and self.store > AMPLE * self.plan.burst
             shrunk = max(self.even, self.share - (self.share - self.even) * SHARE_DECAY)
--- a/troutdock/admission/interface.py
+++ b/troutdock/admission/interface.py
@@ -72,7 +72,7 @@
             or not minimum <= value < float("inf")
         ):
             raise ValueError(
-                f"{type(instance).__name__}.{name}: {value!r} is not a number of at minimum {minimum:g}"
+                f"{type(instance).__name__}.{name}: {value!r} is not a number of at least {minimum:g}"
             )
 
 
