--- a/tests/test_keyed_retries.py
+++ b/tests/test_keyed_retries.py
@@ -104,9 +104,8 @@
     g = made()
     assert isinstance(ask(g, START + 100, 1, retry=True), Fail)
     assert isinstance(ask(g, START + 100, 2, key=78), Send)  # not a retry
-    assert isinstance(
-        ask(g, START + OLD, 3, key=79, retry=True), Send
-    )  # within its window, as PROTOCOL specifies
+    # within its window, as PROTOCOL specifies
+    assert isinstance(ask(g, START + OLD, 3, key=79, retry=True), Send)
 
 
 def test_a_new_gateway_admits_retries_of_requests_that_it_refused_itself() -> None:
@@ -116,9 +115,8 @@
     assert isinstance(ask(g, START, 1), Refuse)
     (unread,) = g.handle(START, RequestQueued(9, 0, 0, 1.0, 2, False, 900.0, 78))
     assert isinstance(unread, Refuse)
-    g.handle(
-        START, RequestQueued(9, 0, 0, 1.0, 2, True, 900.0, 79)
-    )  # a retry: its earlier attempt is unknown
+    # a retry: its earlier attempt is unknown
+    g.handle(START, RequestQueued(9, 0, 0, 1.0, 2, True, 900.0, 79))
     g.handle(START, fleet(1, 2))
     assert isinstance(ask(g, START + 100, 2, key=77, retry=True), Send)
     assert isinstance(ask(g, START + 100, 3, key=78, retry=True), Send)
@@ -131,9 +129,8 @@
     again = ask(g, START + 10, 2, retry=True)
     g.handle(START + 30, ended(2, again.backend, Outcome.OK))
     g.handle(START + 40, fleet())
-    g.handle(
-        START + 50, ended(1, first.backend, Outcome.CONNECT_FAILED)
-    )  # refused: its own attempt never ran
+    # refused: its own attempt never ran
+    g.handle(START + 50, ended(1, first.backend, Outcome.CONNECT_FAILED))
     g.handle(START + 50, fleet(1, 2))
     assert isinstance(ask(g, START + 3500, 3, retry=True), Fail)
 
--- a/tests/test_quota_path.py
+++ b/tests/test_quota_path.py
@@ -52,9 +52,9 @@
         (0.95, True, 1000, Refuse),  # such retries may empty the bucket
         (1.1, True, 2000, Refuse),
         (3.3, True, 2000, Refuse),
-        (3.5, True, 2000, Send),
+        (3.5, True, 2000, Send),  # late retries only get what is left over
     ],
-)  # late retries only get what is left over
+)
 def test_first_attempts_and_late_retries_leave_a_reserve_in_the_bucket(
     tokens: float, retry: bool, age_ms: float, kind: type
 ) -> None:
@@ -75,19 +75,18 @@
 def test_a_customer_over_quota_is_served_in_time_while_all_refused_clients_return() -> None:
     """Three times the quota's rate, and each refused request returns once, after its latency target.
 
-    What is served in time is near to what the quota gives; with the late ones first it was next to nothing.
+    Requests served in time come close to the quota; with late retries served first they were close to none.
     """
     g, _ = bucket(4.0, marks_retry=True)
     due: list[tuple[float, int]] = []
     in_time = late = number = 0
-    for step in range(
-        1, 1201
-    ):  # one minute: a new request every 50 ms, while the slice admits one every 500 ms
+    # one minute: a new request every 50 ms, while the slice admits one every 500 ms
+    for step in range(1, 1201):
         now = START + 50.0 * step
-        tries = [(False, 0.0)]
+        attempts = [(False, 0.0)]
         while due and due[0][0] <= now:
-            tries.insert(0, (True, now - due.pop(0)[1]))
-        for retry, age in tries:
+            attempts.insert(0, (True, now - due.pop(0)[1]))
+        for retry, age in attempts:
             number += 1
             actions = g.handle(now, request(number, width=4, retry=retry, left=6000.0 - age))
             if sent := only(actions, Send):
@@ -154,9 +153,8 @@
 
 def test_an_overflow_of_the_shared_bucket_is_returned_for_correction() -> None:
     c = Customer(PLAN, 4, START)
-    assert c.apply_counter_total(START, 4.0, 1.0, 2000.0) == pytest.approx(
-        12.0
-    )  # 16 - 4 + 16 is 12 above the burst
+    # 16 - 4 + 16 is 12 above the burst
+    assert c.apply_counter_total(START, 4.0, 1.0, 2000.0) == pytest.approx(12.0)
     assert c.store == pytest.approx(15.0)
 
 
@@ -273,7 +271,7 @@
     return count
 
 
-def held(**changes):
+def pending_request(**changes):
     g = gateway(*range(1, 30), **{**THIN, **changes})
     return g, ask(g, 1, units=4.0)
 
@@ -282,20 +280,20 @@
     return g.handle(now, CounterReply(count.name, outcome, 3.0, total))
 
 
-def level_zero(g, count: CounterAdd, now: float = START + 3) -> float:
+def empty_total(g, count: CounterAdd, now: float = START + 3) -> float:
     """Returns the total at which the shared bucket is empty."""
     return PLAN.burst + counter_name(now, count.name & (2**33 - 1), PLAN.name)[1] / 1000 * PLAN.rate
 
 
 def test_a_slice_smaller_than_a_request_admits_what_the_shared_bucket_has() -> None:
-    g, count = held()
-    before = level_zero(g, count) - 6.0
+    g, count = pending_request()
+    before = empty_total(g, count) - 6.0
     assert only(answer(g, count, before + count.amount), Send)
 
 
 def test_a_request_beyond_the_shared_bucket_is_refused_and_its_units_given_back() -> None:
-    g, count = held()
-    actions = answer(g, count, level_zero(g, count) - 1.0 + count.amount)
+    g, count = pending_request()
+    actions = answer(g, count, empty_total(g, count) - 1.0 + count.amount)
     (refused,) = only(actions, Refuse)
     assert refused.retry_after_ms > 0
     assert sum(c.amount for c in only(actions, CounterAdd)) == pytest.approx(
@@ -304,15 +302,15 @@
 
 
 def test_a_bucket_just_reported_empty_refuses_at_once() -> None:
-    g, count = held()
-    answer(g, count, level_zero(g, count) + count.amount)
+    g, count = pending_request()
+    answer(g, count, empty_total(g, count) + count.amount)
     refused = sum(isinstance(g.handle(START + 4, request(n, width=200))[0], Refuse) for n in range(2, 22))
     assert refused == 20
 
 
 def test_with_a_silent_counter_the_last_total_decides_and_nothing_is_added_twice() -> None:
     for outcome in (Outcome.TIMEOUT, Outcome.FULL):
-        g, count = held()
+        g, count = pending_request()
         g.asking = 0.0  # no further calls, so that the debt stays visible
         owed = g.customers[9].debt
         assert only(answer(g, count, 0.0, outcome), Send)
@@ -321,9 +319,9 @@
 
 
 def test_a_held_request_whose_client_left_is_not_charged() -> None:
-    g, count = held()
+    g, count = pending_request()
     g.handle(START + 1, RequestWithdrawn(1))
-    actions = answer(g, count, level_zero(g, count) - 10.0 + count.amount)
+    actions = answer(g, count, empty_total(g, count) - 10.0 + count.amount)
     assert not only(actions, Send)
     assert sum(c.amount for c in only(actions, CounterAdd)) == pytest.approx(
         -count.amount, abs=0.08 * PLAN.burst
--- a/tests/test_response_started.py
+++ b/tests/test_response_started.py
@@ -40,9 +40,8 @@
     g.handle(START + 50, ResponseStarted(1, 0, send.backend, 50, True))
     assert backend.load == 0 and not backend.out
     g.handle(START + 5000, ended(1, send.backend, Outcome.OK, took=5000))
-    assert (
-        backend.load == 0 and backend.slowness[0].now(START + 5000) < 2
-    )  # five seconds of transfer are no work
+    # five seconds of transfer are no work
+    assert backend.load == 0 and backend.slowness[0].now(START + 5000) < 2
 
 
 def test_transfer_time_is_subtracted_from_the_sample() -> None:
--- a/tests/test_robustness.py
+++ b/tests/test_robustness.py
@@ -382,9 +382,8 @@
 
             async def tell(peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
                 if b"from=" not in data:
-                    writer.write(
-                        one_line(new_backend, "s-new", 2)
-                    )  # with a lower version than the old agent's
+                    # with a lower version than the old agent's
+                    writer.write(one_line(new_backend, "s-new", 2))
 
             agent = Peer(tell)
             await agent.start()
--- a/troutdock/admission/backend_health.py
+++ b/troutdock/admission/backend_health.py
@@ -19,16 +19,16 @@
     def __init__(self) -> None:
         self.value, self.at, self.memory_ms = 1.0, -inf, MIN_DECAY_MS
 
-    def now(self, now: float, usual: float = 1.0) -> float:
-        """Returns the value, decayed toward usual since the last sample; slower if samples are rare."""
+    def now(self, now: float, baseline: float = 1.0) -> float:
+        """Returns the value, decayed toward the baseline since the last sample, slower for rare samples."""
         if self.at == -inf:
-            return usual
-        return usual + (self.value - usual) * 3 ** ((self.at - now) / self.memory_ms)
+            return baseline
+        return baseline + (self.value - baseline) * 3 ** ((self.at - now) / self.memory_ms)
 
-    def observe(self, now: float, value: float, weight: float, usual: float = 1.0) -> None:
+    def observe(self, now: float, value: float, weight: float, baseline: float = 1.0) -> None:
         """Adds a sample, bad or good; a rare one has the weight of the many that it stands for."""
         weight = max(weight, min(BAD_WEIGHT, 1 - 3 ** ((self.at - now) / self.memory_ms)))
-        self.value = self.now(now, usual) + (value - self.now(now, usual)) * weight
+        self.value = self.now(now, baseline) + (value - self.now(now, baseline)) * weight
         gap, self.at = now - max(self.at, now - MAX_GAP_MS), now
         self.memory_ms = max(MIN_DECAY_MS, DECAY_GAPS * gap) if gap < MAX_GAP_MS else MIN_DECAY_MS
 
--- a/troutdock/admission/customer_quota.py
+++ b/troutdock/admission/customer_quota.py
@@ -82,9 +82,9 @@
     def return_time(self, now: float, units: float, no_show_ms: float) -> float:
         """Returns the delay in ms until a refused client may return; sums are in units."""
         mean = self.unit_sum / self.answers if self.answers else units
-        spread = variation_of(self.answers, self.unit_sum, self.unit_squares)
+        variation = variation_of(self.answers, self.unit_sum, self.unit_squares)
         fill = self.plan.rate * self.share if self.plan.rate else mean
-        return self.schedule_return(now, fill / mean * (1 + spread), no_show_ms)
+        return self.schedule_return(now, fill / mean * (1 + variation), no_show_ms)
 
     def record_units(self, units: float, true_units: float) -> None:
         """Records a response's true units; units: the excess over the estimate that was charged."""
@@ -94,14 +94,12 @@
         self.tokens -= units
         self.debt += units
 
-    def adjust_share(self, now: float, over_quota: bool) -> None:
+    def adjust_share(self, now: float, over: bool) -> None:
         """Grows an exhausted slice of a customer below its quota and shrinks one over it, once a second."""
         if now - self.followed_at >= ADJUST_MS:
             grows = self.dry and self.store > AMPLE * self.plan.burst
             shrunk = max(self.even, self.share - (self.share - self.even) * SHARE_DECAY)
-            self.share = (
-                shrunk if over_quota else min(1.0, self.share * SHARE_GROWTH) if grows else self.share
-            )
+            self.share = shrunk if over else min(1.0, self.share * SHARE_GROWTH) if grows else self.share
             self.followed_at, self.dry = now, False
 
     def pass_chance(self, now: float, call_rate: float) -> float:
--- a/troutdock/admission/gateway.py
+++ b/troutdock/admission/gateway.py
@@ -184,8 +184,8 @@
         if known is None:
             plan, width = self.settings.plans[event.plan], max(1, min(event.width, self.settings.gateways))
             # random, so that infrequent reports are unbiased
-            debt = -self.random.random() * REPORT_STEP * plan.burst * (not self.queries.on)
-            known = Customer(plan, width, now, event.customer, debt, self.started, self.queries.on)
+            initial_debt = -self.random.random() * REPORT_STEP * plan.burst * (not self.queries.on)
+            known = Customer(plan, width, now, event.customer, initial_debt, self.started, self.queries.on)
         self.customers[event.customer] = known  # least recently used first
         known.refill(now)
         if (plan := known.plan).rate and plan.burst and self.usage.hearing(now):
@@ -202,12 +202,12 @@
         """Decides on a request by its bucket, then by the shared bucket; refusals carry a return time."""
         customer, marks = self.customer_of(now, event), self.settings.marks_retry
         plan, pool = customer.plan, self.pool(event.pool)
-        most = event.max_attempts or self.settings.max_attempts
+        limit = event.max_attempts or self.settings.max_attempts
         usual_ms = self.timeouts_ms.get(event.cls, self.settings.classes[event.cls].deadline_ms)
         if not event.retry:
             known = self.timeouts_ms.setdefault(event.cls, event.time_left_ms)
             self.timeouts_ms[event.cls] = known + (event.time_left_ms - known) * (1 - EWMA_KEEP)
-        call = Call(event, self.settings.classes[event.cls], customer, now, pool, most, usual_ms)
+        call = Call(event, self.settings.classes[event.cls], customer, now, pool, limit, usual_ms)
         customer.first, customer.width = event.first_gateway, max(1, min(event.width, self.settings.gateways))
         self.calls[event.request] = call
         if event.retry and marks and customer.appointments:
@@ -224,18 +224,18 @@
                 return self.fail(call)
         if self.retired:
             return self.refuse(now, call)
-        room = not plan.ceiling_rate or customer.cap_tokens >= event.units
+        below_ceiling = not plan.ceiling_rate or customer.cap_tokens >= event.units
         if event.reserved:  # takes precedence over other usage, but not over the ceiling
-            return self.admit(now, call, True, True) if room else self.refuse(now, call)
+            return self.admit(now, call, True, True) if below_ceiling else self.refuse(now, call)
         # Near the quota, late retries would otherwise take all refilled tokens and nobody would be served in
         # time. Clients that give their retries short time-outs could be affected, see Call.past_target.
         late = marks and event.retry and call.past_target
         full = plan.burst * customer.share
         kept = full * (LATE_RESERVE if late else RETRY_RESERVE if marks and not event.retry else 0.0)
-        if room and (not plan.rate or customer.tokens - kept >= event.units):
+        if below_ceiling and (not plan.rate or customer.tokens - kept >= event.units):
             return self.admit(now, call, True)
         customer.dry = True
-        if not room:
+        if not below_ceiling:
             return self.refuse(now, call)
         if plan.over_worth > plan.over_cost:
             return self.admit(now, call, full < event.units)
@@ -475,10 +475,10 @@
             classes, pool.max_wait_for = self.settings.classes, pool.unit_ms.copy()
             worths = [c.worth / ms for c, ms in zip(classes, pool.unit_ms, strict=True)]
             live = self.settings.live_classes or len(classes)
-            most, in_force = max(worths[:live]), list(zip(classes, worths, strict=True))[:live]
+            highest, in_force = max(worths[:live]), list(zip(classes, worths, strict=True))[:live]
             pool.max_wait_ms = [
                 min([cls.aim_ms] + [c.aim_ms for c, w in in_force if w >= worth])
-                * (MIN_WAIT + (MAX_WAIT - MIN_WAIT) * min(1.0, worth / most))
+                * (MIN_WAIT + (MAX_WAIT - MIN_WAIT) * min(1.0, worth / highest))
                 for cls, worth in zip(classes, worths, strict=True)
             ]
         return pool.max_wait_ms[call.event.cls]
@@ -566,8 +566,8 @@
         pool = call.pool
         fleet = pool.slowness.now(now)  # one bad backend does not mean an overloaded fleet
         near = self.candidates(now, call)
-        fresh = [b for b in near if b not in call.tried or len(near) == 1] if call.tried else near
-        rated = [(self.forecast(now, b, call, fleet), b) for b in fresh]
+        untried = [b for b in near if b not in call.tried or len(near) == 1] if call.tried else near
+        rated = [(self.forecast(now, b, call, fleet), b) for b in untried]
         if not rated:
             return None
         least = min(f for f, _ in rated)
