--- a/tests/engine/test_engine.py
+++ b/tests/engine/test_engine.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
-from simulated import SimulatedWorld, Told
+from simulated import SimulatedWorld, RecordedExchange
 
 from troutdock.admission.interface import BackendState, ListKind, Outcome
 from troutdock.engine import BadRequest, Call, Engine
@@ -150,7 +150,7 @@
 # ---- the state table, row by row
 
 
-def sent(cls: int = SAFE, **changes: Any) -> tuple[SimulatedWorld, Told]:
+def sent(cls: int = SAFE, **changes: Any) -> tuple[SimulatedWorld, RecordedExchange]:
     world = SimulatedWorld()
     told = world.arrive(cls, **changes)
     assert len(world.out) == 1
--- a/tests/engine/test_engine_proxy_admission.py
+++ b/tests/engine/test_engine_proxy_admission.py
@@ -11,13 +11,20 @@
 from hypothesis import given
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
-from simulated import SimulatedTime, SimulatedTransport, SimulatedWorld, Told, need
+from simulated import SimulatedTime, SimulatedTransport, SimulatedWorld, RecordedExchange, need
 
 from troutdock.admission.proxy_admission import Call, ProxyAdmission
 from troutdock.admission.interface import BackendState, Effect, ListKind, Outcome, RequestArrived
 from troutdock.engine import Engine, Request
 
-OUTCOMES = (Outcome.OK, Outcome.ERROR, Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.MOOT)
+OUTCOMES = (
+    Outcome.OK,
+    Outcome.ERROR,
+    Outcome.FULL,
+    Outcome.CONNECT_FAILED,
+    Outcome.RESET,
+    Outcome.WRONG_INSTANCE,
+)
 STEPS = st.lists(
     st.tuples(
         st.sampled_from(
@@ -45,7 +52,7 @@
 IDS = (1, 2, 3, 4)
 
 
-class Refusal(Told):
+class Refusal(RecordedExchange):
     """An exchange that knows the attempts of its request."""
 
     effect = Effect.SAFE
@@ -145,7 +152,7 @@
 
 @pytest.mark.parametrize("copies", (1, 2))
 def test_a_response_longer_than_the_copy_timer_removes_no_other_backend(copies: int) -> None:
-    """Guards against a copy due while a response is streamed being reported as MOOT, like an ended backend."""
+    """Guards against a copy due while a response is streamed being reported as WRONG_INSTANCE, like an ended backend."""
     world = ProxyWorld()
     decisions: ProxyAdmission = world.engine._gateway
     decisions.pools[0].retry_budget = 5.0
--- a/tests/support/proxy_fleet.py
+++ b/tests/support/proxy_fleet.py
@@ -20,13 +20,13 @@
     Actions,
     BackendEntry,
     BackendState,
-    Company,
+    IngressMembership,
     Effect,
     Event,
     FleetUpdate,
     LeasesDue,
     ListKind,
-    OthersLoad,
+    PeerLoad,
     Plan,
     RequestArrived,
     RequestClass,
@@ -189,7 +189,7 @@
             self._receive(other, sender, shares)
 
     def _report_membership(self, ingress: Ingress) -> None:
-        ingress.handle(Company(*ingress.exchange.company(ingress.now)))
+        ingress.handle(IngressMembership(*ingress.exchange.company(ingress.now)))
 
     def later(self, at: float, what: Any) -> None:
         """Schedules a call; at: milliseconds."""
@@ -229,7 +229,7 @@
             return
         update = other.exchange.hear(other.now, shares, sender.name, sender.zone)
         for origin, out in update.out.items():
-            other.handle(OthersLoad(origin, {int(i): n for i, n in out.items()}))
+            other.handle(PeerLoad(origin, {int(i): n for i, n in out.items()}))
 
     def speaks(self, ingress: Ingress, duty: str = ALIVE) -> bool:
         return ingress.exchange.home(duty, [o.name for o in self._zone_peers(ingress)])
--- a/tests/test_backend_gossip.py
+++ b/tests/test_backend_gossip.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from lab.gateways import Gateways
-from troutdock.admission.interface import BackendState, ListKind, ListWatched
+from troutdock.admission.interface import BackendState, ListKind, DiscoveryStatus
 from troutdock.admission.usage_digest_codec import MAX_DATAGRAM_BYTES
 from troutdock.admission.backend_gossip import (
     QUERY_MS,
@@ -40,11 +40,11 @@
     ]
     w = Gateways(fleet_of, START, 0.05, Random(3), 100.0)
     for n in range(GATEWAYS):
-        w.give(n, ListWatched(n >= isolated))
+        w.give(n, DiscoveryStatus(n >= isolated))
         for gone, state in ((LEFT, BackendState.GONE), (DRAINING, BackendState.DRAINING)):
             if n >= isolated:
                 w.give(n, replace(fleet(*gone, state=state, kind=ListKind.CHANGES), version=7))
-    assert all(g.news.isolated == (n < isolated) for n, g in enumerate(w.gateways))
+    assert all(g.gossip.isolated == (n < isolated) for n, g in enumerate(w.gateways))
     for n in range(int(seconds * 400)):
         w.time.run(START + n * 2.5)
         w.give(n * 7 % GATEWAYS, request(10_000 + n, customer=n % 90))
@@ -72,7 +72,7 @@
 def test_if_all_gateways_are_isolated_no_backend_is_suspected() -> None:
     w, _ = play(GATEWAYS, 3)
     assert len(w.sends) == 1200
-    assert not any(g.news.suspects(START + 3000, 60) for g in w.gateways)
+    assert not any(g.gossip.suspects(START + 3000, 60) for g in w.gateways)
 
 
 def reply(*backends: int, version: int = 9) -> bytes:
--- a/tests/test_bucket_owner.py
+++ b/tests/test_bucket_owner.py
@@ -31,15 +31,15 @@
 from troutdock.admission.usage_digest_codec import encode_digest
 from troutdock.admission.bucket_owner import REJECTION_SHARE, REPLY_CACHE_MS, BucketOwner
 from troutdock.admission.interface import (
-    Count,
+    CounterAdd,
     PeerMessage,
     Plan,
     Refuse,
     RequestWithdrawn,
     Send,
     Settings,
-    Settled,
-    Tell,
+    AttemptSettled,
+    SendToPeer,
 )
 from troutdock.admission.owner_queries import (
     UNREACHABLE_AFTER,
@@ -58,7 +58,7 @@
 
     def __init__(self, settings: Settings, seed: int) -> None:
         super().__init__(settings, seed)
-        self.asks.enabled = False
+        self.queries.enabled = False
 
 
 # ---- fleets, judged by the true buckets
@@ -189,7 +189,7 @@
 )
 def test_owners_are_queried_if_digests_would_be_late(gateways: int, intake: float, on: bool) -> None:
     g = one(gateways=gateways, peer_in_per_s=intake)
-    assert g.asks.enabled == on and (g.word.interval_ms == float("inf")) == (
+    assert g.queries.enabled == on and (g.usage.interval_ms == float("inf")) == (
         on or gateways == 1 or not intake
     )
 
@@ -197,12 +197,12 @@
 def test_a_customer_of_one_gateway_has_its_owner_there() -> None:
     g = one()
     actions = [a for n in range(9) for a in g.handle(START, request(n + 1, units=4.0, width=1))]
-    assert not [a for a in actions if isinstance(a, Tell | Count)]
+    assert not [a for a in actions if isinstance(a, SendToPeer | CounterAdd)]
     assert len([a for a in actions if isinstance(a, Send)]) == 4  # 16 units
 
 
 def sent_query(actions: list[object]) -> tuple[int, int, OwnerQuery]:
-    (tell,) = [a for a in actions if isinstance(a, Tell)]
+    (tell,) = [a for a in actions if isinstance(a, SendToPeer)]
     number, query = decode_query(tell.body)
     return tell.gateway, number, query
 
@@ -218,9 +218,9 @@
     assert [type(a) for a in done] == [then]
     assert not g.handle(START + 21, PeerMessage(owner, OwnerReply(True, 1.0).encode(number)))  # duplicate
     again = g.handle(START + 100, request(2, units=4.0, width=150))
-    asked = [a for a in again if isinstance(a, Tell)]
+    asked = [a for a in again if isinstance(a, SendToPeer)]
     assert bool(asked) == granted and bool([a for a in again if isinstance(a, Refuse)]) != granted
-    assert [a for a in g.handle(START + 2000, request(3, units=4.0, width=150)) if isinstance(a, Tell)]
+    assert [a for a in g.handle(START + 2000, request(3, units=4.0, width=150)) if isinstance(a, SendToPeer)]
 
 
 def test_an_unresponsive_owner_is_queried_twice_then_the_next_and_last_the_counter() -> None:
@@ -228,8 +228,8 @@
     g.handle(START, PeerMessage(7, b"\x10\x00\x00\x00\x00"))
     seen, now = [], START
     actions = g.handle(now, request(1, units=4.0, width=150, left=4000.0))
-    while not (counted := [a for a in actions if isinstance(a, Count)]) and now < START + 1500:
-        seen += [(a.gateway, decode_query(a.body)[0]) for a in actions if isinstance(a, Tell)]
+    while not (counted := [a for a in actions if isinstance(a, CounterAdd)]) and now < START + 1500:
+        seen += [(a.gateway, decode_query(a.body)[0]) for a in actions if isinstance(a, SendToPeer)]
         now += 60.0
         actions = g.handle(
             now, PeerMessage(7, b"\x10\x00\x00\x00\x00")
@@ -245,7 +245,10 @@
     snapshot.take(g)  # upgrade: the state belongs to another process from here on
     assert not g.handle(START + 5, PeerMessage(9, query.encode(5)))
     done = g.handle(START + 20, PeerMessage(owner, OwnerReply(True, 0.5).encode(number)))
-    assert [type(a) for a in done] == [Send, Settled]  # its units were deducted: nobody else may use them
+    assert [type(a) for a in done] == [
+        Send,
+        AttemptSettled,
+    ]  # its units were deducted: nobody else may use them
     assert [type(a) for a in g.handle(START + 30, request(2, units=4.0, width=150))] == [Refuse]
     successor = one()
     snapshot.restore(successor, snapshot.take(g))
@@ -275,7 +278,7 @@
 def test_digests_of_an_older_version_change_nothing_in_a_large_fleet() -> None:
     g = one()
     g.handle(START, PeerMessage(5, encode_digest(3, [(77, 100, 0.0)])))
-    assert not g.word.is_receiving(START) and sent_query(g.handle(START, request(1, units=4.0, width=150)))
+    assert not g.usage.is_receiving(START) and sent_query(g.handle(START, request(1, units=4.0, width=150)))
 
 
 # ---- an owner
@@ -352,7 +355,7 @@
             assert 0 <= number < 1 << 16
     g = one()
     g.handle(START, PeerMessage(3, body))  # harmless
-    assert not g.asks.pending
+    assert not g.queries.pending
 
 
 @given(
@@ -404,7 +407,7 @@
 
     def __init__(self, settings: Settings, seed: int) -> None:
         super().__init__(settings, seed)
-        self.homes.replicas.record = lambda key, level, standby: None  # type: ignore[method-assign]
+        self.owned.replicas.record = lambda key, level, standby: None  # type: ignore[method-assign]
 
 
 def rolling_restart_overuse(make: type[Gateway], seed: int) -> float:
--- a/tests/test_usage_gossip.py
+++ b/tests/test_usage_gossip.py
@@ -18,7 +18,7 @@
     Refuse,
     Send,
     SettingsChanged,
-    Tell,
+    SendToPeer,
 )
 from troutdock.admission.usage_digest_codec import (
     ENTRY,
@@ -180,8 +180,8 @@
         for a in g.handle(START, PeerMessage(sender, bad))
         if isinstance(a, Log)
     ]
-    assert len(logs) == 2 and g.word.malformed == {1: 3, 2: 3}
-    assert not g.word.buckets and not g.word.is_receiving(START)
+    assert len(logs) == 2 and g.usage.malformed == {1: 3, 2: 3}
+    assert not g.usage.buckets and not g.usage.is_receiving(START)
 
 
 @given(st.binary(max_size=300))
@@ -220,4 +220,4 @@
 def test_changed_settings_keep_the_reports_to_peers() -> None:
     g = Fleet(3).gateways[0]
     g.handle(START, SettingsChanged(g.settings))
-    assert [a for a in g.handle(START, request(1, units=2.0)) if isinstance(a, Tell)]
+    assert [a for a in g.handle(START, request(1, units=2.0)) if isinstance(a, SendToPeer)]
--- a/troutdock/admission/backend_selection.py
+++ b/troutdock/admission/backend_selection.py
@@ -1,7 +1,7 @@
 """Selection of a backend for a request, where many proxies share the backends (no I/O, no clock).
 
 Times are milliseconds. Backends have few slots and requests take long, so the deciding figure is the number
-of requests at each backend, from all proxies. Proxies report their open attempts to each other (OthersLoad).
+of requests at each backend, from all proxies. Proxies report their open attempts to each other (PeerLoad).
 From these the response time of a send is predicted; other costs are added to it: traffic to another zone, a
 new connection, recent failures of the backend. All costs are on one scale: the expected loss, as a fraction
 of the request's value. The backend with the lowest loss is selected, at random among near ties.
@@ -16,7 +16,7 @@
 from math import inf
 from random import Random
 
-from troutdock.admission.circuit_breaker import Circuit
+from troutdock.admission.circuit_breaker import CircuitBreaker
 from troutdock.admission.interface import BackendEntry
 
 # of the loss over the predicted time as a fraction of the latency target: 0.06 at half of it, 1 at all of it
@@ -89,7 +89,7 @@
         self.last_response_at = -inf
         self.heartbeat_lost = False
         self.idle_since: list[float] = []  # of idle connections, as far as this module can tell
-        self.circuit = Circuit()
+        self.circuit = CircuitBreaker()
 
     @property
     def load(self) -> int:
@@ -208,7 +208,7 @@
             backend.heartbeat_lost and now - backend.last_response_at > 1000.0
         ):
             loss += HEARTBEAT_LOST_COST
-        if not backend.circuit.lets(now):
+        if not backend.circuit.allows(now):
             if fallback is None or loss < fallback.loss:
                 fallback = Selection(backend, loss, expected_ms)
             continue
--- a/troutdock/admission/bucket_owner.py
+++ b/troutdock/admission/bucket_owner.py
@@ -36,7 +36,7 @@
         self.replicas = BucketReplicas()
         self.rejection_rate, self.rejection_rate_at, self.hold_ms = 0.0, 0.0, MIN_HOLD_MS  # rate: per second
 
-    def answer(self, now: float, sender: int, body: bytes) -> bytes:
+    def reply(self, now: float, sender: int, body: bytes) -> bytes:
         """Returns the reply to a peer's query, the same one if it is repeated; ValueError if malformed."""
         number, query = decode_query(body)
         while self.reply_times and now - self.reply_times[0][0] > REPLY_CACHE_MS:
--- a/troutdock/admission/interface.py
+++ b/troutdock/admission/interface.py
@@ -1,4 +1,4 @@
-"""What a gateway is told and what it may do: settings, events, actions. All times are milliseconds."""
+"""Interface of the admission state machines: settings, events and actions. All times are milliseconds."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
     CONNECT_FAILED = 5
     RESET = 6
     CANCELLED = 7
-    MOOT = 8
+    WRONG_INSTANCE = 8
 
     @property
     def never_ran(self) -> bool:
-        """True where the outcome proves that the backend did not run the request."""
-        return self in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
+        """True if the outcome proves that the backend did not run the request."""
+        return self in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.WRONG_INSTANCE)
 
 
 class Effect(Enum):
-    """What running a request twice would do."""
+    """What running a request twice would do: nothing, nothing within its dedup window, or damage."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -35,7 +35,7 @@
 
 
 class Group(Enum):
-    """Which backends drop each other's repeats of a keyed request."""
+    """Dedup group: the backends among which duplicates of a keyed request are dropped."""
 
     ALL = "all"
     ZONE = "zone"
@@ -43,7 +43,7 @@
 
 
 class ListKind(IntEnum):
-    """What a fleet update holds."""
+    """What a fleet update contains."""
 
     CHANGES = 0
     FULL = 1
@@ -52,7 +52,7 @@
 
 
 class BackendState(IntEnum):
-    """What the list of backends knows of one."""
+    """A backend's state in the list of backends."""
 
     GONE = 0
     READY = 1
@@ -62,24 +62,30 @@
 # ---- settings
 
 
-def _check(what: object, at_least: dict[str, float]) -> None:
-    """Raise ValueError naming the first field that is not a number of at least the given size."""
-    for name, least in at_least.items():
-        value = getattr(what, name)
-        if isinstance(value, bool) or not isinstance(value, int | float) or not least <= value < float("inf"):
-            raise ValueError(f"{type(what).__name__}.{name}: {value!r} is not a number of at least {least:g}")
+def _check(instance: object, minimums: dict[str, float]) -> None:
+    """Raises ValueError, naming the first field that is not a number or below its minimum."""
+    for name, minimum in minimums.items():
+        value = getattr(instance, name)
+        if (
+            isinstance(value, bool)
+            or not isinstance(value, int | float)
+            or not minimum <= value < float("inf")
+        ):
+            raise ValueError(
+                f"{type(instance).__name__}.{name}: {value!r} is not a number of at least {minimum:g}"
+            )
 
 
-def _check_types(what: object, kinds: dict[str, type]) -> None:
+def _check_types(instance: object, kinds: dict[str, type]) -> None:
     for name, kind in kinds.items():
-        value = getattr(what, name)
+        value = getattr(instance, name)
         if not isinstance(value, kind):
-            raise ValueError(f"{type(what).__name__}.{name}: {value!r} is not a {kind.__name__}")
+            raise ValueError(f"{type(instance).__name__}.{name}: {value!r} is not a {kind.__name__}")
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A kind of request."""
+    """A class of requests with a common latency target (aim_ms), deadline, priority (worth) and effect."""
 
     aim_ms: float
     deadline_ms: float
@@ -97,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What a customer of this plan may use over all gateways; 0 means no such limit."""
+    """Limits of a customer with this plan over all gateways; 0 means no limit."""
 
     rate: float
     burst: float
@@ -116,7 +122,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """The deployment as one gateway is told it at start."""
+    """The deployment's configuration, as one gateway receives it at start."""
 
     gateways: int
     index: int
@@ -146,7 +152,7 @@
     meter_ms: float = 0.0
     settled_after: bool = False
     report_fields: tuple[str, ...] = ()
-    live_classes: int = 0  # the first so many are in force, those behind only for what is open; 0: all are
+    live_classes: int = 0  # how many are in force; the rest serve pending requests only; 0: all
 
     def __post_init__(self) -> None:
         _check(
@@ -178,25 +184,25 @@
                 raise ValueError(f"Settings.{name}: at least one is needed")
 
 
-RETIRED_MOST = 16  # classes that are gone and still known: far more than reloads within a deadline drop
+MAX_RETIRED_CLASSES = 16  # removed classes still kept; reloads within one deadline remove far fewer
 
 
-def merged_settings(before: Settings, after: Settings) -> Settings:
-    """The new settings, with the classes that are gone kept behind its own, the latest first.
+def merge_settings(before: Settings, after: Settings) -> Settings:
+    """Returns the new settings, with removed classes appended to its own, the most recent first.
 
-    A class is the same one if name, effect and group are; with other figures its new ones hold.
+    Classes are identified by name, effect and group; of the same class, the new figures apply.
     """
 
     def identity(cls: RequestClass) -> tuple[str, Effect, Group]:
         return cls.name, cls.effect, cls.group
 
     kept = {identity(cls) for cls in after.classes}
-    gone = [cls for cls in before.classes if identity(cls) not in kept][:RETIRED_MOST]
+    gone = [cls for cls in before.classes if identity(cls) not in kept][:MAX_RETIRED_CLASSES]
     return replace(after, classes=after.classes + tuple(gone), live_classes=len(after.classes))
 
 
-def renumbered(before: tuple[RequestClass, ...], after: tuple[RequestClass, ...]) -> list[int | None]:
-    """For each class its number in before: the same one, else one of its name, else None."""
+def previous_indexes(before: tuple[RequestClass, ...], after: tuple[RequestClass, ...]) -> list[int | None]:
+    """Returns for each class its index in before: of the same class, else by name, else None."""
     same = {(cls.name, cls.effect, cls.group): n for n, cls in reversed(list(enumerate(before)))}
     named = {cls.name: n for n, cls in reversed(list(enumerate(before)))}
     return [same.get((cls.name, cls.effect, cls.group), named.get(cls.name)) for cls in after]
@@ -207,7 +213,7 @@
 
 @dataclass(slots=True)
 class BackendEntry:
-    """One line of the list of backends; up_since_ms 0 means long ago."""
+    """An entry of the list of backends; up_since_ms 0 means long ago."""
 
     backend: BackendId
     state: BackendState = BackendState.READY
@@ -216,12 +222,12 @@
     cell: int = 0
     size: float = 1.0
     up_since_ms: float = 0.0
-    warm_at_ms: float = 0.0  # when it is as quick as ever, where it tells so itself
+    warm_at_ms: float = 0.0  # when it reaches full speed, if it reports that
 
 
 @dataclass(slots=True)
 class FleetUpdate:
-    """News from the list of a pool's backends; a backend belongs to one pool."""
+    """An update of a pool's list of backends; a backend belongs to one pool."""
 
     kind: ListKind
     entries: list[BackendEntry]
@@ -230,22 +236,22 @@
 
 
 @dataclass(slots=True)
-class ListWatched:
-    """Whether discovery was heard by the last call to it; what it said comes as a FleetUpdate."""
+class DiscoveryStatus:
+    """Whether discovery answered the last call; its answer follows as a FleetUpdate."""
 
-    heard: bool
+    answered: bool
 
 
 @dataclass(slots=True)
 class SettingsChanged:
-    """New settings, made by merged_settings; what is open keeps the rules that it came under."""
+    """New settings, made by merge_settings; pending requests keep the rules they arrived under."""
 
     settings: Settings
 
 
 @dataclass(slots=True)
 class PlanAssigned:
-    """From now on the customer has this plan, and its requests name it; nothing where it is not known yet."""
+    """From now on the customer has this plan, and its requests name it; ignored for unknown customers."""
 
     customer: int
     plan: int
@@ -253,12 +259,12 @@
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A client's try; the gateway owes it one final answer within time_left_ms.
+    """A client's request; the gateway has to give one final answer within time_left_ms.
 
-    pool: whose backends may take it. max_attempts: at most so many, 0 for as many as the settings say.
-    key: a number for what nodes know a keyed request by, the same in the client's retries; 0: not told.
-    reserved: its units are kept ahead for it and taken off that; the bucket bears none of them.
-    priority: its rank where the fleet is pressed, 0 the highest.
+    pool: the pool whose backends may serve it. max_attempts: limit of attempts; 0: that of the settings.
+    key: a number for its idempotency key, the same in the client's retries; 0: none given.
+    reserved: its units were reserved and are charged to the reservation, not to the bucket.
+    priority: its rank if the fleet is overloaded; 0 is the highest.
     """
 
     request: int
@@ -278,10 +284,10 @@
 
 
 @dataclass(slots=True)
-class RequestWaited:
-    """A client's try has waited so long for this process, before any work was spent on it.
+class RequestQueued:
+    """A client's request waited for this process, and no work was spent on it yet.
 
-    The answer is a Refuse of request 0: its final answer; or nothing: RequestArrived may follow. The fields
+    The answer is a Refuse of request 0, which is final, or nothing, and RequestArrived may follow. The fields
     are those of RequestArrived.
     """
 
@@ -296,10 +302,10 @@
 
 
 @dataclass(slots=True)
-class AnswerBegan:
-    """A streamed answer has begun; from now on it is the client's.
+class ResponseStarted:
+    """A streamed response has started, and is being passed on to the client.
 
-    work_done: the backend has done its work, and the rest is the answer's way; lag_ms as in AttemptEnded.
+    work_done: the backend has finished its work, only transfer is left; lag_ms as in AttemptEnded.
     """
 
     request: int
@@ -312,10 +318,10 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """The one outcome of an attempt; over: the request is concluded.
+    """The outcome of an attempt, once per attempt; over: the request is concluded.
 
-    lag_ms: the part of elapsed_ms that was not the backend's work: the gateway itself was late, or a long
-    message was on its way. Infinite where that part can't be told: then its time is no sign of anything.
+    lag_ms: the part of elapsed_ms that was not the backend's work, but a delay of the gateway or the transfer
+    of a long message. Infinite if that part is unknown: then the time is not used as a sample.
     """
 
     request: int
@@ -332,7 +338,7 @@
 
 @dataclass(slots=True)
 class RequestWithdrawn:
-    """The client left; nothing more is owed."""
+    """The client has gone; no answer is needed any more."""
 
     request: int
 
@@ -346,7 +352,7 @@
 
 @dataclass(slots=True)
 class ProbeEnded:
-    """What one probe found."""
+    """The outcome of a probe."""
 
     backend: BackendId
     outcome: Outcome
@@ -363,7 +369,7 @@
 
 
 @dataclass(slots=True)
-class CountAnswered:
+class CounterReply:
     """The answer to one counter call; total is valid with OK."""
 
     name: int
@@ -373,14 +379,14 @@
 
 
 @dataclass(slots=True)
-class Settled:
-    """What has become of an attempt at a gateway whose state another one has.
-
-    An action of the retired gateway, and an event of the other: its number of the request means nothing
-    there but the same attempt. outcome None: it has been sent just now. Attempt -1: the request was refused,
-    and nothing of it has run. cls, plan: by name, as the two may number them differently. work, pile and
-    due_at as they were at the send, in milliseconds of an idle backend's time, as a multiple, and as a time.
-    units: the true ones less the guess, only with true_units over 0.
+class AttemptSettled:
+    """The progress of an attempt of a gateway whose state was handed over.
+
+    An action of the retired gateway, and an event of its successor, where the request number only identifies
+    the attempt. outcome None: it was just sent. Attempt -1: the request was refused, and no attempt of it has
+    run. cls, plan: names, as the numbers may differ between the two. work, pile, due_at: values at the time
+    of the send: ms on an idle backend, the backend's queueing factor, and the time when it is overdue.
+    units: true units minus the estimate, only if true_units is above 0.
     """
 
     request: int
@@ -403,34 +409,34 @@
     group: tuple[Group, int] | None = None
 
 
-# ---- events of the whole gateway, where ingresses know one another
+# ---- events of an ingress that knows its peers
 
 
 @dataclass(slots=True)
-class Company:
-    """How many ingresses there are, this one among them, and how many of them it hears."""
+class IngressMembership:
+    """Number of ingresses including this one, and of those that it receives messages from."""
 
     ingresses: int
-    heard: int
+    reachable: int
 
 
 @dataclass(slots=True)
-class OthersLoad:
-    """Open attempts of another ingress by backend, as they are now; whole: it has no others."""
+class PeerLoad:
+    """Current pending attempts of another ingress by backend; complete: the list is complete."""
 
     origin: str
     out: dict[BackendId, int]
-    whole: bool = False
+    complete: bool = False
 
 
 @dataclass(slots=True)
 class LeasesDue:
-    """Grants of the fleet's quotas may have come, or time has gone by."""
+    """Quota grants may have arrived, or time has passed, so the leases have to be checked."""
 
 
 @dataclass(slots=True)
-class Suspected:
-    """A backend has not called for a while, or does again."""
+class BackendSuspected:
+    """A backend has not sent heartbeats for a while (silent), or sends them again."""
 
     backend: BackendId
     silent: bool
@@ -438,23 +444,23 @@
 
 Event = (
     FleetUpdate
-    | Company
-    | OthersLoad
+    | IngressMembership
+    | PeerLoad
     | LeasesDue
-    | Suspected
-    | ListWatched
+    | BackendSuspected
+    | DiscoveryStatus
     | SettingsChanged
     | PlanAssigned
     | RequestArrived
-    | RequestWaited
-    | AnswerBegan
+    | RequestQueued
+    | ResponseStarted
     | AttemptEnded
     | RequestWithdrawn
     | TimerFired
     | ProbeEnded
     | PeerMessage
-    | CountAnswered
-    | Settled
+    | CounterReply
+    | AttemptSettled
 )
 
 
@@ -463,7 +469,7 @@
 
 @dataclass(slots=True)
 class Send:
-    """Start an attempt; timeout_ms 0: until the client gives up."""
+    """Starts an attempt; timeout_ms 0: until the client gives up."""
 
     request: int
     backend: BackendId
@@ -472,7 +478,7 @@
 
 @dataclass(slots=True)
 class Cancel:
-    """Stop waiting for an attempt."""
+    """Stops waiting for an attempt."""
 
     request: int
     attempt: int
@@ -480,7 +486,7 @@
 
 @dataclass(slots=True)
 class Refuse:
-    """Final answer: refused, coming back is harmless."""
+    """Final answer: refused; a retry by the client is safe."""
 
     request: int
     retry_after_ms: float = 0.0
@@ -488,14 +494,14 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: failed, nothing is promised."""
+    """Final answer: failed; the request may have run."""
 
     request: int
 
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for TimerFired after so long; request: whose end ends the timer too, 0 for none."""
+    """Requests TimerFired after after_ms; cancelled when the given request ends, 0 for none."""
 
     after_ms: float
     label: int
@@ -504,22 +510,22 @@
 
 @dataclass(slots=True)
 class Probe:
-    """Examine a backend."""
+    """Probes a backend."""
 
     backend: BackendId
 
 
 @dataclass(slots=True)
-class Tell:
-    """Send bytes to one gateway, or to all others (None)."""
+class SendToPeer:
+    """Sends bytes to one gateway, or to all others (None)."""
 
     gateway: int | None
     body: bytes
 
 
 @dataclass(slots=True)
-class Count:
-    """Add to a named number of the shared counter and learn its total."""
+class CounterAdd:
+    """Adds to a named total of the shared counter; CounterReply returns the total."""
 
     name: int
     amount: float
@@ -528,10 +534,10 @@
 
 @dataclass(slots=True)
 class Log:
-    """A line for the operators; rare state changes only."""
+    """A log line for operators; rare state changes only."""
 
     text: str
 
 
-Action = Send | Cancel | Refuse | Fail | SetTimer | Probe | Tell | Count | Log | Settled
+Action = Send | Cancel | Refuse | Fail | SetTimer | Probe | SendToPeer | CounterAdd | Log | AttemptSettled
 Actions = list[Action]
--- a/troutdock/admission/proxy_admission.py
+++ b/troutdock/admission/proxy_admission.py
@@ -37,29 +37,29 @@
 
 from troutdock.admission.interface import (
     Actions,
-    AnswerBegan,
+    ResponseStarted,
     AttemptEnded,
     BackendState,
-    Company,
+    IngressMembership,
     Effect,
     Event,
     Fail,
     FleetUpdate,
     LeasesDue,
     ListKind,
-    OthersLoad,
+    PeerLoad,
     Outcome,
     Plan,
     Refuse,
     RequestArrived,
     RequestClass,
-    RequestWaited,
+    RequestQueued,
     RequestWithdrawn,
     Send,
     SetTimer,
     Settings,
     SettingsChanged,
-    Suspected,
+    BackendSuspected,
     TimerFired,
 )
 from troutdock.admission.backend_selection import (
@@ -162,7 +162,7 @@
         self._ratio, self._allowance = ratio * RETRY_BUDGET_SHARE, allowance * RETRY_ALLOWANCE_SHARE
         self.quotas = quotas or QuotaNode.standalone()
         self.leases = QuotaLeases(self.quotas)
-        self.membership = Company(1, 1)
+        self.membership = IngressMembership(1, 1)
         self.tenants: dict[int, Tenant] = {}
         self.backends: dict[int, Backend] = {}
         self.pools: dict[int, Pool] = {}
@@ -172,17 +172,17 @@
         self.actions: Actions = []
         self._handlers: dict[type, Callable[[float, Any], None]] = {
             RequestArrived: self._arrived,
-            RequestWaited: self._waited,
+            RequestQueued: self._waited,
             AttemptEnded: self._attempt_ended,
-            AnswerBegan: self._response_started,
+            ResponseStarted: self._response_started,
             RequestWithdrawn: self._withdrawn,
             TimerFired: self._timer_fired,
             FleetUpdate: self._backends_changed,
             SettingsChanged: self._settings_changed,
-            Company: self._membership_changed,
-            OthersLoad: self._peer_load_changed,
+            IngressMembership: self._membership_changed,
+            PeerLoad: self._peer_load_changed,
             LeasesDue: self._leases_due,
-            Suspected: self._heartbeat_changed,
+            BackendSuspected: self._heartbeat_changed,
         }
         if any(plan.rate for plan in settings.plans):
             self._apply_limits(0.0)
@@ -279,7 +279,7 @@
         self.actions.append(Refuse(call.event.request, NO_OWNER_RETRY_MS))
         self.calls.pop(call.event.request, None)
 
-    def _waited(self, now: float, event: RequestWaited) -> None:
+    def _waited(self, now: float, event: RequestQueued) -> None:
         """Overload protection: rejects a request that waited too long before work is spent on it."""
         if event.waited_ms > MAX_LOCAL_WAIT_SHARE * self.settings.classes[event.cls].aim_ms:
             tenant = self._tenant(now, event.customer, self.settings.plans[event.plan])
@@ -313,7 +313,7 @@
         self.actions.append(Fail(call.event.request))
         self.calls.pop(call.event.request, None)
 
-    def _membership_changed(self, now: float, event: Company) -> None:
+    def _membership_changed(self, now: float, event: IngressMembership) -> None:
         self.membership = event
 
     # ---- backends
@@ -345,8 +345,8 @@
             else:
                 backend.pool.ready.pop(entry.backend, None)
 
-    def _peer_load_changed(self, now: float, event: OthersLoad) -> None:
-        if event.whole:
+    def _peer_load_changed(self, now: float, event: PeerLoad) -> None:
+        if event.complete:
             for number, backend in self.backends.items():
                 if event.origin in backend.peer_loads and number not in event.out:
                     backend.set_peer_load(event.origin, 0)
@@ -354,7 +354,7 @@
             if (reported := self.backends.get(number)) is not None:
                 reported.set_peer_load(event.origin, count)
 
-    def _heartbeat_changed(self, now: float, event: Suspected) -> None:
+    def _heartbeat_changed(self, now: float, event: BackendSuspected) -> None:
         if (backend := self.backends.get(event.backend)) is not None:
             backend.heartbeat_lost = event.silent
             if not event.silent and backend.entry.state is BackendState.READY:
@@ -387,7 +387,7 @@
         pool.mean_service_ms += (call.service_time.mean_ms - pool.mean_service_ms) * 0.05
         backend.out[call.event.request, number] = now, selection.expected_ms
         backend.take_connection(now)
-        backend.circuit.sent(now)
+        backend.circuit.attempt_sent(now)
         self.loads_changed[backend.entry.backend] = None
         call.attempted.append(backend)
         call.open_attempts.append(number)
@@ -477,10 +477,12 @@
             backend.circuit.answered()
             backend.return_connection(now)
         elif outcome is Outcome.CONNECT_FAILED:
-            backend.circuit.could_not_connect(now)
+            backend.circuit.connect_failed(now)
         else:
-            backend.circuit.unknown()
-        if outcome is Outcome.MOOT:  # its address has a new instance: it has ended, even if still listed
+            backend.circuit.outcome_unknown()
+        if (
+            outcome is Outcome.WRONG_INSTANCE
+        ):  # another instance has its address: it has ended, even if listed
             backend.pool.ready.pop(event.backend, None)
         if outcome is Outcome.OK:
             backend.heartbeat_lost = False
@@ -502,7 +504,7 @@
         elif outcome is Outcome.FULL:
             backend.record_failure(now, FAILURE_COST / 2)
 
-    def _response_started(self, now: float, event: AnswerBegan) -> None:
+    def _response_started(self, now: float, event: ResponseStarted) -> None:
         if (backend := self.backends.get(event.backend)) is not None:
             backend.last_response_at = now
 
--- a/troutdock/admission/tenant.py
+++ b/troutdock/admission/tenant.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from troutdock.admission.diba import VirtualQueue, spread_of
+from troutdock.admission.diba import VirtualQueue, variation_of
 from troutdock.admission.interface import Plan
 
 EARLY_MS, NO_SHOW_MS = 60.0, 1500.0  # a request this close before or after a retry time counts as that retry
@@ -58,8 +58,8 @@
         """Returns the milliseconds until a rejected request is to be retried; share: of the quota, here."""
         refill_rate = self.plan.rate * share if self.is_limited else max(1.0, self.arrival_rate)
         spread = (
-            spread_of(int(self.sample_weight), self.job_sum, self.job_squares)
+            variation_of(int(self.sample_weight), self.job_sum, self.job_squares)
             if self.sample_weight >= 2
             else 0.0
         )
-        return self.appoint(now, refill_rate * (1 + spread), NO_SHOW_MS)
+        return self.schedule_return(now, refill_rate * (1 + spread), NO_SHOW_MS)
--- a/troutdock/engine/engine.py
+++ b/troutdock/engine/engine.py
@@ -55,32 +55,32 @@
 from troutdock.admission.interface import (
     Action,
     Actions,
-    AnswerBegan,
+    ResponseStarted,
     AttemptEnded,
     BackendId,
     Cancel,
-    Count,
-    CountAnswered,
+    CounterAdd,
+    CounterReply,
     Effect,
     Event,
     Fail,
     FleetUpdate,
     Group,
-    ListWatched,
+    DiscoveryStatus,
     Log,
     Outcome,
     PeerMessage,
     PlanAssigned,
     Refuse,
     RequestArrived,
-    RequestWaited,
+    RequestQueued,
     RequestWithdrawn,
     Send,
     SetTimer,
     Settings,
     SettingsChanged,
-    Settled,
-    Tell,
+    AttemptSettled,
+    SendToPeer,
     TimerFired,
 )
 from troutdock.engine.attempt import Attempt
@@ -207,7 +207,7 @@
         self._unrecorded: dict[
             int, tuple[Call, Timer | None]
         ] = {}  # by number; concluded, answer not yet given
-        self._on_settled: Callable[[Settled], None] | None = None  # the process that took over the state
+        self._on_settled: Callable[[AttemptSettled], None] | None = None  # tells the process that took over
 
     def add_pool(self, transport: Transport) -> int:
         """Adds a pool of backends reached by this transport. Returns its number; the first pool is 0."""
@@ -263,7 +263,7 @@
     def _plan_number(self, plan: str) -> int | None:
         return next((n for n, p in enumerate(self._gateway.settings.plans) if p.name == plan), None)
 
-    def _apply_assigned_plan(self, event: RequestArrived | RequestWaited, now: float) -> None:
+    def _apply_assigned_plan(self, event: RequestArrived | RequestQueued, now: float) -> None:
         """Sets the event's plan to the assigned one, if one is assigned and the settings have it."""
         if self._plans is not None and (plan := self._plans.plan_of(event.customer, now)) is not None:
             number = self._plan_number(plan)
@@ -276,7 +276,7 @@
 
     # ---- events
 
-    def export_state(self, tell: Callable[[Settled], None]) -> dict[str, Any]:
+    def export_state(self, tell: Callable[[AttemptSettled], None]) -> dict[str, Any]:
         """Returns the decision module's state for a successor process; admits no requests afterwards.
 
         Args:
@@ -307,7 +307,7 @@
 
         return snapshot.restore(self._gateway, state)
 
-    def attempt_settled(self, settled: Settled) -> None:
+    def attempt_settled(self, settled: AttemptSettled) -> None:
         """Handles the result of an attempt that the predecessor sent."""
         self._handle(settled)
 
@@ -318,7 +318,7 @@
         snapshot.forget(self._gateway)
 
     def reconfigure(self, settings: Settings) -> None:
-        """Applies new settings, made by merged_settings; open calls keep their previous rules."""
+        """Applies new settings, made by merge_settings; open calls keep their previous rules."""
         self._max_units = settings.most_units
         self._handle(SettingsChanged(settings))
 
@@ -333,13 +333,13 @@
 
     def discovery_polled(self, answered: bool) -> None:
         """Handles whether the last call to service discovery was answered."""
-        self._handle(ListWatched(answered))
+        self._handle(DiscoveryStatus(answered))
 
     def handle_event(self, event: Event) -> None:
         """Passes an event to the decision module and carries out its actions."""
         self._handle(event)
 
-    def count_answered(self, event: CountAnswered) -> None:
+    def count_answered(self, event: CounterReply) -> None:
         """Handles the shared counter's answer to one call."""
         self._handle(event)
 
@@ -387,7 +387,7 @@
             call.deadline_timer = self._timers.call_later(left_s, self._deadline_reached, call)
         return call
 
-    def reject_waited(self, event: RequestWaited, exchange: Exchange) -> bool:
+    def reject_waited(self, event: RequestQueued, exchange: Exchange) -> bool:
         """Refuses a request that has waited too long to be read, if the decision module says so.
 
         Cheaper than arrive: no call, no timers, no counter. Returns false if the request may be processed.
@@ -446,7 +446,7 @@
         self._cancel_timers(call)  # timers for hedged attempts: no further attempt may run
         elapsed_ms = self.clock.now() - attempt.started
         self._handle(
-            AnswerBegan(
+            ResponseStarted(
                 call.number, attempt.index, attempt.backend, elapsed_ms, flow is not None, attempt.lag_ms
             )
         )
@@ -654,16 +654,16 @@
                     self._cancel(open_call, open_call.attempts[index])
             case SetTimer(after_ms, label, number):
                 self._set_timer(after_ms, label, number)
-            case Count(name, amount, ttl_ms):
+            case CounterAdd(name, amount, ttl_ms):
                 if self._counter is None:
                     raise RuntimeError("the decision module uses a counter, but the settings name none")
                 self._counter.call(name, amount, ttl_ms)
-            case Tell(gateway, body):
+            case SendToPeer(gateway, body):
                 if self._peers is not None:
                     self._peers.tell(gateway, body)
             case Log(text):
                 log.warning("%s", text)
-            case Settled():
+            case AttemptSettled():
                 if self._on_settled is not None:
                     self._on_settled(action)
             case _:
@@ -695,7 +695,7 @@
         call.attempts.append(attempt)
         if call.committed is not None:  # committed to another attempt: no further attempt may run
             attempt.over = True
-            # not Outcome.MOOT: a backend reports that if another instance has taken its address
+            # not Outcome.WRONG_INSTANCE: a backend reports that if another instance has taken its address
             self._report_attempt_end(call, attempt, Outcome.CANCELLED)
             return
         call.transport.start(attempt)
--- a/troutdock/grpc/front.py
+++ b/troutdock/grpc/front.py
@@ -22,7 +22,7 @@
 import time
 from typing import TYPE_CHECKING
 
-from troutdock.admission.interface import RequestWaited
+from troutdock.admission.interface import RequestQueued
 from troutdock.engine import BadRequest, Failure
 from troutdock.grpc.exchange import RESPONSE_HEADERS, GrpcExchange
 from troutdock.grpc.methods import MethodTable, MethodRule
@@ -299,7 +299,7 @@
         waited_ms = self.now() - exchange.arrived
         late = waited_ms > MIN_WAIT_MS and server.lag.notable
         if late and server.damping.turn_away and request.upload is None:
-            waited = RequestWaited(a.customer, a.plan, a.cls, a.units, a.width, a.retry, waited_ms, a.key)
+            waited = RequestQueued(a.customer, a.plan, a.cls, a.units, a.width, a.retry, waited_ms, a.key)
             if server.engine.reject_waited(waited, exchange):
                 return
         try:
--- a/troutdock/http/listener.py
+++ b/troutdock/http/listener.py
@@ -27,7 +27,7 @@
 from math import inf
 from typing import Protocol
 
-from troutdock.admission.interface import RequestWaited
+from troutdock.admission.interface import RequestQueued
 from troutdock.address import Address
 from troutdock.engine import Engine
 from troutdock.handover.roles import Item
@@ -88,7 +88,7 @@
             BadRequest: the message is not a valid request.
         """
 
-    def waited(self, url: bytes, headers: Headers, waited_ms: float) -> RequestWaited | None:
+    def waited(self, url: bytes, headers: Headers, waited_ms: float) -> RequestQueued | None:
         """Returns the data for rejecting a request unread; None if it has to be read."""
 
 
--- a/troutdock/http/request.py
+++ b/troutdock/http/request.py
@@ -6,7 +6,7 @@
 from hashlib import blake2b
 from collections.abc import Iterable, Sequence
 
-from troutdock.admission.interface import Effect, RequestArrived, RequestWaited, Settings
+from troutdock.admission.interface import Effect, RequestArrived, RequestQueued, Settings
 from troutdock.engine import BadRequest, Request
 from troutdock.http.body_limits import UNBUDGETED_BODY_BYTES
 
@@ -129,7 +129,7 @@
         head = forwarded_head(method, url, headers, length)
         return HttpRequest(seen[b"request-id"], head, body, arrival, effect is not Effect.UNSAFE)
 
-    def waited(self, url: bytes, headers: Headers, waited_ms: float) -> RequestWaited | None:
+    def waited(self, url: bytes, headers: Headers, waited_ms: float) -> RequestQueued | None:
         """Returns the data for rejecting a request unread; None if it has to be read."""
         seen = dict(headers)
         found = self._classes.get(url[: max(0, url.find(b"/", 1))] or url.partition(b"?")[0])
@@ -145,7 +145,7 @@
             return None
         retry = seen.get(b"client-retry") == b"1"
         key = key_number(seen[b"idempotency-key"]) if b"idempotency-key" in seen else 0
-        return RequestWaited(customer, plan, found[0][0], units, width, retry, waited_ms, key)
+        return RequestQueued(customer, plan, found[0][0], units, width, retry, waited_ms, key)
 
 
 def single_valued(headers: Headers, names: Iterable[bytes]) -> dict[bytes, bytes]:
