--- a/benchmarks/control_plane.py
+++ b/benchmarks/control_plane.py
@@ -21,7 +21,7 @@
 sys.path[:0] = [str(Path(__file__).parent.parent)]
 
 from troutdock.rpc.messages import Config, Instance, Instances, Member, encode  # noqa: E402
-from troutdock.registry.registry import Registry, Tell  # noqa: E402
+from troutdock.registry.registry import Registry, Send  # noqa: E402
 
 ZONES, BEAT_S, BODY = 4, 1.5, b'{"revision":"r1","filler":"' + b"x" * 5000 + b'"}'
 START_S, CALM_S, END_S = 3.0, 10.0, 12.0
@@ -66,7 +66,7 @@
         said = Instance(f"i-{b:08x}", f"service{b % 4}", address, zone, 2, 0)
 
         def call() -> None:
-            self.do(b % ZONES, self.registries[b % ZONES].beat(self.now, said, count)[1])
+            self.do(b % ZONES, self.registries[b % ZONES].heartbeat(self.now, said, count)[1])
             self.beat(b, count + 1, self.now + BEAT_S)
 
         self.at(when, call)
@@ -81,7 +81,7 @@
     def do(self, n: int, actions: list[Any]) -> None:
         registry = self.registries[n]
         for action in actions:
-            if not isinstance(action, Tell):
+            if not isinstance(action, Send):
                 continue
             size = len(encode(action.message)) + 8
             if isinstance(action.to, int):
@@ -90,7 +90,7 @@
                 self.at(
                     self.now + 0.0014,
                     lambda to=to, message=message: self.do(
-                        to, self.registries[to].hear(self.now, n, message)
+                        to, self.registries[to].receive(self.now, n, message)
                     ),
                 )
             else:
@@ -118,10 +118,10 @@
     core.run(CALM_S)
     calm, cpu = dict(core.bytes), core.cpu
     said = Instance("i-00000000", "service0", "10.2.0.0:8000", "z0", 2, 1)
-    core.do(0, core.registries[0].beat(core.now, said, 1000)[1])
+    core.do(0, core.registries[0].heartbeat(core.now, said, 1000)[1])
     config = Config(1, msgspec.Raw(BODY))
     for n in range(ZONES):
-        core.at(core.now + 0.0014, lambda n=n: core.do(n, core.registries[n].take_config(config)))
+        core.at(core.now + 0.0014, lambda n=n: core.do(n, core.registries[n].apply_config(config)))
     began = core.now
     core.run(END_S)
     seconds = CALM_S - START_S
--- a/benchmarks/hollow/core.py
+++ b/benchmarks/hollow/core.py
@@ -44,11 +44,11 @@
     encode,
 )
 from troutdock.rpc.netstring import encode_frame
-from troutdock.registry.daemon import TICK_S
-from troutdock.registry.registry import Registry, Tell
+from troutdock.registry.daemon import TICK_INTERVAL_S
+from troutdock.registry.registry import Registry, Send
 from lab.timeline import Timeline
 from troutdock.endpoints.rendezvous import in_order
-from troutdock.config_store.daemon import TICK_S as STORE_TICK_S
+from troutdock.config_store.daemon import TICK_INTERVAL_S as STORE_TICK_S
 from troutdock.config_store.replica import Replica
 from troutdock.config_store.replica_state import InForce, Save
 from troutdock.config_store.replica_state import Send as StoreSend
@@ -73,7 +73,7 @@
         self.count = Count()
         self.ips = [f"10.0.0.{n + 1}" for n in range(CORE)]
         self.registries = [
-            Registry(0.0, BEAT_S, life=1, zone=zone_of(n), seeds=self.ips[:SEEDS], ip=ip)
+            Registry(0.0, BEAT_S, incarnation=1, zone=zone_of(n), seeds=self.ips[:SEEDS], ip=ip)
             for n, ip in enumerate(self.ips)
         ]
         self.replicas = [replica_of(ip, self.ips[:SEEDS], 0.0) for ip in self.ips]
@@ -101,7 +101,7 @@
         count, followers = self.count, len(self.registries[n].ingresses)
         count.cpu_s[count.phase, "hedgerow"] += time.process_time() - since
         for action in actions:
-            if not isinstance(action, Tell) or (action.to is None and not followers):
+            if not isinstance(action, Send) or (action.to is None and not followers):
                 continue
             began = time.process_time()
             payload = encode_frame(encode(action.message))
@@ -116,18 +116,18 @@
                 count.said("hedgerow", "hedgerow", len(payload))
                 self._post(n, action.to, len(payload), payload, self._registry_hears, n)
             count.cpu_s[count.phase, "hedgerow"] += encoding
-        if self.registries[n].urgent:
+        if self.registries[n].save_urgent:
             self._save(n)
 
     def _save(self, n: int) -> None:
         """The registry's disk takes a batch; it is synced beside the loop."""
-        if self.registries[n].take_save(self.time.now) is not None:
+        if self.registries[n].next_batch(self.time.now) is not None:
             self.time.after(SYNC_S, lambda: self._saved(n))
 
     def _saved(self, n: int) -> None:
         if n not in self.down:
             began = time.process_time()
-            self.do(n, self.registries[n].saved(self.time.now, True), began)
+            self.do(n, self.registries[n].on_saved(self.time.now, True), began)
 
     def _follow(self, n: int, payload: bytes, followers: int, message: Message, full: bool) -> None:
         now, far = self.time.now, self.far[n]
@@ -159,7 +159,7 @@
             return
         began = time.process_time()
         message = decode(payload[payload.index(b":") + 1 : -1])
-        self.do(to, self.registries[to].hear(self.time.now, sender, message), began)
+        self.do(to, self.registries[to].receive(self.time.now, sender, message), began)
 
     # ---- the store
 
@@ -216,7 +216,7 @@
         began = time.process_time()
         message = decode(payload[payload.index(b":") + 1 : -1])
         assert isinstance(message, Config)
-        self.do(to, self.registries[to].take_config(message, True), began)
+        self.do(to, self.registries[to].apply_config(message, True), began)
         self._primary(to)
 
     # ---- time
@@ -228,7 +228,7 @@
         self.do(n, self.registries[n].tick(self.time.now), began)
         self._save(n)
         self.keep()
-        self.time.after(TICK_S, lambda: self._tick(n))
+        self.time.after(TICK_INTERVAL_S, lambda: self._tick(n))
 
     def _store_tick(self, n: int) -> None:
         if n in self.down:
@@ -250,7 +250,7 @@
             config = self.registries[to].config
             version, digest = (config.version, config.digest) if config is not None else (0, "")
             told = Fresh(True, version, digest) if any(self.fresh) else None
-            self.do(to, self.registries[to].primary(self.time.now, told), began)
+            self.do(to, self.registries[to].set_primary_status(self.time.now, told), began)
 
     def _beat(self, b: int) -> None:
         if b in self.silenced:
@@ -260,7 +260,7 @@
             n = self.beats_at[b] = (n + 1) % CORE
         self.counts[b] += 1
         began = time.process_time()
-        _, actions = self.registries[n].beat(self.time.now, self.backends[b], self.counts[b])
+        _, actions = self.registries[n].heartbeat(self.time.now, self.backends[b], self.counts[b])
         self.count.messages[self.count.phase, "backend", "hedgerow"] += 1
         self.do(n, actions, began)
         self.time.after(BEAT_S, lambda: self._beat(b))
@@ -339,7 +339,7 @@
         self.counts[b] += 1
         began = time.process_time()
         n = self.beats_at[b]
-        self.do(n, self.registries[n].beat(self.time.now, self.backends[b], self.counts[b])[1], began)
+        self.do(n, self.registries[n].heartbeat(self.time.now, self.backends[b], self.counts[b])[1], began)
         self.silenced.add(b)  # its later beats would be told again, and count as this word
 
     def write(self, version: int) -> int:
--- a/benchmarks/hollow/ingress.py
+++ b/benchmarks/hollow/ingress.py
@@ -9,7 +9,7 @@
 from troutdock.proxy.route_table import Table
 from troutdock.proxy.load_exchange import Exchange
 from troutdock.rpc.messages import GONE, Config, Instances, Members, Silence
-from troutdock.endpoints.endpoint_table import Book
+from troutdock.endpoints.endpoint_table import EndpointTable
 from troutdock.admission.proxy_admission import Fabric
 from troutdock.admission.interface import (
     BackendEntry,
@@ -25,7 +25,7 @@
     """Book, decision module with tenants and backends, list of ingresses, table of routes."""
 
     def __init__(self, name: str, ip: str, zone: str) -> None:
-        self.book = Book()
+        self.book = EndpointTable()
         self.fabric = Fabric(NOTHING, 1, int(zone[1:]))
         self.exchange = Exchange(name, ip, zone, 1, self.book)
         self.table: Table | None = None
@@ -41,7 +41,7 @@
             case Config(version, body):
                 self._configure(now, version, bytes(body))
             case Instances(entries):
-                self._instances(now, self.book.hear(now, entries))
+                self._instances(now, self.book.merge(now, entries))
             case Silence(silent, back):
                 for ids, is_silent in ((silent, True), (back, False)):
                     for id in ids:
--- a/benchmarks/hollow/zone.py
+++ b/benchmarks/hollow/zone.py
@@ -23,8 +23,8 @@
 from troutdock.rpc.messages import Instance, Member, Ping, Shares, decode, encode
 from troutdock.rpc.netstring import encode_frame
 from lab.timeline import Timeline
-from troutdock.endpoints.endpoint_table import Book
-from troutdock.endpoints.rendezvous import in_order
+from troutdock.endpoints.endpoint_table import EndpointTable
+from troutdock.endpoints.rendezvous import ranked
 
 HERE = zone_of(0)
 WORK_S = 0.1  # of a request
@@ -38,7 +38,7 @@
     def __init__(self, size: Size, seed: int, keep: Callable[[], None] = lambda: None) -> None:
         self.size, self.random, self.keep = size, Random(seed), keep
         self.time = Timeline()
-        self.book = Book()
+        self.book = EndpointTable()
         words = [
             Instance(
                 f"i-{b:08x}",
@@ -50,7 +50,7 @@
             )
             for b in range(size.backends)
         ]
-        self.book.hear(0.0, words)
+        self.book.merge(0.0, words)
         self.backends = [w.id for w in words if w.zone == HERE]
         members = [
             Member(f"edge-{i:04}", f"10.1.{i // 250}.{i % 250}", 7000, zone_of(i), i + 1)
@@ -69,10 +69,10 @@
         for exchange in self.exchanges.values():
             exchange.listed(0.0, members, [], True)
         for duty in next(iter(self.exchanges.values())).duties():
-            home = in_order(f"{HERE}/{duty}", self.names)[0]
+            home = ranked(f"{HERE}/{duty}", self.names)[0]
             self.duties[home] += 1
             for zone, names in others.items():
-                self.away[home][in_order(f"{zone}/{duty}", names)[0]] = zone
+                self.away[home][ranked(f"{zone}/{duty}", names)[0]] = zone
         self.due: set[str] = set()
         self.counting = False
         self.messages: Counter[tuple[str, str]] = Counter()  # by kind and by who says it
--- a/tests/compatibility/test_data_of_before.py
+++ b/tests/compatibility/test_data_of_before.py
@@ -21,7 +21,7 @@
 from troutdock.config_store.storage import Disk
 from troutdock.handover import protocol
 from troutdock.plans import files as plan_files
-from troutdock.registry.storage import Memory
+from troutdock.registry.storage import InstanceStorage
 from troutdock.reservations import files as reservation_files
 from troutdock.rpc import messages
 from troutdock.usage.record import State
@@ -76,8 +76,8 @@
 def test_a_registry_opens_its_disk(tmp_path: Path) -> None:
     folder = tmp_path / "data"
     shutil.copytree(DATA / "registry", folder)
-    disk = Memory(folder)
-    found = disk.open()
+    disk = InstanceStorage(folder)
+    found = disk.load()
     disk.close()
     assert msgspec.to_builtins(found) == json.loads((DATA / "registry" / "expected.json").read_text())
 
--- a/tests/support/registries.py
+++ b/tests/support/registries.py
@@ -27,8 +27,8 @@
     Message,
     body_digest,
 )
-from troutdock.registry.registry import Borne, Confirmed, Registry, Tell
-from troutdock.endpoints.endpoint_table import Book, tombstone
+from troutdock.registry.registry import FaultTolerance, RequestCompleted, Registry, Send
+from troutdock.endpoints.endpoint_table import EndpointTable, tombstone
 
 TICK_S = 0.2
 SILENT_S = 1.0  # until a link that says nothing ends, or a primary that reaches too few says so
@@ -54,7 +54,7 @@
     hangs_until: float = 0.0  # its disk
     refuses_until: float = 0.0
     links: dict[str, int] = field(default_factory=dict)  # numbers of links, by the other's address
-    follower: Book = field(default_factory=Book)
+    follower: EndpointTable = field(default_factory=EndpointTable)
     shown: Config | None = None  # the configuration that its ingress was told last
     back_at: float = -99.0  # when its last loss that counts ended
     apart_since: float | None = None  # from more than half of the machines
@@ -78,11 +78,11 @@
         seed: int,
         machines: int = 3,
         zones: int = 3,
-        borne: Borne | None = None,
+        tolerance: FaultTolerance | None = None,
         make: type[Registry] = Registry,
     ) -> None:
         self.random, self.now, self.make = Random(seed), 0.0, make
-        self.borne = borne or Borne(1)
+        self.tolerance = tolerance or FaultTolerance(1)
         self.machines = {
             f"10.0.0.{n}": Machine(f"10.0.0.{n}", f"z{n % zones}") for n in range(1, machines + 1)
         }
@@ -120,12 +120,14 @@
         self.moved = True
         seeds = [other for other in list(self.machines)[:3] if other != ip]
         registry = machine.registry = self.make(
-            self.now, 1.5, machine.life, machine.zone, seeds, self.borne, ip=ip
+            self.now, 1.5, machine.life, machine.zone, seeds, self.tolerance, ip=ip
         )
-        self.do(machine, registry.remembered(self.now, list(machine.disk.values())))
+        self.do(machine, registry.restore(self.now, list(machine.disk.values())))
         member = Member(f"e-{ip}", ip, 1, machine.zone, machine.life)
         self.do(machine, registry.ingress_up(self.now, "ingress", member))
-        self.do(machine, registry.hear(self.now, "ingress", Instances(machine.follower.told(self.now))))
+        self.do(
+            machine, registry.receive(self.now, "ingress", Instances(machine.follower.snapshot(self.now)))
+        )
         life = machine.life
         self.at(self.now + self.random.uniform(0, TICK_S), lambda: self.tick(machine, life))
 
@@ -151,7 +153,7 @@
         self.look_for_primary()
         contact = self.in_contact(machine.ip)
         if contact != machine.registry.contact:
-            self.do(machine, machine.registry.primary(self.now, self.fresh if contact else None))
+            self.do(machine, machine.registry.set_primary_status(self.now, self.fresh if contact else None))
             if contact:
                 self.from_store(machine, self.config)
         self.do(machine, machine.registry.tick(self.now))
@@ -217,7 +219,7 @@
             if machine.registry is not None and machine.apart_since is not None:
                 self.do(
                     machine,
-                    machine.registry.take_config(
+                    machine.registry.apply_config(
                         config(version, b'{"rumour":%d}' % self.random.randint(0, 1))
                     ),
                 )
@@ -233,14 +235,16 @@
         def come() -> None:
             registry = machine.registry
             if registry is not None and machine.life == life and registry.contact:
-                self.do(machine, registry.take_config(told, True))
-                self.do(machine, registry.primary(self.now, Fresh(True, told.version, told.digest)))
+                self.do(machine, registry.apply_config(told, True))
+                self.do(
+                    machine, registry.set_primary_status(self.now, Fresh(True, told.version, told.digest))
+                )
 
         self.at(when, come)
 
     def to_ingress(self, machine: Machine, message: Message) -> None:
         if isinstance(message, Instances):
-            machine.follower.hear(self.now, message.entries)
+            machine.follower.merge(self.now, message.entries)
         elif isinstance(message, Config):
             machine.shown = message
         elif isinstance(message, Fresh) and message.fresh:
@@ -249,8 +253,8 @@
                 raise Violation(
                     f"{machine.ip} tells r{message.version} as the newest, and its ingress was told r{shown.version}"
                 )
-            assert machine.registry is not None and machine.registry._told is not None
-            if message.version < machine.registry._told.version:
+            assert machine.registry is not None and machine.registry._primary_status is not None
+            if message.version < machine.registry._primary_status.version:
                 raise Violation(f"{machine.ip} tells an old configuration as the newest")
 
     # ---- links
@@ -296,14 +300,14 @@
 
     def do(self, machine: Machine, actions: list[Any]) -> None:
         for action in actions:
-            if isinstance(action, Confirmed):
+            if isinstance(action, RequestCompleted):
                 self.answered(machine, action)
-            elif isinstance(action, Tell):
+            elif isinstance(action, Send):
                 if action.to is None or action.to == "ingress":
                     self.to_ingress(machine, action.message)
                 else:
                     self.send(machine, action.to, action.message)
-        if machine.registry is not None and machine.registry.urgent:
+        if machine.registry is not None and machine.registry.save_urgent:
             self.save(machine)
 
     def send(self, machine: Machine, link: Any, message: Message) -> None:
@@ -323,13 +327,13 @@
             if self.cuts.get((machine.ip, to)):
                 self.held.append((machine, link, message))
             elif other.registry is not None and other.links.get(machine.ip) == link:
-                self.do(other, other.registry.hear(self.now, link, message))
+                self.do(other, other.registry.receive(self.now, link, message))
 
         self.at(when, come)
 
     def save(self, machine: Machine) -> None:
         registry, life = machine.registry, machine.life
-        if registry is None or (batch := registry.take_save(self.now)) is None:
+        if registry is None or (batch := registry.next_batch(self.now)) is None:
             return
         machine.under_way = batch
         done = max(self.now + SYNC_S, machine.hangs_until)
@@ -341,15 +345,15 @@
             ok = self.now >= machine.refuses_until
             if ok:
                 self.write(machine, batch)
-            self.do(machine, registry.saved(self.now, ok))
+            self.do(machine, registry.on_saved(self.now, ok))
 
         self.at(done, synced)
 
     def write(self, machine: Machine, batch: Any) -> None:
-        if batch.whole:
+        if batch.full:
             machine.disk = {}
         machine.disk.update({entry.id: entry for entry in batch.entries})
-        for id in batch.dropped:
+        for id in batch.deleted:
             machine.disk.pop(id, None)
 
     # ---- backends
@@ -362,16 +366,16 @@
         self.states[id] = max(state, self.states.get(id, 0))
         said = Instance(id, "s", f"{id}:80", "z1", 2, state)
         if state == GONE:
-            known = registry.book.entries.get(id)
+            known = registry.endpoints.entries.get(id)
             said = Instance(id, known.service, known.address, known.zone, 2, GONE) if known else tombstone(id)
-        number, actions = registry.beat(self.now, said, count)
+        number, actions = registry.heartbeat(self.now, said, count)
         if number:
             self.calls[ip, machine.life, number] = Call(id, state, ip, self.now)
         elif state != READY:
             self.acknowledged(machine, Call(id, state, ip, self.now))
         self.do(machine, actions)
 
-    def answered(self, machine: Machine, confirmed: Confirmed) -> None:
+    def answered(self, machine: Machine, confirmed: RequestCompleted) -> None:
         call = self.calls.pop((machine.ip, machine.life, confirmed.number))
         if self.now - call.at > 0.7 + 2 * TICK_S:
             raise Violation(f"{call.id}: {self.now - call.at:.1f} s until the answer")
@@ -392,9 +396,9 @@
         calm = not any(
             m.registry is None or len(m.links) < len(self.machines) - 1 for m in self.machines.values()
         )
-        if calm and len(have) <= self.borne.machines:
+        if calm and len(have) <= self.tolerance.machines:
             raise Violation(f"{call.id} is acknowledged on {len(have)} disks")
-        if calm and self.borne.zones and len({m.zone for m in have}) <= self.borne.zones:
+        if calm and self.tolerance.zones and len({m.zone for m in have}) <= self.tolerance.zones:
             raise Violation(f"{call.id} is acknowledged in {len({m.zone for m in have})} zones")
         apart = machine.apart_since
         if apart is not None and self.now - apart > SILENT_S + 2 * TICK_S:
@@ -410,21 +414,21 @@
             if not machine.registry.fresh or machine.shown != self.config:
                 raise Violation(f"the ingress of {ip} is not told what is in force")
             for id, state in self.acked.items():
-                known = machine.registry.book.entries.get(id)
+                known = machine.registry.endpoints.entries.get(id)
                 if known is None or known.state < state:
                     raise Violation(f"{id}: acknowledged as {state}, {known and known.state} at {ip}")
                 told = machine.follower.entries.get(id)
                 if told is not None and told.state < state:
                     raise Violation(f"{id}: acknowledged as {state}, {told.state} at the ingress of {ip}")
-            for id, known in machine.registry.book.entries.items():
+            for id, known in machine.registry.endpoints.entries.items():
                 if known.state > self.states.get(id, 0):
                     raise Violation(f"{id} is {known.state} at {ip} and never said so")
                 if (
                     len(
                         {
-                            m.registry.book.entries[id].state
+                            m.registry.endpoints.entries[id].state
                             for m in self.machines.values()  # type: ignore[union-attr]
-                            if id in m.registry.book.entries
+                            if id in m.registry.endpoints.entries
                         }
                     )
                     > 1
@@ -492,7 +496,7 @@
     for ip in ips:
         core.end(ip)
         if edges_too:
-            core.machines[ip].follower = Book()
+            core.machines[ip].follower = EndpointTable()
     if lost:
         core.machines[lost].disk = {}
         core.machines[lost].back_at = core.now
--- a/tests/system/test_following.py
+++ b/tests/system/test_following.py
@@ -590,7 +590,7 @@
     registry = w.registries[ip]
     config = registry.registry.config
     told = Fresh(True, config.version, config.digest) if contact and config is not None else None
-    registry._carry_out(registry.registry.primary(registry._loop.time(), told))
+    registry._perform(registry.registry.set_primary_status(registry._loop.time(), told))
 
 
 async def whole_and_served(w: Whole) -> None:
@@ -637,8 +637,8 @@
         assert ingress.feed._link is link and not ingress.feed._before
         # word of a newer order, by a registry that has lost the majority: it may never have been kept
         registry = w.registries[follows(ingress)]
-        registry._carry_out(
-            registry.registry.take_config(
+        registry._perform(
+            registry.registry.apply_config(
                 Config(9, msgspec.Raw(json.dumps({**CONFIGURATION, "revision": "r9"}).encode()))
             )
         )
--- a/tests/system/test_proxy_outcomes.py
+++ b/tests/system/test_proxy_outcomes.py
@@ -27,7 +27,7 @@
 from troutdock.proxy import request_reader
 from troutdock.proxy.daemon import Ingress
 from troutdock.proxy.request_reader import SystemRequest
-from troutdock.endpoints.endpoint_table import Entry
+from troutdock.endpoints.endpoint_table import Endpoint
 from troutdock.admission import proxy_admission
 from troutdock.admission.interface import Outcome
 from troutdock.engine import Manners
@@ -604,7 +604,7 @@
     now = asyncio.get_running_loop().time()
     id = f"{name}{run.number}"
     ingress._instances(
-        [Entry(id, f"s{run.number}", "{}:{}".format(*backend.address), "z", 2, 0, 0.0, now, now)]
+        [Endpoint(id, f"s{run.number}", "{}:{}".format(*backend.address), "z", 2, 0, 0.0, now, now)]
     )
     number = ingress._numbers[id]
     ingress.fabric.backends[number].speed = speed
--- a/tests/system/test_quotas_in_company.py
+++ b/tests/system/test_quotas_in_company.py
@@ -7,7 +7,7 @@
 
 from troutdock.proxy.load_exchange import ALIVE, LINKS_TO_OWNERS, Exchange
 from troutdock.rpc.messages import Member
-from troutdock.endpoints.rendezvous import in_order
+from troutdock.endpoints.rendezvous import ranked
 from troutdock.quota.routes import SHARDS, in_aggregator_order, shard_of, zone_duty, zones_before
 
 RATE, BURST, WINDOW_S = 40.0, 40.0, 5.0
@@ -131,12 +131,12 @@
     asked = [
         shard
         for shard in range(SHARDS)
-        if in_order(zone_duty("a", shard), names)[0] == "a-1" and zones_before(shard, "a", ["b"])
+        if ranked(zone_duty("a", shard), names)[0] == "a-1" and zones_before(shard, "a", ["b"])
     ]
     away = {m.name for m in e.wanted(0.1, near, ()) if m.zone == "b"}
-    expected = {in_order(f"b/{duty}", ["b-0", "b-1"])[0] for duty in homes}
+    expected = {ranked(f"b/{duty}", ["b-0", "b-1"])[0] for duty in homes}
     for shard in asked:
-        expected.update(in_order(zone_duty("b", shard), ["b-0", "b-1"])[:LINKS_TO_OWNERS])
+        expected.update(ranked(zone_duty("b", shard), ["b-0", "b-1"])[:LINKS_TO_OWNERS])
     assert away == expected
 
 
@@ -149,7 +149,7 @@
     wanted = {m.name for m in e.wanted(0.0, [], ())}
     for shard in range(SHARDS):  # alone in its zone, it asks for every shard
         for zone in zones_before(shard, "a", ["b", "c"]):
-            order = in_order(zone_duty(zone, shard), [f"{zone}-{n}" for n in range(3)])
+            order = ranked(zone_duty(zone, shard), [f"{zone}-{n}" for n in range(3)])
             assert order[0] in wanted
             assert order[1] in {m.name for m in e.wanted(0.1, [], [order[0]])}
             linked = [(order[0], zone)]
@@ -165,7 +165,7 @@
     for shard in range(SHARDS):
         for zone in zones_before(shard, "a", ["b", "c"])[:1]:
             expected.update(
-                in_order(zone_duty(zone, shard), [f"{zone}-{n}" for n in range(3)])[:LINKS_TO_OWNERS]
+                ranked(zone_duty(zone, shard), [f"{zone}-{n}" for n in range(3)])[:LINKS_TO_OWNERS]
             )
     assert set(dialled) == expected
 
@@ -173,8 +173,8 @@
 def test_one_that_cannot_be_reached_makes_room_and_one_that_left_the_list_stays_while_it_is_up() -> None:
     f = Exchange("a-1", "10.0.0.2", "a", 1, NoServices())
     f.listed(0.0, [Member("b-0", "10.0.1.1", 1, "b", 1), Member("b-1", "10.0.1.2", 1, "b", 1)], (), True)
-    first = in_order(f"b/{ALIVE}", ["b-0", "b-1"])[0]
-    other = in_order(f"b/{ALIVE}", ["b-0", "b-1"])[1]
+    first = ranked(f"b/{ALIVE}", ["b-0", "b-1"])[0]
+    other = ranked(f"b/{ALIVE}", ["b-0", "b-1"])[1]
     assert first in {m.name for m in f.wanted(0.0, [], ())}
     assert [m.name for m in f.wanted(0.1, [], [first])] == [other]  # for every duty and shard
     # who has left the list may merely be cut off from the registry: a link that is up stays, another goes
--- a/tests/system/test_registry.py
+++ b/tests/system/test_registry.py
@@ -43,9 +43,17 @@
     encode,
 )
 from troutdock.registry.daemon import Daemon
-from troutdock.registry.storage import Memory
-from troutdock.registry.registry import Borne, Confirmed, Forget, Log, Meet, Registry, Tell
-from troutdock.endpoints.endpoint_table import GONE_S, Book, tombstone
+from troutdock.registry.storage import InstanceStorage
+from troutdock.registry.registry import (
+    FaultTolerance,
+    RequestCompleted,
+    RegistryRemoved,
+    LogError,
+    RegistriesFound,
+    Registry,
+    Send,
+)
+from troutdock.endpoints.endpoint_table import TOMBSTONE_TTL_S, EndpointTable, tombstone
 
 IDS = ["i-1", "i-2", "i-3"]
 
@@ -63,29 +71,29 @@
         self.books = {n: Registry(0.0, 1.5) for n in range(3)}
         self.alive = dict.fromkeys(range(3), True)
         self.acknowledged: dict[str, int] = {}
-        self.followers = {n: Book() for n in range(3)}
+        self.followers = {n: EndpointTable() for n in range(3)}
         self.waiting: list[tuple[int, int, object]] = []  # from, to, message
         self.pending: dict[tuple[int, int], tuple[str, int]] = {}
         for n in range(3):
             for m in range(3):
                 if n != m:
                     self.do(n, self.books[n].registry_up(0.0, m, f"10.0.0.{m}", "abc"[m]))
-            self.do(n, self.books[n].primary(0.0, Fresh(True, 0)))
+            self.do(n, self.books[n].set_primary_status(0.0, Fresh(True, 0)))
             self.do(n, self.books[n].ingress_up(0.0, "ingress", Member(f"e{n}", "10.1.0.1", 1, "a", 1)))
         self.deliver_all()
 
     def do(self, n: int, actions: list) -> None:
-        if self.books[n].urgent and self.books[n].take_save(self.now) is not None:
-            actions = [*actions, *self.books[n].saved(self.now, True)]
+        if self.books[n].save_urgent and self.books[n].next_batch(self.now) is not None:
+            actions = [*actions, *self.books[n].on_saved(self.now, True)]
         for action in actions:
-            if isinstance(action, Confirmed):
+            if isinstance(action, RequestCompleted):
                 told = self.pending.pop((n, action.number), None)
                 if action.ok and told is not None:
                     self.acknowledged[told[0]] = max(told[1], self.acknowledged.get(told[0], 0))
-            elif isinstance(action, Tell):
+            elif isinstance(action, Send):
                 if action.to is None or action.to == "ingress":
                     if isinstance(action.message, Instances):
-                        self.followers[n].hear(self.now, action.message.entries)
+                        self.followers[n].merge(self.now, action.message.entries)
                 else:
                     self.waiting.append((n, action.to, action.message))
 
@@ -93,7 +101,7 @@
         while self.waiting:
             sender, to, message = self.waiting.pop(0)
             if self.alive[to] and self.alive[sender]:
-                self.do(to, self.books[to].hear(self.now, sender, message))
+                self.do(to, self.books[to].receive(self.now, sender, message))
 
     @rule(
         n=st.integers(0, 2),
@@ -103,7 +111,7 @@
     )
     def call(self, n: int, id: str, state: int, count: int) -> None:
         if self.alive[n]:
-            number, actions = self.books[n].beat(self.now, instance(id, state), count)
+            number, actions = self.books[n].heartbeat(self.now, instance(id, state), count)
             if number:
                 self.pending[n, number] = id, state
             self.do(n, actions)
@@ -116,7 +124,7 @@
             first = next(i for i, (s, t, _) in enumerate(self.waiting) if (s, t) == (sender, to))
             sender, to, message = self.waiting.pop(first)
             if self.alive[to]:
-                self.do(to, self.books[to].hear(self.now, sender, message))
+                self.do(to, self.books[to].receive(self.now, sender, message))
 
     @precondition(lambda self: all(self.alive.values()))
     @rule(n=st.integers(0, 2))
@@ -131,7 +139,7 @@
         known = [b for m, b in self.books.items() if m != n]
         for id, state in self.acknowledged.items():
             for book in known:
-                assert book.book.entries[id].state >= state
+                assert book.endpoints.entries[id].state >= state
             for m in range(3):
                 if m != n and id in self.followers[m].entries:
                     assert self.followers[m].entries[id].state >= state
@@ -140,12 +148,12 @@
     @rule()
     def back(self) -> None:
         n = next(m for m, alive in self.alive.items() if not alive)
-        self.books[n], self.alive[n], self.followers[n] = Registry(self.now, 1.5), True, Book()
+        self.books[n], self.alive[n], self.followers[n] = Registry(self.now, 1.5), True, EndpointTable()
         for m in range(3):
             if m != n:
                 self.do(n, self.books[n].registry_up(self.now, m, f"10.0.0.{m}", "abc"[m]))
                 self.do(m, self.books[m].registry_up(self.now, n, f"10.0.0.{n}", "abc"[n]))
-        self.do(n, self.books[n].primary(self.now, Fresh(True, 0)))
+        self.do(n, self.books[n].set_primary_status(self.now, Fresh(True, 0)))
         self.do(n, self.books[n].ingress_up(self.now, "ingress", Member(f"e{n}", "10.1.0.1", 1, "a", 1)))
         self.deliver_all()
 
@@ -162,7 +170,8 @@
             knowing = [
                 n
                 for n in range(3)
-                if id in self.books[n].book.entries and self.books[n].book.entries[id].state >= state
+                if id in self.books[n].endpoints.entries
+                and self.books[n].endpoints.entries[id].state >= state
             ]
             assert len(knowing) >= 2 or not all(self.alive.values())
 
@@ -173,51 +182,51 @@
 
 def test_without_a_second_registry_a_drain_is_not_acknowledged() -> None:
     registry = Registry(0.0, 1.5, seeds=["10.0.0.2"])
-    registry.primary(0.0, Fresh(True, 0))
-    number, _ = registry.beat(0.0, instance("i-1", DRAINING), 3)
-    assert registry.take_save(0.0) is not None and registry.saved(0.0, True) == []
-    assert Confirmed(number, False) in registry.tick(1.0)
+    registry.set_primary_status(0.0, Fresh(True, 0))
+    number, _ = registry.heartbeat(0.0, instance("i-1", DRAINING), 3)
+    assert registry.next_batch(0.0) is not None and registry.on_saved(0.0, True) == []
+    assert RequestCompleted(number, False) in registry.tick(1.0)
 
 
 def test_silence_is_told_once_and_taken_back_by_a_beat_anywhere() -> None:
     registry = Registry(0.0, 1.5)
     registry.registry_up(0.0, "r", "10.0.0.2", "b")
-    registry.beat(0.0, instance("i-1"), 1)
+    registry.heartbeat(0.0, instance("i-1"), 1)
     told = [
         a.message
         for s in range(1, 12)
         for a in registry.tick(s * 0.5)
-        if isinstance(a, Tell) and isinstance(a.message, Silence)
+        if isinstance(a, Send) and isinstance(a.message, Silence)
     ]
     assert told == [Silence(["i-1"], [])]
-    assert Tell(None, Silence([], ["i-1"])) in registry.hear(6.0, "r", Beats(["i-1"]))
+    assert Send(None, Silence([], ["i-1"])) in registry.receive(6.0, "r", Beats(["i-1"]))
 
 
 def test_one_that_is_cut_off_takes_nobody_for_silent() -> None:
     registry = Registry(0.0, 1.5)
     registry.registry_up(0.0, "r", "10.0.0.2", "b")
-    registry.beat(0.0, instance("i-1"), 1)
+    registry.heartbeat(0.0, instance("i-1"), 1)
     registry.registry_down(0.5, "r")
     assert not [
         a
         for s in range(1, 12)
         for a in registry.tick(s * 0.5)
-        if isinstance(a, Tell) and isinstance(a.message, Silence)
+        if isinstance(a, Send) and isinstance(a.message, Silence)
     ]
 
 
 def test_a_late_call_changes_nothing() -> None:
     registry = Registry(0.0, 1.5)
-    registry.beat(0.0, instance("i-1", DRAINING), 5)
-    registry.beat(0.1, instance("i-1", READY), 4)
-    assert registry.book.entries["i-1"].state == DRAINING
+    registry.heartbeat(0.0, instance("i-1", DRAINING), 5)
+    registry.heartbeat(0.1, instance("i-1", READY), 4)
+    assert registry.endpoints.entries["i-1"].state == DRAINING
 
 
 def test_configurations_only_rise_and_newcomers_hear_of_freshness_last() -> None:
     registry = Registry(0.0, 1.5)
     new, old = Config(9, msgspec.Raw(b"{}")), Config(7, msgspec.Raw(b"{}"))
-    assert registry.take_config(new)
-    assert registry.take_config(old) == []
+    assert registry.apply_config(new)
+    assert registry.apply_config(old) == []
     told = [
         a.message for a in registry.ingress_up(0.0, "e", Member("e", "10.1.0.1", 1, "a", 1)) if a.to == "e"
     ]
@@ -229,27 +238,27 @@
     registry = Registry(0.0, 1.5)
     registry.registry_up(0.0, "r", "10.0.0.2", "b")
     registry.ingress_up(0.0, "x", Member("e1", "10.1.0.1", 1, "a", 1))
-    actions = registry.hear(0.1, "r", Members([Member("e2", "10.1.0.2", 1, "b", 1)], [], True))
-    assert actions == [Tell(None, Members([Member("e2", "10.1.0.2", 1, "b", 1)], []))]
+    actions = registry.receive(0.1, "r", Members([Member("e2", "10.1.0.2", 1, "b", 1)], [], True))
+    assert actions == [Send(None, Members([Member("e2", "10.1.0.2", 1, "b", 1)], []))]
     registry.registry_down(1.0, "r")
-    assert not any(isinstance(a.message, Members) for a in registry.tick(2.0) if isinstance(a, Tell))
-    gone = [a.message for a in registry.tick(5.5) if isinstance(a, Tell)]
+    assert not any(isinstance(a.message, Members) for a in registry.tick(2.0) if isinstance(a, Send))
+    gone = [a.message for a in registry.tick(5.5) if isinstance(a, Send)]
     assert Members([], ["e2"]) in gone
 
 
 def test_one_whose_address_another_serves_at_has_ended() -> None:
     registry = Registry(0.0, 1.5)
     registry.registry_up(0.0, "r", "10.0.0.2", "b")
-    registry.beat(0.0, instance("i-1"), 1)
-    _, actions = registry.beat(5.0, instance("i-2"), 1)
+    registry.heartbeat(0.0, instance("i-1"), 1)
+    _, actions = registry.heartbeat(5.0, instance("i-2"), 1)
     told = next(
         a.message
         for a in actions
-        if isinstance(a, Tell) and a.to is None and isinstance(a.message, Instances)
+        if isinstance(a, Send) and a.to is None and isinstance(a.message, Instances)
     )
     assert {(e.id, e.state) for e in told.entries} == {("i-1", GONE), ("i-2", READY)}
-    registry.hear(6.0, "r", Instances([instance("i-1")]))  # late word changes nothing
-    assert registry.book.entries["i-1"].state == GONE
+    registry.receive(6.0, "r", Instances([instance("i-1")]))  # late word changes nothing
+    assert registry.endpoints.entries["i-1"].state == GONE
 
 
 def test_many_ingresses_that_start_at_once_are_told_together() -> None:
@@ -260,7 +269,7 @@
     def do(actions: list) -> None:
         nonlocal sent
         for action in actions:
-            if isinstance(action, Tell) and isinstance(action.message, Members):
+            if isinstance(action, Send) and isinstance(action.message, Members):
                 for link in [action.to] if action.to is not None else list(registry.ingresses):
                     names = {m.name for m in action.message.entries}
                     known[str(link)] = (
@@ -287,17 +296,17 @@
 # ---- what is acknowledged
 
 
-def in_contact(life: int = 7, borne: Borne | None = None, others: int = 2) -> Registry:
+def in_contact(incarnation: int = 7, tolerance: FaultTolerance | None = None, others: int = 2) -> Registry:
     """Linked to registries r1 and so on, in zones b and so on, and to the store's primary."""
-    registry = Registry(0.0, 1.5, life, "a", ["10.0.0.2", "10.0.0.3"], borne or Borne(1))
-    registry.primary(0.0, Fresh(True, 0))
+    registry = Registry(0.0, 1.5, incarnation, "a", ["10.0.0.2", "10.0.0.3"], tolerance or FaultTolerance(1))
+    registry.set_primary_status(0.0, Fresh(True, 0))
     for n in range(1, others + 1):
         registry.registry_up(0.0, f"r{n}", f"10.0.0.{n + 1}", "abcd"[n])
     return registry
 
 
 def synced(registry: Registry, now: float = 0.0) -> list:
-    return registry.saved(now, True) if registry.take_save(now) is not None else []
+    return registry.on_saved(now, True) if registry.next_batch(now) is not None else []
 
 
 @pytest.mark.parametrize(
@@ -315,133 +324,137 @@
     link: str, ack: InstancesAck, counts: bool, dropped: int
 ) -> None:
     registry = in_contact()
-    number, actions = registry.beat(0.0, instance("i-1", DRAINING), 3)
-    assert number == 1 and Tell("r1", Instances([instance("i-1", DRAINING)], 1, 7)) in actions
+    number, actions = registry.heartbeat(0.0, instance("i-1", DRAINING), 3)
+    assert number == 1 and Send("r1", Instances([instance("i-1", DRAINING)], 1, 7)) in actions
     registry.registry_up(0.0, "r9", "10.0.0.3", "c")  # a later link
     assert synced(registry) == []
-    assert (Confirmed(1, True) in registry.hear(0.1, link, ack)) == counts
-    assert registry.dropped == dropped
+    assert (RequestCompleted(1, True) in registry.receive(0.1, link, ack)) == counts
+    assert registry.dropped_acks == dropped
 
 
 @pytest.mark.parametrize(
-    ("borne", "zones", "enough"),
+    ("tolerance", "zones", "enough"),
     [
-        (Borne(1), "b", True),
-        (Borne(0), "b", True),
-        (Borne(2), "b", False),
-        (Borne(2), "bc", True),
-        (Borne(1, 1), "a", False),
-        (Borne(1, 1), "ab", True),
-        (Borne(1, 2), "bb", False),
-        (Borne(1, 2), "bc", True),
-        (Borne(0, 0, 1, {"a": "x", "b": "x", "c": "y"}), "b", False),
-        (Borne(0, 0, 1, {"a": "x", "b": "x", "c": "y"}), "c", True),
+        (FaultTolerance(1), "b", True),
+        (FaultTolerance(0), "b", True),
+        (FaultTolerance(2), "b", False),
+        (FaultTolerance(2), "bc", True),
+        (FaultTolerance(1, 1), "a", False),
+        (FaultTolerance(1, 1), "ab", True),
+        (FaultTolerance(1, 2), "bb", False),
+        (FaultTolerance(1, 2), "bc", True),
+        (FaultTolerance(0, 0, 1, {"a": "x", "b": "x", "c": "y"}), "b", False),
+        (FaultTolerance(0, 0, 1, {"a": "x", "b": "x", "c": "y"}), "c", True),
     ],
 )
-def test_copies_lie_in_so_many_places_as_losses_ask_for(borne: Borne, zones: str, enough: bool) -> None:
-    registry = in_contact(borne=borne, others=0)
+def test_copies_lie_in_so_many_places_as_losses_ask_for(
+    tolerance: FaultTolerance, zones: str, enough: bool
+) -> None:
+    registry = in_contact(tolerance=tolerance, others=0)
     for n, zone in enumerate("abbc"):
         registry.registry_up(0.0, n, f"10.0.1.{n}", zone)
-    registry.beat(0.0, instance("i-1", DRAINING), 3)
+    registry.heartbeat(0.0, instance("i-1", DRAINING), 3)
     said = synced(registry)
     free = {zone: [n for n, z in enumerate("abbc") if z == zone] for zone in "abc"}
     for zone in zones:
-        said += registry.hear(0.1, free[zone].pop(0), InstancesAck(1, 7, True))
-    assert (Confirmed(1, True) in said) == enough
+        said += registry.receive(0.1, free[zone].pop(0), InstancesAck(1, 7, True))
+    assert (RequestCompleted(1, True) in said) == enough
 
 
 def test_who_was_lost_for_long_is_the_loss_that_is_borne_and_one_machine_alone_needs_no_other() -> None:
-    registry = in_contact(borne=Borne(2))
+    registry = in_contact(tolerance=FaultTolerance(2))
     registry.registry_down(1.0, "r2")
     for now, enough in ((2.0, False), (5.0, True)):  # contactS is 3
-        number, _ = registry.beat(now, instance(f"i-{now}", DRAINING), 3)
+        number, _ = registry.heartbeat(now, instance(f"i-{now}", DRAINING), 3)
         synced(registry, now)
-        assert (Confirmed(number, True) in registry.hear(now, "r1", InstancesAck(number, 7, True))) == enough
+        assert (
+            RequestCompleted(number, True) in registry.receive(now, "r1", InstancesAck(number, 7, True))
+        ) == enough
     alone = Registry(0.0, 1.5)
-    alone.primary(0.0, Fresh(True, 0))
-    alone.beat(0.0, instance("i-1", GONE), -1)
-    assert Confirmed(1, True) in synced(alone)
+    alone.set_primary_status(0.0, Fresh(True, 0))
+    alone.heartbeat(0.0, instance("i-1", GONE), -1)
+    assert RequestCompleted(1, True) in synced(alone)
 
 
 def test_another_registry_confirms_after_its_own_sync_and_says_whether_it_counts() -> None:
     for contact in (True, False):
         registry = in_contact()
         if not contact:
-            registry.primary(0.0, None)
+            registry.set_primary_status(0.0, None)
         asked = Instances([instance("i-1", DRAINING)], 5, 99)
         assert not any(
             isinstance(a.message, InstancesAck)
-            for a in registry.hear(0.0, "r1", asked)
-            if isinstance(a, Tell)
+            for a in registry.receive(0.0, "r1", asked)
+            if isinstance(a, Send)
         )
-        assert synced(registry) == [Tell("r1", InstancesAck(5, 99, contact))]
-        assert Tell("r1", InstancesAck(6, 99, contact)) in registry.hear(
+        assert synced(registry) == [Send("r1", InstancesAck(5, 99, contact))]
+        assert Send("r1", InstancesAck(6, 99, contact)) in registry.receive(
             0.1, "r1", Instances(asked.entries, 6, 99)
         )  # known by now
 
 
 def test_a_disk_that_is_slow_or_refuses_ends_the_call_and_the_next_save_has_all() -> None:
     registry = in_contact()
-    registry.beat(0.0, instance("i-1", DRAINING), 3)
-    registry.take_save(0.0)
-    registry.hear(0.0, "r1", InstancesAck(1, 7, True))
-    assert Confirmed(1, False) in registry.tick(0.8)  # it hangs
-    number, _ = registry.beat(0.8, instance("i-1", DRAINING), 4)
-    assert Confirmed(number, False) in registry.saved(0.9, False)
-    assert registry.take_save(0.95) is None  # a moment's rest
-    registry.beat(1.0, instance("i-2", at="10.0.0.8:80"), 1)
-    batch = registry.take_save(1.3)
+    registry.heartbeat(0.0, instance("i-1", DRAINING), 3)
+    registry.next_batch(0.0)
+    registry.receive(0.0, "r1", InstancesAck(1, 7, True))
+    assert RequestCompleted(1, False) in registry.tick(0.8)  # it hangs
+    number, _ = registry.heartbeat(0.8, instance("i-1", DRAINING), 4)
+    assert RequestCompleted(number, False) in registry.on_saved(0.9, False)
+    assert registry.next_batch(0.95) is None  # a moment's rest
+    registry.heartbeat(1.0, instance("i-2", at="10.0.0.8:80"), 1)
+    batch = registry.next_batch(1.3)
     assert (
         batch is not None
-        and batch.whole
+        and batch.full
         and {(e.id, e.state) for e in batch.entries} == {("i-1", DRAINING), ("i-2", READY)}
     )
 
 
 def test_the_same_draining_again_is_not_taken_for_known_elsewhere() -> None:
     registry = in_contact(others=0)
-    first, _ = registry.beat(0.0, instance("i-1", DRAINING), 5)
+    first, _ = registry.heartbeat(0.0, instance("i-1", DRAINING), 5)
     synced(registry)
-    assert Confirmed(first, False) in registry.tick(1.0)
-    second, actions = registry.beat(1.1, instance("i-1", DRAINING), 5)
-    assert second and Confirmed(second, True) not in actions
+    assert RequestCompleted(first, False) in registry.tick(1.0)
+    second, actions = registry.heartbeat(1.1, instance("i-1", DRAINING), 5)
+    assert second and RequestCompleted(second, True) not in actions
 
 
 def test_one_that_was_never_heard_of_is_gone_for_good_once_others_have_it() -> None:
     registry = in_contact()
-    number, actions = registry.beat(0.0, tombstone("i-9"), -1)
+    number, actions = registry.heartbeat(0.0, tombstone("i-9"), -1)
     assert (
         number
-        and Tell("r1", Instances([tombstone("i-9")], number, 7)) in actions
-        and Tell(None, Instances([tombstone("i-9")])) in actions
+        and Send("r1", Instances([tombstone("i-9")], number, 7)) in actions
+        and Send(None, Instances([tombstone("i-9")])) in actions
     )
-    batch = registry.take_save(0.0)
+    batch = registry.next_batch(0.0)
     assert batch is not None and batch.entries == [tombstone("i-9")]
-    registry.saved(0.0, True)
-    assert Confirmed(number, True) in registry.hear(0.1, "r1", InstancesAck(number, 7, True))
+    registry.on_saved(0.0, True)
+    assert RequestCompleted(number, True) in registry.receive(0.1, "r1", InstancesAck(number, 7, True))
     for state, count in ((READY, 8), (DRAINING, 9)):
-        registry.beat(0.2, instance("i-9", state), count)
+        registry.heartbeat(0.2, instance("i-9", state), count)
         # a peer that was away says what it knows, and is told the rest
-        assert Tell("r2", Instances([tombstone("i-9")])) in registry.hear(
+        assert Send("r2", Instances([tombstone("i-9")])) in registry.receive(
             0.3, "r2", Instances([instance("i-9", state)])
         )
     assert (
-        registry.book.entries["i-9"].state == GONE
-        and registry.book.services() == []
+        registry.endpoints.entries["i-9"].state == GONE
+        and registry.endpoints.services() == []
         and registry.status()["services"] == {}
     )
     again = Registry(0.0, 1.5)
-    again.remembered(0.0, batch.entries)
-    again.hear(1.0, "r", Instances([instance("i-9")]))
-    assert again.book.entries["i-9"].state == GONE and again.take_save(1.0) is None
+    again.restore(0.0, batch.entries)
+    again.receive(1.0, "r", Instances([instance("i-9")]))
+    assert again.endpoints.entries["i-9"].state == GONE and again.next_batch(1.0) is None
 
 
 def test_a_follower_that_missed_a_leaving_is_told_when_it_says_what_it_knows() -> None:
     registry = in_contact()
-    registry.beat(0.0, instance("i-1"), 1)
-    registry.beat(0.1, instance("i-1", GONE), -1)
+    registry.heartbeat(0.0, instance("i-1"), 1)
+    registry.heartbeat(0.1, instance("i-1", GONE), -1)
     registry.ingress_up(1.0, "e", Member("e", "10.1.0.1", 1, "a", 1))
-    assert Tell("e", Instances([instance("i-1", GONE)])) in registry.hear(
+    assert Send("e", Instances([instance("i-1", GONE)])) in registry.receive(
         1.0, "e", Instances([instance("i-1")])
     )
 
@@ -450,18 +463,18 @@
     registry = in_contact()
 
     def drain(n: int) -> None:
-        registry.beat(0.0, instance(f"i-{n}", DRAINING, f"a{n}"), 1)
+        registry.heartbeat(0.0, instance(f"i-{n}", DRAINING, f"a{n}"), 1)
 
     drain(0)
-    first = registry.take_save(0.0)
+    first = registry.next_batch(0.0)
     for n in range(1, 50):
         drain(n)
-    assert first is not None and len(first.entries) == 1 and registry.take_save(0.0) is None
-    registry.saved(0.01, True)
-    second = registry.take_save(0.01)
-    assert second is not None and len(second.entries) == 49 and registry.saved(0.02, True) == []
-    confirmed = [registry.hear(0.03, "r1", InstancesAck(n, 7, True)) for n in range(1, 51)]
-    assert confirmed == [[Confirmed(n, True)] for n in range(1, 51)]
+    assert first is not None and len(first.entries) == 1 and registry.next_batch(0.0) is None
+    registry.on_saved(0.01, True)
+    second = registry.next_batch(0.01)
+    assert second is not None and len(second.entries) == 49 and registry.on_saved(0.02, True) == []
+    confirmed = [registry.receive(0.03, "r1", InstancesAck(n, 7, True)) for n in range(1, 51)]
+    assert confirmed == [[RequestCompleted(n, True)] for n in range(1, 51)]
 
 
 # ---- contact
@@ -469,22 +482,22 @@
 
 def test_out_of_contact_nothing_is_confirmed_and_everything_is_passed_on() -> None:
     registry = in_contact()
-    waits, _ = registry.beat(0.0, instance("i-1", DRAINING), 3)
-    lost = registry.primary(1.0, None)
+    waits, _ = registry.heartbeat(0.0, instance("i-1", DRAINING), 3)
+    lost = registry.set_primary_status(1.0, None)
     assert (
-        Confirmed(waits, False) in lost
-        and Tell(None, Fresh(False, 0)) in lost
-        and Tell("r1", Fresh(False, 0)) in lost
+        RequestCompleted(waits, False) in lost
+        and Send(None, Fresh(False, 0)) in lost
+        and Send("r1", Fresh(False, 0)) in lost
     )
-    number, actions = registry.beat(1.1, instance("i-2", GONE), -1)
-    assert Confirmed(number, False) in actions and registry.book.entries["i-2"].state == GONE
-    assert {a.to for a in actions if isinstance(a, Tell) and isinstance(a.message, Instances)} == {
+    number, actions = registry.heartbeat(1.1, instance("i-2", GONE), -1)
+    assert RequestCompleted(number, False) in actions and registry.endpoints.entries["i-2"].state == GONE
+    assert {a.to for a in actions if isinstance(a, Send) and isinstance(a.message, Instances)} == {
         "r1",
         "r2",
         None,
     }
     found = registry.status()
-    assert (found["contact"], found["fresh"], registry.contact_at) == (False, False, 1.0)
+    assert (found["contact"], found["fresh"], registry.contact_changed_at) == (False, False, 1.0)
 
 
 @pytest.mark.parametrize(
@@ -505,26 +518,26 @@
 ) -> None:
     registry = in_contact()
     for link in others_contact:
-        registry.hear(0.0, link, Fresh(True, 0))
+        registry.receive(0.0, link, Fresh(True, 0))
     for n in range(linked + 1, 3):
         registry.registry_down(0.0, f"r{n}")
     if not contact:
-        registry.primary(0.0, None)
-    registry.beat(after, instance("i-1"), 1)
-    assert registry.away(after) == away and registry.target(after, "a") == target
-    assert registry.book.entries["i-1"].state == READY  # known whatever the answer
+        registry.set_primary_status(0.0, None)
+    registry.heartbeat(after, instance("i-1"), 1)
+    assert registry.is_isolated(after) == away and registry.redirect_target(after, "a") == target
+    assert registry.endpoints.entries["i-1"].state == READY  # known whatever the answer
 
 
 def test_a_registry_that_starts_alone_takes_nobody_for_silent_before_it_has_met_another() -> None:
     registry = Registry(0.0, 1.5, seeds=["10.0.0.2"])
-    registry.remembered(0.0, [instance("i-1")])
-    assert not [a for s in range(1, 200) for a in registry.tick(s * 0.5) if isinstance(a, Tell)]
-    registry.primary(
+    registry.restore(0.0, [instance("i-1")])
+    assert not [a for s in range(1, 200) for a in registry.tick(s * 0.5) if isinstance(a, Send)]
+    registry.set_primary_status(
         100.0, Fresh(True, 0)
     )  # its own store has found the others, and it has not: they may hear i-1
-    assert not [a for s in range(202, 400) for a in registry.tick(s * 0.5) if isinstance(a, Tell)]
+    assert not [a for s in range(202, 400) for a in registry.tick(s * 0.5) if isinstance(a, Send)]
     registry.registry_up(200.0, "r", "10.0.0.2", "b")
-    assert Tell(None, Silence(["i-1"], [])) in registry.tick(200.5)
+    assert Send(None, Silence(["i-1"], [])) in registry.tick(200.5)
 
 
 # ---- the configuration
@@ -551,15 +564,15 @@
     told: Config, primary: bool, held: Config, says: str
 ) -> None:
     registry = in_contact()
-    registry.take_config(config(7))
-    actions = registry.take_config(told, primary)
+    registry.apply_config(config(7))
+    actions = registry.apply_config(told, primary)
     assert registry.config == held
     assert (
-        [a.text for a in actions if isinstance(a, Log)] == []
+        [a.text for a in actions if isinstance(a, LogError)] == []
         if not says
-        else says in next(a.text for a in actions if isinstance(a, Log))
+        else says in next(a.text for a in actions if isinstance(a, LogError))
     )
-    assert (Tell(None, held) in actions) == (held != config(7))
+    assert (Send(None, held) in actions) == (held != config(7))
 
 
 @pytest.mark.parametrize(
@@ -575,11 +588,11 @@
 )
 def test_a_registry_is_fresh_once_it_has_what_the_primary_told(told: Fresh | None, fresh: bool) -> None:
     registry = in_contact()
-    registry.take_config(config(7))
-    registry.primary(1.0, told)
+    registry.apply_config(config(7))
+    registry.set_primary_status(1.0, told)
     assert registry.freshness == Fresh(fresh, 7, body_digest(b'{"a":1}'))
     if told == Fresh(True, 8):
-        assert Tell(None, Fresh(True, 8, body_digest(b"{}"))) in registry.take_config(config(8, b"{}"), True)
+        assert Send(None, Fresh(True, 8, body_digest(b"{}"))) in registry.apply_config(config(8, b"{}"), True)
 
 
 # ---- nothing grows
@@ -589,46 +602,55 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     most = 1000  # tombstones
-    monkeypatch.setattr("troutdock.endpoints.endpoint_table.MOST_GONE", most)
+    monkeypatch.setattr("troutdock.endpoints.endpoint_table.MAX_TOMBSTONES", most)
     registry, disk, now = in_contact(), {}, 0.0  # type: ignore[var-annotated]
 
     def save() -> None:
-        if (batch := registry.take_save(now)) is not None:
+        if (batch := registry.next_batch(now)) is not None:
             disk.update({e.id: e for e in batch.entries})
-            for id in batch.dropped:
+            for id in batch.deleted:
                 disk.pop(id, None)
-            for action in registry.saved(now, True):
-                assert isinstance(action, Confirmed | Tell)
+            for action in registry.on_saved(now, True):
+                assert isinstance(action, RequestCompleted | Send)
 
     for n in range(6000):
         now += 0.02
-        registry.beat(now, instance(f"i-{n}", at=f"a{n % 30}"), 1)
+        registry.heartbeat(now, instance(f"i-{n}", at=f"a{n % 30}"), 1)
         for state in (DRAINING, GONE):
             if n >= 20:
-                number, _ = registry.beat(now, instance(f"i-{n - 20}", state, f"a{(n - 20) % 30}"), state)
-                registry.hear(now, "r1", InstancesAck(number, 7, True))
-        registry.hear(now, "r2", Instances([instance(f"i-{n}", at=f"a{n % 30}")], n + 1, 5))
+                number, _ = registry.heartbeat(
+                    now, instance(f"i-{n - 20}", state, f"a{(n - 20) % 30}"), state
+                )
+                registry.receive(now, "r1", InstancesAck(number, 7, True))
+        registry.receive(now, "r2", Instances([instance(f"i-{n}", at=f"a{n % 30}")], n + 1, 5))
         if n % 10 == 0:
             registry.ingress_up(now, f"l{n}", Member(f"e{n}", "10.1.0.1", 1, "a", n))
             registry.ingress_down(now, f"l{n - 50}")
-            registry.take_config(config(n))
+            registry.apply_config(config(n))
             save()
             registry.tick(now)
-            assert len(registry.book.entries) <= most + 60 and len(registry.counts) <= most + 60
             assert (
-                len(registry._questions) + len(registry._owed) <= 200
-                and len(registry._told_members) <= 260
+                len(registry.endpoints.entries) <= most + 60 and len(registry.heartbeat_counts) <= most + 60
+            )
+            assert (
+                len(registry._pending) + len(registry._pending_acks) <= 200
+                and len(registry._sent_members) <= 260
                 and len(disk) <= most + 80
             )
-    assert len(registry.book.entries) > most
+    assert len(registry.endpoints.entries) > most
     for link in list(registry.ingresses):
         registry.ingress_down(now, link)
     for _ in range(3):
-        now += GONE_S / 2 + 1
+        now += TOMBSTONE_TTL_S / 2 + 1
         registry.tick(now)
         save()
-    assert not registry.book.entries and not registry.counts and not disk and not registry._told_members
-    assert not registry.book._at and not registry.book._of
+    assert (
+        not registry.endpoints.entries
+        and not registry.heartbeat_counts
+        and not disk
+        and not registry._sent_members
+    )
+    assert not registry.endpoints._by_address and not registry.endpoints._by_service
 
 
 @pytest.mark.parametrize(
@@ -638,30 +660,32 @@
     contact: bool, elsewhere: dict[str, str], left: int
 ) -> None:
     registry, said = in_contact(others=3), []
-    registry.hear(0.0, "r1", Registries(elsewhere))  # one that is linked elsewhere is cut off from here only
+    registry.receive(
+        0.0, "r1", Registries(elsewhere)
+    )  # one that is linked elsewhere is cut off from here only
     for link in ("r2", "r3"):
         registry.registry_down(1.0, link)
     if not contact:
-        registry.primary(1.0, None)
+        registry.set_primary_status(1.0, None)
     for now in (20.0, 40.0):
-        said += [a.ip for a in registry.tick(now) if isinstance(a, Forget)]
-    assert len(registry.others) == left == 3 - len(said)
-    assert said == [ip for ip in ("10.0.0.3", "10.0.0.4") if ip not in registry.others]
+        said += [a.ip for a in registry.tick(now) if isinstance(a, RegistryRemoved)]
+    assert len(registry.peers) == left == 3 - len(said)
+    assert said == [ip for ip in ("10.0.0.3", "10.0.0.4") if ip not in registry.peers]
 
 
 def test_backends_that_call_a_registry_which_is_cut_off_from_here_only_are_not_given_up() -> None:
     registry = in_contact()
-    registry.hear(0.0, "r2", Instances([instance("i-1")]))
-    registry.hear(0.0, "r1", Registries({"10.0.0.1": "a", "10.0.0.3": "c"}))
+    registry.receive(0.0, "r2", Instances([instance("i-1")]))
+    registry.receive(0.0, "r1", Registries({"10.0.0.1": "a", "10.0.0.3": "c"}))
     registry.ip = "10.0.0.1"
     registry.registry_down(1.0, "r2")
-    ticks = [a for s in range(4, 200) for a in registry.tick(s * 0.5) if isinstance(a, Tell)]
+    ticks = [a for s in range(4, 200) for a in registry.tick(s * 0.5) if isinstance(a, Send)]
     assert (
         not any(isinstance(a.message, Silence | Instances) for a in ticks)
-        and registry.book.entries["i-1"].state == READY
+        and registry.endpoints.entries["i-1"].state == READY
     )
-    registry.hear(100.0, "r1", Registries({"10.0.0.1": "a"}))  # it has gone there too
-    assert Tell(None, Instances([instance("i-1", GONE)])) in registry.tick(100.5)
+    registry.receive(100.0, "r1", Registries({"10.0.0.1": "a"}))  # it has gone there too
+    assert Send(None, Instances([instance("i-1", GONE)])) in registry.tick(100.5)
 
 
 def test_registries_tell_each_other_whom_they_are_linked_to_so_that_all_meet() -> None:
@@ -669,10 +693,10 @@
     registry.registry_up(0.0, "r1", "10.0.0.2", "b")
     up = registry.registry_up(0.0, "r2", "10.0.0.3", "c")
     both = Registries({"10.0.0.2": "b", "10.0.0.3": "c"})
-    assert Tell("r1", both) in up and Tell("r2", both) in up
+    assert Send("r1", both) in up and Send("r2", both) in up
     told = Registries({"10.0.0.1": "a", "10.0.0.2": "b", "10.0.0.4": "d"})
-    assert registry.hear(0.0, "r2", told) == [Meet(["10.0.0.4"])]
-    assert registry.registry_down(1.0, "r1") == [Tell("r2", Registries({"10.0.0.3": "c"}))]
+    assert registry.receive(0.0, "r2", told) == [RegistriesFound(["10.0.0.4"])]
+    assert registry.registry_down(1.0, "r1") == [Send("r2", Registries({"10.0.0.3": "c"}))]
 
 
 def test_the_daemon_dials_whom_it_is_told_of_and_drops_whom_nobody_knows(
@@ -691,19 +715,21 @@
     monkeypatch.setattr("troutdock.registry.daemon.Connector", Dialed)
 
     async def story(daemon: Daemon, store: Stub) -> None:
-        daemon._carry_out([Meet(["10.0.0.4", "10.0.0.2"])])
+        daemon._perform([RegistriesFound(["10.0.0.4", "10.0.0.2"])])
         assert {address for address, up in dialled.items() if up} == {
             (f"10.0.0.{n}", port) for n in (2, 4) for port in (7000, 7001)
         }
-        daemon._carry_out([Forget("10.0.0.4"), Forget("10.0.0.2")])  # a seed may come back at its address
+        daemon._perform(
+            [RegistryRemoved("10.0.0.4"), RegistryRemoved("10.0.0.2")]
+        )  # a seed may come back at its address
         assert {address[0] for address, up in dialled.items() if up} == {"10.0.0.2"} and set(
             daemon._stores
         ) == {"10.0.0.2"}
         lower = Stub()
         lower.peer = Hello("hedgerow", "lower", "10.0.0.0", "c", 4)
-        daemon._up(lower)
+        daemon._on_connected(lower)
         assert not dialled.get(("10.0.0.0", 7000))  # of two seeds the lower one dials
-        daemon._down(lower)
+        daemon._on_disconnected(lower)
         assert dialled["10.0.0.0", 7000]  # its next life may not know of anybody
 
     with_daemon(story, seedNodes=["10.0.0.2:80", "10.0.0.1:80", "10.0.0.0:80"], ipAddress="10.0.0.1")
@@ -713,31 +739,31 @@
 
 
 def test_what_is_saved_is_read_back_and_a_damaged_file_is_begun_anew(tmp_path: Path) -> None:
-    memory = Memory(tmp_path)
-    assert memory.open() == []
+    memory = InstanceStorage(tmp_path)
+    assert memory.load() == []
     one, gone = instance("i-1"), tombstone("i-2")
     assert memory.save([one, gone, instance("i-3")], [], False) and memory.save(
         [instance("i-1", DRAINING)], ["i-3"], False
     )
     memory.close()
-    again = Memory(tmp_path)
-    assert again.open() == [gone, instance("i-1", DRAINING)]
+    again = InstanceStorage(tmp_path)
+    assert again.load() == [gone, instance("i-1", DRAINING)]
     assert again.save([one], [], True)
     again.close()
-    assert again.open() == [one]
+    assert again.load() == [one]
     again.close()
     (tmp_path / "hedgerow.db").write_bytes(b"garbage" * 999)
-    assert again.open() == [] and again.save([one], [], False)
+    assert again.load() == [] and again.save([one], [], False)
     again.close()
 
 
 def test_a_disk_that_refuses_is_tried_again_and_never_read_as_empty(tmp_path: Path) -> None:
     folder = tmp_path / "data"
     folder.write_text("no folder")
-    memory = Memory(folder)
-    assert memory.open() is None and memory.save([instance("i-1")], [], False) is False
+    memory = InstanceStorage(folder)
+    assert memory.load() is None and memory.save([instance("i-1")], [], False) is False
     folder.unlink()
-    assert memory.open() == [] and memory.save([instance("i-1")], [], False)
+    assert memory.load() == [] and memory.save([instance("i-1")], [], False)
 
 
 # ---- the daemon: calls, and answers of the store
@@ -768,7 +794,7 @@
 
     async def whole() -> None:
         daemon, store = Daemon(boot, 7), Stub()
-        daemon._store_says(store, Fresh(True, 0))
+        daemon._on_store_message(store, Fresh(True, 0))
         try:
             await story(daemon, store)
         finally:
@@ -784,7 +810,7 @@
 
 
 async def asked(daemon: Daemon, method: str, path: str, body: bytes = b"") -> HttpResponse:
-    return await daemon._outside.handler(HttpRequest(method.encode(), path.encode(), body))
+    return await daemon._control_server.handler(HttpRequest(method.encode(), path.encode(), body))
 
 
 ORDER = json.dumps(
@@ -810,7 +836,7 @@
             (other, ReadAck(1, 9, life=7)),
             (store, WriteAck(1, True)),
         ):
-            daemon._store_says(link, answer)
+            daemon._on_store_message(link, answer)
             await turns()
             assert not call.done()
         status = json.loads((await asked(daemon, "GET", "/system/status")).body)
@@ -820,7 +846,7 @@
             and status["contactSinceS"] < 20
             and status["primary"] == "store"
         )
-        daemon._store_says(store, WriteAck(1, True, life=7))
+        daemon._on_store_message(store, WriteAck(1, True, life=7))
         assert (await call).status == 200
 
     with_daemon(story)
@@ -837,7 +863,7 @@
 )
 def test_the_digest_is_that_of_the_bytes_that_the_store_reads_off_the_wire(body: bytes) -> None:
     async def story(daemon: Daemon, store: Stub) -> None:
-        call = asyncio.create_task(daemon.put(9, body))
+        call = asyncio.create_task(daemon.store_configuration(9, body))
         await turns()
         read = decode(encode(store.said[0]))
         assert (
@@ -845,7 +871,7 @@
             and read.digest == body_digest(read.body)
             and json.loads(bytes(read.body)) == json.loads(body)
         )
-        daemon._store_says(store, WriteAck(1, True, life=7))
+        daemon._on_store_message(store, WriteAck(1, True, life=7))
         assert await call is None
 
     with_daemon(story)
@@ -862,13 +888,15 @@
         )
         if ends == "link":
             store.open = False
-            daemon._store_down(store)
+            daemon._on_store_disconnected(store)
         else:
-            daemon._store_says(store, Fresh(False, 0))  # it tells itself what becomes of what it was asked
+            daemon._on_store_message(
+                store, Fresh(False, 0)
+            )  # it tells itself what becomes of what it was asked
             await turns()
             assert not any(call.done() for call in waiting)
-            daemon._store_says(store, WriteAck(1, False, "not the primary any more", 7))
-            daemon._store_says(store, ReadAck(2, 9, msgspec.Raw(ORDER), life=7))
+            daemon._on_store_message(store, WriteAck(1, False, "not the primary any more", 7))
+            daemon._on_store_message(store, ReadAck(2, 9, msgspec.Raw(ORDER), life=7))
         await turns()
         assert [call.done() and call.result().status for call in waiting] == [
             503,
@@ -878,7 +906,7 @@
         again = [asyncio.create_task(asked(daemon, *call)) for call in calls]
         await turns()
         assert [call.done() and call.result().status for call in again] == [503, 503, 503]
-        assert daemon.registry.book.entries["i-1"].state == GONE
+        assert daemon.registry.endpoints.entries["i-1"].state == GONE
 
     with_daemon(story)
 
@@ -895,7 +923,7 @@
     async def story(daemon: Daemon, store: Stub) -> None:
         call = asyncio.create_task(asked(daemon, "POST", "/configuration/replace", ORDER))
         await turns()
-        daemon._store_says(store, answer)
+        daemon._on_store_message(store, answer)
         reply = await call
         assert reply.status == status and (json.loads(reply.body).get("held") if held else None) == held
 
@@ -904,21 +932,25 @@
 
 def test_of_two_bodies_the_primary_s_is_held_also_where_it_leads_only_later() -> None:
     async def story(daemon: Daemon, store: Stub) -> None:
-        daemon._store_says(store, config(9))
+        daemon._on_store_message(store, config(9))
         other = Stub("other")
-        daemon._store_says(other, config(9, b"{}"))  # it does not lead yet
+        daemon._on_store_message(other, config(9, b"{}"))  # it does not lead yet
         assert daemon.registry.config == config(9)
-        daemon._store_says(other, Fresh(True, 9, body_digest(b"{}")))
-        assert daemon.registry.config == config(9, b"{}") and daemon.registry.fresh and not daemon._contested
+        daemon._on_store_message(other, Fresh(True, 9, body_digest(b"{}")))
+        assert (
+            daemon.registry.config == config(9, b"{}")
+            and daemon.registry.fresh
+            and not daemon._conflicting_configs
+        )
 
     with_daemon(story)
 
 
 def test_a_disk_that_hangs_holds_up_no_other_call(tmp_path: Path) -> None:
     async def story(daemon: Daemon, store: Stub) -> None:
-        await daemon._remind()
+        await daemon._load()
         go = threading.Event()
-        daemon._memory.save = lambda *_: go.wait(10)  # type: ignore[method-assign]
+        daemon._storage.save = lambda *_: go.wait(10)  # type: ignore[method-assign]
         try:
             leaving = asyncio.create_task(asked(daemon, "POST", "/instances/i-1/deregister"))
             await turns()
@@ -938,17 +970,17 @@
 
     async def story(daemon: Daemon, store: Stub) -> None:
         go = threading.Event()
-        daemon._memory.open = lambda: [tombstone("i-1")] if go.wait(10) else None  # type: ignore[method-assign]
+        daemon._storage.load = lambda: [tombstone("i-1")] if go.wait(10) else None  # type: ignore[method-assign]
         starting = asyncio.create_task(daemon.start(("127.0.0.1", 0), ("127.0.0.1", 0)))
         try:
             async with asyncio.timeout(5):
                 while not dialled:
                     await asyncio.sleep(0)
-            assert not starting.done() and not daemon.registry.book.entries
+            assert not starting.done() and not daemon.registry.endpoints.entries
         finally:
             go.set()
         await starting
-        assert daemon.registry.book.entries["i-1"].state == GONE
+        assert daemon.registry.endpoints.entries["i-1"].state == GONE
         daemon._registries.clear()
         daemon._stores.clear()
 
@@ -999,6 +1031,6 @@
             daemon, method, path, body if isinstance(body, bytes) else json.dumps(body).encode()
         )
         assert reply.status == status and place in json.loads(reply.body)["error"]
-        assert not daemon.registry.book.entries and not store.said
+        assert not daemon.registry.endpoints.entries and not store.said
 
     with_daemon(story)
--- a/tests/system/test_registry_worst_days.py
+++ b/tests/system/test_registry_worst_days.py
@@ -11,22 +11,22 @@
 from whole import Backend, Whole, call, good, until
 
 from troutdock.rpc.messages import GONE, InstancesAck
-from troutdock.registry.storage import Memory
-from troutdock.registry.registry import Borne, Confirmed, Registry, Tell
+from troutdock.registry.storage import InstanceStorage
+from troutdock.registry.registry import FaultTolerance, RequestCompleted, Registry, Send
 
 SCHEDULES = int(os.environ.get("REGISTRY_SCHEDULES", "600"))  # in all; more by hand
 PARTS = 4
 SITES = [
-    (3, 3, Borne(1)),
-    (4, 2, Borne(1, 1)),
-    (5, 5, Borne(2)),
-    (4, 4, Borne(0, 0, 1, {"z0": "a", "z1": "a", "z2": "b", "z3": "b"})),
+    (3, 3, FaultTolerance(1)),
+    (4, 2, FaultTolerance(1, 1)),
+    (5, 5, FaultTolerance(2)),
+    (4, 4, FaultTolerance(0, 0, 1, {"z0": "a", "z1": "a", "z2": "b", "z3": "b"})),
 ]
 
 
 def site(seed: int, make: type[Registry] = Registry) -> Core:
-    machines, zones, borne = SITES[seed % len(SITES)]
-    return Core(seed, machines, zones, borne, make)
+    machines, zones, tolerance = SITES[seed % len(SITES)]
+    return Core(seed, machines, zones, tolerance, make)
 
 
 @pytest.mark.parametrize("part", range(PARTS))
@@ -40,22 +40,26 @@
 
 
 class BeforeTheSecondDisk(Registry):
-    def _enough(self, now, synced):
+    def _is_replicated(self, now, synced_by):
         return True
 
 
 class BeforeTheOwnDisk(Registry):
-    def _settle(self, now):
-        early = [n for n, question in self._questions.items() if self._enough(now, question.synced)]
+    def _complete_ready(self, now):
+        early = [n for n, request in self._pending.items() if self._is_replicated(now, request.synced_by)]
         for number in early:
-            del self._questions[number]
-        return [*(Confirmed(number, True) for number in early), *super()._settle(now)]
+            del self._pending[number]
+        return [*(RequestCompleted(number, True) for number in early), *super()._complete_ready(now)]
 
 
 class BeforeThePeersDisk(Registry):
-    def _told_of(self, now, link, told):
-        early = [Tell(link, InstancesAck(told.number, told.life, self.contact))] if told.number else []
-        return [*early, *super()._told_of(now, link, told)]
+    def _on_instances(self, now, connection, message):
+        early = (
+            [Send(connection, InstancesAck(message.number, message.life, self.contact))]
+            if message.number
+            else []
+        )
+        return [*early, *super()._on_instances(now, connection, message)]
 
 
 class OutOfContact(Registry):
@@ -63,41 +67,45 @@
 
 
 class InOnePlace(Registry):
-    def _enough(self, now, synced):
-        self._borne = Borne(1)
-        return super()._enough(now, synced)
+    def _is_replicated(self, now, synced_by):
+        self._tolerance = FaultTolerance(1)
+        return super()._is_replicated(now, synced_by)
 
 
 class ARepeatIsTakenForKnown(Registry):
-    def beat(self, now, said, count):
-        known = self.book.entries.get(said.id)
-        if known is not None and 0 <= count <= self.counts.get(said.id, -1) and said.state <= known.state:
+    def heartbeat(self, now, update, count):
+        known = self.endpoints.entries.get(update.id)
+        if (
+            known is not None
+            and 0 <= count <= self.heartbeat_counts.get(update.id, -1)
+            and update.state <= known.state
+        ):
             return 0, []
-        return super().beat(now, said, count)
+        return super().heartbeat(now, update, count)
 
 
 class AStrangerIsGoneOutOfHand(Registry):
-    def beat(self, now, said, count):
+    def heartbeat(self, now, update, count):
         return (
             (0, [])
-            if said.state == GONE and said.id not in self.book.entries
-            else super().beat(now, said, count)
+            if update.state == GONE and update.id not in self.endpoints.entries
+            else super().heartbeat(now, update, count)
         )
 
 
 class NoTombstoneIsReadBack(Registry):
-    def remembered(self, now, entries):
-        return super().remembered(now, [entry for entry in entries if entry.state != GONE])
+    def restore(self, now, entries):
+        return super().restore(now, [entry for entry in entries if entry.state != GONE])
 
 
 class AFailedSaveCounts(Registry):
-    def saved(self, now, ok):
-        return super().saved(now, True)
+    def on_saved(self, now, ok):
+        return super().on_saved(now, True)
 
 
 class TheFirstBodyStays(Registry):
-    def take_config(self, config, primary=False):
-        return super().take_config(config)
+    def apply_config(self, config, from_primary=False):
+        return super().apply_config(config)
 
 
 class FreshByContact(Registry):
@@ -138,7 +146,7 @@
             await backend.start()
             await until(
                 lambda: all(
-                    sum(o.link is not None for o in r.registry.others.values()) == 2
+                    sum(o.connection is not None for o in r.registry.peers.values()) == 2
                     for r in w.registries.values()
                 )
             )
@@ -152,8 +160,8 @@
                 w.registries.pop(ip).close()
             kept = {}
             for ip in w.core:
-                memory = Memory(tmp_path / ip)
-                kept[ip] = {entry.id: entry.state for entry in memory.open() or []}
+                memory = InstanceStorage(tmp_path / ip)
+                kept[ip] = {entry.id: entry.state for entry in memory.load() or []}
                 memory.close()
             assert all(sum(disk.get(id) == GONE for disk in kept.values()) >= 2 for id in ("i-1", "i-never"))
             for ip in w.core:
@@ -161,8 +169,8 @@
             await w.beat(backend, "available", 1)
             await until(
                 lambda: all(
-                    {e.state for e in r.registry.book.entries.values()} == {GONE}
-                    and len(r.registry.book.entries) == 2
+                    {e.state for e in r.registry.endpoints.entries.values()} == {GONE}
+                    and len(r.registry.endpoints.entries) == 2
                     for r in w.registries.values()
                 )
             )
--- a/tests/system/test_three_programs.py
+++ b/tests/system/test_three_programs.py
@@ -30,7 +30,8 @@
     assert await w.put() == 200
     await until(
         lambda: all(
-            sum(o.link is not None for o in r.registry.others.values()) == 2 for r in w.registries.values()
+            sum(p.connection is not None for p in r.registry.peers.values()) == 2
+            for r in w.registries.values()
         )
     )
     for backend in backends:
@@ -210,7 +211,7 @@
 ) -> None:
     async def story(w: Whole) -> None:
         control = w.control(w.core[0])
-        server = w.registries[w.core[0]]._outside
+        server = w.registries[w.core[0]]._control_server
         monkeypatch.setattr(server, "max_buffered_bytes", 100_000)
         _, writer = await asyncio.open_connection(*control)
         writer.write(b"POST /configuration/replace HTTP/1.1\r\nContent-Length: 90000\r\n\r\n" + b"x" * 80_000)
--- a/troutdock/endpoints/endpoint_table.py
+++ b/troutdock/endpoints/endpoint_table.py
@@ -13,9 +13,11 @@
 
 from troutdock.rpc.messages import GONE, READY, Instance
 
-GONE_S = 300.0  # a tombstone's time: longer than a cut or a machine's loss that somebody comes back from
-MOST_GONE = 8192  # tombstones, the newest: some releases of all backends of the largest site
-MOST = 100_000  # instances that a book holds
+TOMBSTONE_TTL_S = (
+    300.0  # a tombstone's time: longer than a cut or a machine's loss that somebody comes back from
+)
+MAX_TOMBSTONES = 8192  # tombstones, the newest: some releases of all backends of the largest site
+MAX_ENDPOINTS = 100_000  # instances that a book holds
 
 
 def tombstone(id: str) -> Instance:
@@ -24,7 +26,7 @@
 
 
 @dataclass(slots=True)
-class Entry:
+class Endpoint:
     """One instance. warm_at: when it is as quick as ever; heard_at: its last sign of life, by any way."""
 
     id: str
@@ -34,28 +36,28 @@
     slots: int
     state: int
     warm_at: float
-    heard_at: float
+    last_seen_at: float
     changed_at: float
     silent: bool = False
 
-    def told(self, now: float) -> Instance:
+    def to_instance(self, now: float) -> Instance:
         """As it is said to others now."""
         warm_s = max(0.0, round(self.warm_at - now, 3))
         return Instance(self.id, self.service, self.address, self.zone, self.slots, self.state, warm_s)
 
 
-class Book:
+class EndpointTable:
     """Instances by id."""
 
     def __init__(self) -> None:
-        self.entries: dict[str, Entry] = {}
+        self.entries: dict[str, Endpoint] = {}
         self.changed: dict[str, None] = {}  # ids, since the owner last looked; also those that were dropped
-        self._of: dict[str, dict[str, None]] = {}  # ids by service
-        self._at: dict[str, dict[str, None]] = {}  # ids by address, without those that are gone
+        self._by_service: dict[str, dict[str, None]] = {}  # ids by service
+        self._by_address: dict[str, dict[str, None]] = {}  # ids by address, without those that are gone
 
     def services(self) -> list[str]:
         """Those that have instances."""
-        return list(self._of)
+        return list(self._by_service)
 
     def service_of(self, id: str) -> str:
         """Whose an instance is, nothing where it is not known."""
@@ -64,121 +66,123 @@
 
     def instances_of(self, service: str) -> list[str]:
         """Its instances by id, also those that are gone."""
-        return list(self._of.get(service, ()))
+        return list(self._by_service.get(service, ()))
 
-    def hear(self, now: float, word: Iterable[Instance], beat: bool = False) -> list[Entry]:
+    def merge(self, now: float, updates: Iterable[Instance], from_instance: bool = False) -> list[Endpoint]:
         """Take word in.
 
         Gives the entries that are new or have risen. beat: it comes from the instance itself.
         """
-        risen: list[Entry] = []
-        for said in word:
-            known = self.entries.get(said.id)
+        advanced: list[Endpoint] = []
+        for update in updates:
+            known = self.entries.get(update.id)
             if known is None:
-                if len(self.entries) >= MOST:
+                if len(self.entries) >= MAX_ENDPOINTS:
                     continue
-                known = Entry(
-                    said.id,
-                    said.service,
-                    said.address,
-                    said.zone,
-                    said.slots,
-                    said.state,
-                    now + said.warm_s,
+                known = Endpoint(
+                    update.id,
+                    update.service,
+                    update.address,
+                    update.zone,
+                    update.slots,
+                    update.state,
+                    now + update.warm_s,
                     now,
                     now,
                 )
-                self.entries[said.id] = known
-                if said.service:
-                    self._of.setdefault(said.service, {})[said.id] = None
-                if said.state != GONE:
-                    self._at.setdefault(said.address, {})[said.id] = None
-                risen.append(known)
-                self.changed[said.id] = None
-                if beat and said.state != GONE:
-                    risen += self._replaced(now, known)
-            elif said.state > known.state:
-                self._rise(now, known, said.state)
-                risen.append(known)
-            if beat:
-                known.heard_at = now
-        return risen
-
-    def _replaced(self, now: float, by: Entry) -> list[Entry]:
+                self.entries[update.id] = known
+                if update.service:
+                    self._by_service.setdefault(update.service, {})[update.id] = None
+                if update.state != GONE:
+                    self._by_address.setdefault(update.address, {})[update.id] = None
+                advanced.append(known)
+                self.changed[update.id] = None
+                if from_instance and update.state != GONE:
+                    advanced += self._end_predecessors(now, known)
+            elif update.state > known.state:
+                self._advance(now, known, update.state)
+                advanced.append(known)
+            if from_instance:
+                known.last_seen_at = now
+        return advanced
+
+    def _end_predecessors(self, now: float, successor: Endpoint) -> list[Endpoint]:
         """Those whose address another one serves at now have ended: a start has its id for life."""
-        gone = [self.entries[id] for id in self._at.get(by.address, ()) if id != by.id]
+        gone = [self.entries[id] for id in self._by_address.get(successor.address, ()) if id != successor.id]
         for entry in gone:
-            self._rise(now, entry, GONE)
+            self._advance(now, entry, GONE)
         return gone
 
-    def _rise(self, now: float, entry: Entry, state: int) -> None:
+    def _advance(self, now: float, entry: Endpoint, state: int) -> None:
         entry.state, entry.changed_at = state, now
         self.changed[entry.id] = None
-        if state == GONE and (at := self._at.get(entry.address)) is not None:
-            at.pop(entry.id, None)
-            if not at:
-                del self._at[entry.address]
+        if state == GONE and (address_ids := self._by_address.get(entry.address)) is not None:
+            address_ids.pop(entry.id, None)
+            if not address_ids:
+                del self._by_address[entry.address]
 
-    def told(self, now: float, all_states: bool = True) -> list[Instance]:
+    def snapshot(self, now: float, all_states: bool = True) -> list[Instance]:
         """Everything, as it is said to others."""
-        return [entry.told(now) for entry in self.entries.values() if all_states or entry.state != GONE]
+        return [
+            entry.to_instance(now) for entry in self.entries.values() if all_states or entry.state != GONE
+        ]
 
-    def alive(self, now: float, ids: Iterable[str]) -> list[Entry]:
+    def record_heartbeats(self, now: float, ids: Iterable[str]) -> list[Endpoint]:
         """Signs of life; gives those that were silent before."""
-        back = []
+        resumed = []
         for id in ids:
             entry = self.entries.get(id)
             if entry is not None:
-                entry.heard_at = now
+                entry.last_seen_at = now
                 if entry.silent:
                     entry.silent = False
-                    back.append(entry)
-        return back
+                    resumed.append(entry)
+        return resumed
 
-    def silenced(self, now: float, after_s: float) -> list[Entry]:
+    def mark_silent(self, now: float, after_s: float) -> list[Endpoint]:
         """Those that have become silent: nothing was heard of them for so long."""
         found = [
             e
             for e in self.entries.values()
-            if not e.silent and e.state == READY and now - e.heard_at > after_s
+            if not e.silent and e.state == READY and now - e.last_seen_at > after_s
         ]
         for entry in found:
             entry.silent = True
         return found
 
-    def knows(self, said: Instance) -> bool:
+    def includes(self, update: Instance) -> bool:
         """This state of it is known here, or a later one."""
-        entry = self.entries.get(said.id)
-        return entry is not None and entry.state >= said.state
+        entry = self.entries.get(update.id)
+        return entry is not None and entry.state >= update.state
 
-    def later(self, word: Iterable[Instance]) -> list[Entry]:
+    def newer_than(self, updates: Iterable[Instance]) -> list[Endpoint]:
         """Those of which a later state is known here than this word says: who said it is behind."""
-        found = (self.entries.get(said.id) for said in word if said.state != GONE)
-        said_of = {said.id: said.state for said in word}
-        return [entry for entry in found if entry is not None and entry.state > said_of[entry.id]]
+        found = (self.entries.get(update.id) for update in updates if update.state != GONE)
+        reported_state = {update.id: update.state for update in updates}
+        return [entry for entry in found if entry is not None and entry.state > reported_state[entry.id]]
 
-    def forget(self, now: float, silent_s: float) -> list[Entry]:
+    def expire(self, now: float, expire_after_s: float) -> list[Endpoint]:
         """Drop what has long been gone; give what was silent for so long, which is gone from now on."""
-        lost, gone = [], []
+        expired, gone = [], []
         for entry in list(self.entries.values()):
             if entry.state == GONE:
-                if now - entry.changed_at > GONE_S:
-                    self._drop(entry)
+                if now - entry.changed_at > TOMBSTONE_TTL_S:
+                    self._remove(entry)
                 else:
                     gone.append(entry)
-            elif now - entry.heard_at > silent_s:
-                self._rise(now, entry, GONE)
-                lost.append(entry)
-        if len(gone) > MOST_GONE:
+            elif now - entry.last_seen_at > expire_after_s:
+                self._advance(now, entry, GONE)
+                expired.append(entry)
+        if len(gone) > MAX_TOMBSTONES:
             gone.sort(key=lambda entry: entry.changed_at)
-            for entry in gone[:-MOST_GONE]:
-                self._drop(entry)
-        return lost
+            for entry in gone[:-MAX_TOMBSTONES]:
+                self._remove(entry)
+        return expired
 
-    def _drop(self, entry: Entry) -> None:
+    def _remove(self, entry: Endpoint) -> None:
         del self.entries[entry.id]
         self.changed[entry.id] = None
-        if (of := self._of.get(entry.service)) is not None:
-            of.pop(entry.id, None)
-            if not of:
-                del self._of[entry.service]
+        if (service_ids := self._by_service.get(entry.service)) is not None:
+            service_ids.pop(entry.id, None)
+            if not service_ids:
+                del self._by_service[entry.service]
--- a/troutdock/endpoints/rendezvous.py
+++ b/troutdock/endpoints/rendezvous.py
@@ -8,16 +8,16 @@
 
 
 @lru_cache(maxsize=1 << 16)  # the same few thousand are asked for many times a second
-def rank(duty: str, name: str) -> bytes:
+def rank(role: str, name: str) -> bytes:
     """Where a name stands in a duty's order: the same everywhere, another order for each duty."""
-    return blake2b(name.encode(), key=duty.encode()[:64], digest_size=8).digest()
+    return blake2b(name.encode(), key=role.encode()[:64], digest_size=8).digest()
 
 
-def in_order(duty: str, names: Iterable[str]) -> list[str]:
+def ranked(role: str, names: Iterable[str]) -> list[str]:
     """The names in the duty's order."""
-    return sorted(names, key=lambda name: (rank(duty, name), name))
+    return sorted(names, key=lambda name: (rank(role, name), name))
 
 
-def first(duty: str, names: Iterable[str]) -> str | None:
+def first_ranked(role: str, names: Iterable[str]) -> str | None:
     """Who does the duty among these."""
-    return min(names, key=lambda name: (rank(duty, name), name), default=None)
+    return min(names, key=lambda name: (rank(role, name), name), default=None)
--- a/troutdock/proxy/daemon.py
+++ b/troutdock/proxy/daemon.py
@@ -37,7 +37,7 @@
     Registries,
     Silence,
 )
-from troutdock.endpoints.endpoint_table import Book, Entry
+from troutdock.endpoints.endpoint_table import EndpointTable, Endpoint
 from troutdock.admission.proxy_admission import Fabric
 from troutdock.admission.interface import (
     Actions,
@@ -153,7 +153,7 @@
             streams=self.engine,
             verdict=verdict,
         )
-        self.book = Book()
+        self.book = EndpointTable()
         self._numbers: dict[str, int] = {}  # of instances
         self._instance_of: dict[int, bytes] = {}
         self._last_instance = 0
@@ -242,7 +242,7 @@
         """A registry is followed anew: it may have lost what this ingress knows."""
         self.serving.followed()
         now = self._loop.time()
-        known = self.book.told(now)
+        known = self.book.snapshot(now)
         if known:
             link.send(Instances(known))
 
@@ -251,7 +251,7 @@
             case Config():
                 self._act(self.serving.config(self._loop.time(), message))
             case Instances(entries):
-                self._instances(self.book.hear(self._loop.time(), entries))
+                self._instances(self.book.merge(self._loop.time(), entries))
             case Silence(silent, back):
                 for ids, is_silent in ((silent, True), (back, False)):
                     for id in ids:
@@ -312,7 +312,7 @@
             number = self._pools[service] = self.engine.add_pool(self.transport)
         return number
 
-    def _instances(self, risen: list[Entry]) -> None:
+    def _instances(self, risen: list[Endpoint]) -> None:
         """Backends that are new, drain or have gone."""
         now, clock = self._loop.time(), self.clock.now()
         for entry in risen:
@@ -372,7 +372,7 @@
 
     def _forget(self) -> None:
         """What has long been gone; what is silent is the registry's to give up."""
-        self.book.forget(self._loop.time(), inf)
+        self.book.expire(self._loop.time(), inf)
         self.book.changed.clear()
         self._loop.call_later(FORGET_S, self._forget)
 
--- a/troutdock/proxy/load_exchange.py
+++ b/troutdock/proxy/load_exchange.py
@@ -23,7 +23,7 @@
 from typing import Protocol
 
 from troutdock.rpc.messages import Member, Share, Shares
-from troutdock.endpoints.rendezvous import first, in_order
+from troutdock.endpoints.rendezvous import first_ranked, ranked
 from troutdock.quota.routes import SHARDS, in_aggregator_order, zones_before
 
 STALE_S = 1.2  # an ingress or zone that was not heard of for so long tells nothing any more
@@ -162,7 +162,7 @@
 
     def home(self, duty: str, live: Iterable[str]) -> bool:
         """Whether this one does a duty for its zone, of those that it is linked to there."""
-        return first(_order(self.zone, duty), [self.me, *live]) == self.me
+        return first_ranked(_order(self.zone, duty), [self.me, *live]) == self.me
 
     def wanted(self, now: float, linked: Iterable[tuple[str, str]], failing: Collection[str]) -> list[Member]:
         """Whom this one is to dial. linked: names and zones of those it is linked to; failing: not reached.
@@ -194,7 +194,7 @@
             if not self.home(duty, near):
                 continue
             for zone, there in zones.items():
-                order = in_order(_order(zone, duty), there)
+                order = ranked(_order(zone, duty), there)
                 name = next((n for n in order if n not in failing), order[0])
                 waited = now - self._unlinked.get(zone, now) >= UNLINKED_S
                 if self.ip < there[name].ip or waited or (name, zone) in linked:
@@ -346,7 +346,7 @@
                 zones: dict[str, list[str]] = {}
                 for name, zone in away:
                     zones.setdefault(zone, []).append(name)
-                firsts = sorted(in_order(_order(zone, duty), names)[0] for zone, names in zones.items())
+                firsts = sorted(ranked(_order(zone, duty), names)[0] for zone, names in zones.items())
                 groups.setdefault(tuple(firsts), set()).add(duty)
         self._new_table()
         found = []
--- a/troutdock/proxy/registry_watch.py
+++ b/troutdock/proxy/registry_watch.py
@@ -24,7 +24,7 @@
 
 from troutdock.rpc.connection import CONNECT_TIMEOUT_S
 from troutdock.rpc.messages import Config, Fresh
-from troutdock.endpoints.rendezvous import in_order
+from troutdock.endpoints.rendezvous import ranked
 
 STEP_S = 0.1  # between the beginnings of two looks
 RETRY_S = 0.1  # between two tries of an address while nobody is followed
@@ -167,7 +167,7 @@
 
     def order(self) -> list[str]:
         """Addresses of registries: those near first, then an order of this ingress's own."""
-        return sorted(in_order(self._name, self.registries), key=lambda ip: self.registries[ip] != self._zone)
+        return sorted(ranked(self._name, self.registries), key=lambda ip: self.registries[ip] != self._zone)
 
     def _nearer(self, way: _Way) -> list[str]:
         """Near ones that come before the one that is followed."""
--- a/troutdock/quota/routes.py
+++ b/troutdock/quota/routes.py
@@ -15,7 +15,7 @@
 from math import inf
 from zlib import crc32
 
-from troutdock.endpoints.rendezvous import first, in_order
+from troutdock.endpoints.rendezvous import first_ranked, ranked
 
 SHARDS = 16  # the same in every process of a fleet: who owns what follows from it
 SETTLE_S = 0.4  # for the listed neighbours of a process that has just started to be linked
@@ -86,7 +86,7 @@
 
     Busy ones come last, unless they are more than three quarters: then the others would be next to be so.
     """
-    order = in_order(zone_duty(zone, shard), names)
+    order = ranked(zone_duty(zone, shard), names)
     idle = [name for name in order if name not in busy]
     if 4 * len(idle) < len(order):
         return order
@@ -95,7 +95,7 @@
 
 def zones_before(shard: int, zone: str, zones: Iterable[str]) -> list[str]:
     """The other zones that come before one in a shard's order, the first of them being the owner's."""
-    order = in_order(shard_duty(shard), {zone, *zones})
+    order = ranked(shard_duty(shard), {zone, *zones})
     return order[: order.index(zone)]
 
 
@@ -166,6 +166,6 @@
         """Who would be the owner after this proxy; empty where there is nobody."""
         if near := in_aggregator_order(self.zone, shard, self._peers.near, self._peers.busy):
             return near[0]
-        zone = first(shard_duty(shard), set(self._peers.away.values()))
+        zone = first_ranked(shard_duty(shard), set(self._peers.away.values()))
         names = [name for name, of in self._peers.away.items() if of == zone]
-        return first(zone_duty(zone or "", shard), names) or ""
+        return first_ranked(zone_duty(zone or "", shard), names) or ""
--- a/troutdock/registry/__main__.py
+++ b/troutdock/registry/__main__.py
@@ -8,7 +8,7 @@
 
 from troutdock.settings.boot import Boot
 from troutdock.settings.process import new_incarnation, run_daemon
-from troutdock.registry.daemon import PORT, Daemon
+from troutdock.registry.daemon import PORT_OFFSET, Daemon
 
 
 async def main(boot: Boot, path: str) -> int:
@@ -18,7 +18,7 @@
         loop.add_signal_handler(number, stop.set)
     loop.add_signal_handler(signal.SIGHUP, lambda: None)
     daemon = Daemon(boot, new_incarnation())
-    await daemon.start(boot.listen["controlPlane"], (boot.ip, boot.port(PORT)))
+    await daemon.start(boot.listen["controlPlane"], (boot.ip, boot.port(PORT_OFFSET)))
     await stop.wait()
     daemon.close()
     return 0
--- a/troutdock/registry/control_plane_calls.py
+++ b/troutdock/registry/control_plane_calls.py
@@ -26,13 +26,15 @@
 from troutdock.rpc.messages import DRAINING, GONE, READY, Instance
 from troutdock.endpoints.endpoint_table import tombstone
 
-MAX_BEAT = 4096  # bytes of a backend's call
-LONG = 256 * 1024  # bytes of a configuration that is read beside the loop: it takes some tenths of a second
+MAX_HEARTBEAT_BYTES = 4096  # bytes of a backend's call
+MAX_INLINE_PARSE_BYTES = (
+    256 * 1024
+)  # bytes of a configuration that is read beside the loop: it takes some tenths of a second
 _STATES = {"available": READY, "draining": DRAINING}
 _ID = re.compile(r"[\x21-\x2e\x30-\x7e]{1,128}")
-MOST = 1 << 53  # of whole numbers on the wire
+MAX_INTEGER = 1 << 53  # of whole numbers on the wire
 
-BEAT = SettingsTable(
+HEARTBEAT_FIELDS = SettingsTable(
     Setting("service", string, about="whose backend it is"),
     Setting("address", address, about="where it serves"),
     Setting("zone", or_none(string), ""),
@@ -43,13 +45,13 @@
 )
 
 
-def refusal(status: int, why: str) -> HttpResponse:
+def error_response(status: int, why: str) -> HttpResponse:
     """An answer that says what is wrong."""
     return HttpResponse(status, msgspec.json.encode({"error": why}))
 
 
 @dataclass(frozen=True, slots=True)
-class Failed:
+class CallFailure:
     """Why a call was not done; version, digest: of what is held in the way of a 409."""
 
     status: int
@@ -58,67 +60,71 @@
     digest: str = ""
 
     @property
-    def reply(self) -> HttpResponse:
+    def response(self) -> HttpResponse:
         """The answer that says so."""
         if self.status != 409:
-            return refusal(self.status, self.why)
-        held = {"revision": f"r{self.version}", "digest": self.digest}
-        return HttpResponse(409, msgspec.json.encode({"error": self.why, "held": held}))
+            return error_response(self.status, self.why)
+        current = {"revision": f"r{self.version}", "digest": self.digest}
+        return HttpResponse(409, msgspec.json.encode({"error": self.why, "held": current}))
 
 
 class Registry(Protocol):
     """What the calls need of the registry."""
 
-    async def beat(self, instance: Instance, count: int) -> str | Failed:
+    async def heartbeat(self, instance: Instance, count: int) -> str | CallFailure:
         """A backend's call is known, and what must last is synced wherever it has to be.
 
         Gives where later calls are better made, or nothing.
         """
 
-    async def put(self, version: int, body: bytes) -> Failed | None:
+    async def store_configuration(self, version: int, body: bytes) -> CallFailure | None:
         """Keep a configuration; None once it is kept, else why it is not."""
 
-    async def newest(self) -> tuple[int, bytes] | Failed:
+    async def newest_configuration(self) -> tuple[int, bytes] | CallFailure:
         """The newest configuration that is in force, or why it can't be told here."""
 
 
 class InstanceCalls:
     """`POST /instances/ID/heartbeat` and `POST /instances/ID/deregister`."""
 
-    def __init__(self, registry: Registry, known: Callable[[str], Instance | None]) -> None:
-        self._registry, self._known = registry, known
+    def __init__(self, registry: Registry, lookup: Callable[[str], Instance | None]) -> None:
+        self._registry, self._lookup = registry, lookup
 
     async def heartbeat(self, id: str, body: bytes) -> HttpResponse:
         """Alive, or draining."""
-        if len(body) > MAX_BEAT:
-            return refusal(413, f"{MAX_BEAT} bytes at most")
+        if len(body) > MAX_HEARTBEAT_BYTES:
+            return error_response(413, f"{MAX_HEARTBEAT_BYTES} bytes at most")
         try:
-            found = BEAT.read(msgspec.json.decode(body))
+            fields = HEARTBEAT_FIELDS.read(msgspec.json.decode(body))
         except (msgspec.MsgspecError, UnicodeDecodeError, SettingsError) as error:
-            return refusal(400, f"body: {error}")
+            return error_response(400, f"body: {error}")
         for name in ("capacity", "callCount", "warmupLeftS"):
-            if (found[name] or 0) > MOST:
-                return refusal(400, f"body: {name}: {found[name]!r:.40} is above {MOST}")
+            if (fields[name] or 0) > MAX_INTEGER:
+                return error_response(400, f"body: {name}: {fields[name]!r:.40} is above {MAX_INTEGER}")
         instance = Instance(
             id,
-            found["service"],
-            found["address"],
-            found["zone"] or "",
-            found["capacity"],
-            _STATES[found["state"]],
-            float(found["warmupLeftS"] or 0),
+            fields["service"],
+            fields["address"],
+            fields["zone"] or "",
+            fields["capacity"],
+            _STATES[fields["state"]],
+            float(fields["warmupLeftS"] or 0),
         )
-        target = await self._registry.beat(instance, found["callCount"])
-        if isinstance(target, Failed):
-            return target.reply
+        target = await self._registry.heartbeat(instance, fields["callCount"])
+        if isinstance(target, CallFailure):
+            return target.response
         return HttpResponse(200, msgspec.json.encode({"heartbeatTarget": target} if target else {}))
 
     async def deregister(self, id: str, body: bytes) -> HttpResponse:
         """Gone for good, also one that was never heard of here: others may know it, or hear of it late."""
-        known = self._known(id)
-        gone = msgspec.structs.replace(known, state=GONE, warm_s=0.0) if known is not None else tombstone(id)
-        found = await self._registry.beat(gone, -1)
-        return found.reply if isinstance(found, Failed) else HttpResponse(200)
+        instance = self._lookup(id)
+        removed = (
+            msgspec.structs.replace(instance, state=GONE, warm_s=0.0)
+            if instance is not None
+            else tombstone(id)
+        )
+        result = await self._registry.heartbeat(removed, -1)
+        return result.response if isinstance(result, CallFailure) else HttpResponse(200)
 
 
 class ConfigurationCalls:
@@ -132,23 +138,23 @@
 
         409 where its number is taken by another body; what is held is told.
         """
-        if len(body) > LONG:
-            found = await asyncio.to_thread(read_configuration, body)
+        if len(body) > MAX_INLINE_PARSE_BYTES:
+            result = await asyncio.to_thread(read_configuration, body)
         else:
-            found = read_configuration(body)
-        if isinstance(found, RejectedConfiguration):
-            return refusal(400, str(found))
-        if not found.version:
-            return refusal(400, "revision: 'r0' is below the first, r1")
-        failed = await self._registry.put(found.version, body)
-        return HttpResponse(200) if failed is None else failed.reply
+            result = read_configuration(body)
+        if isinstance(result, RejectedConfiguration):
+            return error_response(400, str(result))
+        if not result.version:
+            return error_response(400, "revision: 'r0' is below the first, r1")
+        failed = await self._registry.store_configuration(result.version, body)
+        return HttpResponse(200) if failed is None else failed.response
 
     async def describe(self) -> HttpResponse:
         """The newest, as it was sent."""
-        found = await self._registry.newest()
-        if isinstance(found, Failed):
-            return found.reply
-        return HttpResponse(200, found[1]) if found[0] else refusal(404, "no configuration yet")
+        result = await self._registry.newest_configuration()
+        if isinstance(result, CallFailure):
+            return result.response
+        return HttpResponse(200, result[1]) if result[0] else error_response(404, "no configuration yet")
 
 
 class SystemCalls:
@@ -162,7 +168,7 @@
         return HttpResponse(200, msgspec.json.encode(self._status()))
 
 
-class Outside:
+class ControlPlaneRouter:
     """Which call goes to which handler."""
 
     def __init__(
@@ -170,26 +176,34 @@
     ) -> None:
         self._instances, self._configuration, self._system = instances, configuration, system
 
-    async def handle(self, call: HttpRequest) -> HttpResponse:
+    async def handle(self, request: HttpRequest) -> HttpResponse:
         """Answer one call."""
-        parts = call.path.decode("latin-1").split("/")[1:]
+        parts = request.path.decode("latin-1").split("/")[1:]
         if len(parts) == 3 and parts[0] == "instances" and parts[2] in ("heartbeat", "deregister"):
             if not _ID.fullmatch(parts[1]):
-                return refusal(400, f"id: {parts[1]!r:.40} is not 1 to 128 printable characters")
-            does: dict[str, Callable[[str, bytes], Awaitable[HttpResponse]]] = {
+                return error_response(400, f"id: {parts[1]!r:.40} is not 1 to 128 printable characters")
+            handlers: dict[str, Callable[[str, bytes], Awaitable[HttpResponse]]] = {
                 "heartbeat": self._instances.heartbeat,
                 "deregister": self._instances.deregister,
             }
-            handler = does[parts[2]]
-            return await handler(parts[1], call.body) if call.method == b"POST" else refusal(405, "POST")
+            handler = handlers[parts[2]]
+            return (
+                await handler(parts[1], request.body)
+                if request.method == b"POST"
+                else error_response(405, "POST")
+            )
         if parts == ["configuration", "replace"]:
             return (
-                await self._configuration.replace(call.body)
-                if call.method == b"POST"
-                else refusal(405, "POST")
+                await self._configuration.replace(request.body)
+                if request.method == b"POST"
+                else error_response(405, "POST")
             )
         if parts == ["configuration", "describe"]:
-            return await self._configuration.describe() if call.method == b"GET" else refusal(405, "GET")
+            return (
+                await self._configuration.describe()
+                if request.method == b"GET"
+                else error_response(405, "GET")
+            )
         if parts == ["system", "status"]:
-            return await self._system.status() if call.method == b"GET" else refusal(405, "GET")
-        return refusal(404, "no such call")
+            return await self._system.status() if request.method == b"GET" else error_response(405, "GET")
+        return error_response(404, "no such call")
