--- a/troutdock/endpoints/__init__.py
+++ b/troutdock/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""Who else is there: partial views, and who is next in an order that all agree on (no I/O, no clock)."""
+"""Endpoint tables of backends and rendezvous ordering of processes (no I/O, no clock)."""
--- a/troutdock/endpoints/endpoint_table.py
+++ b/troutdock/endpoints/endpoint_table.py
@@ -1,9 +1,12 @@
-"""Backends as every process knows them: a book that merges in any order to the same (no I/O, no clock).
+"""The endpoint table: what a process knows of the backends (no I/O, no clock).
 
-What is said of an instance only rises: available, then draining, then gone. A new start is a new id. So
-word may come twice, late, or by any way, and nobody goes back. Gone ones stay as tombstones for GONE_S, and
-MOST_GONE at most, so that late word of them changes nothing; one may be gone that was never heard of (no
-service, no address). Times are seconds of the owner's steady clock; on the way only spans are told.
+The table is eventually consistent: merging the same updates in any order gives the same states. The state of
+an instance only advances: available, draining, gone. A restarted backend has a new id. Therefore updates may
+arrive twice, late or by any route, and no instance returns to an earlier state.
+
+Instances that are gone remain as tombstones for TOMBSTONE_TTL_S, and at most MAX_TOMBSTONES of them, so that
+a late update does not revive them. A tombstone may be of an instance that was never seen; it then has no
+service and no address. Times are in seconds of the owner's monotonic clock; messages contain only durations.
 """
 
 from __future__ import annotations
@@ -13,21 +16,27 @@
 
 from troutdock.rpc.messages import GONE, READY, Instance
 
-TOMBSTONE_TTL_S = (
-    300.0  # a tombstone's time: longer than a cut or a machine's loss that somebody comes back from
-)
-MAX_TOMBSTONES = 8192  # tombstones, the newest: some releases of all backends of the largest site
-MAX_ENDPOINTS = 100_000  # instances that a book holds
+TOMBSTONE_TTL_S = 300.0  # longer than a partition or an outage from which a peer returns with old state
+MAX_TOMBSTONES = 8192  # the newest are kept: a few rollouts of all backends of the largest site
+MAX_ENDPOINTS = 100_000  # tombstones included
 
 
 def tombstone(id: str) -> Instance:
-    """Word that this one is gone, where nothing else is known of it."""
+    """Returns an update that marks an unknown instance as gone."""
     return Instance(id, "", "", "", 1, GONE)
 
 
 @dataclass(slots=True)
 class Endpoint:
-    """One instance. warm_at: when it is as quick as ever; heard_at: its last sign of life, by any way."""
+    """An instance in the table.
+
+    Attributes:
+        slots: Requests that it processes concurrently.
+        warm_at: When its warm-up ends.
+        last_seen_at: When it was added or its last heartbeat was reported, by any route.
+        changed_at: When its state last changed.
+        silent: Whether its heartbeats have stopped.
+    """
 
     id: str
     service: str
@@ -41,37 +50,45 @@
     silent: bool = False
 
     def to_instance(self, now: float) -> Instance:
-        """As it is said to others now."""
+        """Returns it as a message for other processes, with the warm-up time that remains."""
         warm_s = max(0.0, round(self.warm_at - now, 3))
         return Instance(self.id, self.service, self.address, self.zone, self.slots, self.state, warm_s)
 
 
 class EndpointTable:
-    """Instances by id."""
+    """Instances by id, merged from updates of any order."""
 
     def __init__(self) -> None:
         self.entries: dict[str, Endpoint] = {}
-        self.changed: dict[str, None] = {}  # ids, since the owner last looked; also those that were dropped
+        self.changed: dict[str, None] = {}  # ids added, changed or removed since the owner last cleared this
         self._by_service: dict[str, dict[str, None]] = {}  # ids by service
         self._by_address: dict[str, dict[str, None]] = {}  # ids by address, without those that are gone
 
     def services(self) -> list[str]:
-        """Those that have instances."""
+        """Returns the services that have instances."""
         return list(self._by_service)
 
     def service_of(self, id: str) -> str:
-        """Whose an instance is, nothing where it is not known."""
+        """Returns the service of an instance, or an empty string if it is unknown."""
         entry = self.entries.get(id)
         return entry.service if entry is not None else ""
 
     def instances_of(self, service: str) -> list[str]:
-        """Its instances by id, also those that are gone."""
+        """Returns the ids of a service's instances, including those that are gone."""
         return list(self._by_service.get(service, ()))
 
     def merge(self, now: float, updates: Iterable[Instance], from_instance: bool = False) -> list[Endpoint]:
-        """Take word in.
+        """Merges updates into the table.
+
+        Args:
+            now: Seconds of the monotonic clock.
+            updates: Instances as reported; an update with an earlier state than the known one changes
+                nothing.
+            from_instance: Whether the updates are heartbeats of the instances themselves. A heartbeat of a
+                new instance also marks older instances at the same address as gone.
 
-        Gives the entries that are new or have risen. beat: it comes from the instance itself.
+        Returns:
+            The entries that are new or whose state has advanced.
         """
         advanced: list[Endpoint] = []
         for update in updates:
@@ -107,7 +124,7 @@
         return advanced
 
     def _end_predecessors(self, now: float, successor: Endpoint) -> list[Endpoint]:
-        """Those whose address another one serves at now have ended: a start has its id for life."""
+        """Marks instances at the address of a new one as gone, since an id lasts as long as its process."""
         gone = [self.entries[id] for id in self._by_address.get(successor.address, ()) if id != successor.id]
         for entry in gone:
             self._advance(now, entry, GONE)
@@ -122,13 +139,13 @@
                 del self._by_address[entry.address]
 
     def snapshot(self, now: float, all_states: bool = True) -> list[Instance]:
-        """Everything, as it is said to others."""
+        """Returns all entries as messages; without all_states, those that are gone are left out."""
         return [
             entry.to_instance(now) for entry in self.entries.values() if all_states or entry.state != GONE
         ]
 
     def record_heartbeats(self, now: float, ids: Iterable[str]) -> list[Endpoint]:
-        """Signs of life; gives those that were silent before."""
+        """Records heartbeats of these instances; returns those that were silent before."""
         resumed = []
         for id in ids:
             entry = self.entries.get(id)
@@ -140,7 +157,7 @@
         return resumed
 
     def mark_silent(self, now: float, after_s: float) -> list[Endpoint]:
-        """Those that have become silent: nothing was heard of them for so long."""
+        """Marks available instances as silent after after_s seconds without a heartbeat; returns them."""
         found = [
             e
             for e in self.entries.values()
@@ -151,18 +168,26 @@
         return found
 
     def includes(self, update: Instance) -> bool:
-        """This state of it is known here, or a later one."""
+        """Returns whether this state of the instance, or a later one, is in the table."""
         entry = self.entries.get(update.id)
         return entry is not None and entry.state >= update.state
 
     def newer_than(self, updates: Iterable[Instance]) -> list[Endpoint]:
-        """Those of which a later state is known here than this word says: who said it is behind."""
+        """Returns the entries with a later state than reported, so that the sender can be updated."""
         found = (self.entries.get(update.id) for update in updates if update.state != GONE)
         reported_state = {update.id: update.state for update in updates}
         return [entry for entry in found if entry is not None and entry.state > reported_state[entry.id]]
 
     def expire(self, now: float, expire_after_s: float) -> list[Endpoint]:
-        """Drop what has long been gone; give what was silent for so long, which is gone from now on."""
+        """Removes old tombstones, and marks instances as gone after a long silence.
+
+        Args:
+            now: Seconds of the monotonic clock.
+            expire_after_s: Seconds without a heartbeat after which an instance is gone.
+
+        Returns:
+            The entries that are gone from now on.
+        """
         expired, gone = [], []
         for entry in list(self.entries.values()):
             if entry.state == GONE:
--- a/troutdock/registry/__init__.py
+++ b/troutdock/registry/__init__.py
@@ -1,1 +1,1 @@
-"""The registry: which backends and ingresses there are, and the outside calls of both core programs."""
+"""The registry: discovery of backends and ingresses, and the control-plane HTTP API."""
--- a/troutdock/registry/__main__.py
+++ b/troutdock/registry/__main__.py
@@ -1,4 +1,4 @@
-"""Start, signals and the end of the registry: python -m troutdock.registry."""
+"""Entry point of the registry process: python -m troutdock.registry."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 async def main(boot: Boot, path: str) -> int:
-    """Until SIGTERM or SIGINT."""
+    """Runs the registry until SIGTERM or SIGINT."""
     stop, loop = asyncio.Event(), asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
--- a/troutdock/registry/control_plane_calls.py
+++ b/troutdock/registry/control_plane_calls.py
@@ -1,4 +1,4 @@
-"""The outside calls, one handler object for each resource: instances and the configuration."""
+"""The control-plane HTTP API: one handler class per resource (instances, configuration, system status)."""
 
 from __future__ import annotations
 
@@ -26,33 +26,32 @@
 from troutdock.rpc.messages import DRAINING, GONE, READY, Instance
 from troutdock.endpoints.endpoint_table import tombstone
 
-MAX_HEARTBEAT_BYTES = 4096  # bytes of a backend's call
-MAX_INLINE_PARSE_BYTES = (
-    256 * 1024
-)  # bytes of a configuration that is read beside the loop: it takes some tenths of a second
+MAX_HEARTBEAT_BYTES = 4096
+# a longer configuration is parsed in a thread, since that takes some tenths of a second
+MAX_INLINE_PARSE_BYTES = 256 * 1024
 _STATES = {"available": READY, "draining": DRAINING}
 _ID = re.compile(r"[\x21-\x2e\x30-\x7e]{1,128}")
-MAX_INTEGER = 1 << 53  # of whole numbers on the wire
+MAX_INTEGER = 1 << 53  # in a JSON body
 
 HEARTBEAT_FIELDS = SettingsTable(
-    Setting("service", string, about="whose backend it is"),
-    Setting("address", address, about="where it serves"),
+    Setting("service", string, about="service that the backend belongs to"),
+    Setting("address", address, about="address at which it accepts requests"),
     Setting("zone", or_none(string), ""),
-    Setting("capacity", integer(1), 1, "requests at once"),
+    Setting("capacity", integer(1), 1, "concurrent requests"),
     Setting("state", one_of(*_STATES), "available"),
     Setting("warmupLeftS", or_none(number(0)), 0),
-    Setting("callCount", integer(0), 0, "rises with each call"),
+    Setting("callCount", integer(0), 0, "increases with each heartbeat"),
 )
 
 
 def error_response(status: int, why: str) -> HttpResponse:
-    """An answer that says what is wrong."""
+    """Returns a response with a JSON body that contains the error text."""
     return HttpResponse(status, msgspec.json.encode({"error": why}))
 
 
 @dataclass(frozen=True, slots=True)
 class CallFailure:
-    """Why a call was not done; version, digest: of what is held in the way of a 409."""
+    """A failed call. version, digest: with status 409, those of the configuration that is stored instead."""
 
     status: int
     why: str
@@ -61,7 +60,7 @@
 
     @property
     def response(self) -> HttpResponse:
-        """The answer that says so."""
+        """The HTTP response for this failure."""
         if self.status != 409:
             return error_response(self.status, self.why)
         current = {"revision": f"r{self.version}", "digest": self.digest}
@@ -69,19 +68,24 @@
 
 
 class Registry(Protocol):
-    """What the calls need of the registry."""
+    """The registry, as the handlers use it."""
 
     async def heartbeat(self, instance: Instance, count: int) -> str | CallFailure:
-        """A backend's call is known, and what must last is synced wherever it has to be.
+        """Records a heartbeat or a state change; a state change is synced on the required replicas first.
 
-        Gives where later calls are better made, or nothing.
+        Args:
+            instance: The instance and its state.
+            count: The number of the heartbeat, which increases with each one; below 0 for a deregistration.
+
+        Returns:
+            The address that later heartbeats should be sent to, empty if it is this one; or the failure.
         """
 
     async def store_configuration(self, version: int, body: bytes) -> CallFailure | None:
-        """Keep a configuration; None once it is kept, else why it is not."""
+        """Stores a configuration; returns None once it is stored, or the failure."""
 
     async def newest_configuration(self) -> tuple[int, bytes] | CallFailure:
-        """The newest configuration that is in force, or why it can't be told here."""
+        """Returns version and body of the newest configuration in force, version 0 if there is none."""
 
 
 class InstanceCalls:
@@ -91,7 +95,7 @@
         self._registry, self._lookup = registry, lookup
 
     async def heartbeat(self, id: str, body: bytes) -> HttpResponse:
-        """Alive, or draining."""
+        """Handles a heartbeat of an available or a draining instance."""
         if len(body) > MAX_HEARTBEAT_BYTES:
             return error_response(413, f"{MAX_HEARTBEAT_BYTES} bytes at most")
         try:
@@ -116,7 +120,11 @@
         return HttpResponse(200, msgspec.json.encode({"heartbeatTarget": target} if target else {}))
 
     async def deregister(self, id: str, body: bytes) -> HttpResponse:
-        """Gone for good, also one that was never heard of here: others may know it, or hear of it late."""
+        """Marks an instance as gone permanently.
+
+        This includes an instance that is unknown here: other registries may know it, or an update that
+        contains it may arrive late.
+        """
         instance = self._lookup(id)
         removed = (
             msgspec.structs.replace(instance, state=GONE, warm_s=0.0)
@@ -134,9 +142,10 @@
         self._registry = registry
 
     async def replace(self, body: bytes) -> HttpResponse:
-        """A complete configuration; acknowledged once two disks have it, or a higher one.
+        """Stores a complete configuration; succeeds once two disks have it, or one with a higher revision.
 
-        409 where its number is taken by another body; what is held is told.
+        Responds with 409 if its revision is taken by another body; the response contains revision and digest
+        of the stored one.
         """
         if len(body) > MAX_INLINE_PARSE_BYTES:
             result = await asyncio.to_thread(read_configuration, body)
@@ -150,7 +159,7 @@
         return HttpResponse(200) if failed is None else failed.response
 
     async def describe(self) -> HttpResponse:
-        """The newest, as it was sent."""
+        """Returns the newest configuration, byte for byte as the operator sent it."""
         result = await self._registry.newest_configuration()
         if isinstance(result, CallFailure):
             return result.response
@@ -158,18 +167,18 @@
 
 
 class SystemCalls:
-    """`GET /system/status`: what this registry knows, for operators' tools."""
+    """`GET /system/status`: the state of this registry, for operators' tools."""
 
     def __init__(self, status: Callable[[], dict[str, object]]) -> None:
         self._status = status
 
     async def status(self) -> HttpResponse:
-        """All of it."""
+        """Returns the complete status."""
         return HttpResponse(200, msgspec.json.encode(self._status()))
 
 
 class ControlPlaneRouter:
-    """Which call goes to which handler."""
+    """Routes HTTP requests to the handlers."""
 
     def __init__(
         self, instances: InstanceCalls, configuration: ConfigurationCalls, system: SystemCalls
@@ -177,7 +186,7 @@
         self._instances, self._configuration, self._system = instances, configuration, system
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Answer one call."""
+        """Handles one request."""
         parts = request.path.decode("latin-1").split("/")[1:]
         if len(parts) == 3 and parts[0] == "instances" and parts[2] in ("heartbeat", "deregister"):
             if not _ID.fullmatch(parts[1]):
--- a/troutdock/registry/storage.py
+++ b/troutdock/registry/storage.py
@@ -1,10 +1,13 @@
-"""What a registry keeps of backends over its own end, on sqlite: that they are there, drain, or are gone.
+"""Durable storage of instance states in a registry, on SQLite.
 
-That one drains or is gone is acknowledged only once it is synced here and elsewhere: `save` returns after the
-sync. Ids that are gone lie here as tombstones for as long as the book remembers them, so that neither this
-registry's next life nor a peer that was away brings them back. That one is available is a hint to begin with:
-after all power was lost every backend calls again within a beat. A file that can't be read is begun anew; one
-that refuses is tried again with the next save, which then has everything in it.
+A draining state or a deregistration is acknowledged only after it has been synced here and on other machines;
+`save` returns after the sync. Instances that are gone are stored as tombstones for as long as the endpoint
+table holds them, so that neither this registry after a restart nor a peer that was disconnected revives them.
+A stored available state is only a starting point: after a power loss of all machines, every backend sends a
+heartbeat again within one heartbeat interval.
+
+A damaged file is deleted and created again. After an I/O failure the next save is another attempt, and it
+contains all entries.
 """
 
 from __future__ import annotations
@@ -28,9 +31,10 @@
 
 
 class InstanceStorage:
-    """The file in a folder; where the disk refuses, saves say so and nothing else fails.
+    """The database file in a directory. Not thread-safe: use it from one thread at a time.
 
-    None as the folder: nothing lasts, and every save is as good as kept. One thread at a time.
+    Without a directory nothing is stored, and every save succeeds. I/O failures are reported by return
+    values.
     """
 
     def __init__(self, directory: Path | None) -> None:
@@ -38,7 +42,11 @@
         self._db: sqlite3.Connection | None = None
 
     def load(self) -> list[Instance] | None:
-        """What was kept, tombstones too; None where the disk refuses, and then nothing may be saved yet."""
+        """Reads the stored instances, including tombstones.
+
+        Returns:
+            The instances, or None after an I/O failure. Nothing may be saved before a load has succeeded.
+        """
         if self._path is None:
             return []
         for retry in (True, False):
@@ -48,19 +56,19 @@
             except (sqlite3.Error, OSError, msgspec.MsgspecError) as error:
                 self.close()
                 if _is_io_failure(error) or not retry:
-                    log.warning("Disk: backends are not remembered: {}. It is tried again.", error)
+                    log.warning("Disk: stored instances cannot be read: {}. Will retry.", error)
                     return None
                 self._recreate(self._path, error)
         return None
 
     def _recreate(self, path: Path, cause: Exception) -> None:
-        log.error("Disk: {} is damaged and begun anew: {}.", FILE, cause)
+        log.error("Disk: {} is damaged and is created again: {}.", FILE, cause)
         for file in (path, *path.parent.glob(FILE + "-*")):
             with contextlib.suppress(OSError):
                 file.unlink(missing_ok=True)
 
     def _connect(self, path: Path) -> sqlite3.Connection:
-        """The open file, with its names synced into their folder."""
+        """Opens the file, creates its table if needed, and syncs its directory entries."""
         path.parent.mkdir(parents=True, exist_ok=True)
         db = self._db = sqlite3.connect(str(path), isolation_level=None, check_same_thread=False)
         db.execute("PRAGMA locking_mode = EXCLUSIVE")
@@ -71,14 +79,20 @@
             db.execute("CREATE TABLE instances (id TEXT PRIMARY KEY, told BLOB NOT NULL)")
             db.execute(f"PRAGMA user_version = {SCHEMA_VERSION}")
         _fsync_directory(path.parent)
-        with contextlib.suppress(OSError):  # it is the platform's, and may not be opened
+        with contextlib.suppress(OSError):  # the parent belongs to the platform and may not be readable
             _fsync_directory(path.parent.parent)
         return db
 
     def save(self, entries: Iterable[Instance], deleted: Iterable[str], full: bool) -> bool:
-        """Keep these and drop those, synced before it returns; false where the disk refuses.
+        """Stores entries and deletes others; returns after the sync.
+
+        Args:
+            entries: Instances to insert or replace.
+            deleted: Ids of instances to delete.
+            full: Whether the entries are complete and replace everything that is stored.
 
-        whole: the entries are all that there is, and take the place of whatever lies there.
+        Returns:
+            Whether the data is on the disk; false after an I/O failure.
         """
         if self._path is None:
             return True
@@ -94,15 +108,15 @@
             )
             db.execute("COMMIT")
         except (sqlite3.Error, OSError) as error:
-            log.warning("Disk: what is known of backends can't be kept: {}. It is tried again.", error)
-            self.close()  # what the next commit would say of this one can't be known
+            log.warning("Disk: instance states cannot be stored: {}. Will retry.", error)
+            self.close()  # a later commit would not show whether this one was stored
             if not _is_io_failure(error):
                 self._recreate(self._path, error)
             return False
         return True
 
     def close(self) -> None:
-        """Let the file go."""
+        """Closes the file; may be called more than once."""
         if self._db is not None:
             with contextlib.suppress(sqlite3.Error):
                 self._db.close()
@@ -110,16 +124,16 @@
 
 
 def _is_io_failure(error: Exception) -> bool:
-    """The disk is in trouble, and what lies there may be whole."""
+    """Returns whether this is an I/O failure, after which the stored data may be intact."""
     return isinstance(error, OSError) or (
         isinstance(error, sqlite3.OperationalError) and "malformed" not in str(error)
     )
 
 
 def _fsync_directory(directory: Path) -> None:
-    """A name that is new lasts over a loss of power once its folder was synced.
+    """Syncs a directory, so that a new file name in it survives a power loss.
 
-    Some file systems have no such sync; there nothing more can be done.
+    File systems that do not support this are ignored.
     """
     fd = os.open(directory, os.O_RDONLY)
     try:
