--- a/tests/system/test_registry.py
+++ b/tests/system/test_registry.py
@@ -554,10 +554,10 @@
         (config(6, b"{}"), True, config(7), ""),
         (config(7), False, config(7), ""),
         (config(7, digest=""), True, config(7), ""),  # of a store of before
-        (config(7, b"{}"), False, config(7), "Two bodies under r7"),
-        (config(7, b"{}"), True, config(7, b"{}"), "Two bodies under r7"),
+        (config(7, b"{}"), False, config(7), "Two bodies with revision r7"),
+        (config(7, b"{}"), True, config(7, b"{}"), "Two bodies with revision r7"),
         (config(8, b"{}"), False, config(8, b"{}"), ""),
-        (config(8, b"{}", "0" * 24), False, config(7), "does not fit its digest"),
+        (config(8, b"{}", "0" * 24), False, config(7), "does not match its digest"),
     ],
 )
 def test_a_configuration_is_its_number_and_its_digest(
--- a/troutdock/registry/daemon.py
+++ b/troutdock/registry/daemon.py
@@ -1,4 +1,4 @@
-"""The registry's loop: calls, links to registries, ingresses and the store, round registry.registry."""
+"""The registry process: connects the state machine of registry.registry to sockets, disk and timers."""
 
 from __future__ import annotations
 
@@ -48,17 +48,17 @@
 log = logbook.Logger("hedgerow")
 
 ROLE, INGRESS_ROLE, STORE_ROLE = "hedgerow", "espalier", "rootstock"
-PORT_OFFSET, STORE_PORT_OFFSET = 0, 1  # of the system's own ports
+PORT_OFFSET, STORE_PORT_OFFSET = 0, 1  # from the start of the internal port range
 TICK_INTERVAL_S = 0.1
-MAX_BUFFERED_CONFIGURATIONS = 4  # of the longest configuration: bytes of all bodies that are not answered
-STORE_TIMEOUT_S = 0.9  # for the store's answer: callers go elsewhere after a second of silence
-DISK_READ_TIMEOUT_S = 1.0  # at the start, for the disk to be read; a slower one is merged once it is
-REOPEN_INTERVAL_S = 0.5  # between two tries of a disk that can't be read
-JSON_WHITESPACE = b" \t\r\n"  # what may stand around a JSON body: no part of it, and lost on the wire
+MAX_BUFFERED_CONFIGURATIONS = 4  # limit for all buffered request bodies, in largest configurations
+STORE_TIMEOUT_S = 0.9  # for the store's response; clients try another machine after 1 s
+DISK_READ_TIMEOUT_S = 1.0  # wait for the disk at start-up; a later result is merged when it arrives
+REOPEN_INTERVAL_S = 0.5  # between two attempts to read the disk
+JSON_WHITESPACE = b" \t\r\n"  # removed around a JSON body: a message loses it
 
 
 class _StoreCall:
-    """One call to the store: its answer comes on the link that it went out on, and in no other life."""
+    """A call to the store. Its response counts only on the same connection and for this incarnation."""
 
     def __init__(
         self, connection: PeerConnection, response: asyncio.Future[WriteAck | ReadAck | None]
@@ -67,7 +67,7 @@
 
 
 class Daemon:
-    """One process of the registry; it belongs to the event loop that runs."""
+    """One registry process, bound to the running event loop."""
 
     def __init__(self, boot: Boot, incarnation: int) -> None:
         self._boot = boot
@@ -92,12 +92,11 @@
         )
         self._registries: dict[str, Connector] = {}
         self._stores: dict[str, Connector] = {}
-        self._primaries: dict[PeerConnection, Fresh] = {}  # links to primaries, and what each has told last
-        self._conflicting_configs: dict[
-            PeerConnection, Config
-        ] = {}  # a store's, of the number held and with another body
+        self._primaries: dict[PeerConnection, Fresh] = {}  # connections of primaries, with their last report
+        # by store: a configuration with the current version and another body
+        self._conflicting_configs: dict[PeerConnection, Config] = {}
         self._store_calls: dict[int, _StoreCall] = {}
-        self._dropped_responses = 0  # answers of the store that belonged to no call
+        self._dropped_responses = 0  # responses of the store that belonged to no call
         self._waiters: dict[int, asyncio.Future[RequestCompleted]] = {}
         self._last_number = 0
         self._listener = Listener(
@@ -110,26 +109,38 @@
         self._control_port = 0
         self._timer: asyncio.TimerHandle | None = None
         self._storage = InstanceStorage(boot.data)
-        # what waits for the disk does so beside the loop, one thing at a time
+        # disk operations run in a thread, one at a time
         self._writer = concurrent.futures.ThreadPoolExecutor(1)
-        self._disk_read = False  # the disk: nothing is saved before
+        self._disk_read = False  # nothing is saved before the disk has been read
         self._closed = False
 
     async def start(self, control: Address, internal: Address) -> tuple[Address, Address]:
-        """Open both doors; gives their addresses."""
+        """Starts to listen.
+
+        Args:
+            control: Address of the control-plane HTTP server.
+            internal: Address for connections of other processes of the system.
+
+        Returns:
+            The addresses that the control-plane server and the internal listener are bound to.
+        """
         read = self._load()
         address = await self._listener.listen(internal)
         for host, _ in self._boot.seeds:
             self._add_machine(host)
-        await asyncio.wait([read], timeout=DISK_READ_TIMEOUT_S)  # others are met meanwhile
+        # connections to other machines are set up meanwhile
+        await asyncio.wait([read], timeout=DISK_READ_TIMEOUT_S)
         control_address = await self._control_server.listen(control)
         self._control_port = control_address[1]
         self._tick()
-        log.info("Serves at {}:{}.", *control_address)
+        log.info("Control plane listens at {}:{}.", *control_address)
         return control_address, address
 
     def _add_machine(self, ip: str) -> None:
-        """Another core machine: its registry is dialled by the lower address, its store by all."""
+        """Connects to another core machine.
+
+        Every registry connects to every store. Of two registries, the one with the lower address connects.
+        """
         if ip not in self._stores:
             self._stores[ip] = Connector(
                 (ip, self._boot.port(STORE_PORT_OFFSET)),
@@ -139,7 +150,8 @@
                 self._on_store_disconnected,
             )
         seeds = [host for host, _ in self._boot.seeds]
-        initiates = self._boot.ip not in seeds or self._boot.ip < ip  # of two seeds the lower one
+        # of two seeds, the one with the lower address connects
+        initiates = self._boot.ip not in seeds or self._boot.ip < ip
         if initiates:
             self._connect_registry(ip)
 
@@ -154,14 +166,14 @@
             )
 
     def _remove_machine(self, ip: str) -> None:
-        """That core machine was removed: it is not dialled any more, unless the settings name it."""
+        """Closes the connections to a core machine that was removed, unless the settings name it."""
         if all(ip != host for host, _ in self._boot.seeds):
-            log.info("Registry {} is not there any more.", ip)
+            log.info("Registry {} was removed.", ip)
             for connectors in (self._stores, self._registries):
                 if (connector := connectors.pop(ip, None)) is not None:
                     connector.close()
 
-    # ---- links
+    # ---- connections
 
     def _on_connected(self, connection: PeerConnection) -> None:
         peer, now = connection.peer, self._loop.time()
@@ -179,15 +191,13 @@
             [*self.registry.registry_down(now, connection), *self.registry.ingress_down(now, connection)]
         )
         if connection.peer is not None and connection.peer.role == ROLE and not self._closed:
-            self._connect_registry(
-                connection.peer.ip
-            )  # it may come back with settings that name nobody who is there
+            self._connect_registry(connection.peer.ip)  # its settings may name no machine that is running
 
     def _on_message(self, connection: PeerConnection, message: Message) -> None:
         self._perform(self.registry.receive(self._loop.time(), connection, message))
 
     def _on_store_disconnected(self, connection: PeerConnection) -> None:
-        """That store's link has ended: its calls fail at once."""
+        """Fails the calls to a store as soon as its connection has ended."""
         self._conflicting_configs.pop(connection, None)
         for call in self._store_calls.values():
             if call.connection is connection and not call.response.done():
@@ -195,7 +205,7 @@
         self._on_primary_lost(connection)
 
     def _on_primary_lost(self, connection: PeerConnection) -> None:
-        """What that store was asked before it may still answer, often after a tenth of a second."""
+        """Handles a store that is no longer the primary; it may still respond to earlier calls."""
         if self._primaries.pop(connection, None) is not None:
             self._update_contact()
 
@@ -205,15 +215,15 @@
         reported = self._primaries[primary] if primary is not None else None
         self._perform(self.registry.set_primary_status(self._loop.time(), reported))
         if primary is None and had_contact:
-            log.warning("Out of contact: no store that is linked leads with a majority.")
+            log.warning("Out of contact: no connected store is the primary of a majority.")
         elif primary is not None and primary.peer is not None and not had_contact:
-            log.info("In contact: {} leads.", primary.peer.name)
+            log.info("In contact: {} is the primary.", primary.peer.name)
 
     def _on_store_message(self, connection: PeerConnection, message: Message) -> None:
         match message:
             case Fresh(True):
                 self._primaries.pop(connection, None)
-                self._primaries[connection] = message  # who said so last is the primary
+                self._primaries[connection] = message  # the last store to report it is the primary
                 if (conflict := self._conflicting_configs.pop(connection, None)) is not None:
                     self._perform(self.registry.apply_config(conflict, True))
                 self._update_contact()
@@ -229,7 +239,8 @@
                     and message.version == current.version
                 ):
                     if not leads and body_digest(message.body) != current.digest:
-                        self._conflicting_configs[connection] = message  # should it turn out to lead
+                        # applied if that store becomes the primary
+                        self._conflicting_configs[connection] = message
                 elif leads:
                     self._update_contact()
             case WriteAck() | ReadAck():
@@ -250,7 +261,7 @@
         self._timer = self._loop.call_later(TICK_INTERVAL_S, self._tick)
 
     def _load(self) -> asyncio.Future[None]:
-        """Read what the disk has kept; it is tried again until the disk lets it."""
+        """Reads the disk, and repeats it until it succeeds; the result is done after the first attempt."""
         done = self._loop.create_future()
 
         def on_loaded(read: asyncio.Future[list[Instance] | None]) -> None:
@@ -265,14 +276,14 @@
             self._perform(self.registry.restore(self._loop.time(), entries))
             if entries:
                 gone = sum(entry.state == GONE for entry in entries)
-                log.info("Remembers {} backends, and {} that are gone.", len(entries) - gone, gone)
+                log.info("Read {} backends and {} tombstones from the disk.", len(entries) - gone, gone)
 
         if not self._closed:
             self._loop.run_in_executor(self._writer, self._storage.load).add_done_callback(on_loaded)
         return done
 
     def _save(self) -> None:
-        """Write down what has changed, beside the loop: a disk that hangs holds up nothing else."""
+        """Saves changes in a thread, so that a slow disk does not block the event loop."""
         if not self._disk_read or (batch := self.registry.next_batch(self._loop.time())) is None:
             return
 
@@ -328,13 +339,13 @@
                 return CallFailure(503, result.why)
             log.info(
                 "{}: {} of {}.",
-                ("available", "drains", "is gone")[instance.state],
+                ("available", "draining", "gone")[instance.state],
                 instance.id,
-                instance.service or "a service that is not known here",
+                instance.service or "an unknown service",
             )
         ip = self.registry.redirect_target(self._loop.time(), instance.zone)
         if not ip and instance.state == READY and self.registry.is_isolated(self._loop.time()):
-            return CallFailure(503, "this registry is cut off from most others: they can't hear of it")
+            return CallFailure(503, "this registry is disconnected from most other registries")
         return f"{ip}:{self._control_port}" if ip else ""
 
     def _status(self) -> dict[str, object]:
@@ -374,16 +385,18 @@
         response = await self._call_store(request)
         if isinstance(response, WriteAck):
             if response.conflict:
-                log.warning("Write r{}: its number is taken by another body, {}.", version, response.digest)
+                log.warning(
+                    "Write r{}: the revision is taken by another body, digest {}.", version, response.digest
+                )
                 why = response.why or "this revision is taken by another configuration"
                 return CallFailure(409, why, version, response.digest)
-            log.info("Write r{}: {}.", version, "kept" if response.ok else response.why)
+            log.info("Write r{}: {}.", version, "stored" if response.ok else response.why)
             return None if response.ok else CallFailure(503, response.why)
-        log.warning("Write r{}: no answer of the store.", version)
+        log.warning("Write r{}: no response from the store.", version)
         return self._no_response()
 
     def _no_response(self) -> CallFailure:
-        why = "the store does not answer"
+        why = "the store did not respond in time"
         return CallFailure(503, why if self.registry.contact else "out of contact with the store's primary")
 
     async def newest_configuration(self) -> tuple[int, bytes] | CallFailure:
@@ -393,7 +406,7 @@
         return CallFailure(503, response.why) if isinstance(response, ReadAck) else self._no_response()
 
     def close(self) -> None:
-        """End in order; harmless twice."""
+        """Stops the process's servers, connections and timers; may be called more than once."""
         if self._closed:
             return
         self._closed = True
--- a/troutdock/registry/registry.py
+++ b/troutdock/registry/registry.py
@@ -1,30 +1,34 @@
-"""What a registry knows and whom it tells: backends, ingresses, the newest configuration (no I/O, no clock).
-
-Theory of operation. Every core machine has a registry, and none leads. Each takes calls of backends, merges
-them into its book, and floods what has risen to the other registries and to its ingresses; who hears
-something new floods it on, and who says less than is known here is told the rest. Beats that change nothing
-travel as a list of ids twice a second, so that all know who is silent. Silence takes no backend away: it is
-told to ingresses as a hint, and answers outweigh it.
-
-*Contact.* A registry is in contact while a store on a link says that it is the active primary; the store
-says so only while it reaches a majority of the voters. Out of contact a registry confirms nothing. It is
-fresh, and says so to its ingresses, while it is in contact and has the configuration that the primary told.
-
-*Drains and leavings.* What a backend must be able to rely on (that it drains, that it is gone) is taken in
-and flooded at once, and acknowledged once it is synced on this disk and on those of other registries that
-are in contact: of so many places that each loss that is to be borne leaves one. Places that were lost for
-longer than contact_s count as that loss. Saves go one at a time, each with all that has changed by then
-(take_save, saved). A gone id that nobody knew becomes a tombstone like any other.
-
-*Answers.* A confirmation counts on the link that its question went out on, for the life and number that
-asked; another one is dropped and counted.
-
-*Configurations* are a number and a digest of the body. The number only rises, whoever tells; a second body
-under the number held is an error that is logged, and only the primary's word replaces what is held.
-
-Ingresses are members while they are linked to any registry; each registry tells the others who is linked to
-it. Nothing here grows with the number of changes: tombstones, call counts, open questions and other
-registries that are gone are all bounded in time or number.
+"""The registry's state machine: backends, ingresses and the newest configuration (no I/O, no clock).
+
+Theory of operation. Every core machine runs a registry, and none is a leader. Each accepts heartbeats of
+backends, merges them into its endpoint table, and floods state changes to the other registries and to its
+ingresses. A receiver floods what was new to it. If a sender reports a state earlier than the known one, the
+receiver replies with the later state (anti-entropy). Heartbeats that change nothing are sent in batches of
+ids twice a second, so that all registries know which instances are silent. Silence alone does not remove a
+backend: it is sent to ingresses as a hint, which responses of the backend override.
+
+*Contact.* A registry is in contact while a connected store reports that it is the active primary; a store
+reports that only while it reaches a majority of the voters. Out of contact a registry confirms nothing. It is
+fresh, and reports so to its ingresses, while it is in contact and has the newest configuration that the
+primary reported.
+
+*Draining and deregistration.* Backends rely on these states, so they must be durable. They are merged and
+flooded at once, but acknowledged only once they are synced on this disk and on the disks of other registries
+in contact: enough of them that after each loss that the fault tolerance allows, one replica remains. Failure
+domains that have been lost for longer than contact_s count towards that loss. Saves run one at a time, each
+with all changes up to then (next_batch, on_saved). A deregistration of an unknown id becomes a tombstone like
+any other.
+
+*Acknowledgements.* One counts only on the connection that the request was sent on, with the incarnation and
+number of the request. Any other is dropped and counted.
+
+*Configurations* are identified by a version and a digest of the body. The version only increases, whoever
+reports it. A second body with the current version is logged as an error, and only the primary's body replaces
+the current one.
+
+Ingresses are members while they are connected to any registry; each registry sends the others the ingresses
+that are connected to it. Memory does not grow with the number of changes: tombstones, heartbeat counts,
+pending requests and lost registries are all bounded in time or number.
 """
 
 from __future__ import annotations
@@ -53,26 +57,20 @@
 )
 from troutdock.endpoints.endpoint_table import EndpointTable
 
-HEARTBEAT_BATCH_S = 0.5  # between two lists of who has called
-SILENT_INTERVALS = 2.5  # beats that fail to come, until an instance counts as silent
-EXPIRY_INTERVALS = 40.0  # until it is taken for gone for good
-CONFIRM_TIMEOUT_S = 0.7  # for the syncs here and elsewhere; a caller waits a second
-SAVE_RETRY_S = 0.3  # after a save that failed, before the next
-REDIRECT_DELAY_S = (
-    1.0  # out of contact and of company, until backends are sent elsewhere; an election takes as long
-)
-PEER_EXPIRY_S = (
-    30.0  # a registry that was not linked for so long, while this one was in contact, is forgotten
-)
-MEMBERS_INTERVAL_S = (
-    0.1  # between two lists of ingresses: many that start at once are told together, not each to each
-)
-MEMBERS_GRACE_S = 4.0  # who was linked to a registry that is lost links elsewhere by then
+HEARTBEAT_BATCH_S = 0.5  # between two Beats messages
+SILENT_INTERVALS = 2.5  # missed heartbeats until an instance is silent
+EXPIRY_INTERVALS = 40.0  # missed heartbeats until an instance is gone
+CONFIRM_TIMEOUT_S = 0.7  # for the syncs here and on other machines; a client waits 1 s
+SAVE_RETRY_S = 0.3  # after a failed save
+REDIRECT_DELAY_S = 1.0  # out of contact, until backends are redirected; as long as an election
+PEER_EXPIRY_S = 30.0  # a registry is removed after this time without a connection, if this one is in contact
+MEMBERS_INTERVAL_S = 0.1  # batches ingresses that start together, else bytes grow quadratically
+MEMBERS_GRACE_S = 4.0  # within this, the ingresses of a lost registry connect to another one
 
 
 @dataclass(slots=True)
 class Send:
-    """To a peer, by its handle; None: to all ingresses."""
+    """Send a message on a connection, or to all ingresses if to is None."""
 
     to: object | None
     message: Message
@@ -80,7 +78,7 @@
 
 @dataclass(slots=True)
 class RequestCompleted:
-    """A call may be answered: it is synced where it must be, or (ok false) it is not, and why."""
+    """A heartbeat call can be answered: the state is durable, or (ok is false) why it is not."""
 
     number: int
     ok: bool
@@ -89,21 +87,21 @@
 
 @dataclass(slots=True)
 class LogError:
-    """What operators should see."""
+    """Log an error for operators."""
 
     text: str
 
 
 @dataclass(slots=True)
 class RegistriesFound:
-    """These registries are there, by others' word: they are to be linked too."""
+    """Connect to these registries, which other registries have reported."""
 
     ips: list[str]
 
 
 @dataclass(slots=True)
 class RegistryRemoved:
-    """This registry was removed, as far as anybody knows."""
+    """Disconnect from this registry: no connected registry reports it any more."""
 
     ip: str
 
@@ -113,7 +111,7 @@
 
 @dataclass(slots=True)
 class SaveBatch:
-    """To be written and synced in one go; whole: entries are all that there is."""
+    """Changes to be written in one transaction. full: entries are complete and replace what is stored."""
 
     entries: list[Instance]
     deleted: list[str]
@@ -122,7 +120,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultTolerance:
-    """So many machines, zones, or regions may be lost at once; region_of: regions by zone."""
+    """How many machines, zones or regions may be lost at once. region_of: regions by zone."""
 
     machines: int = 0
     zones: int = 0
@@ -132,14 +130,18 @@
 
 @dataclass(slots=True)
 class _Peer:
-    """Another registry. members: the ingresses that are linked to it, by name; contact: it says it has it.
+    """Another registry.
 
-    linked: the registries that it is linked to, by its own word.
+    Attributes:
+        members: Ingresses that are connected to it, by name.
+        disconnected_at: When its last connection ended; infinite while it is connected.
+        contact: Whether it reports that it is in contact with the store's primary.
+        connected_to: Zones by address of the registries that it reports to be connected to.
     """
 
     ip: str
     zone: str
-    connections: list[object] = field(default_factory=list)  # two, where both have dialled
+    connections: list[object] = field(default_factory=list)  # two, if both sides have connected
     members: dict[str, Member] = field(default_factory=dict)
     disconnected_at: float = inf
     contact: bool = False
@@ -147,23 +149,23 @@
 
     @property
     def connection(self) -> object | None:
-        """The one to speak on."""
+        """The newest connection, or None if there is none."""
         return self.connections[-1] if self.connections else None
 
 
 @dataclass(slots=True)
 class _PendingRequest:
-    """A call that waits for syncs. asked: addresses of registries by the link that they were asked on."""
+    """A call that waits for syncs. sent_to: addresses of the requested registries by connection."""
 
     until: float
     ids: list[str]
     sent_to: dict[object, str]
-    synced_by: dict[str, None] = field(default_factory=dict)  # addresses of those that have it and count
+    synced_by: dict[str, None] = field(default_factory=dict)  # addresses of registries that acknowledged
 
 
 @dataclass(slots=True)
 class _PendingAck:
-    """A confirmation that another registry waits for, until the sync here."""
+    """An acknowledgement that another registry waits for, to be sent after the sync here."""
 
     until: float
     connection: object
@@ -173,7 +175,7 @@
 
 
 class Registry:
-    """One registry's knowledge; handles of links are whatever the loop uses for them."""
+    """The state of one registry. Connections are opaque handles of the daemon."""
 
     def __init__(
         self,
@@ -186,46 +188,65 @@
         contact_s: float = 3.0,
         ip: str = "",
     ) -> None:
-        """life, ip: of this process; seeds: addresses of other core machines, as the settings name them."""
+        """Creates the state of a registry that has just started.
+
+        Args:
+            now: Seconds of the monotonic clock.
+            heartbeat_s: Interval of backends' heartbeats.
+            incarnation: Incarnation number of this process.
+            zone: Zone of this machine.
+            seeds: Addresses of other core machines in the settings.
+            tolerance: Losses that an acknowledged state must survive.
+            contact_s: Seconds after which a disconnected registry counts as lost.
+            ip: Address of this machine.
+        """
         self.endpoints = EndpointTable()
         self.incarnation, self.zone, self.ip = incarnation, zone, ip
         self._heartbeat_s, self._contact_s = heartbeat_s, contact_s
         self._tolerance = tolerance if tolerance is not None else FaultTolerance()
-        self.heartbeat_counts: dict[str, int] = {}  # by instance: the highest number of its calls
+        self.heartbeat_counts: dict[str, int] = {}  # by instance: the highest number of its heartbeats
         self.peers: dict[str, _Peer] = {}
-        self._unseen_seeds = dict.fromkeys(seeds)  # seeds that were not linked yet
+        self._unseen_seeds = dict.fromkeys(seeds)  # seeds that have not been connected yet
         self.ingresses: dict[object, Member] = {}
         self.config: Config | None = None
-        self._primary_status: Fresh | None = None  # the store's primary, while there is contact
-        self.contact_changed_at = now  # since when it is in contact, or out of it
-        self.dropped_acks = 0  # confirmations that were not this one's to take
+        self._primary_status: Fresh | None = None  # last report of the primary; None out of contact
+        self.contact_changed_at = now  # start of the current contact or lack of contact
+        self.dropped_acks = 0  # acknowledgements that belong to no request
         self._heartbeats: dict[str, None] = {}
         self._heartbeats_sent_at = self._started = now
         self._last_number = 0
         self._pending: dict[int, _PendingRequest] = {}
         self._pending_acks: list[_PendingAck] = []
-        self._saving: dict[str, None] | None = None  # ids of the batch that is being saved
-        self._save_all, self._save_at = False, -inf  # the next batch has everything; it is not taken before
+        self._saving: dict[str, None] | None = None  # ids in the batch that is being saved
+        self._save_all, self._save_at = False, -inf  # the next batch is full; earliest time
         self._sent_members: dict[str, Member] = {}
-        self._members_sent_at, self._members_pending = -inf, False  # told last; something has changed since
+        self._members_sent_at, self._members_pending = -inf, False  # last sent; changed since
 
     # ---- backends
 
     def heartbeat(self, now: float, update: Instance, count: int) -> tuple[int, list[Action]]:
-        """A backend's call. Gives a number that Confirmed will name, 0 where nothing has to be confirmed."""
+        """Handles a backend's call.
+
+        Args:
+            now: Seconds of the monotonic clock.
+            update: The instance and its state.
+            count: The number of the heartbeat; below 0 for a deregistration.
+
+        Returns:
+            The number of the RequestCompleted action to wait for, 0 if there is nothing to wait for; and the
+            actions to perform.
+        """
         known = self.endpoints.entries.get(update.id)
         if (
             known is not None
             and update.state == READY
             and 0 <= count <= self.heartbeat_counts.get(update.id, -1)
         ):
-            return 0, []  # late
+            return 0, []  # delayed or repeated
         advanced = self.endpoints.merge(now, [update], from_instance=True)
         if not self.endpoints.includes(update):
             self._last_number += 1
-            return self._last_number, [
-                RequestCompleted(self._last_number, False, "no room for another backend")
-            ]
+            return self._last_number, [RequestCompleted(self._last_number, False, "too many backends")]
         self.heartbeat_counts[update.id] = max(count, self.heartbeat_counts.get(update.id, -1))
         self._heartbeats[update.id] = None
         actions = self._record_heartbeats([update.id], now)
@@ -236,9 +257,9 @@
         ]
         if update.state == READY:
             return 0, [*actions, *self._flood(entries, None)]
-        # also where it is known already: the caller asks again because it was not told
+        # confirmed again if already known: the client repeats a call that was not acknowledged
         self._last_number += 1
-        if not self.contact:  # it is known all the same, so that nothing is lost by saying so early
+        if not self.contact:  # the state is recorded and flooded, so the call can fail early
             why = RequestCompleted(
                 self._last_number, False, "this registry is out of contact with the store's primary"
             )
@@ -248,12 +269,12 @@
             now + CONFIRM_TIMEOUT_S, [e.id for e in entries], sent_to
         )
         flood = self._flood(entries, None, self._last_number)
-        if not advanced:  # ingresses have been told
+        if not advanced:  # the ingresses already have it
             flood = [send for send in flood if isinstance(send, Send) and send.to is not None]
         return self._last_number, [*actions, *flood, *self._complete_ready(now)]
 
     def is_isolated(self, now: float) -> bool:
-        """Beats are better made elsewhere: out of contact for a while, and no majority hears of them."""
+        """Returns whether heartbeats should go elsewhere, since no majority receives them from here."""
         if self.contact or now - self.contact_changed_at <= REDIRECT_DELAY_S or self._sees_most_peers:
             return False
         return not any(p.contact for p in self.peers.values())
@@ -271,9 +292,10 @@
         return [Send(None, Silence([], back))] if back else []
 
     def redirect_target(self, now: float, zone: str) -> str:
-        """The machine that a backend of this zone should call, by address; nothing if it is this one.
+        """Returns the address of the machine that a backend should call, empty if it is this one.
 
-        It is one in the backend's zone; out of contact for longer than an election, any one that has it.
+        It is a registry in contact in the backend's zone. If this registry has been out of contact for longer
+        than an election takes, it may be one in any zone.
         """
         candidates = [p for p in self.peers.values() if p.connection is not None and p.contact]
         near = [p.ip for p in candidates if p.zone == zone]
@@ -283,23 +305,23 @@
             return ""
         return next(iter(near), "")
 
-    # ---- what must last
+    # ---- durability
 
     @property
     def save_urgent(self) -> bool:
-        """Somebody waits for a save."""
+        """Whether a call or another registry waits for a save."""
         return bool(self._pending or self._pending_acks) and bool(self.endpoints.changed)
 
     def restore(self, now: float, entries: list[Instance]) -> list[Action]:
-        """What the disk has kept from before."""
+        """Merges the instances read from the disk."""
         changed = dict(self.endpoints.changed)
         advanced = self.endpoints.merge(now, entries)
-        behind = self.endpoints.newer_than(entries)  # the disk
+        behind = self.endpoints.newer_than(entries)  # the disk has an earlier state of these
         self.endpoints.changed = changed | {entry.id: None for entry in behind}
         return self._flood([e.to_instance(now) for e in advanced], None) if advanced else []
 
     def next_batch(self, now: float) -> SaveBatch | None:
-        """What is to be saved now, one batch at a time; saved() tells its end."""
+        """Returns what to save now, or None. One batch is saved at a time; on_saved() reports its end."""
         endpoints = self.endpoints
         if self._saving is not None or not endpoints.changed or now < self._save_at:
             return None
@@ -310,7 +332,7 @@
         return SaveBatch(entries, [id for id in self._saving if id not in endpoints.entries], False)
 
     def on_saved(self, now: float, ok: bool) -> list[Action]:
-        """The batch is synced, or the disk refuses."""
+        """Handles the end of a save: the batch is synced, or ok is false after an I/O failure."""
         saving, self._saving = self._saving or {}, None
         self._save_all = not ok
         if ok:
@@ -318,7 +340,7 @@
         self.endpoints.changed = {**saving, **self.endpoints.changed}
         self._save_at = now + SAVE_RETRY_S
         failed = [n for n, request in self._pending.items() if not self._is_synced(request.ids)]
-        return [self._fail(number, "the disk refuses") for number in failed]
+        return [self._fail(number, "the disk reports an error") for number in failed]
 
     def _is_synced(self, ids: list[str]) -> bool:
         return not any(id in self.endpoints.changed or id in (self._saving or ()) for id in ids)
@@ -328,7 +350,7 @@
         return RequestCompleted(number, False, why)
 
     def _complete_ready(self, now: float) -> list[Action]:
-        """Confirm what is synced where it must be, to callers and to other registries."""
+        """Completes calls and acknowledges other registries' requests that are now sufficiently synced."""
         actions: list[Action] = []
         for number, request in list(self._pending.items()):
             if self._is_synced(request.ids) and self._is_replicated(now, request.synced_by):
@@ -346,20 +368,21 @@
         return actions
 
     def _is_replicated(self, now: float, synced_by: Iterable[str]) -> bool:
-        """Each loss that is to be borne leaves somebody who has it synced, this registry or one of these."""
+        """Returns whether a state synced here and by these registries survives each tolerated loss."""
         if not self.peers and not self._unseen_seeds:
-            return True  # one machine alone
+            return True  # there is only one core machine
         holders = [self.peers[ip] for ip in synced_by if ip in self.peers]
         if not holders:
             return False
-        starting = bool(self._unseen_seeds) and now - self._started <= self._contact_s  # others may yet come
+        # shortly after the start, seeds may still connect
+        starting = bool(self._unseen_seeds) and now - self._started <= self._contact_s
         tolerance, region = self._tolerance, self._tolerance.region_of
         for tolerated, own, domain_of in (
             (tolerance.machines, "", lambda peer: peer.ip),
             (tolerance.zones, self.zone, lambda peer: peer.zone),
             (tolerance.regions, region.get(self.zone, ""), lambda peer: region.get(peer.zone, "")),
         ):
-            domains: dict[str, bool] = {}  # other places, and whether somebody there is not lost
+            domains: dict[str, bool] = {}  # other failure domains, and whether a registry there is not lost
             for peer in self.peers.values():
                 lost = peer.connection is None and now - peer.disconnected_at > self._contact_s
                 domain = domain_of(peer)
@@ -373,10 +396,10 @@
                 return False
         return True
 
-    # ---- other registries and ingresses
+    # ---- connections of registries and ingresses
 
     def registry_up(self, now: float, connection: object, ip: str, zone: str) -> list[Action]:
-        """A link to another registry: it is told all."""
+        """Handles a new connection to another registry: sends it the complete state."""
         peer = self.peers.setdefault(ip, _Peer(ip, zone))
         self._unseen_seeds.pop(ip, None)
         peer.connections.append(connection)
@@ -390,7 +413,10 @@
         return [*actions, *self._send_connected_peers()]
 
     def _send_connected_peers(self) -> list[Action]:
-        """The others hear whom this one is linked to: so all meet, and a cut is told from a removal."""
+        """Sends the peers the registries that this one is connected to.
+
+        From this, registries discover each other, and distinguish a partition from the removal of a machine.
+        """
         connected = [peer for peer in self.peers.values() if peer.connection is not None]
         message = Registries({peer.ip: peer.zone for peer in connected})
         return [Send(peer.connection, message) for peer in connected]
@@ -403,15 +429,15 @@
         return [RegistriesFound(new)] if new else []
 
     def _reachable_elsewhere(self, ip: str) -> bool:
-        """Not linked here, and linked to one that is."""
+        """Returns whether a connected registry reports a connection to this one."""
         return any(p.connection is not None and ip in p.connected_to for p in self.peers.values())
 
     def _contact_status(self) -> Fresh:
-        """What other registries are told."""
+        """The message to other registries about contact with the store's primary."""
         return msgspec.structs.replace(self.freshness, fresh=self.contact)
 
     def registry_down(self, now: float, connection: object) -> list[Action]:
-        """That link has ended."""
+        """Handles the end of a connection to another registry."""
         self._pending_acks = [
             pending for pending in self._pending_acks if pending.connection is not connection
         ]
@@ -425,7 +451,7 @@
         return self._send_connected_peers()
 
     def ingress_up(self, now: float, connection: object, member: Member) -> list[Action]:
-        """A link from an ingress: it is told all."""
+        """Handles a new connection from an ingress: sends it the complete state."""
         for old, known in list(self.ingresses.items()):
             if known.name == member.name:
                 del self.ingresses[old]
@@ -440,19 +466,19 @@
         actions += self._publish_members(now)
         actions.append(Send(connection, Registries({peer.ip: peer.zone for peer in self.peers.values()})))
         actions.append(Send(connection, Members(list(self._sent_members.values()), [], True)))
-        # last, so that who hears it has heard the rest
+        # last, so that a receiver of this has the rest
         actions.append(Send(connection, self.freshness))
         return actions
 
     def ingress_down(self, now: float, connection: object) -> list[Action]:
-        """That link has ended."""
+        """Handles the end of a connection to an ingress."""
         return self._publish_members(now) if self.ingresses.pop(connection, None) is not None else []
 
     def _own_members(self) -> Members:
         return Members(list(self.ingresses.values()), [], True)
 
     def _publish_members(self, now: float) -> list[Action]:
-        """Who is there has changed at this registry: the others and the ingresses are told, soon."""
+        """Sends a changed list of ingresses to peers and ingresses, at most once per MEMBERS_INTERVAL_S."""
         if now - self._members_sent_at < MEMBERS_INTERVAL_S:
             self._members_pending = True
             return []
@@ -476,10 +502,10 @@
         return [Send(None, Members(changed, gone))] if changed or gone else []
 
     def status(self) -> dict[str, object]:
-        """What is known here, for operators."""
+        """Returns the state of this registry for GET /system/status."""
         services: dict[str, dict[str, int]] = {}
         for entry in self.endpoints.entries.values():
-            if not entry.service:  # a tombstone of one that was never heard of
+            if not entry.service:  # a tombstone of an unknown instance
                 continue
             counts = services.setdefault(
                 entry.service, {"available": 0, "draining": 0, "gone": 0, "silent": 0}
@@ -504,12 +530,12 @@
 
     @property
     def contact(self) -> bool:
-        """A store's primary that reaches a majority is linked."""
+        """Whether a primary that reaches a majority is connected."""
         return self._primary_status is not None
 
     @property
     def fresh(self) -> bool:
-        """In contact, and what the primary told as the newest is here."""
+        """Whether this registry is in contact and has the newest configuration that the primary reported."""
         reported, current = self._primary_status, self.config
         if reported is None or current is None:
             return reported is not None and not reported.version
@@ -518,7 +544,7 @@
 
     @property
     def freshness(self) -> Fresh:
-        """What ingresses are told of how new the configuration here is."""
+        """The message to ingresses about the configuration here and whether it is the newest."""
         current = self.config
         return (
             Fresh(self.fresh, current.version, current.digest)
@@ -527,7 +553,7 @@
         )
 
     def set_primary_status(self, now: float, reported: Fresh | None) -> list[Action]:
-        """What the store's primary says of its newest configuration; None: there is none in contact."""
+        """Handles a report of the primary about its newest configuration, or None if contact is lost."""
         had_contact, previous = self.contact, self.freshness
         self._primary_status = reported
         actions: list[Action] = []
@@ -543,38 +569,40 @@
         return actions
 
     def apply_config(self, config: Config, from_primary: bool = False) -> list[Action]:
-        """A configuration that is in force; primary: the store's primary that is in contact says so."""
+        """Handles a configuration in force. from_primary: it comes from the primary that is in contact."""
         current = self.config
         if current is not None and config.version < current.version:
             return []
         digest = body_digest(config.body)
         if config.digest not in ("", digest):
             return [
-                LogError(f"Configuration r{config.version} does not fit its digest {config.digest}: dropped.")
+                LogError(
+                    f"Configuration r{config.version} does not match its digest {config.digest}: dropped."
+                )
             ]
         actions: list[Action] = []
         if current is not None and config.version == current.version:
             if digest == current.digest:
                 return []
             resolution = (
-                "replaced by the primary's" if from_primary else "kept until the primary says otherwise"
+                "replaced by the primary's body" if from_primary else "kept until the primary sends another"
             )
             actions.append(
                 LogError(
-                    f"Two bodies under r{current.version}: {current.digest} is held, "
-                    f"{digest} was received; {resolution}."
+                    f"Two bodies with revision r{current.version}: current {current.digest}, "
+                    f"received {digest}; {resolution}."
                 )
             )
             if not from_primary:
                 return actions
-        # the other registries have it from the store too
+        # not flooded: the other registries get it from the store
         self.config = Config(config.version, config.body, digest)
         return [*actions, Send(None, self.config), Send(None, self.freshness)]
 
-    # ---- what others say, and time
+    # ---- messages and timers
 
     def receive(self, now: float, connection: object, message: Message) -> list[Action]:
-        """Word of another registry or of an ingress."""
+        """Handles a message of another registry or of an ingress."""
         match message:
             case Instances():
                 return self._on_instances(now, connection, message)
@@ -619,7 +647,7 @@
         if ack.life != self.incarnation or not 0 < ack.number <= self._last_number:
             self.dropped_acks += 1
             return []
-        if request is None:  # it was enough without, or is over
+        if request is None:  # already completed or timed out
             return []
         if (ip := request.sent_to.get(connection)) is None:
             self.dropped_acks += 1
@@ -629,13 +657,16 @@
         return self._complete_ready(now)
 
     def tick(self, now: float) -> list[Action]:
-        """Time has gone by: some times a second."""
+        """Handles timeouts; called several times a second."""
         actions: list[Action] = []
         for number, request in list(self._pending.items()):
             if now > request.until:
-                why = "no other registry that counts has it yet"
+                why = "not yet replicated to enough other registries in contact"
                 actions.append(
-                    self._fail(number, why if self._is_synced(request.ids) else "the disk is slow")
+                    self._fail(
+                        number,
+                        why if self._is_synced(request.ids) else "the disk did not complete the sync in time",
+                    )
                 )
         self._pending_acks = [pending for pending in self._pending_acks if now <= pending.until]
         if self._members_pending:
@@ -664,7 +695,10 @@
         return actions
 
     def _remove_lost_peers(self, now: float) -> list[Action]:
-        """Machines that were removed; one that is cut off has no contact, and takes nobody for that."""
+        """Removes registries of machines that were removed.
+
+        A registry behind a partition is out of contact, and removes none.
+        """
         if not self.contact or now - self.contact_changed_at <= PEER_EXPIRY_S:
             return []
         gone = [
@@ -679,9 +713,10 @@
 
     @property
     def _has_full_view(self) -> bool:
-        """Whom no call came from here calls nobody: only then is silence judged.
+        """Whether this registry receives the heartbeats of all registries; silence is judged only then.
 
-        Each registry tells of its own callers only; one that is cut off from here alone has some.
+        Each registry reports only the heartbeats that it received itself. A registry that is unreachable from
+        here, but connected to others, may still receive some.
         """
         reported = {ip for p in self.peers.values() if p.connection is not None for ip in p.connected_to}
         return self._sees_most_peers and all(
@@ -690,9 +725,10 @@
 
     @property
     def _sees_most_peers(self) -> bool:
-        """Most registries that were met are linked: guards against taking a cut for everybody's silence.
+        """Whether at least half of the known registries are connected.
 
-        One that has met nobody yet is in company only if the settings name nobody else.
+        Guards against mistaking a partition for the silence of all backends. Before the first connection it
+        is true only if the settings name no other core machine.
         """
         if not self.peers:
             return not self._unseen_seeds
