--- a/tests/system/test_registry.py
+++ b/tests/system/test_registry.py
@@ -1,4 +1,4 @@
-"""Instances and drains: word in any order comes to the same, and an acknowledged drain outlives its machine."""
+"""Tests of the registry: updates merge in any order, and acknowledged states survive the loss of a machine."""
 
 from __future__ import annotations
 
@@ -63,12 +63,12 @@
 
 
 class ThreeRegistries(RuleBasedStateMachine):
-    """Three registries whose machines die one at a time; each has an ingress that follows it."""
+    """Three registries that crash one at a time; each has an ingress that follows it."""
 
     @initialize()
     def begin(self) -> None:
         self.now = 0.0
-        self.books = {n: Registry(0.0, 1.5) for n in range(3)}
+        self.registries = {n: Registry(0.0, 1.5) for n in range(3)}
         self.alive = dict.fromkeys(range(3), True)
         self.acknowledged: dict[str, int] = {}
         self.followers = {n: EndpointTable() for n in range(3)}
@@ -77,19 +77,21 @@
         for n in range(3):
             for m in range(3):
                 if n != m:
-                    self.do(n, self.books[n].registry_up(0.0, m, f"10.0.0.{m}", "abc"[m]))
-            self.do(n, self.books[n].set_primary_status(0.0, Fresh(True, 0)))
-            self.do(n, self.books[n].ingress_up(0.0, "ingress", Member(f"e{n}", "10.1.0.1", 1, "a", 1)))
+                    self.perform(n, self.registries[n].registry_up(0.0, m, f"10.0.0.{m}", "abc"[m]))
+            self.perform(n, self.registries[n].set_primary_status(0.0, Fresh(True, 0)))
+            self.perform(
+                n, self.registries[n].ingress_up(0.0, "ingress", Member(f"e{n}", "10.1.0.1", 1, "a", 1))
+            )
         self.deliver_all()
 
-    def do(self, n: int, actions: list) -> None:
-        if self.books[n].save_urgent and self.books[n].next_batch(self.now) is not None:
-            actions = [*actions, *self.books[n].on_saved(self.now, True)]
+    def perform(self, n: int, actions: list) -> None:
+        if self.registries[n].save_urgent and self.registries[n].next_batch(self.now) is not None:
+            actions = [*actions, *self.registries[n].on_saved(self.now, True)]
         for action in actions:
             if isinstance(action, RequestCompleted):
-                told = self.pending.pop((n, action.number), None)
-                if action.ok and told is not None:
-                    self.acknowledged[told[0]] = max(told[1], self.acknowledged.get(told[0], 0))
+                call = self.pending.pop((n, action.number), None)
+                if action.ok and call is not None:
+                    self.acknowledged[call[0]] = max(call[1], self.acknowledged.get(call[0], 0))
             elif isinstance(action, Send):
                 if action.to is None or action.to == "ingress":
                     if isinstance(action.message, Instances):
@@ -101,7 +103,7 @@
         while self.waiting:
             sender, to, message = self.waiting.pop(0)
             if self.alive[to] and self.alive[sender]:
-                self.do(to, self.books[to].receive(self.now, sender, message))
+                self.perform(to, self.registries[to].receive(self.now, sender, message))
 
     @rule(
         n=st.integers(0, 2),
@@ -111,50 +113,52 @@
     )
     def call(self, n: int, id: str, state: int, count: int) -> None:
         if self.alive[n]:
-            number, actions = self.books[n].heartbeat(self.now, instance(id, state), count)
+            number, actions = self.registries[n].heartbeat(self.now, instance(id, state), count)
             if number:
                 self.pending[n, number] = id, state
-            self.do(n, actions)
+            self.perform(n, actions)
 
     @rule(at=st.integers(0, 20))
     def deliver(self, at: int) -> None:
         if self.waiting:
             sender, to, message = self.waiting[at % len(self.waiting)]
-            # in order on each way, as on a connection
+            # in order per sender and receiver, as on a connection
             first = next(i for i, (s, t, _) in enumerate(self.waiting) if (s, t) == (sender, to))
             sender, to, message = self.waiting.pop(first)
             if self.alive[to]:
-                self.do(to, self.books[to].receive(self.now, sender, message))
+                self.perform(to, self.registries[to].receive(self.now, sender, message))
 
     @precondition(lambda self: all(self.alive.values()))
     @rule(n=st.integers(0, 2))
-    def die(self, n: int) -> None:
+    def crash(self, n: int) -> None:
         self.alive[n] = False
         self.waiting = [w for w in self.waiting if n not in w[:2]]
         self.pending = {k: v for k, v in self.pending.items() if k[0] != n}
         for m in range(3):
             if m != n:
-                self.books[m].registry_down(self.now, n)
-        self.deliver_all()  # what was on its way between the others comes
-        known = [b for m, b in self.books.items() if m != n]
+                self.registries[m].registry_down(self.now, n)
+        self.deliver_all()  # messages in flight between the others arrive
+        known = [b for m, b in self.registries.items() if m != n]
         for id, state in self.acknowledged.items():
-            for book in known:
-                assert book.endpoints.entries[id].state >= state
+            for registry in known:
+                assert registry.endpoints.entries[id].state >= state
             for m in range(3):
                 if m != n and id in self.followers[m].entries:
                     assert self.followers[m].entries[id].state >= state
 
     @precondition(lambda self: not all(self.alive.values()))
     @rule()
-    def back(self) -> None:
+    def restart(self) -> None:
         n = next(m for m, alive in self.alive.items() if not alive)
-        self.books[n], self.alive[n], self.followers[n] = Registry(self.now, 1.5), True, EndpointTable()
+        self.registries[n], self.alive[n], self.followers[n] = Registry(self.now, 1.5), True, EndpointTable()
         for m in range(3):
             if m != n:
-                self.do(n, self.books[n].registry_up(self.now, m, f"10.0.0.{m}", "abc"[m]))
-                self.do(m, self.books[m].registry_up(self.now, n, f"10.0.0.{n}", "abc"[n]))
-        self.do(n, self.books[n].set_primary_status(self.now, Fresh(True, 0)))
-        self.do(n, self.books[n].ingress_up(self.now, "ingress", Member(f"e{n}", "10.1.0.1", 1, "a", 1)))
+                self.perform(n, self.registries[n].registry_up(self.now, m, f"10.0.0.{m}", "abc"[m]))
+                self.perform(m, self.registries[m].registry_up(self.now, n, f"10.0.0.{n}", "abc"[n]))
+        self.perform(n, self.registries[n].set_primary_status(self.now, Fresh(True, 0)))
+        self.perform(
+            n, self.registries[n].ingress_up(self.now, "ingress", Member(f"e{n}", "10.1.0.1", 1, "a", 1))
+        )
         self.deliver_all()
 
     @rule(gone=st.floats(0.05, 1.0))
@@ -162,25 +166,25 @@
         self.now += gone
         for n in range(3):
             if self.alive[n]:
-                self.do(n, self.books[n].tick(self.now))
+                self.perform(n, self.registries[n].tick(self.now))
 
     @invariant()
-    def an_acknowledged_state_is_known_to_two(self) -> None:
+    def acknowledged_state_is_known_to_two(self) -> None:
         for id, state in getattr(self, "acknowledged", {}).items():
-            knowing = [
+            holders = [
                 n
                 for n in range(3)
-                if id in self.books[n].endpoints.entries
-                and self.books[n].endpoints.entries[id].state >= state
+                if id in self.registries[n].endpoints.entries
+                and self.registries[n].endpoints.entries[id].state >= state
             ]
-            assert len(knowing) >= 2 or not all(self.alive.values())
+            assert len(holders) >= 2 or not all(self.alive.values())
 
 
 TestRegistries = ThreeRegistries.TestCase
 TestRegistries.settings = settings(max_examples=60, stateful_step_count=40, deadline=None)
 
 
-def test_without_a_second_registry_a_drain_is_not_acknowledged() -> None:
+def test_drain_is_not_acknowledged_without_a_second_registry() -> None:
     registry = Registry(0.0, 1.5, seeds=["10.0.0.2"])
     registry.set_primary_status(0.0, Fresh(True, 0))
     number, _ = registry.heartbeat(0.0, instance("i-1", DRAINING), 3)
@@ -188,21 +192,21 @@
     assert RequestCompleted(number, False) in registry.tick(1.0)
 
 
-def test_silence_is_told_once_and_taken_back_by_a_beat_anywhere() -> None:
+def test_silence_is_sent_once_and_revoked_by_a_heartbeat_anywhere() -> None:
     registry = Registry(0.0, 1.5)
     registry.registry_up(0.0, "r", "10.0.0.2", "b")
     registry.heartbeat(0.0, instance("i-1"), 1)
-    told = [
+    sent = [
         a.message
         for s in range(1, 12)
         for a in registry.tick(s * 0.5)
         if isinstance(a, Send) and isinstance(a.message, Silence)
     ]
-    assert told == [Silence(["i-1"], [])]
+    assert sent == [Silence(["i-1"], [])]
     assert Send(None, Silence([], ["i-1"])) in registry.receive(6.0, "r", Beats(["i-1"]))
 
 
-def test_one_that_is_cut_off_takes_nobody_for_silent() -> None:
+def test_partitioned_registry_marks_no_instance_silent() -> None:
     registry = Registry(0.0, 1.5)
     registry.registry_up(0.0, "r", "10.0.0.2", "b")
     registry.heartbeat(0.0, instance("i-1"), 1)
@@ -215,26 +219,26 @@
     ]
 
 
-def test_a_late_call_changes_nothing() -> None:
+def test_delayed_heartbeat_changes_nothing() -> None:
     registry = Registry(0.0, 1.5)
     registry.heartbeat(0.0, instance("i-1", DRAINING), 5)
     registry.heartbeat(0.1, instance("i-1", READY), 4)
     assert registry.endpoints.entries["i-1"].state == DRAINING
 
 
-def test_configurations_only_rise_and_newcomers_hear_of_freshness_last() -> None:
+def test_configuration_versions_only_increase_and_new_ingresses_receive_freshness_last() -> None:
     registry = Registry(0.0, 1.5)
     new, old = Config(9, msgspec.Raw(b"{}")), Config(7, msgspec.Raw(b"{}"))
     assert registry.apply_config(new)
     assert registry.apply_config(old) == []
-    told = [
+    sent = [
         a.message for a in registry.ingress_up(0.0, "e", Member("e", "10.1.0.1", 1, "a", 1)) if a.to == "e"
     ]
     digest = body_digest(b"{}")
-    assert told[0] == Config(9, msgspec.Raw(b"{}"), digest) and told[-1] == Fresh(False, 9, digest)
+    assert sent[0] == Config(9, msgspec.Raw(b"{}"), digest) and sent[-1] == Fresh(False, 9, digest)
 
 
-def test_members_are_all_that_are_linked_anywhere() -> None:
+def test_members_are_all_ingresses_connected_to_any_registry() -> None:
     registry = Registry(0.0, 1.5)
     registry.registry_up(0.0, "r", "10.0.0.2", "b")
     registry.ingress_up(0.0, "x", Member("e1", "10.1.0.1", 1, "a", 1))
@@ -246,27 +250,27 @@
     assert Members([], ["e2"]) in gone
 
 
-def test_one_whose_address_another_serves_at_has_ended() -> None:
+def test_new_instance_at_same_address_ends_the_old_one() -> None:
     registry = Registry(0.0, 1.5)
     registry.registry_up(0.0, "r", "10.0.0.2", "b")
     registry.heartbeat(0.0, instance("i-1"), 1)
     _, actions = registry.heartbeat(5.0, instance("i-2"), 1)
-    told = next(
+    sent = next(
         a.message
         for a in actions
         if isinstance(a, Send) and a.to is None and isinstance(a.message, Instances)
     )
-    assert {(e.id, e.state) for e in told.entries} == {("i-1", GONE), ("i-2", READY)}
-    registry.receive(6.0, "r", Instances([instance("i-1")]))  # late word changes nothing
+    assert {(e.id, e.state) for e in sent.entries} == {("i-1", GONE), ("i-2", READY)}
+    registry.receive(6.0, "r", Instances([instance("i-1")]))  # a delayed update changes nothing
     assert registry.endpoints.entries["i-1"].state == GONE
 
 
-def test_many_ingresses_that_start_at_once_are_told_together() -> None:
-    """Each to each would be bytes by the square of their number; in the end all know all."""
+def test_ingresses_that_start_together_are_sent_in_batches() -> None:
+    """The bytes sent do not grow as the square of their number, and all receive the complete list."""
     registry, sent = Registry(0.0, 1.0), 0
     known: dict[str, set[str]] = {}
 
-    def do(actions: list) -> None:
+    def perform(actions: list) -> None:
         nonlocal sent
         for action in actions:
             if isinstance(action, Send) and isinstance(action.message, Members):
@@ -282,25 +286,25 @@
     count, now = 200, 0.0
     for n in range(count):
         now = n / count
-        do(registry.ingress_up(now, f"l{n}", Member(f"e{n}", f"10.1.0.{n}", 1, "a", n)))
-        do(registry.tick(now))
-    do(registry.tick(now + 0.2))
+        perform(registry.ingress_up(now, f"l{n}", Member(f"e{n}", f"10.1.0.{n}", 1, "a", n)))
+        perform(registry.tick(now))
+    perform(registry.tick(now + 0.2))
     assert all(names == {f"e{n}" for n in range(count)} for names in known.values()) and len(known) == count
     assert (
         sent < count * count * 1.2
-    )  # the list once to each, whole or in parts: not a message for each start
-    do(registry.ingress_down(now + 1, "l7"))
-    assert "e7" not in known["l3"]  # one alone is told at once
+    )  # the list once to each, complete or in parts, not a message for each start
+    perform(registry.ingress_down(now + 1, "l7"))
+    assert "e7" not in known["l3"]  # a single change is sent at once
 
 
-# ---- what is acknowledged
+# ---- acknowledgements
 
 
-def in_contact(incarnation: int = 7, tolerance: FaultTolerance | None = None, others: int = 2) -> Registry:
-    """Linked to registries r1 and so on, in zones b and so on, and to the store's primary."""
+def in_contact(incarnation: int = 7, tolerance: FaultTolerance | None = None, peers: int = 2) -> Registry:
+    """Returns a registry connected to the primary and to peers r1, r2, ... in zones b, c, ..."""
     registry = Registry(0.0, 1.5, incarnation, "a", ["10.0.0.2", "10.0.0.3"], tolerance or FaultTolerance(1))
     registry.set_primary_status(0.0, Fresh(True, 0))
-    for n in range(1, others + 1):
+    for n in range(1, peers + 1):
         registry.registry_up(0.0, f"r{n}", f"10.0.0.{n + 1}", "abcd"[n])
     return registry
 
@@ -313,20 +317,20 @@
     ("link", "ack", "counts", "dropped"),
     [
         ("r1", InstancesAck(1, 7, True), True, 0),
-        ("r1", InstancesAck(1, 7, False), False, 0),  # the other one is out of contact
-        ("r1", InstancesAck(1, 6, True), False, 1),  # this process's life before asked that
+        ("r1", InstancesAck(1, 7, False), False, 0),  # the peer is out of contact
+        ("r1", InstancesAck(1, 6, True), False, 1),  # for the previous incarnation of this process
         ("r1", InstancesAck(1, 0, True), False, 1),
-        ("r1", InstancesAck(2, 7, True), False, 1),  # never asked
-        ("r9", InstancesAck(1, 7, True), False, 1),  # not on the link that the question went out on
+        ("r1", InstancesAck(2, 7, True), False, 1),  # never sent
+        ("r9", InstancesAck(1, 7, True), False, 1),  # not on the connection of the request
     ],
 )
-def test_a_confirmation_counts_for_the_question_that_it_answers(
+def test_acknowledgement_counts_only_for_its_request(
     link: str, ack: InstancesAck, counts: bool, dropped: int
 ) -> None:
     registry = in_contact()
     number, actions = registry.heartbeat(0.0, instance("i-1", DRAINING), 3)
     assert number == 1 and Send("r1", Instances([instance("i-1", DRAINING)], 1, 7)) in actions
-    registry.registry_up(0.0, "r9", "10.0.0.3", "c")  # a later link
+    registry.registry_up(0.0, "r9", "10.0.0.3", "c")  # a later connection
     assert synced(registry) == []
     assert (RequestCompleted(1, True) in registry.receive(0.1, link, ack)) == counts
     assert registry.dropped_acks == dropped
@@ -347,21 +351,21 @@
         (FaultTolerance(0, 0, 1, {"a": "x", "b": "x", "c": "y"}), "c", True),
     ],
 )
-def test_copies_lie_in_so_many_places_as_losses_ask_for(
+def test_acknowledged_state_is_replicated_to_required_failure_domains(
     tolerance: FaultTolerance, zones: str, enough: bool
 ) -> None:
-    registry = in_contact(tolerance=tolerance, others=0)
+    registry = in_contact(tolerance=tolerance, peers=0)
     for n, zone in enumerate("abbc"):
         registry.registry_up(0.0, n, f"10.0.1.{n}", zone)
     registry.heartbeat(0.0, instance("i-1", DRAINING), 3)
-    said = synced(registry)
+    actions = synced(registry)
     free = {zone: [n for n, z in enumerate("abbc") if z == zone] for zone in "abc"}
     for zone in zones:
-        said += registry.receive(0.1, free[zone].pop(0), InstancesAck(1, 7, True))
-    assert (RequestCompleted(1, True) in said) == enough
+        actions += registry.receive(0.1, free[zone].pop(0), InstancesAck(1, 7, True))
+    assert (RequestCompleted(1, True) in actions) == enough
 
 
-def test_who_was_lost_for_long_is_the_loss_that_is_borne_and_one_machine_alone_needs_no_other() -> None:
+def test_lost_registry_counts_towards_tolerance_and_single_machine_needs_no_replica() -> None:
     registry = in_contact(tolerance=FaultTolerance(2))
     registry.registry_down(1.0, "r2")
     for now, enough in ((2.0, False), (5.0, True)):  # contactS is 3
@@ -376,32 +380,32 @@
     assert RequestCompleted(1, True) in synced(alone)
 
 
-def test_another_registry_confirms_after_its_own_sync_and_says_whether_it_counts() -> None:
+def test_registry_acknowledges_after_its_own_sync_and_reports_its_contact() -> None:
     for contact in (True, False):
         registry = in_contact()
         if not contact:
             registry.set_primary_status(0.0, None)
-        asked = Instances([instance("i-1", DRAINING)], 5, 99)
+        message = Instances([instance("i-1", DRAINING)], 5, 99)
         assert not any(
             isinstance(a.message, InstancesAck)
-            for a in registry.receive(0.0, "r1", asked)
+            for a in registry.receive(0.0, "r1", message)
             if isinstance(a, Send)
         )
         assert synced(registry) == [Send("r1", InstancesAck(5, 99, contact))]
         assert Send("r1", InstancesAck(6, 99, contact)) in registry.receive(
-            0.1, "r1", Instances(asked.entries, 6, 99)
-        )  # known by now
+            0.1, "r1", Instances(message.entries, 6, 99)
+        )  # already synced
 
 
-def test_a_disk_that_is_slow_or_refuses_ends_the_call_and_the_next_save_has_all() -> None:
+def test_slow_or_failing_disk_fails_the_call_and_the_next_save_is_full() -> None:
     registry = in_contact()
     registry.heartbeat(0.0, instance("i-1", DRAINING), 3)
     registry.next_batch(0.0)
     registry.receive(0.0, "r1", InstancesAck(1, 7, True))
-    assert RequestCompleted(1, False) in registry.tick(0.8)  # it hangs
+    assert RequestCompleted(1, False) in registry.tick(0.8)  # the disk hangs
     number, _ = registry.heartbeat(0.8, instance("i-1", DRAINING), 4)
     assert RequestCompleted(number, False) in registry.on_saved(0.9, False)
-    assert registry.next_batch(0.95) is None  # a moment's rest
+    assert registry.next_batch(0.95) is None  # delay before the retry
     registry.heartbeat(1.0, instance("i-2", at="10.0.0.8:80"), 1)
     batch = registry.next_batch(1.3)
     assert (
@@ -411,8 +415,8 @@
     )
 
 
-def test_the_same_draining_again_is_not_taken_for_known_elsewhere() -> None:
-    registry = in_contact(others=0)
+def test_repeated_drain_is_not_assumed_to_be_replicated() -> None:
+    registry = in_contact(peers=0)
     first, _ = registry.heartbeat(0.0, instance("i-1", DRAINING), 5)
     synced(registry)
     assert RequestCompleted(first, False) in registry.tick(1.0)
@@ -420,7 +424,7 @@
     assert second and RequestCompleted(second, True) not in actions
 
 
-def test_one_that_was_never_heard_of_is_gone_for_good_once_others_have_it() -> None:
+def test_deregistration_of_unknown_instance_is_replicated_and_permanent() -> None:
     registry = in_contact()
     number, actions = registry.heartbeat(0.0, tombstone("i-9"), -1)
     assert (
@@ -434,7 +438,7 @@
     assert RequestCompleted(number, True) in registry.receive(0.1, "r1", InstancesAck(number, 7, True))
     for state, count in ((READY, 8), (DRAINING, 9)):
         registry.heartbeat(0.2, instance("i-9", state), count)
-        # a peer that was away says what it knows, and is told the rest
+        # a peer that was disconnected reports its state, and receives the later one
         assert Send("r2", Instances([tombstone("i-9")])) in registry.receive(
             0.3, "r2", Instances([instance("i-9", state)])
         )
@@ -449,7 +453,7 @@
     assert again.endpoints.entries["i-9"].state == GONE and again.next_batch(1.0) is None
 
 
-def test_a_follower_that_missed_a_leaving_is_told_when_it_says_what_it_knows() -> None:
+def test_ingress_that_missed_a_deregistration_receives_it_after_reporting_its_state() -> None:
     registry = in_contact()
     registry.heartbeat(0.0, instance("i-1"), 1)
     registry.heartbeat(0.1, instance("i-1", GONE), -1)
@@ -459,7 +463,7 @@
     )
 
 
-def test_saves_go_one_at_a_time_each_with_all_that_has_changed_by_then() -> None:
+def test_saves_are_sequential_and_batch_all_changes() -> None:
     registry = in_contact()
 
     def drain(n: int) -> None:
@@ -480,12 +484,12 @@
 # ---- contact
 
 
-def test_out_of_contact_nothing_is_confirmed_and_everything_is_passed_on() -> None:
+def test_registry_out_of_contact_confirms_nothing_and_floods_everything() -> None:
     registry = in_contact()
-    waits, _ = registry.heartbeat(0.0, instance("i-1", DRAINING), 3)
+    pending_number, _ = registry.heartbeat(0.0, instance("i-1", DRAINING), 3)
     lost = registry.set_primary_status(1.0, None)
     assert (
-        RequestCompleted(waits, False) in lost
+        RequestCompleted(pending_number, False) in lost
         and Send(None, Fresh(False, 0)) in lost
         and Send("r1", Fresh(False, 0)) in lost
     )
@@ -501,40 +505,45 @@
 
 
 @pytest.mark.parametrize(
-    ("contact", "linked", "others_contact", "after", "away", "target"),
+    ("contact", "linked", "peers_in_contact", "after", "is_isolated", "target"),
     [
         (True, 2, (), 9.0, False, ""),
-        (False, 2, (), 9.0, False, ""),  # nobody leads anywhere: word reaches all from here
-        (False, 0, (), 0.5, False, ""),  # an election, or all have just started
-        (False, 0, (), 1.5, True, ""),  # cut off: the other side hears of it only there
-        (False, 1, ("r1",), 9.0, False, "10.0.0.2"),  # one way is left
+        (False, 2, (), 9.0, False, ""),  # no primary anywhere; heartbeats reach all registries from here
+        (False, 0, (), 0.5, False, ""),  # an election, or a start of all machines
+        (False, 0, (), 1.5, True, ""),  # partitioned: the majority does not receive heartbeats from here
+        (False, 1, ("r1",), 9.0, False, "10.0.0.2"),  # one connection is left
         (False, 2, ("r2",), 9.0, False, "10.0.0.3"),
         (False, 2, ("r2",), 0.5, False, ""),  # an election
         (True, 2, ("r1", "r2"), 9.0, False, ""),
     ],
 )
-def test_beats_are_made_where_a_majority_hears_of_them(
-    contact: bool, linked: int, others_contact: tuple[str, ...], after: float, away: bool, target: str
+def test_heartbeats_are_redirected_to_a_registry_in_the_majority(
+    contact: bool,
+    linked: int,
+    peers_in_contact: tuple[str, ...],
+    after: float,
+    is_isolated: bool,
+    target: str,
 ) -> None:
     registry = in_contact()
-    for link in others_contact:
+    for link in peers_in_contact:
         registry.receive(0.0, link, Fresh(True, 0))
     for n in range(linked + 1, 3):
         registry.registry_down(0.0, f"r{n}")
     if not contact:
         registry.set_primary_status(0.0, None)
     registry.heartbeat(after, instance("i-1"), 1)
-    assert registry.is_isolated(after) == away and registry.redirect_target(after, "a") == target
-    assert registry.endpoints.entries["i-1"].state == READY  # known whatever the answer
+    assert registry.is_isolated(after) == is_isolated and registry.redirect_target(after, "a") == target
+    assert registry.endpoints.entries["i-1"].state == READY  # recorded in every case
 
 
-def test_a_registry_that_starts_alone_takes_nobody_for_silent_before_it_has_met_another() -> None:
+def test_starting_registry_marks_no_instance_silent_before_its_first_connection() -> None:
     registry = Registry(0.0, 1.5, seeds=["10.0.0.2"])
     registry.restore(0.0, [instance("i-1")])
     assert not [a for s in range(1, 200) for a in registry.tick(s * 0.5) if isinstance(a, Send)]
     registry.set_primary_status(
         100.0, Fresh(True, 0)
-    )  # its own store has found the others, and it has not: they may hear i-1
+    )  # its store has found the others, but it has not: they may receive heartbeats of i-1
     assert not [a for s in range(202, 400) for a in registry.tick(s * 0.5) if isinstance(a, Send)]
     registry.registry_up(200.0, "r", "10.0.0.2", "b")
     assert Send(None, Silence(["i-1"], [])) in registry.tick(200.5)
@@ -548,35 +557,35 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "primary", "held", "says"),
+    ("reported", "from_primary", "expected", "error"),
     [
         (config(6), False, config(7), ""),
         (config(6, b"{}"), True, config(7), ""),
         (config(7), False, config(7), ""),
-        (config(7, digest=""), True, config(7), ""),  # of a store of before
+        (config(7, digest=""), True, config(7), ""),  # from a store of an earlier version
         (config(7, b"{}"), False, config(7), "Two bodies with revision r7"),
         (config(7, b"{}"), True, config(7, b"{}"), "Two bodies with revision r7"),
         (config(8, b"{}"), False, config(8, b"{}"), ""),
         (config(8, b"{}", "0" * 24), False, config(7), "does not match its digest"),
     ],
 )
-def test_a_configuration_is_its_number_and_its_digest(
-    told: Config, primary: bool, held: Config, says: str
+def test_configuration_is_identified_by_version_and_digest(
+    reported: Config, from_primary: bool, expected: Config, error: str
 ) -> None:
     registry = in_contact()
     registry.apply_config(config(7))
-    actions = registry.apply_config(told, primary)
-    assert registry.config == held
+    actions = registry.apply_config(reported, from_primary)
+    assert registry.config == expected
     assert (
         [a.text for a in actions if isinstance(a, LogError)] == []
-        if not says
-        else says in next(a.text for a in actions if isinstance(a, LogError))
+        if not error
+        else error in next(a.text for a in actions if isinstance(a, LogError))
     )
-    assert (Send(None, held) in actions) == (held != config(7))
+    assert (Send(None, expected) in actions) == (expected != config(7))
 
 
 @pytest.mark.parametrize(
-    ("told", "fresh"),
+    ("reported", "fresh"),
     [
         (None, False),
         (Fresh(True, 7), True),
@@ -586,23 +595,25 @@
         (Fresh(True, 7, body_digest(b"{}")), False),
     ],
 )
-def test_a_registry_is_fresh_once_it_has_what_the_primary_told(told: Fresh | None, fresh: bool) -> None:
+def test_registry_is_fresh_with_the_primarys_newest_configuration(
+    reported: Fresh | None, fresh: bool
+) -> None:
     registry = in_contact()
     registry.apply_config(config(7))
-    registry.set_primary_status(1.0, told)
+    registry.set_primary_status(1.0, reported)
     assert registry.freshness == Fresh(fresh, 7, body_digest(b'{"a":1}'))
-    if told == Fresh(True, 8):
+    if reported == Fresh(True, 8):
         assert Send(None, Fresh(True, 8, body_digest(b"{}"))) in registry.apply_config(config(8, b"{}"), True)
 
 
-# ---- nothing grows
+# ---- bounds
 
 
-def test_nothing_grows_with_instances_configurations_or_ingresses_that_come_and_go(
+def test_memory_is_bounded_under_churn_of_instances_configurations_and_ingresses(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    most = 1000  # tombstones
-    monkeypatch.setattr("troutdock.endpoints.endpoint_table.MAX_TOMBSTONES", most)
+    max_tombstones = 1000  # tombstones
+    monkeypatch.setattr("troutdock.endpoints.endpoint_table.MAX_TOMBSTONES", max_tombstones)
     registry, disk, now = in_contact(), {}, 0.0  # type: ignore[var-annotated]
 
     def save() -> None:
@@ -630,14 +641,15 @@
             save()
             registry.tick(now)
             assert (
-                len(registry.endpoints.entries) <= most + 60 and len(registry.heartbeat_counts) <= most + 60
+                len(registry.endpoints.entries) <= max_tombstones + 60
+                and len(registry.heartbeat_counts) <= max_tombstones + 60
             )
             assert (
                 len(registry._pending) + len(registry._pending_acks) <= 200
                 and len(registry._sent_members) <= 260
-                and len(disk) <= most + 80
+                and len(disk) <= max_tombstones + 80
             )
-    assert len(registry.endpoints.entries) > most
+    assert len(registry.endpoints.entries) > max_tombstones
     for link in list(registry.ingresses):
         registry.ingress_down(now, link)
     for _ in range(3):
@@ -656,24 +668,24 @@
 @pytest.mark.parametrize(
     ("contact", "elsewhere", "left"), [(True, {}, 1), (True, {"10.0.0.3": "c"}, 2), (False, {}, 3)]
 )
-def test_a_registry_that_was_removed_is_forgotten_by_one_in_contact_only(
+def test_removed_registry_is_dropped_only_in_contact(
     contact: bool, elsewhere: dict[str, str], left: int
 ) -> None:
-    registry, said = in_contact(others=3), []
+    registry, removed = in_contact(peers=3), []
     registry.receive(
         0.0, "r1", Registries(elsewhere)
-    )  # one that is linked elsewhere is cut off from here only
+    )  # one that is connected elsewhere is only unreachable from here
     for link in ("r2", "r3"):
         registry.registry_down(1.0, link)
     if not contact:
         registry.set_primary_status(1.0, None)
     for now in (20.0, 40.0):
-        said += [a.ip for a in registry.tick(now) if isinstance(a, RegistryRemoved)]
-    assert len(registry.peers) == left == 3 - len(said)
-    assert said == [ip for ip in ("10.0.0.3", "10.0.0.4") if ip not in registry.peers]
+        removed += [a.ip for a in registry.tick(now) if isinstance(a, RegistryRemoved)]
+    assert len(registry.peers) == left == 3 - len(removed)
+    assert removed == [ip for ip in ("10.0.0.3", "10.0.0.4") if ip not in registry.peers]
 
 
-def test_backends_that_call_a_registry_which_is_cut_off_from_here_only_are_not_given_up() -> None:
+def test_backends_of_a_registry_unreachable_only_from_here_are_not_expired() -> None:
     registry = in_contact()
     registry.receive(0.0, "r2", Instances([instance("i-1")]))
     registry.receive(0.0, "r1", Registries({"10.0.0.1": "a", "10.0.0.3": "c"}))
@@ -684,61 +696,61 @@
         not any(isinstance(a.message, Silence | Instances) for a in ticks)
         and registry.endpoints.entries["i-1"].state == READY
     )
-    registry.receive(100.0, "r1", Registries({"10.0.0.1": "a"}))  # it has gone there too
+    registry.receive(100.0, "r1", Registries({"10.0.0.1": "a"}))  # it is disconnected there too
     assert Send(None, Instances([instance("i-1", GONE)])) in registry.tick(100.5)
 
 
-def test_registries_tell_each_other_whom_they_are_linked_to_so_that_all_meet() -> None:
+def test_registries_exchange_connected_peers_for_discovery() -> None:
     registry = Registry(0.0, 1.5, ip="10.0.0.1")
     registry.registry_up(0.0, "r1", "10.0.0.2", "b")
     up = registry.registry_up(0.0, "r2", "10.0.0.3", "c")
     both = Registries({"10.0.0.2": "b", "10.0.0.3": "c"})
     assert Send("r1", both) in up and Send("r2", both) in up
-    told = Registries({"10.0.0.1": "a", "10.0.0.2": "b", "10.0.0.4": "d"})
-    assert registry.receive(0.0, "r2", told) == [RegistriesFound(["10.0.0.4"])]
+    message = Registries({"10.0.0.1": "a", "10.0.0.2": "b", "10.0.0.4": "d"})
+    assert registry.receive(0.0, "r2", message) == [RegistriesFound(["10.0.0.4"])]
     assert registry.registry_down(1.0, "r1") == [Send("r2", Registries({"10.0.0.3": "c"}))]
 
 
-def test_the_daemon_dials_whom_it_is_told_of_and_drops_whom_nobody_knows(
+def test_daemon_connects_to_discovered_machines_and_drops_removed_ones(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    dialled: dict[tuple[str, int], bool] = {}
+    connected: dict[tuple[str, int], bool] = {}
 
-    class Dialed:
+    class RecordingConnector:
         def __init__(self, address: tuple[str, int], *_: object) -> None:
             self.address = address
-            dialled[address] = True
+            connected[address] = True
 
         def close(self) -> None:
-            dialled[self.address] = False
+            connected[self.address] = False
 
-    monkeypatch.setattr("troutdock.registry.daemon.Connector", Dialed)
+    monkeypatch.setattr("troutdock.registry.daemon.Connector", RecordingConnector)
 
-    async def story(daemon: Daemon, store: Stub) -> None:
+    async def scenario(daemon: Daemon, store: StubConnection) -> None:
         daemon._perform([RegistriesFound(["10.0.0.4", "10.0.0.2"])])
-        assert {address for address, up in dialled.items() if up} == {
+        assert {address for address, up in connected.items() if up} == {
             (f"10.0.0.{n}", port) for n in (2, 4) for port in (7000, 7001)
         }
         daemon._perform(
             [RegistryRemoved("10.0.0.4"), RegistryRemoved("10.0.0.2")]
-        )  # a seed may come back at its address
-        assert {address[0] for address, up in dialled.items() if up} == {"10.0.0.2"} and set(
+        )  # a seed may return at its address
+        assert {address[0] for address, up in connected.items() if up} == {"10.0.0.2"} and set(
             daemon._stores
         ) == {"10.0.0.2"}
-        lower = Stub()
+        lower = StubConnection()
         lower.peer = Hello("hedgerow", "lower", "10.0.0.0", "c", 4)
         daemon._on_connected(lower)
-        assert not dialled.get(("10.0.0.0", 7000))  # of two seeds the lower one dials
+        assert not connected.get(("10.0.0.0", 7000))  # of two seeds, the one with the lower address connects
         daemon._on_disconnected(lower)
-        assert dialled["10.0.0.0", 7000]  # its next life may not know of anybody
+        assert connected["10.0.0.0", 7000]  # after a restart it may know no other machine
 
-    with_daemon(story, seedNodes=["10.0.0.2:80", "10.0.0.1:80", "10.0.0.0:80"], ipAddress="10.0.0.1")
+    with_daemon(scenario, seedNodes=["10.0.0.2:80", "10.0.0.1:80", "10.0.0.0:80"], ipAddress="10.0.0.1")
 
 
 # ---- the disk
 
 
-def test_what_is_saved_is_read_back_and_a_damaged_file_is_begun_anew(tmp_path: Path) -> None:
+def test_saved_instances_are_read_back_and_a_damaged_file_is_recreated(tmp_path: Path) -> None:
     memory = InstanceStorage(tmp_path)
     assert memory.load() == []
     one, gone = instance("i-1"), tombstone("i-2")
@@ -757,7 +769,7 @@
     again.close()
 
 
-def test_a_disk_that_refuses_is_tried_again_and_never_read_as_empty(tmp_path: Path) -> None:
+def test_io_failure_is_retried_and_not_read_as_an_empty_table(tmp_path: Path) -> None:
     folder = tmp_path / "data"
     folder.write_text("no folder")
     memory = InstanceStorage(folder)
@@ -766,21 +778,21 @@
     assert memory.load() == [] and memory.save([instance("i-1")], [], False)
 
 
-# ---- the daemon: calls, and answers of the store
+# ---- the daemon: calls and responses of the store
 
 
-class Stub(PeerConnection):
-    """A link that keeps what is said on it."""
+class StubConnection(PeerConnection):
+    """A connection that records the messages sent on it."""
 
     def __init__(self, name: str = "store") -> None:
-        self.peer, self.open, self.said = Hello("rootstock", name, "10.0.0.2", "b", 3), True, []  # type: ignore[var-annotated]
+        self.peer, self.open, self.sent = Hello("rootstock", name, "10.0.0.2", "b", 3), True, []  # type: ignore[var-annotated]
 
     def send(self, message: Message) -> bool:
-        self.said.append(message)
+        self.sent.append(message)
         return self.open
 
 
-def with_daemon(story: Callable[[Daemon, Stub], Awaitable[None]], **changes: Any) -> None:
+def with_daemon(scenario: Callable[[Daemon, StubConnection], Awaitable[None]], **changes: Any) -> None:
     boot = parse_boot(
         {
             "nodeName": "n",
@@ -792,28 +804,28 @@
         }
     )
 
-    async def whole() -> None:
-        daemon, store = Daemon(boot, 7), Stub()
+    async def run() -> None:
+        daemon, store = Daemon(boot, 7), StubConnection()
         daemon._on_store_message(store, Fresh(True, 0))
         try:
-            await story(daemon, store)
+            await scenario(daemon, store)
         finally:
             daemon.close()
 
-    asyncio.run(asyncio.wait_for(whole(), 20))
+    asyncio.run(asyncio.wait_for(run(), 20))
 
 
-async def turns() -> None:
-    """The loop goes round a few times, and no time goes by."""
+async def run_loop() -> None:
+    """Lets the event loop run a few times without waiting."""
     for _ in range(5):
         await asyncio.sleep(0)
 
 
-async def asked(daemon: Daemon, method: str, path: str, body: bytes = b"") -> HttpResponse:
+async def control_call(daemon: Daemon, method: str, path: str, body: bytes = b"") -> HttpResponse:
     return await daemon._control_server.handler(HttpRequest(method.encode(), path.encode(), body))
 
 
-ORDER = json.dumps(
+CONFIGURATION = json.dumps(
     {
         "revision": "r9",
         "routes": {"columns": ["name"], "rows": []},
@@ -822,24 +834,26 @@
 ).encode()
 
 
-def test_an_answer_of_the_store_is_taken_by_the_call_that_it_belongs_to() -> None:
-    async def story(daemon: Daemon, store: Stub) -> None:
-        call = asyncio.create_task(asked(daemon, "POST", "/configuration/replace", ORDER + b"\n"))
-        await turns()
-        (write,) = store.said
-        assert write == Write(1, 9, msgspec.Raw(ORDER), 7, body_digest(ORDER))
-        other = Stub("other")
-        for link, answer in (
+def test_store_replyis_matched_to_its_call() -> None:
+    async def scenario(daemon: Daemon, store: StubConnection) -> None:
+        call = asyncio.create_task(
+            control_call(daemon, "POST", "/configuration/replace", CONFIGURATION + b"\n")
+        )
+        await run_loop()
+        (write,) = store.sent
+        assert write == Write(1, 9, msgspec.Raw(CONFIGURATION), 7, body_digest(CONFIGURATION))
+        other = StubConnection("other")
+        for connection, response in (
             (other, WriteAck(1, True, life=7)),
             (store, WriteAck(1, True, life=6)),
             (store, WriteAck(2, True, life=7)),
             (other, ReadAck(1, 9, life=7)),
             (store, WriteAck(1, True)),
         ):
-            daemon._on_store_message(link, answer)
-            await turns()
+            daemon._on_store_message(connection, response)
+            await run_loop()
             assert not call.done()
-        status = json.loads((await asked(daemon, "GET", "/system/status")).body)
+        status = json.loads((await control_call(daemon, "GET", "/system/status")).body)
         assert (
             status["droppedAnswers"] == {"store": 5, "registries": 0}
             and status["contact"] is True
@@ -849,23 +863,23 @@
         daemon._on_store_message(store, WriteAck(1, True, life=7))
         assert (await call).status == 200
 
-    with_daemon(story)
+    with_daemon(scenario)
 
 
 @pytest.mark.parametrize(
     "body",
     [
-        ORDER + b" \r\n",
-        b"\n\t" + ORDER,
-        ORDER.replace(b", ", b" ,\n "),
-        ORDER.replace(b"name", "n\u00e4me".encode()),
+        CONFIGURATION + b" \r\n",
+        b"\n\t" + CONFIGURATION,
+        CONFIGURATION.replace(b", ", b" ,\n "),
+        CONFIGURATION.replace(b"name", "n\u00e4me".encode()),
     ],
 )
-def test_the_digest_is_that_of_the_bytes_that_the_store_reads_off_the_wire(body: bytes) -> None:
-    async def story(daemon: Daemon, store: Stub) -> None:
+def test_digest_matches_the_body_that_the_store_receives(body: bytes) -> None:
+    async def scenario(daemon: Daemon, store: StubConnection) -> None:
         call = asyncio.create_task(daemon.store_configuration(9, body))
-        await turns()
-        read = decode(encode(store.said[0]))
+        await run_loop()
+        read = decode(encode(store.sent[0]))
         assert (
             isinstance(read, Write)
             and read.digest == body_digest(read.body)
@@ -874,16 +888,16 @@
         daemon._on_store_message(store, WriteAck(1, True, life=7))
         assert await call is None
 
-    with_daemon(story)
+    with_daemon(scenario)
 
 
 @pytest.mark.parametrize("ends", ["link", "primary"])
-def test_calls_end_at_once_with_their_link_and_are_refused_at_once_out_of_contact(ends: str) -> None:
-    async def story(daemon: Daemon, store: Stub) -> None:
-        calls = [("POST", "/configuration/replace", ORDER), ("GET", "/configuration/describe", b"")]
-        waiting = [asyncio.create_task(asked(daemon, *call)) for call in calls]
-        await turns()
-        assert [type(message) for message in store.said] == [Write, Read] and not any(
+def test_calls_fail_at_once_when_their_connection_ends_and_out_of_contact(ends: str) -> None:
+    async def scenario(daemon: Daemon, store: StubConnection) -> None:
+        calls = [("POST", "/configuration/replace", CONFIGURATION), ("GET", "/configuration/describe", b"")]
+        waiting = [asyncio.create_task(control_call(daemon, *call)) for call in calls]
+        await run_loop()
+        assert [type(message) for message in store.sent] == [Write, Read] and not any(
             call.done() for call in waiting
         )
         if ends == "link":
@@ -892,49 +906,51 @@
         else:
             daemon._on_store_message(
                 store, Fresh(False, 0)
-            )  # it tells itself what becomes of what it was asked
-            await turns()
+            )  # the store still responds to earlier calls itself
+            await run_loop()
             assert not any(call.done() for call in waiting)
             daemon._on_store_message(store, WriteAck(1, False, "not the primary any more", 7))
-            daemon._on_store_message(store, ReadAck(2, 9, msgspec.Raw(ORDER), life=7))
-        await turns()
+            daemon._on_store_message(store, ReadAck(2, 9, msgspec.Raw(CONFIGURATION), life=7))
+        await run_loop()
         assert [call.done() and call.result().status for call in waiting] == [
             503,
             503 if ends == "link" else 200,
         ]
         calls.append(("POST", "/instances/i-1/deregister", b""))
-        again = [asyncio.create_task(asked(daemon, *call)) for call in calls]
-        await turns()
+        again = [asyncio.create_task(control_call(daemon, *call)) for call in calls]
+        await run_loop()
         assert [call.done() and call.result().status for call in again] == [503, 503, 503]
         assert daemon.registry.endpoints.entries["i-1"].state == GONE
 
-    with_daemon(story)
+    with_daemon(scenario)
 
 
 @pytest.mark.parametrize(
-    ("answer", "status", "held"),
+    ("response", "status", "stored"),
     [
         (WriteAck(1, True, life=7), 200, None),
         (WriteAck(1, False, "the backup was lost", life=7), 503, None),
         (WriteAck(1, False, "", 7, True, "abc"), 409, {"revision": "r9", "digest": "abc"}),
     ],
 )
-def test_what_the_store_answers_is_told_as_it_is(answer: WriteAck, status: int, held: dict | None) -> None:
-    async def story(daemon: Daemon, store: Stub) -> None:
-        call = asyncio.create_task(asked(daemon, "POST", "/configuration/replace", ORDER))
-        await turns()
-        daemon._on_store_message(store, answer)
+def test_store_replydetermines_the_http_response(
+    response: WriteAck, status: int, stored: dict | None
+) -> None:
+    async def scenario(daemon: Daemon, store: StubConnection) -> None:
+        call = asyncio.create_task(control_call(daemon, "POST", "/configuration/replace", CONFIGURATION))
+        await run_loop()
+        daemon._on_store_message(store, response)
         reply = await call
-        assert reply.status == status and (json.loads(reply.body).get("held") if held else None) == held
+        assert reply.status == status and (json.loads(reply.body).get("held") if stored else None) == stored
 
-    with_daemon(story)
+    with_daemon(scenario)
 
 
-def test_of_two_bodies_the_primary_s_is_held_also_where_it_leads_only_later() -> None:
-    async def story(daemon: Daemon, store: Stub) -> None:
+def test_conflicting_body_of_a_later_primary_replaces_the_current_one() -> None:
+    async def scenario(daemon: Daemon, store: StubConnection) -> None:
         daemon._on_store_message(store, config(9))
-        other = Stub("other")
-        daemon._on_store_message(other, config(9, b"{}"))  # it does not lead yet
+        other = StubConnection("other")
+        daemon._on_store_message(other, config(9, b"{}"))  # it is not the primary yet
         assert daemon.registry.config == config(9)
         daemon._on_store_message(other, Fresh(True, 9, body_digest(b"{}")))
         assert (
@@ -943,55 +959,57 @@
             and not daemon._conflicting_configs
         )
 
-    with_daemon(story)
+    with_daemon(scenario)
 
 
-def test_a_disk_that_hangs_holds_up_no_other_call(tmp_path: Path) -> None:
-    async def story(daemon: Daemon, store: Stub) -> None:
+def test_hanging_disk_blocks_no_other_call(tmp_path: Path) -> None:
+    async def scenario(daemon: Daemon, store: StubConnection) -> None:
         await daemon._load()
-        go = threading.Event()
-        daemon._storage.save = lambda *_: go.wait(10)  # type: ignore[method-assign]
+        release = threading.Event()
+        daemon._storage.save = lambda *_: release.wait(10)  # type: ignore[method-assign]
         try:
-            leaving = asyncio.create_task(asked(daemon, "POST", "/instances/i-1/deregister"))
-            await turns()
-            assert not leaving.done()
-            beat = b'{"service": "s", "address": "10.0.0.9:80"}'
-            assert (await asked(daemon, "POST", "/instances/i-2/heartbeat", beat)).status == 200
+            deregistration = asyncio.create_task(control_call(daemon, "POST", "/instances/i-1/deregister"))
+            await run_loop()
+            assert not deregistration.done()
+            body = b'{"service": "s", "address": "10.0.0.9:80"}'
+            assert (await control_call(daemon, "POST", "/instances/i-2/heartbeat", body)).status == 200
         finally:
-            go.set()
-        assert (await leaving).status == 200
+            release.set()
+        assert (await deregistration).status == 200
 
-    with_daemon(story, dataDirectory=str(tmp_path))
+    with_daemon(scenario, dataDirectory=str(tmp_path))
 
 
-def test_others_are_met_while_the_disk_is_still_read(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    dialled: list[tuple[str, int]] = []
-    monkeypatch.setattr("troutdock.registry.daemon.Connector", lambda address, *_: dialled.append(address))
+def test_connections_are_set_up_while_the_disk_is_read(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    connected: list[tuple[str, int]] = []
+    monkeypatch.setattr("troutdock.registry.daemon.Connector", lambda address, *_: connected.append(address))
 
-    async def story(daemon: Daemon, store: Stub) -> None:
-        go = threading.Event()
-        daemon._storage.load = lambda: [tombstone("i-1")] if go.wait(10) else None  # type: ignore[method-assign]
+    async def scenario(daemon: Daemon, store: StubConnection) -> None:
+        release = threading.Event()
+        daemon._storage.load = lambda: [tombstone("i-1")] if release.wait(10) else None  # type: ignore[method-assign]
         starting = asyncio.create_task(daemon.start(("127.0.0.1", 0), ("127.0.0.1", 0)))
         try:
             async with asyncio.timeout(5):
-                while not dialled:
+                while not connected:
                     await asyncio.sleep(0)
             assert not starting.done() and not daemon.registry.endpoints.entries
         finally:
-            go.set()
+            release.set()
         await starting
         assert daemon.registry.endpoints.entries["i-1"].state == GONE
         daemon._registries.clear()
         daemon._stores.clear()
 
-    with_daemon(story, dataDirectory=str(tmp_path), seedNodes=["10.0.0.2:80", "10.0.0.1:80"])
+    with_daemon(scenario, dataDirectory=str(tmp_path), seedNodes=["10.0.0.2:80", "10.0.0.1:80"])
 
 
 GOOD = {"service": "s", "address": "10.0.0.9:80"}
 
 
 @pytest.mark.parametrize(
-    ("method", "path", "body", "status", "place"),
+    ("method", "path", "body", "status", "location"),
     [
         ("POST", "/instances/i-1/heartbeat", b'{"service": "s", "addr', 400, "body"),
         ("POST", "/instances/i-1/heartbeat", b"[]", 400, "not a mapping"),
@@ -1012,25 +1030,31 @@
         ("POST", "/instances/i-1/nothing", b"", 404, "call"),
         ("POST", "/configuration/replace", b'{"revision": "r9", "rou', 400, "body"),
         ("POST", "/configuration/replace", b"[1]", 400, "body"),
-        ("POST", "/configuration/replace", ORDER.replace(b"r9", b"r-9"), 400, "revision"),
+        ("POST", "/configuration/replace", CONFIGURATION.replace(b"r9", b"r-9"), 400, "revision"),
+        (
+            "POST",
+            "/configuration/replace",
+            CONFIGURATION.replace(b"r9", b"r0"),
+            400,
+            "revision",
+        ),  # it would be indistinguishable from no configuration
         (
             "POST",
             "/configuration/replace",
-            ORDER.replace(b"r9", b"r0"),
+            CONFIGURATION.replace(b"r9", b"r99999999999999999999"),
             400,
             "revision",
-        ),  # it could not be told from none
-        ("POST", "/configuration/replace", ORDER.replace(b"r9", b"r99999999999999999999"), 400, "revision"),
+        ),
     ],
 )
-def test_bad_calls_are_refused_with_the_place_and_change_nothing(
-    method: str, path: str, body: Any, status: int, place: str
+def test_invalid_calls_are_rejected_with_the_location_and_change_nothing(
+    method: str, path: str, body: Any, status: int, location: str
 ) -> None:
-    async def story(daemon: Daemon, store: Stub) -> None:
-        reply = await asked(
+    async def scenario(daemon: Daemon, store: StubConnection) -> None:
+        reply = await control_call(
             daemon, method, path, body if isinstance(body, bytes) else json.dumps(body).encode()
         )
-        assert reply.status == status and place in json.loads(reply.body)["error"]
-        assert not daemon.registry.endpoints.entries and not store.said
+        assert reply.status == status and location in json.loads(reply.body)["error"]
+        assert not daemon.registry.endpoints.entries and not store.sent
 
-    with_daemon(story)
+    with_daemon(scenario)
--- a/tests/system/test_registry_worst_days.py
+++ b/tests/system/test_registry_simulation.py
@@ -1,4 +1,4 @@
-"""Registries under cuts, kills, full disks and losses of power, in simulated time; planted faults are found."""
+"""Simulated registries under partitions, crashes, failing disks and power losses; injected bugs are detected."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 from pathlib import Path
 
 import pytest
-from registries import Core, Violation, play
+from simulated_registries import SimulatedCore, Violation, run_schedule
 from whole import Backend, Whole, call, good, until
 
 from troutdock.rpc.messages import GONE, InstancesAck
 from troutdock.registry.storage import InstanceStorage
 from troutdock.registry.registry import FaultTolerance, RequestCompleted, Registry, Send
 
-SCHEDULES = int(os.environ.get("REGISTRY_SCHEDULES", "600"))  # in all; more by hand
+SCHEDULES = int(os.environ.get("REGISTRY_SCHEDULES", "600"))  # in total; set a higher number for long runs
 PARTS = 4
-SITES = [
+TOPOLOGIES = [
     (3, 3, FaultTolerance(1)),
     (4, 2, FaultTolerance(1, 1)),
     (5, 5, FaultTolerance(2)),
@@ -24,55 +24,55 @@
 ]
 
 
-def site(seed: int, make: type[Registry] = Registry) -> Core:
-    machines, zones, tolerance = SITES[seed % len(SITES)]
-    return Core(seed, machines, zones, tolerance, make)
+def simulation(seed: int, make: type[Registry] = Registry) -> SimulatedCore:
+    machines, zones, tolerance = TOPOLOGIES[seed % len(TOPOLOGIES)]
+    return SimulatedCore(seed, machines, zones, tolerance, make)
 
 
 @pytest.mark.parametrize("part", range(PARTS))
-def test_what_was_acknowledged_outlives_every_loss_that_is_to_be_borne(part: int) -> None:
-    served = refused = 0
+def test_acknowledged_states_survive_every_tolerated_fault(part: int) -> None:
+    acknowledged = failed = 0
     for seed in range(part, SCHEDULES, PARTS):
-        core = site(seed)
-        play(core)
-        served, refused = served + core.served, refused + core.refused
-    assert served > SCHEDULES / PARTS and refused  # the courses do ask
+        core = simulation(seed)
+        run_schedule(core)
+        acknowledged, failed = acknowledged + core.acknowledged_calls, failed + core.failed_calls
+    assert acknowledged > SCHEDULES / PARTS and failed  # the schedules exercise both outcomes
 
 
-class BeforeTheSecondDisk(Registry):
+class AcknowledgesBeforeSecondDisk(Registry):
     def _is_replicated(self, now, synced_by):
         return True
 
 
-class BeforeTheOwnDisk(Registry):
+class AcknowledgesBeforeOwnDisk(Registry):
     def _complete_ready(self, now):
-        early = [n for n, request in self._pending.items() if self._is_replicated(now, request.synced_by)]
-        for number in early:
+        premature = [n for n, request in self._pending.items() if self._is_replicated(now, request.synced_by)]
+        for number in premature:
             del self._pending[number]
-        return [*(RequestCompleted(number, True) for number in early), *super()._complete_ready(now)]
+        return [*(RequestCompleted(number, True) for number in premature), *super()._complete_ready(now)]
 
 
-class BeforeThePeersDisk(Registry):
+class PeerAcknowledgesBeforeSync(Registry):
     def _on_instances(self, now, connection, message):
-        early = (
+        premature = (
             [Send(connection, InstancesAck(message.number, message.life, self.contact))]
             if message.number
             else []
         )
-        return [*early, *super()._on_instances(now, connection, message)]
+        return [*premature, *super()._on_instances(now, connection, message)]
 
 
-class OutOfContact(Registry):
+class AcknowledgesOutOfContact(Registry):
     contact = property(lambda self: True)  # type: ignore[assignment]
 
 
-class InOnePlace(Registry):
+class ReplicatesInOneDomain(Registry):
     def _is_replicated(self, now, synced_by):
         self._tolerance = FaultTolerance(1)
         return super()._is_replicated(now, synced_by)
 
 
-class ARepeatIsTakenForKnown(Registry):
+class IgnoresRepeatedCalls(Registry):
     def heartbeat(self, now, update, count):
         known = self.endpoints.entries.get(update.id)
         if (
@@ -84,7 +84,7 @@
         return super().heartbeat(now, update, count)
 
 
-class AStrangerIsGoneOutOfHand(Registry):
+class IgnoresUnknownDeregistrations(Registry):
     def heartbeat(self, now, update, count):
         return (
             (0, [])
@@ -93,48 +93,50 @@
         )
 
 
-class NoTombstoneIsReadBack(Registry):
+class LosesTombstonesAtRestart(Registry):
     def restore(self, now, entries):
         return super().restore(now, [entry for entry in entries if entry.state != GONE])
 
 
-class AFailedSaveCounts(Registry):
+class CountsFailedSaves(Registry):
     def on_saved(self, now, ok):
         return super().on_saved(now, True)
 
 
-class TheFirstBodyStays(Registry):
+class KeepsFirstBody(Registry):
     def apply_config(self, config, from_primary=False):
         return super().apply_config(config)
 
 
-class FreshByContact(Registry):
+class FreshWithoutConfiguration(Registry):
     fresh = property(lambda self: self.contact)  # type: ignore[assignment]
 
 
-PLANTED = [
-    (TheFirstBodyStays, 200),
-    (FreshByContact, 40),
-    (BeforeTheSecondDisk, 40),
-    (BeforeTheOwnDisk, 120),
-    (BeforeThePeersDisk, 40),
-    (OutOfContact, 200),
-    (InOnePlace, 80),
-    (ARepeatIsTakenForKnown, 120),
-    (AStrangerIsGoneOutOfHand, 40),
-    (NoTombstoneIsReadBack, 200),
-    (AFailedSaveCounts, 200),
+INJECTED_BUGS = [
+    (KeepsFirstBody, 200),
+    (FreshWithoutConfiguration, 40),
+    (AcknowledgesBeforeSecondDisk, 40),
+    (AcknowledgesBeforeOwnDisk, 120),
+    (PeerAcknowledgesBeforeSync, 40),
+    (AcknowledgesOutOfContact, 200),
+    (ReplicatesInOneDomain, 80),
+    (IgnoresRepeatedCalls, 120),
+    (IgnoresUnknownDeregistrations, 40),
+    (LosesTombstonesAtRestart, 200),
+    (CountsFailedSaves, 200),
 ]
 
 
-@pytest.mark.parametrize(("fault", "within"), PLANTED, ids=lambda value: getattr(value, "__name__", ""))
-def test_a_planted_fault_is_found(fault: type[Registry], within: int) -> None:
+@pytest.mark.parametrize(
+    ("bug", "max_seeds"), INJECTED_BUGS, ids=lambda value: getattr(value, "__name__", "")
+)
+def test_injected_bug_is_detected(bug: type[Registry], max_seeds: int) -> None:
     with pytest.raises(Violation):
-        for seed in range(within):
-            play(site(seed, fault))
+        for seed in range(max_seeds):
+            run_schedule(simulation(seed, bug))
 
 
-def test_what_the_real_programs_acknowledged_lies_on_two_disks_and_nobody_is_brought_back(
+def test_daemons_store_acknowledged_states_on_two_disks_and_revive_no_instance(
     tmp_path: Path,
 ) -> None:
     async def story() -> None:
--- a/tests/system/test_system_command.py
+++ b/tests/system/test_system_command.py
@@ -1,4 +1,4 @@
-"""troutdock system: against a running registry, and a store's folder at rest."""
+"""Tests of the command `troutdock system` with a running registry and with the directory of a stopped store."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 from troutdock.cli.app import app
 
 
-def run(*words: str) -> tuple[int, str]:
-    done = CliRunner().invoke(app, ["system", *words])
-    return done.exit_code, done.output
+def run(*args: str) -> tuple[int, str]:
+    result = CliRunner().invoke(app, ["system", *args])
+    return result.exit_code, result.output
 
 
-def test_status_and_members_of_a_running_system_and_its_store_at_rest(tmp_path: Path) -> None:
-    async def story() -> None:
-        w = Whole(tmp_path)
+def test_status_and_members_of_a_running_system_and_history_of_a_stopped_store(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        system = Whole(tmp_path)
         try:
-            await w.start()
-            assert await w.put() == 200
+            await system.start()
+            assert await system.put() == 200
             backend = Backend("i-1", good)
             await backend.start()
-            await w.beat(backend)
-            await w.ready()
-            at = "{}:{}".format(*w.control(w.core[0]))
-            registry = w.registries[w.core[0]].registry
+            await system.beat(backend)
+            await system.ready()
+            at = "{}:{}".format(*system.control(system.core[0]))
+            registry = system.registries[system.core[0]].registry
             await until(lambda: len(registry.status()["members"]) == 2)  # type: ignore[arg-type]
             code, text = await asyncio.to_thread(run, "status", "--at", at)
             assert (
@@ -43,13 +43,13 @@
             newer.write_text(json.dumps({**CONFIGURATION, "revision": "r6"}))
             code, text = await asyncio.to_thread(run, "put", str(newer), "--at", "127.0.0.1:1", "--at", at)
             assert (code, text) == (0, "r6 is kept\n")
-            assert await w.put() == 200  # an older one comes again
+            assert await system.put() == 200  # an older revision is repeated
             code, text = await asyncio.to_thread(run, "members", "--at", at, "--json")
-            assert {m["ip"] for m in json.loads(text)} == set(w.edge)
+            assert {m["ip"] for m in json.loads(text)} == set(system.edge)
         finally:
-            await w.close()
+            await system.close()
 
-    asyncio.run(asyncio.wait_for(story(), 50))
+    asyncio.run(asyncio.wait_for(scenario(), 50))
     (folder,) = [
         f
         for f in tmp_path.iterdir()
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize(
-    "words",
+    "args",
     [
         ("status", "--at", "127.0.0.1:1"),
         ("status", "--at", "nowhere"),
@@ -72,8 +72,8 @@
         ("export", "--data", "/nowhere"),
     ],
 )
-def test_what_can_not_be_reached_or_read_is_one_line_and_exit_2(words: tuple[str, ...]) -> None:
-    code, text = run(*words)
+def test_unreachable_or_unreadable_targets_give_one_line_and_exit_code_2(args: tuple[str, ...]) -> None:
+    code, text = run(*args)
     assert code == 2 and text.count("\n") == 1
 
 
@@ -85,15 +85,17 @@
 ]
 
 
-@pytest.mark.parametrize(("url", "key", "code", "says"), CASES)
-def test_explain_tells_what_a_request_takes(tmp_path: Path, url: str, key: str, code: int, says: str) -> None:
+@pytest.mark.parametrize(("url", "key", "code", "message"), CASES)
+def test_explain_reports_route_and_tenant_of_a_request(
+    tmp_path: Path, url: str, key: str, code: int, message: str
+) -> None:
     file = tmp_path / "c.json"
     file.write_text(json.dumps(CONFIGURATION))
-    found, text = run("explain", str(file), url, "--key", key)
-    assert found == code and says in text
+    exit_code, text = run("explain", str(file), url, "--key", key)
+    assert exit_code == code and message in text
     assert (
         json.loads(run("explain", str(file), url, "--key", key, "--json")[1])["status"]
-        == {0: 0, 1: 401 if "key" in says else 404}[code]
+        == {0: 0, 1: 401 if "key" in message else 404}[code]
     )
 
 
@@ -107,7 +109,7 @@
     code, text = run("check", str(file))
     assert code == 2 and "tenants.rows[0]: apiKeys" in text
     file.write_text(json.dumps({**CONFIGURATION, "filler": "x" * (5 << 20)}))
-    assert run("check", str(file))[0] == 1  # sound, and longer than a core takes
+    assert run("check", str(file))[0] == 1  # valid, but longer than a core machine accepts
     boot.write_text("nodeName: n\nipAddress: 10.0.0.1\nzone: a\ninternalPortRange: [7000, 7003]\n")
     assert run("check", str(boot))[0] == 0
     boot.write_text("nodeName: n\nipAddress: 10.0.0.1\nzone: a\ninternalPortRange: [7000]\n")
