--- a/benchmarks/hollow/core.py
+++ b/benchmarks/hollow/core.py
@@ -47,8 +47,8 @@
 from troutdock.registry.daemon import TICK_INTERVAL_S
 from troutdock.registry.registry import Registry, Send
 from lab.timeline import Timeline
-from troutdock.endpoints.rendezvous import in_order
-from troutdock.config_store.daemon import TICK_INTERVAL_S as STORE_TICK_S
+from troutdock.endpoints.rendezvous import ranked
+from troutdock.config_store.daemon import TICK_S as STORE_TICK_S
 from troutdock.config_store.replica import Replica
 from troutdock.config_store.replica_state import InForce, Save
 from troutdock.config_store.replica_state import Send as StoreSend
@@ -273,7 +273,7 @@
         As troutdock.proxy.registry_connections.
         """
         zones = {ip: zone_of(n) for n, ip in enumerate(self.ips) if n not in self.down}
-        order = sorted(in_order(member.name, zones), key=lambda ip: zones[ip] != member.zone)
+        order = sorted(ranked(member.name, zones), key=lambda ip: zones[ip] != member.zone)
         return self.ips.index(order[0])
 
     def ingress_up(self, member: Member) -> None:
