--- a/tests/system/test_registry.py
+++ b/tests/system/test_registry.py
@@ -274,12 +274,12 @@
         nonlocal sent
         for action in actions:
             if isinstance(action, Send) and isinstance(action.message, Members):
-                for link in [action.to] if action.to is not None else list(registry.ingresses):
+                for connection in [action.to] if action.to is not None else list(registry.ingresses):
                     names = {m.name for m in action.message.entries}
-                    known[str(link)] = (
+                    known[str(connection)] = (
                         names
                         if action.message.full
-                        else (known.get(str(link), set()) | names) - set(action.message.gone)
+                        else (known.get(str(connection), set()) | names) - set(action.message.gone)
                     )
                     sent += len(action.message.entries)
 
@@ -314,7 +314,7 @@
 
 
 @pytest.mark.parametrize(
-    ("link", "ack", "counts", "dropped"),
+    ("connection", "ack", "counts", "dropped"),
     [
         ("r1", InstancesAck(1, 7, True), True, 0),
         ("r1", InstancesAck(1, 7, False), False, 0),  # the peer is out of contact
@@ -325,14 +325,14 @@
     ],
 )
 def test_acknowledgement_counts_only_for_its_request(
-    link: str, ack: InstancesAck, counts: bool, dropped: int
+    connection: str, ack: InstancesAck, counts: bool, dropped: int
 ) -> None:
     registry = in_contact()
     number, actions = registry.heartbeat(0.0, instance("i-1", DRAINING), 3)
     assert number == 1 and Send("r1", Instances([instance("i-1", DRAINING)], 1, 7)) in actions
     registry.registry_up(0.0, "r9", "10.0.0.3", "c")  # a later connection
     assert synced(registry) == []
-    assert (RequestCompleted(1, True) in registry.receive(0.1, link, ack)) == counts
+    assert (RequestCompleted(1, True) in registry.receive(0.1, connection, ack)) == counts
     assert registry.dropped_acks == dropped
 
 
@@ -505,7 +505,7 @@
 
 
 @pytest.mark.parametrize(
-    ("contact", "linked", "peers_in_contact", "after", "is_isolated", "target"),
+    ("contact", "connected_peers", "peers_in_contact", "after", "is_isolated", "target"),
     [
         (True, 2, (), 9.0, False, ""),
         (False, 2, (), 9.0, False, ""),  # no primary anywhere; heartbeats reach all registries from here
@@ -519,16 +519,16 @@
 )
 def test_heartbeats_are_redirected_to_a_registry_in_the_majority(
     contact: bool,
-    linked: int,
+    connected_peers: int,
     peers_in_contact: tuple[str, ...],
     after: float,
     is_isolated: bool,
     target: str,
 ) -> None:
     registry = in_contact()
-    for link in peers_in_contact:
-        registry.receive(0.0, link, Fresh(True, 0))
-    for n in range(linked + 1, 3):
+    for connection in peers_in_contact:
+        registry.receive(0.0, connection, Fresh(True, 0))
+    for n in range(connected_peers + 1, 3):
         registry.registry_down(0.0, f"r{n}")
     if not contact:
         registry.set_primary_status(0.0, None)
@@ -650,8 +650,8 @@
                 and len(disk) <= max_tombstones + 80
             )
     assert len(registry.endpoints.entries) > max_tombstones
-    for link in list(registry.ingresses):
-        registry.ingress_down(now, link)
+    for connection in list(registry.ingresses):
+        registry.ingress_down(now, connection)
     for _ in range(3):
         now += TOMBSTONE_TTL_S / 2 + 1
         registry.tick(now)
@@ -675,8 +675,8 @@
     registry.receive(
         0.0, "r1", Registries(elsewhere)
     )  # one that is connected elsewhere is only unreachable from here
-    for link in ("r2", "r3"):
-        registry.registry_down(1.0, link)
+    for connection in ("r2", "r3"):
+        registry.registry_down(1.0, connection)
     if not contact:
         registry.set_primary_status(1.0, None)
     for now in (20.0, 40.0):
@@ -891,7 +891,7 @@
     with_daemon(scenario)
 
 
-@pytest.mark.parametrize("ends", ["link", "primary"])
+@pytest.mark.parametrize("ends", ["connection", "primary"])
 def test_calls_fail_at_once_when_their_connection_ends_and_out_of_contact(ends: str) -> None:
     async def scenario(daemon: Daemon, store: StubConnection) -> None:
         calls = [("POST", "/configuration/replace", CONFIGURATION), ("GET", "/configuration/describe", b"")]
@@ -900,7 +900,7 @@
         assert [type(message) for message in store.sent] == [Write, Read] and not any(
             call.done() for call in waiting
         )
-        if ends == "link":
+        if ends == "connection":
             store.open = False
             daemon._on_store_disconnected(store)
         else:
@@ -914,7 +914,7 @@
         await run_loop()
         assert [call.done() and call.result().status for call in waiting] == [
             503,
-            503 if ends == "link" else 200,
+            503 if ends == "connection" else 200,
         ]
         calls.append(("POST", "/instances/i-1/deregister", b""))
         again = [asyncio.create_task(control_call(daemon, *call)) for call in calls]
--- a/tests/system/test_registry_simulation.py
+++ b/tests/system/test_registry_simulation.py
@@ -139,44 +139,48 @@
 def test_daemons_store_acknowledged_states_on_two_disks_and_revive_no_instance(
     tmp_path: Path,
 ) -> None:
-    async def story() -> None:
-        w = Whole(tmp_path)
+    async def scenario() -> None:
+        system = Whole(tmp_path)
         try:
-            await w.start()
-            assert await w.put() == 200
+            await system.start()
+            assert await system.put() == 200
             backend = Backend("i-1", good)
             await backend.start()
             await until(
                 lambda: all(
                     sum(o.connection is not None for o in r.registry.peers.values()) == 2
-                    for r in w.registries.values()
+                    for r in system.registries.values()
                 )
             )
-            assert await w.beat(backend) == 200
-            assert await w.beat(backend, "draining", 2, w.core[1]) == 200
+            assert await system.beat(backend) == 200
+            assert await system.beat(backend, "draining", 2, system.core[1]) == 200
             for id in ("i-1", "i-never"):
                 async with asyncio.timeout(10):
-                    while (await call(w.control(w.core[2]), "POST", f"/instances/{id}/deregister"))[0] != 200:
+                    while (await call(system.control(system.core[2]), "POST", f"/instances/{id}/deregister"))[
+                        0
+                    ] != 200:
                         await asyncio.sleep(0.01)
-            for ip in w.core:
-                w.registries.pop(ip).close()
-            kept = {}
-            for ip in w.core:
+            for ip in system.core:
+                system.registries.pop(ip).close()
+            stored = {}
+            for ip in system.core:
                 memory = InstanceStorage(tmp_path / ip)
-                kept[ip] = {entry.id: entry.state for entry in memory.load() or []}
+                stored[ip] = {entry.id: entry.state for entry in memory.load() or []}
                 memory.close()
-            assert all(sum(disk.get(id) == GONE for disk in kept.values()) >= 2 for id in ("i-1", "i-never"))
-            for ip in w.core:
-                await w.start_registry(ip)
-            await w.beat(backend, "available", 1)
+            assert all(
+                sum(disk.get(id) == GONE for disk in stored.values()) >= 2 for id in ("i-1", "i-never")
+            )
+            for ip in system.core:
+                await system.start_registry(ip)
+            await system.beat(backend, "available", 1)
             await until(
                 lambda: all(
                     {e.state for e in r.registry.endpoints.entries.values()} == {GONE}
                     and len(r.registry.endpoints.entries) == 2
-                    for r in w.registries.values()
+                    for r in system.registries.values()
                 )
             )
         finally:
-            await w.close()
+            await system.close()
 
-    asyncio.run(asyncio.wait_for(story(), 50))
+    asyncio.run(asyncio.wait_for(scenario(), 50))
