--- a/troutdock/registry/daemon.py
+++ b/troutdock/registry/daemon.py
@@ -396,7 +396,7 @@
         return self._no_response()
 
     def _no_response(self) -> CallFailure:
-        why = "the store did not respond in time"
+        why = "no response from the store"
         return CallFailure(503, why if self.registry.contact else "out of contact with the store's primary")
 
     async def newest_configuration(self) -> tuple[int, bytes] | CallFailure:
--- a/troutdock/registry/registry.py
+++ b/troutdock/registry/registry.py
@@ -246,7 +246,9 @@
         advanced = self.endpoints.merge(now, [update], from_instance=True)
         if not self.endpoints.includes(update):
             self._last_number += 1
-            return self._last_number, [RequestCompleted(self._last_number, False, "too many backends")]
+            return self._last_number, [
+                RequestCompleted(self._last_number, False, "the endpoint table is full")
+            ]
         self.heartbeat_counts[update.id] = max(count, self.heartbeat_counts.get(update.id, -1))
         self._heartbeats[update.id] = None
         actions = self._record_heartbeats([update.id], now)
