--- a/troutdock/endpoints/endpoint_table.py
+++ b/troutdock/endpoints/endpoint_table.py
@@ -1,9 +1,12 @@
-"""Backends as every process knows them: a book that merges in any order to the same (no I/O, no clock).
+"""The endpoint table: what a process knows of the backends (no I/O, no clock).
 
-What is said of an instance only rises: available, then draining, then gone. A new start is a new id. So
-word may come twice, late, or by any way, and nobody goes back. Gone ones stay as tombstones for GONE_S, and
-MOST_GONE at most, so that late word of them changes nothing; one may be gone that was never heard of (no
-service, no address). Times are seconds of the owner's steady clock; on the way only spans are told.
+The table is eventually consistent: merging the same updates in any order gives the same states. The state of
+an instance only advances: available, draining, gone. A restarted backend has a new id. Therefore updates may
+arrive twice, late or by any route, and no instance returns to an earlier state.
+
+Instances that are gone remain as tombstones for TOMBSTONE_TTL_S, and at most MAX_TOMBSTONES of them, so that
+a late update does not revive them. A tombstone may be of an instance that was never seen; it then has no
+service and no address. Times are in seconds of the owner's monotonic clock; messages contain only durations.
 """
 
 from __future__ import annotations
@@ -13,19 +16,27 @@
 
 from troutdock.rpc.messages import GONE, READY, Instance
 
-GONE_S = 300.0  # a tombstone's time: longer than a cut or a machine's loss that somebody comes back from
-MOST_GONE = 8192  # tombstones, the newest: some releases of all backends of the largest site
-MOST = 100_000  # instances that a book holds
+TOMBSTONE_TTL_S = 300.0  # longer than a partition or an outage from which a peer returns with old state
+MAX_TOMBSTONES = 8192  # the newest are kept: a few rollouts of all backends of the largest site
+MAX_ENDPOINTS = 100_000  # tombstones included
 
 
 def tombstone(id: str) -> Instance:
-    """Word that this one is gone, where nothing else is known of it."""
+    """Returns an update that marks an unknown instance as gone."""
     return Instance(id, "", "", "", 1, GONE)
 
 
 @dataclass(slots=True)
-class Entry:
-    """One instance. warm_at: when it is as quick as ever; heard_at: its last sign of life, by any way."""
+class Endpoint:
+    """An instance in the table.
+
+    Attributes:
+        slots: Requests that it processes concurrently.
+        warm_at: When its warm-up ends.
+        last_seen_at: When it was added or its last heartbeat was reported, by any route.
+        changed_at: When its state last changed.
+        silent: Whether its heartbeats have stopped.
+    """
 
     id: str
     service: str
@@ -34,151 +45,169 @@
     slots: int
     state: int
     warm_at: float
-    heard_at: float
+    last_seen_at: float
     changed_at: float
     silent: bool = False
 
-    def told(self, now: float) -> Instance:
-        """As it is said to others now."""
+    def to_instance(self, now: float) -> Instance:
+        """Returns it as a message for other processes, with the warm-up time that remains."""
         warm_s = max(0.0, round(self.warm_at - now, 3))
         return Instance(self.id, self.service, self.address, self.zone, self.slots, self.state, warm_s)
 
 
-class Book:
-    """Instances by id."""
+class EndpointTable:
+    """Instances by id, merged from updates of any order."""
 
     def __init__(self) -> None:
-        self.entries: dict[str, Entry] = {}
-        self.changed: dict[str, None] = {}  # ids, since the owner last looked; also those that were dropped
-        self._of: dict[str, dict[str, None]] = {}  # ids by service
-        self._at: dict[str, dict[str, None]] = {}  # ids by address, without those that are gone
+        self.entries: dict[str, Endpoint] = {}
+        self.changed: dict[str, None] = {}  # ids added, changed or removed since the owner last cleared this
+        self._by_service: dict[str, dict[str, None]] = {}  # ids by service
+        self._by_address: dict[str, dict[str, None]] = {}  # ids by address, without those that are gone
 
     def services(self) -> list[str]:
-        """Those that have instances."""
-        return list(self._of)
+        """Returns the services that have instances."""
+        return list(self._by_service)
 
     def service_of(self, id: str) -> str:
-        """Whose an instance is, nothing where it is not known."""
+        """Returns the service of an instance, or an empty string if it is unknown."""
         entry = self.entries.get(id)
         return entry.service if entry is not None else ""
 
     def instances_of(self, service: str) -> list[str]:
-        """Its instances by id, also those that are gone."""
-        return list(self._of.get(service, ()))
+        """Returns the ids of a service's instances, including those that are gone."""
+        return list(self._by_service.get(service, ()))
 
-    def hear(self, now: float, word: Iterable[Instance], beat: bool = False) -> list[Entry]:
-        """Take word in.
+    def merge(self, now: float, updates: Iterable[Instance], from_instance: bool = False) -> list[Endpoint]:
+        """Merges updates into the table.
 
-        Gives the entries that are new or have risen. beat: it comes from the instance itself.
+        Args:
+            now: Seconds of the monotonic clock.
+            updates: Instances as reported; an update with an earlier state than the known one changes
+                nothing.
+            from_instance: Whether the updates are heartbeats of the instances themselves. A heartbeat of a
+                new instance also marks older instances at the same address as gone.
+
+        Returns:
+            The entries that are new or whose state has advanced.
         """
-        risen: list[Entry] = []
-        for said in word:
-            known = self.entries.get(said.id)
+        advanced: list[Endpoint] = []
+        for update in updates:
+            known = self.entries.get(update.id)
             if known is None:
-                if len(self.entries) >= MOST:
+                if len(self.entries) >= MAX_ENDPOINTS:
                     continue
-                known = Entry(
-                    said.id,
-                    said.service,
-                    said.address,
-                    said.zone,
-                    said.slots,
-                    said.state,
-                    now + said.warm_s,
+                known = Endpoint(
+                    update.id,
+                    update.service,
+                    update.address,
+                    update.zone,
+                    update.slots,
+                    update.state,
+                    now + update.warm_s,
                     now,
                     now,
                 )
-                self.entries[said.id] = known
-                if said.service:
-                    self._of.setdefault(said.service, {})[said.id] = None
-                if said.state != GONE:
-                    self._at.setdefault(said.address, {})[said.id] = None
-                risen.append(known)
-                self.changed[said.id] = None
-                if beat and said.state != GONE:
-                    risen += self._replaced(now, known)
-            elif said.state > known.state:
-                self._rise(now, known, said.state)
-                risen.append(known)
-            if beat:
-                known.heard_at = now
-        return risen
-
-    def _replaced(self, now: float, by: Entry) -> list[Entry]:
-        """Those whose address another one serves at now have ended: a start has its id for life."""
-        gone = [self.entries[id] for id in self._at.get(by.address, ()) if id != by.id]
+                self.entries[update.id] = known
+                if update.service:
+                    self._by_service.setdefault(update.service, {})[update.id] = None
+                if update.state != GONE:
+                    self._by_address.setdefault(update.address, {})[update.id] = None
+                advanced.append(known)
+                self.changed[update.id] = None
+                if from_instance and update.state != GONE:
+                    advanced += self._end_predecessors(now, known)
+            elif update.state > known.state:
+                self._advance(now, known, update.state)
+                advanced.append(known)
+            if from_instance:
+                known.last_seen_at = now
+        return advanced
+
+    def _end_predecessors(self, now: float, successor: Endpoint) -> list[Endpoint]:
+        """Marks instances at the address of a new one as gone, since an id lasts as long as its process."""
+        gone = [self.entries[id] for id in self._by_address.get(successor.address, ()) if id != successor.id]
         for entry in gone:
-            self._rise(now, entry, GONE)
+            self._advance(now, entry, GONE)
         return gone
 
-    def _rise(self, now: float, entry: Entry, state: int) -> None:
+    def _advance(self, now: float, entry: Endpoint, state: int) -> None:
         entry.state, entry.changed_at = state, now
         self.changed[entry.id] = None
-        if state == GONE and (at := self._at.get(entry.address)) is not None:
-            at.pop(entry.id, None)
-            if not at:
-                del self._at[entry.address]
-
-    def told(self, now: float, all_states: bool = True) -> list[Instance]:
-        """Everything, as it is said to others."""
-        return [entry.told(now) for entry in self.entries.values() if all_states or entry.state != GONE]
-
-    def alive(self, now: float, ids: Iterable[str]) -> list[Entry]:
-        """Signs of life; gives those that were silent before."""
-        back = []
+        if state == GONE and (address_ids := self._by_address.get(entry.address)) is not None:
+            address_ids.pop(entry.id, None)
+            if not address_ids:
+                del self._by_address[entry.address]
+
+    def snapshot(self, now: float, all_states: bool = True) -> list[Instance]:
+        """Returns all entries as messages; without all_states, those that are gone are left out."""
+        return [
+            entry.to_instance(now) for entry in self.entries.values() if all_states or entry.state != GONE
+        ]
+
+    def record_heartbeats(self, now: float, ids: Iterable[str]) -> list[Endpoint]:
+        """Records heartbeats of these instances; returns those that were silent before."""
+        resumed = []
         for id in ids:
             entry = self.entries.get(id)
             if entry is not None:
-                entry.heard_at = now
+                entry.last_seen_at = now
                 if entry.silent:
                     entry.silent = False
-                    back.append(entry)
-        return back
+                    resumed.append(entry)
+        return resumed
 
-    def silenced(self, now: float, after_s: float) -> list[Entry]:
-        """Those that have become silent: nothing was heard of them for so long."""
+    def mark_silent(self, now: float, after_s: float) -> list[Endpoint]:
+        """Marks available instances as silent after after_s seconds without a heartbeat; returns them."""
         found = [
             e
             for e in self.entries.values()
-            if not e.silent and e.state == READY and now - e.heard_at > after_s
+            if not e.silent and e.state == READY and now - e.last_seen_at > after_s
         ]
         for entry in found:
             entry.silent = True
         return found
 
-    def knows(self, said: Instance) -> bool:
-        """This state of it is known here, or a later one."""
-        entry = self.entries.get(said.id)
-        return entry is not None and entry.state >= said.state
+    def includes(self, update: Instance) -> bool:
+        """Returns whether this state of the instance, or a later one, is in the table."""
+        entry = self.entries.get(update.id)
+        return entry is not None and entry.state >= update.state
+
+    def newer_than(self, updates: Iterable[Instance]) -> list[Endpoint]:
+        """Returns the entries with a later state than reported, so that the sender can be updated."""
+        found = (self.entries.get(update.id) for update in updates if update.state != GONE)
+        reported_state = {update.id: update.state for update in updates}
+        return [entry for entry in found if entry is not None and entry.state > reported_state[entry.id]]
 
-    def later(self, word: Iterable[Instance]) -> list[Entry]:
-        """Those of which a later state is known here than this word says: who said it is behind."""
-        found = (self.entries.get(said.id) for said in word if said.state != GONE)
-        said_of = {said.id: said.state for said in word}
-        return [entry for entry in found if entry is not None and entry.state > said_of[entry.id]]
+    def expire(self, now: float, expire_after_s: float) -> list[Endpoint]:
+        """Removes old tombstones, and marks instances as gone after a long silence.
 
-    def forget(self, now: float, silent_s: float) -> list[Entry]:
-        """Drop what has long been gone; give what was silent for so long, which is gone from now on."""
-        lost, gone = [], []
+        Args:
+            now: Seconds of the monotonic clock.
+            expire_after_s: Seconds without a heartbeat after which an instance is gone.
+
+        Returns:
+            The entries that are gone from now on.
+        """
+        expired, gone = [], []
         for entry in list(self.entries.values()):
             if entry.state == GONE:
-                if now - entry.changed_at > GONE_S:
-                    self._drop(entry)
+                if now - entry.changed_at > TOMBSTONE_TTL_S:
+                    self._remove(entry)
                 else:
                     gone.append(entry)
-            elif now - entry.heard_at > silent_s:
-                self._rise(now, entry, GONE)
-                lost.append(entry)
-        if len(gone) > MOST_GONE:
+            elif now - entry.last_seen_at > expire_after_s:
+                self._advance(now, entry, GONE)
+                expired.append(entry)
+        if len(gone) > MAX_TOMBSTONES:
             gone.sort(key=lambda entry: entry.changed_at)
-            for entry in gone[:-MOST_GONE]:
-                self._drop(entry)
-        return lost
+            for entry in gone[:-MAX_TOMBSTONES]:
+                self._remove(entry)
+        return expired
 
-    def _drop(self, entry: Entry) -> None:
+    def _remove(self, entry: Endpoint) -> None:
         del self.entries[entry.id]
         self.changed[entry.id] = None
-        if (of := self._of.get(entry.service)) is not None:
-            of.pop(entry.id, None)
-            if not of:
-                del self._of[entry.service]
+        if (service_ids := self._by_service.get(entry.service)) is not None:
+            service_ids.pop(entry.id, None)
+            if not service_ids:
+                del self._by_service[entry.service]
--- a/troutdock/registry/storage.py
+++ b/troutdock/registry/storage.py
@@ -1,10 +1,13 @@
-"""What a registry keeps of backends over its own end, on sqlite: that they are there, drain, or are gone.
+"""Durable storage of instance states in a registry, on SQLite.
 
-That one drains or is gone is acknowledged only once it is synced here and elsewhere: `save` returns after the
-sync. Ids that are gone lie here as tombstones for as long as the book remembers them, so that neither this
-registry's next life nor a peer that was away brings them back. That one is available is a hint to begin with:
-after all power was lost every backend calls again within a beat. A file that can't be read is begun anew; one
-that refuses is tried again with the next save, which then has everything in it.
+A draining state or a deregistration is acknowledged only after it has been synced here and on other machines;
+`save` returns after the sync. Instances that are gone are stored as tombstones for as long as the endpoint
+table holds them, so that neither this registry after a restart nor a peer that was disconnected revives them.
+A stored available state is only a starting point: after a power loss of all machines, every backend sends a
+heartbeat again within one heartbeat interval.
+
+A damaged file is deleted and created again. After an I/O failure the next save is another attempt, and it
+contains all entries.
 """
 
 from __future__ import annotations
@@ -24,108 +27,119 @@
 log = logbook.Logger("hedgerow")
 
 FILE = "hedgerow.db"
-SCHEMA = 1
+SCHEMA_VERSION = 1
 
 
-class Memory:
-    """The file in a folder; where the disk refuses, saves say so and nothing else fails.
+class InstanceStorage:
+    """The database file in a directory. Not thread-safe: use it from one thread at a time.
 
-    None as the folder: nothing lasts, and every save is as good as kept. One thread at a time.
+    Without a directory nothing is stored, and every save succeeds. I/O failures are reported by return
+    values.
     """
 
-    def __init__(self, folder: Path | None) -> None:
-        self._path = folder / FILE if folder is not None else None
-        self._base: sqlite3.Connection | None = None
+    def __init__(self, directory: Path | None) -> None:
+        self._path = directory / FILE if directory is not None else None
+        self._db: sqlite3.Connection | None = None
+
+    def load(self) -> list[Instance] | None:
+        """Reads the stored instances, including tombstones.
 
-    def open(self) -> list[Instance] | None:
-        """What was kept, tombstones too; None where the disk refuses, and then nothing may be saved yet."""
+        Returns:
+            The instances, or None after an I/O failure. Nothing may be saved before a load has succeeded.
+        """
         if self._path is None:
             return []
-        for again in (True, False):
+        for retry in (True, False):
             try:
                 rows = self._connect(self._path).execute("SELECT told FROM instances").fetchall()
-                return [msgspec.json.decode(told, type=Instance) for (told,) in rows]
+                return [msgspec.json.decode(encoded, type=Instance) for (encoded,) in rows]
             except (sqlite3.Error, OSError, msgspec.MsgspecError) as error:
                 self.close()
-                if _refuses(error) or not again:
-                    log.warning("Disk: backends are not remembered: {}. It is tried again.", error)
+                if _is_io_failure(error) or not retry:
+                    log.warning("Disk: stored instances cannot be read: {}. Will retry.", error)
                     return None
-                self._begin_anew(self._path, error)
+                self._recreate(self._path, error)
         return None
 
-    def _begin_anew(self, path: Path, why: Exception) -> None:
-        log.error("Disk: {} is damaged and begun anew: {}.", FILE, why)
-        for each in (path, *path.parent.glob(FILE + "-*")):
+    def _recreate(self, path: Path, cause: Exception) -> None:
+        log.error("Disk: {} is damaged and is created again: {}.", FILE, cause)
+        for file in (path, *path.parent.glob(FILE + "-*")):
             with contextlib.suppress(OSError):
-                each.unlink(missing_ok=True)
+                file.unlink(missing_ok=True)
 
     def _connect(self, path: Path) -> sqlite3.Connection:
-        """The open file, with its names synced into their folder."""
+        """Opens the file, creates its table if needed, and syncs its directory entries."""
         path.parent.mkdir(parents=True, exist_ok=True)
-        base = self._base = sqlite3.connect(str(path), isolation_level=None, check_same_thread=False)
-        base.execute("PRAGMA locking_mode = EXCLUSIVE")
-        base.execute("PRAGMA journal_mode = WAL")
-        base.execute("PRAGMA synchronous = FULL")
-        if base.execute("PRAGMA user_version").fetchone()[0] != SCHEMA:
-            base.execute("DROP TABLE IF EXISTS instances")
-            base.execute("CREATE TABLE instances (id TEXT PRIMARY KEY, told BLOB NOT NULL)")
-            base.execute(f"PRAGMA user_version = {SCHEMA}")
-        _sync_folder(path.parent)
-        with contextlib.suppress(OSError):  # it is the platform's, and may not be opened
-            _sync_folder(path.parent.parent)
-        return base
-
-    def save(self, entries: Iterable[Instance], dropped: Iterable[str], whole: bool) -> bool:
-        """Keep these and drop those, synced before it returns; false where the disk refuses.
-
-        whole: the entries are all that there is, and take the place of whatever lies there.
+        db = self._db = sqlite3.connect(str(path), isolation_level=None, check_same_thread=False)
+        db.execute("PRAGMA locking_mode = EXCLUSIVE")
+        db.execute("PRAGMA journal_mode = WAL")
+        db.execute("PRAGMA synchronous = FULL")
+        if db.execute("PRAGMA user_version").fetchone()[0] != SCHEMA_VERSION:
+            db.execute("DROP TABLE IF EXISTS instances")
+            db.execute("CREATE TABLE instances (id TEXT PRIMARY KEY, told BLOB NOT NULL)")
+            db.execute(f"PRAGMA user_version = {SCHEMA_VERSION}")
+        _fsync_directory(path.parent)
+        with contextlib.suppress(OSError):  # the parent belongs to the platform and may not be readable
+            _fsync_directory(path.parent.parent)
+        return db
+
+    def save(self, entries: Iterable[Instance], deleted: Iterable[str], full: bool) -> bool:
+        """Stores entries and deletes others; returns after the sync.
+
+        Args:
+            entries: Instances to insert or replace.
+            deleted: Ids of instances to delete.
+            full: Whether the entries are complete and replace everything that is stored.
+
+        Returns:
+            Whether the data is on the disk; false after an I/O failure.
         """
         if self._path is None:
             return True
         try:
-            base = self._base if self._base is not None else self._connect(self._path)
-            base.execute("BEGIN IMMEDIATE")
-            if whole:
-                base.execute("DELETE FROM instances")
-            base.executemany("DELETE FROM instances WHERE id = ?", ((id,) for id in dropped))
-            base.executemany(
+            db = self._db if self._db is not None else self._connect(self._path)
+            db.execute("BEGIN IMMEDIATE")
+            if full:
+                db.execute("DELETE FROM instances")
+            db.executemany("DELETE FROM instances WHERE id = ?", ((id,) for id in deleted))
+            db.executemany(
                 "INSERT OR REPLACE INTO instances VALUES (?, ?)",
                 ((entry.id, msgspec.json.encode(entry)) for entry in entries),
             )
-            base.execute("COMMIT")
+            db.execute("COMMIT")
         except (sqlite3.Error, OSError) as error:
-            log.warning("Disk: what is known of backends can't be kept: {}. It is tried again.", error)
-            self.close()  # what the next commit would say of this one can't be known
-            if not _refuses(error):
-                self._begin_anew(self._path, error)
+            log.warning("Disk: instance states cannot be stored: {}. Will retry.", error)
+            self.close()  # a later commit would not show whether this one was stored
+            if not _is_io_failure(error):
+                self._recreate(self._path, error)
             return False
         return True
 
     def close(self) -> None:
-        """Let the file go."""
-        if self._base is not None:
+        """Closes the file; may be called more than once."""
+        if self._db is not None:
             with contextlib.suppress(sqlite3.Error):
-                self._base.close()
-            self._base = None
+                self._db.close()
+            self._db = None
 
 
-def _refuses(error: Exception) -> bool:
-    """The disk is in trouble, and what lies there may be whole."""
+def _is_io_failure(error: Exception) -> bool:
+    """Returns whether this is an I/O failure, after which the stored data may be intact."""
     return isinstance(error, OSError) or (
         isinstance(error, sqlite3.OperationalError) and "malformed" not in str(error)
     )
 
 
-def _sync_folder(folder: Path) -> None:
-    """A name that is new lasts over a loss of power once its folder was synced.
+def _fsync_directory(directory: Path) -> None:
+    """Syncs a directory, so that a new file name in it survives a power loss.
 
-    Some file systems have no such sync; there nothing more can be done.
+    File systems that do not support this are ignored.
     """
-    handle = os.open(folder, os.O_RDONLY)
+    fd = os.open(directory, os.O_RDONLY)
     try:
-        os.fsync(handle)
+        os.fsync(fd)
     except OSError as error:
         if error.errno not in (errno.EINVAL, errno.ENOTSUP):
             raise
     finally:
-        os.close(handle)
+        os.close(fd)
