--- a/tests/test_bucket_owner.py
+++ b/tests/test_bucket_owner.py
@@ -295,12 +295,12 @@
 def test_a_repeated_query_counts_once() -> None:
     owner = BucketOwner(100.0)
     body = query(0.25, 0.25).encode(9)
-    replies = [owner.answer(START + n * 60, 3, body) for n in range(4)]
+    replies = [owner.reply(START + n * 60, 3, body) for n in range(4)]
     assert len(dict.fromkeys(replies)) == 1 and decode_reply(replies[0])[1].level == pytest.approx(
         0.5, abs=0.002
     )
-    owner.answer(START, 4, body)  # the same number of another sender is another query
-    assert decode_reply(owner.answer(START + REPLY_CACHE_MS + 300, 3, query().encode(10)))[1].level < 0.5
+    owner.reply(START, 4, body)  # the same number of another sender is another query
+    assert decode_reply(owner.reply(START + REPLY_CACHE_MS + 300, 3, query().encode(10)))[1].level < 0.5
     assert len(owner.replies) == 1  # old replies are dropped
 
 
