--- a/benchmarks/hollow/ingress.py
+++ b/benchmarks/hollow/ingress.py
@@ -7,7 +7,7 @@
 from troutdock.settings.configuration import RejectedConfiguration, read_configuration
 from troutdock.proxy.daemon import NOTHING, STATES
 from troutdock.proxy.route_table import Table
-from troutdock.proxy.load_exchange import Exchange
+from troutdock.proxy.load_exchange import LoadExchange
 from troutdock.rpc.messages import GONE, Config, Instances, Members, Silence
 from troutdock.endpoints.endpoint_table import EndpointTable
 from troutdock.admission.proxy_admission import ProxyAdmission
@@ -27,7 +27,7 @@
     def __init__(self, name: str, ip: str, zone: str) -> None:
         self.book = EndpointTable()
         self.fabric = ProxyAdmission(NOTHING, 1, int(zone[1:]))
-        self.exchange = Exchange(name, ip, zone, 1, self.book)
+        self.exchange = LoadExchange(name, ip, zone, 1, self.book)
         self.table: Table | None = None
         self.numbers: dict[str, int] = {}
         self.instance_of: dict[int, bytes] = {}
@@ -48,8 +48,8 @@
                         if (number := self.numbers.get(id)) is not None:
                             self._tell(now, BackendSuspected(number, is_silent))
             case Members(entries, gone, full):
-                self.exchange.listed(now, entries, gone, full)
-                self._tell(now, IngressMembership(*self.exchange.company(now)))
+                self.exchange.update_members(now, entries, gone, full)
+                self._tell(now, IngressMembership(*self.exchange.membership(now)))
             case _:
                 pass
 
--- a/benchmarks/hollow/zone.py
+++ b/benchmarks/hollow/zone.py
@@ -18,7 +18,7 @@
 
 from benchmarks.hollow.town import INGRESSES, PEAK_PER_S, Size, state_bytes, zone_of
 from troutdock.proxy.peer_connections import AWAY_S, LOOK_S, ZONE_S
-from troutdock.proxy.load_exchange import ZONE, Exchange
+from troutdock.proxy.load_exchange import ZONE_PREFIX, LoadExchange
 from troutdock.rpc.connection import PING_INTERVAL_S
 from troutdock.rpc.messages import Instance, Member, Ping, Shares, decode, encode
 from troutdock.rpc.netstring import encode_frame
@@ -58,7 +58,7 @@
         ]
         here = [m for m in members if m.zone == HERE]
         self.names = [m.name for m in here]
-        self.exchanges = {m.name: Exchange(m.name, m.ip, m.zone, m.life, self.book) for m in here}
+        self.exchanges = {m.name: LoadExchange(m.name, m.ip, m.zone, m.life, self.book) for m in here}
         self.near = {n: [m for m in self.names if m != n] for n in self.names}
         others: dict[str, list[str]] = {}
         for m in members:
@@ -67,7 +67,7 @@
         self.away: dict[str, dict[str, str]] = {n: {} for n in self.names}  # linked homes, and their zones
         self.duties = Counter[str]()
         for exchange in self.exchanges.values():
-            exchange.listed(0.0, members, [], True)
+            exchange.update_members(0.0, members, [], True)
         for duty in next(iter(self.exchanges.values())).duties():
             home = ranked(f"{HERE}/{duty}", self.names)[0]
             self.duties[home] += 1
@@ -93,7 +93,7 @@
 
     def _hear(self, name: str, payload: bytes, sender: str, zone: str, kind: str) -> None:
         began = time.process_time()
-        self.exchanges[name].hear(self.time.now, decode(payload), sender, zone)
+        self.exchanges[name].receive(self.time.now, decode(payload), sender, zone)
         if self.counting and name in self.names[:FULL]:
             self.cpu_s["hear " + kind] += time.process_time() - began
             self.taken[kind] += len(encode_frame(payload))
@@ -103,10 +103,10 @@
         """All are linked: each tells each the whole, then requests come."""
         for name, exchange in self.exchanges.items():
             for other in self.near[name]:
-                shares = exchange.full(0.0, other, False)
-                self.exchanges[other].hear(0.0, shares, name, HERE)
+                shares = exchange.full_state(0.0, other, False)
+                self.exchanges[other].receive(0.0, shares, name, HERE)
             for other, zone in self.away[name].items():
-                self._mirror(name, other, zone, exchange.full(0.0, other, True))
+                self._mirror(name, other, zone, exchange.full_state(0.0, other, True))
         for at, name in enumerate(self.names):
             self.time.at(AWAY_S * at / len(self.names), lambda n=name: self._away(n))
             self.time.at(LOOK_S * at / len(self.names), lambda n=name: self._look(n))
@@ -119,7 +119,7 @@
         backend = self.random.choice(self.backends)
         exchange = self.exchanges[name]
         began = time.process_time()
-        exchange.load(backend, exchange.out.get(backend, 0) + 1)
+        exchange.set_load(backend, exchange.own_loads.get(backend, 0) + 1)
         self._took("own numbers", name, began)
         self._soon(name)
         self.time.after(WORK_S, lambda: self._done(name, backend))
@@ -127,7 +127,7 @@
 
     def _done(self, name: str, backend: str) -> None:
         exchange = self.exchanges[name]
-        exchange.load(backend, exchange.out.get(backend, 1) - 1)
+        exchange.set_load(backend, exchange.own_loads.get(backend, 1) - 1)
         self._soon(name)
 
     def _soon(self, name: str) -> None:
@@ -138,7 +138,7 @@
     def _tell_zone(self, name: str) -> None:
         self.due.discard(name)
         began = time.process_time()
-        shares = self.exchanges[name].for_zone()
+        shares = self.exchanges[name].zone_update()
         payload = encode(shares) if shares is not None else b""
         self._took("tell the zone", name, began)
         if shares is None or not self.near[name]:
@@ -149,13 +149,13 @@
             if other in self.names[:FULL]:
                 self._hear(other, payload, name, HERE, "zone")
             else:
-                self.exchanges[other].hear(now, said, name, HERE)
+                self.exchanges[other].receive(now, said, name, HERE)
         self.keep()
 
     def _away(self, name: str) -> None:
         exchange, now = self.exchanges[name], self.time.now
         began = time.process_time()
-        found = exchange.for_away(now, self.near[name], list(self.away[name].items()))
+        found = exchange.remote_updates(now, self.near[name], list(self.away[name].items()))
         payloads = [encode(shares) for _, shares in found]
         self._took("tell other zones", name, began)
         for (to, shares), payload in zip(found, payloads, strict=True):
@@ -163,7 +163,7 @@
             for other in to:
                 self._mirror(name, other, self.away[name][other], shares)
         began = time.process_time()
-        shares = exchange.passed_on()
+        shares = exchange.forwarded_update()
         payload = encode(shares) if shares is not None else b""
         self._took("pass on", name, began)
         if shares is not None and self.near[name]:
@@ -175,20 +175,20 @@
 
     def _mirror(self, name: str, other: str, zone: str, shares: Shares) -> None:
         """That zone's home says to this one what this one says to it."""
-        names = [ZONE + zone if n == ZONE + HERE else n for n in shares.names]
+        names = [ZONE_PREFIX + zone if n == ZONE_PREFIX + HERE else n for n in shares.names]
         payload = encode(Shares(shares.entries, shares.base, names, shares.full))
         self._hear(name, payload, other, zone, "away")
 
     def _look(self, name: str) -> None:
         exchange, now = self.exchanges[name], self.time.now
         for other in self.near[name]:
-            exchange.alive(now, other)
+            exchange.mark_alive(now, other)
         if name in self.names[:FULL]:
             linked = [(n, HERE) for n in self.near[name]] + list(self.away[name].items())
             began = time.process_time()
-            exchange.forget(now)
-            exchange.wanted(now, linked, [])
-            exchange.company(now)
+            exchange.expire(now)
+            exchange.dial_targets(now, linked, [])
+            exchange.membership(now)
             self._took("look", name, began)
         self.time.after(LOOK_S, lambda: self._look(name))
 
--- a/tests/support/proxy_fleet.py
+++ b/tests/support/proxy_fleet.py
@@ -13,7 +13,7 @@
 
 from quota_network import Network, Process
 
-from troutdock.proxy.load_exchange import ALIVE
+from troutdock.proxy.load_exchange import LIVENESS_DUTY
 from troutdock.rpc.messages import encode
 from troutdock.admission.proxy_admission import TIMERS_PER_REQUEST, QUOTA_TIMER, ProxyAdmission
 from troutdock.admission.interface import (
@@ -182,14 +182,16 @@
 
     def _link(self, one: Ingress, two: Ingress) -> None:
         """Opens a link, which starts with the full state in both directions."""
-        self._linked.add(frozenset([(one.name, one.exchange.life), (two.name, two.exchange.life)]))
+        self._linked.add(
+            frozenset([(one.name, one.exchange.incarnation), (two.name, two.exchange.incarnation)])
+        )
         for sender, other in ((one, two), (two, one)):
-            shares = sender.exchange.full(sender.now, other.name, sender.zone != other.zone)
+            shares = sender.exchange.full_state(sender.now, other.name, sender.zone != other.zone)
             self.sent += len(encode(shares))
             self._receive(other, sender, shares)
 
     def _report_membership(self, ingress: Ingress) -> None:
-        ingress.handle(IngressMembership(*ingress.exchange.company(ingress.now)))
+        ingress.handle(IngressMembership(*ingress.exchange.membership(ingress.now)))
 
     def later(self, at: float, what: Any) -> None:
         """Schedules a call; at: milliseconds."""
@@ -227,12 +229,12 @@
     def _receive(self, other: Ingress, sender: Ingress, shares: Any) -> None:
         if not other.alive:
             return
-        update = other.exchange.hear(other.now, shares, sender.name, sender.zone)
-        for origin, out in update.out.items():
+        update = other.exchange.receive(other.now, shares, sender.name, sender.zone)
+        for origin, out in update.loads.items():
             other.handle(PeerLoad(origin, {int(i): n for i, n in out.items()}))
 
-    def speaks(self, ingress: Ingress, duty: str = ALIVE) -> bool:
-        return ingress.exchange.home(duty, [o.name for o in self._zone_peers(ingress)])
+    def speaks(self, ingress: Ingress, duty: str = LIVENESS_DUTY) -> bool:
+        return ingress.exchange.is_responsible(duty, [o.name for o in self._zone_peers(ingress)])
 
     def _remote_peers(self, ingress: Ingress) -> list[Ingress]:
         """Proxies of other zones that it is linked to; only the proxies responsible for a duty have such links."""
@@ -251,8 +253,8 @@
             if ingress.alive:
                 near = self._zone_peers(ingress)
                 for other in near:
-                    ingress.exchange.alive(ingress.now, other.name)
-                if (shares := ingress.exchange.for_zone()) is not None:
+                    ingress.exchange.mark_alive(ingress.now, other.name)
+                if (shares := ingress.exchange.zone_update()) is not None:
                     self._deliver(ingress, shares, near, 1.0)
         self.later(self.now + 8, self._send_to_zone)
 
@@ -262,16 +264,23 @@
                 near, away = self._zone_peers(ingress), self._remote_peers(ingress)
                 for other in away:
                     if (
-                        frozenset([(ingress.name, ingress.exchange.life), (other.name, other.exchange.life)])
+                        frozenset(
+                            [
+                                (ingress.name, ingress.exchange.incarnation),
+                                (other.name, other.exchange.incarnation),
+                            ]
+                        )
                         not in self._linked
                     ):
                         self._link(ingress, other)
                 links = [(o.name, o.zone) for o in away]
-                for names, shares in ingress.exchange.for_away(ingress.now, [o.name for o in near], links):
+                for names, shares in ingress.exchange.remote_updates(
+                    ingress.now, [o.name for o in near], links
+                ):
                     self._deliver(ingress, shares, [self.ingresses[n] for n in names], 2.0)
-                if (shares := ingress.exchange.passed_on()) is not None:
+                if (shares := ingress.exchange.forwarded_update()) is not None:
                     self._deliver(ingress, shares, near, 1.0)
-                ingress.exchange.forget(ingress.now)
+                ingress.exchange.expire(ingress.now)
                 self._report_membership(ingress)
         self.later(self.now + 40, self._send_to_other_zones)
 
--- a/tests/support/quota_courses.py
+++ b/tests/support/quota_courses.py
@@ -13,7 +13,8 @@
 START_S, SECONDS, REST_S = 1.0, 10.0, 2.0  # faults lie within the middle; the rest is to settle
 DELIST_S = (0.8, 4.0)  # until the registry takes a dead process from its list
 MOST_PER_S = 700.0  # requests of one tenant
-FREEZES_S = (0.2, 0.45, 0.7, 1.1, 1.8, 3.0)  # shorter and longer than STALL_S, and than a silent link lives
+# shorter and longer than STALL_THRESHOLD_S and than the time after which a silent link is closed
+FREEZES_S = (0.2, 0.45, 0.7, 1.1, 1.8, 3.0)
 HOT = "hot"
 LEAST_SERVED = 0.99
 
--- a/tests/support/quota_network.py
+++ b/tests/support/quota_network.py
@@ -1,6 +1,6 @@
 """Processes that share quotas, and the links between them, in simulated time: no sockets.
 
-A process has a QuotaNode and an Exchange, and does with them what proxy.quota_loop and proxy.peer_connections
+A process has a QuotaNode and a LoadExchange, and does with them what proxy.quota_loop and proxy.peer_connections
 do: it ticks, dials whom the exchange wants, and ends a link that has been silent. A link keeps the order of its
 messages. What is sent into a cut waits, as in a socket, and arrives when the cut is healed, if the link is still up there. Demands,
 grants and votes go as datagrams: some are lost, some come twice or late, and those sent into a cut are gone.
@@ -14,7 +14,7 @@
 from random import Random
 
 from troutdock.proxy.peer_connections import BUSY_MEMORY_S
-from troutdock.proxy.load_exchange import Exchange, Services
+from troutdock.proxy.load_exchange import LoadExchange, Services
 from troutdock.rpc.messages import Member, Message, QuotaGrant, QuotaRequest, QuotaStatus
 from troutdock.quota.node import QuotaNode
 from troutdock.quota.routes import Peers
@@ -151,7 +151,7 @@
         self.network, self.name, self.zone, self.ip, self.life = network, name, zone, ip, life
         self.clock_offset = network.random.uniform(10.0, 1e5)  # each steady clock has its own zero
         self.node = QuotaNode(name, zone, life, self.now, bootstrap)
-        self.exchange = Exchange(name, ip, zone, life, services or NoServices())
+        self.exchange = LoadExchange(name, ip, zone, life, services or NoServices())
         self.alive, self.is_listed = True, False
         self.ends: dict[End, None] = {}
         self.dialers: dict[str, Dialer] = {}
@@ -239,7 +239,7 @@
         self.network.later(LOOK_S, lambda: self.do(self._look))
 
     def listed(self, members: list[Member]) -> None:
-        self.exchange.listed(self.now, members, (), True)
+        self.exchange.update_members(self.now, members, (), True)
         self.is_listed = True
         self._dial()
         self.tell_peers()
@@ -273,13 +273,13 @@
         linked = [end.peer for end in self.ends]
         members = self.exchange.members.values()
         self.exchange.busy = self._busy_names()
-        self.fleet_size = self.exchange.company(self.now)[0]
+        self.fleet_size = self.exchange.membership(self.now)[0]
         self.node.update_peers(
             self.now,
             Peers(
-                near=frozenset(peer.name for peer in linked if peer.zone == self.zone),
-                away={peer.name: peer.zone for peer in linked if peer.zone != self.zone},
-                listed_near=frozenset(m.name for m in members if m.zone == self.zone),
+                zone_peers=frozenset(peer.name for peer in linked if peer.zone == self.zone),
+                remote_peers={peer.name: peer.zone for peer in linked if peer.zone != self.zone},
+                listed_zone_peers=frozenset(m.name for m in members if m.zone == self.zone),
                 listed_zones=frozenset(m.zone for m in members if m.zone != self.zone),
                 fleet_size=self.fleet_size if self.is_listed else 0,
                 busy=self.exchange.busy,
@@ -295,9 +295,9 @@
         self._is_dial_due = False
         linked = [(end.peer.name, end.peer.zone) for end in self.ends]
         failing = [name for name, dialer in self.dialers.items() if dialer.tried and not dialer.up]
-        wanted = {m.name: m for m in self.exchange.wanted(self.now, linked, failing)}
+        wanted = {m.name: m for m in self.exchange.dial_targets(self.now, linked, failing)}
         for name, dialer in list(self.dialers.items()):
-            if not self.exchange.keeps(name, dialer.ip, wanted, dialer.up):
+            if not self.exchange.should_keep(name, dialer.ip, wanted, dialer.up):
                 del self.dialers[name]
                 dialer.close()
         for name, member in wanted.items():
--- a/tests/system/test_homes_of_services.py
+++ b/tests/system/test_homes_of_services.py
@@ -7,7 +7,7 @@
 import pytest
 from proxy_fleet import SimulatedFleet, TwoServices, proxy_settings
 
-from troutdock.proxy.load_exchange import Exchange
+from troutdock.proxy.load_exchange import LoadExchange
 
 ZONES = {"a": 4, "b": 3, "c": 3}
 
@@ -36,7 +36,7 @@
         ingress = random.choice(alive)
         town.ask(ingress.name)
         instance = str(random.randint(1, 3))
-        ingress.exchange.load(instance, random.randint(0, 5))
+        ingress.exchange.set_load(instance, random.randint(0, 5))
     town.run(11_500)
     return town
 
@@ -50,12 +50,16 @@
         true: dict[str, int] = {}
         for ingress in alive:
             if ingress.zone == zone:
-                for instance, count in ingress.exchange.out.items():
+                for instance, count in ingress.exchange.own_loads.items():
                     true[instance] = true.get(instance, 0) + count
         for ingress in alive:
-            seen = ingress.exchange.zone_out if ingress.zone == zone else ingress.exchange.away[zone].out
+            seen = (
+                ingress.exchange.zone_loads
+                if ingress.zone == zone
+                else ingress.exchange.remote_zones[zone].loads
+            )
             assert seen == true, (zone, ingress.name)
-    assert all(i.exchange.company(i.now) == (len(town.ingresses), len(alive)) or deaths for i in alive)
+    assert all(i.exchange.membership(i.now) == (len(town.ingresses), len(alive)) or deaths for i in alive)
 
 
 def test_what_one_ingress_says_does_not_grow_with_the_others() -> None:
@@ -67,7 +71,7 @@
             town.run(town.now + town.random.expovariate(300) * 1000)
             name = town.random.choice(list(town.ingresses))
             town.ask(name)
-            town.ingresses[name].exchange.load(str(town.random.randint(1, 3)), town.random.randint(0, 5))
+            town.ingresses[name].exchange.set_load(str(town.random.randint(1, 3)), town.random.randint(0, 5))
         most.append(max(town.sent_by.values()) / count)
     assert most[1] < most[0] * 4 / 3  # by receiver: what is passed on goes to each neighbour
 
@@ -76,30 +80,32 @@
 
 
 def test_who_becomes_home_tells_all_of_its_duty_again() -> None:
-    e = Exchange("a-1", "10.0.0.1", "a", 1, TwoServices())
-    e.load("1", 3)
+    e = LoadExchange("a-1", "10.0.0.1", "a", 1, TwoServices())
+    e.set_load("1", 3)
     crowd = [f"a-{n}" for n in range(2, 200)]
-    assert e.for_away(0.0, crowd, [("b-1", "b")]) == []  # home for nothing: another one tells it
-    e.load("2", 4)
-    g = Exchange("b-1", "10.0.1.1", "b", 2, TwoServices())
-    for names, shares in e.for_away(5.0, [], [("b-1", "b")]):  # alone now
+    assert e.remote_updates(0.0, crowd, [("b-1", "b")]) == []  # home for nothing: another one tells it
+    e.set_load("2", 4)
+    g = LoadExchange("b-1", "10.0.1.1", "b", 2, TwoServices())
+    for names, shares in e.remote_updates(5.0, [], [("b-1", "b")]):  # alone now
         assert names == ["b-1"]
-        g.hear(5.0, shares, "a-1", "a")
-    assert g.away["a"].out == {"1": 3, "2": 4}
+        g.receive(5.0, shares, "a-1", "a")
+    assert g.remote_zones["a"].loads == {"1": 3, "2": 4}
 
 
 def test_a_restart_after_the_clock_was_set_back_is_heard() -> None:
-    e = Exchange("a-1", "10.0.0.1", "a", 1, TwoServices())
+    e = LoadExchange("a-1", "10.0.0.1", "a", 1, TwoServices())
     for life, out in ((5_000, 2), (4_000, 1)):
-        other = Exchange("a-2", "10.0.0.2", "a", life, TwoServices())
-        other.load("1", out)
-        e.hear(0.0, other.full(0.0, "a-1", False), "a-2", "a")
-        assert e.origins["a-2"].out == e.zone_out == {"1": out}
-    other.load("1", 5)
-    shares = other.for_zone()
-    assert shares is not None and e.hear(0.1, shares, "a-2", "a").out == {"a-2": {"1": 5}}
-    third = Exchange("a-3", "10.0.0.3", "a", 9, TwoServices())  # who has heard of the life before only
-    stale = Exchange("a-2", "10.0.0.2", "a", 3_000, TwoServices())
-    third.hear(0.0, stale.full(0.0, "a-3", False), "a-2", "a")
-    e.hear(0.2, third.full(0.0, "a-1", False), "a-3", "a")
-    assert e.origins["a-2"].life == 4_000
+        other = LoadExchange("a-2", "10.0.0.2", "a", life, TwoServices())
+        other.set_load("1", out)
+        e.receive(0.0, other.full_state(0.0, "a-1", False), "a-2", "a")
+        assert e.zone_peers["a-2"].loads == e.zone_loads == {"1": out}
+    other.set_load("1", 5)
+    shares = other.zone_update()
+    assert shares is not None and e.receive(0.1, shares, "a-2", "a").loads == {"a-2": {"1": 5}}
+    third = LoadExchange(
+        "a-3", "10.0.0.3", "a", 9, TwoServices()
+    )  # which only knows the previous incarnation
+    stale = LoadExchange("a-2", "10.0.0.2", "a", 3_000, TwoServices())
+    third.receive(0.0, stale.full_state(0.0, "a-3", False), "a-2", "a")
+    e.receive(0.2, third.full_state(0.0, "a-1", False), "a-3", "a")
+    assert e.zone_peers["a-2"].incarnation == 4_000
--- a/tests/system/test_quota_leases.py
+++ b/tests/system/test_quota_leases.py
@@ -21,24 +21,24 @@
     decode,
     encode,
 )
-from troutdock.quota.bucket import FillingTime, QuotaLimit, TokenBucket
-from troutdock.quota.leases import LEASE_S, QuotaLeases, Verdict
-from troutdock.quota.demands import ABANDONED_S, GRANT_LIFETIME_S, RESEND_LEAST_S
-from troutdock.quota.node import MOST_HOPS, PENDING_S, STALL_S, LocalGrant, QuotaNode
-from troutdock.quota.owner import RETRY_LEAST_S, RETRY_MOST_S, VOTE_LIFETIME_S, ShardOwner
-from troutdock.quota.ownership import FOUNDING_S, HANDOVER_S
+from troutdock.quota.bucket import FillTime, QuotaLimit, TokenBucket
+from troutdock.quota.leases import LEASE_DURATION_S, QuotaLeases, Verdict
+from troutdock.quota.demands import ABANDONED_TTL_S, GRANT_LIFETIME_S, MIN_RESEND_S
+from troutdock.quota.node import MAX_HOPS, PENDING_TIMEOUT_S, STALL_THRESHOLD_S, LocalGrant, QuotaNode
+from troutdock.quota.owner import MIN_RETRY_S, MAX_RETRY_S, VOTE_LIFETIME_S, ShardOwner
+from troutdock.quota.ownership import BOOTSTRAP_WINDOW_S, HANDOVER_TTL_S
 from troutdock.quota.routes import (
-    SETTLE_S,
-    SHARDS,
+    SETTLE_TIMEOUT_S,
+    SHARD_COUNT,
     ZONE_GRACE_S,
     Peers,
     Role,
     Route,
     ShardRoutes,
-    in_aggregator_order,
-    shard_duty,
+    ranked_aggregators,
+    shard_key,
     shard_of,
-    zones_before,
+    preceding_zones,
 )
 
 LIMIT = QuotaLimit(10.0, 20.0)
@@ -50,9 +50,9 @@
 def peers(**more: object) -> Peers:
     """Those of a-1, in a zone of three; b is another zone."""
     fields = {
-        "near": NEAR,
-        "away": {"b-1": "b"},
-        "listed_near": NEAR,
+        "zone_peers": NEAR,
+        "remote_peers": {"b-1": "b"},
+        "listed_zone_peers": NEAR,
         "listed_zones": frozenset("b"),
         "fleet_size": 4,
     }
@@ -66,7 +66,7 @@
 
 def node_with(role: Role, now: float = 0.0, bootstrap: bool = False) -> QuotaNode:
     """a-1, in the given role for SHARD."""
-    first_zone = "a" if zones_before(SHARD, "b", ["a"]) else "b"
+    first_zone = "a" if preceding_zones(SHARD, "b", ["a"]) else "b"
     other_zone = "b" if first_zone == "a" else "a"
     zone = {Role.OWNER: first_zone, Role.AGGREGATOR: other_zone, Role.MEMBER: "a"}[role]
     node = QuotaNode(f"{zone}-1", zone, 7, now, bootstrap)
@@ -92,7 +92,7 @@
     """Two zones of one proxy each, linked; the first in order owns."""
 
     def __init__(self, limit: QuotaLimit = LIMIT, bootstrap: bool = True) -> None:
-        self.owner_zone, self.other_zone = ("a", "b") if zones_before(SHARD, "b", ["a"]) else ("b", "a")
+        self.owner_zone, self.other_zone = ("a", "b") if preceding_zones(SHARD, "b", ["a"]) else ("b", "a")
         self.owner, self.other = (
             self._node(self.owner_zone, bootstrap),
             self._node(self.other_zone, bootstrap),
@@ -146,25 +146,25 @@
 
 
 def test_a_bucket_holds_and_fills_by_the_part_that_backs_its_owner() -> None:
-    bucket = TokenBucket(LIMIT, FillingTime(0.0))
-    bucket.refill(FillingTime(100.0, 100.0), 0.5)
+    bucket = TokenBucket(LIMIT, FillTime(0.0))
+    bucket.refill(FillTime(100.0, 100.0), 0.5)
     assert bucket.level == 10.0
     assert bucket.take(4) == 4 and bucket.take(9, reserve=2.5) == 3 and bucket.take(9) == 3
-    bucket.refill(FillingTime(100.5, 100.0), 1.0)
+    bucket.refill(FillTime(100.5, 100.0), 1.0)
     assert bucket.level == 5.0
     bucket.charge(100)
     assert bucket.level == -20.0 and bucket.take(1) == 0
-    bucket.refill(FillingTime(200.0, 100.0), 1.0)
-    bucket.refill(FillingTime(200.5, 100.5), 0.5)  # what is beyond its part drains as another one fills
+    bucket.refill(FillTime(200.0, 100.0), 1.0)
+    bucket.refill(FillTime(200.5, 100.5), 0.5)  # what is beyond its part drains as another one fills
     assert bucket.level == 15.0
-    bucket.refill(FillingTime(202.0, 102.0), 0.5)
+    bucket.refill(FillTime(202.0, 102.0), 0.5)
     assert bucket.level == 10.0
     bucket.change_limit(QuotaLimit(10.0, 3.0))
     assert bucket.level == 3.0
     bucket.change_limit(QuotaLimit(10.0, 30.0))
     assert bucket.level == 3.0
-    tiny = TokenBucket(QuotaLimit(1.0, 2.0), FillingTime(0.0))
-    tiny.refill(FillingTime(100.0), 0.01)
+    tiny = TokenBucket(QuotaLimit(1.0, 2.0), FillTime(0.0))
+    tiny.refill(FillTime(100.0), 0.01)
     assert tiny.level == 1.0  # else a small part of a small burst would never let anybody in
 
 
@@ -173,24 +173,24 @@
 
 def test_routes_of_a_proxy_that_has_just_started() -> None:
     routes = ShardRoutes("a-1", "a")
-    routes.update(0.0, Peers(near=NEAR, busy=NEAR))
+    routes.update(0.0, Peers(zone_peers=NEAR, busy=NEAR))
     assert {r.role for r in routes.routes} <= {Role.UNSETTLED, Role.MEMBER}  # nobody has told who there is
-    listed = peers(near=frozenset(["a-2"]), away={})
+    listed = peers(zone_peers=frozenset(["a-2"]), remote_peers={})
     routes.update(1.0, listed)
     assert Role.OWNER not in {r.role for r in routes.routes}  # a-3 may be before it
     assert not routes.is_settled(1.0)
-    routes.update(1.0 + SETTLE_S, listed)
-    assert routes.is_settled(1.0 + SETTLE_S) and Role.OWNER in {r.role for r in routes.routes}
+    routes.update(1.0 + SETTLE_TIMEOUT_S, listed)
+    assert routes.is_settled(1.0 + SETTLE_TIMEOUT_S) and Role.OWNER in {r.role for r in routes.routes}
     for shard, route in enumerate(
         routes.routes
     ):  # the other zone is dialled from now on, where it is before this one
-        assert route.role is not Role.UNSETTLED or zones_before(shard, "a", ["b"])
-    routes.update(1.0 + SETTLE_S + ZONE_GRACE_S, listed)
+        assert route.role is not Role.UNSETTLED or preceding_zones(shard, "a", ["b"])
+    routes.update(1.0 + SETTLE_TIMEOUT_S + ZONE_GRACE_S, listed)
     assert Role.UNSETTLED not in {r.role for r in routes.routes}
 
 
 def test_who_becomes_aggregator_waits_for_its_links_before_it_owns() -> None:
-    zone, other = ("b", "a") if zones_before(SHARD, "b", ["a"]) else ("a", "b")
+    zone, other = ("b", "a") if preceding_zones(SHARD, "b", ["a"]) else ("a", "b")
     routes = ShardRoutes(f"{zone}-1", zone)
     member = Peers(
         frozenset([f"{zone}-2"]),
@@ -216,7 +216,7 @@
 
 def test_all_agree_on_one_owner_for_each_shard() -> None:
     zones = {"a": ["a-1", "a-2", "a-3"], "b": ["b-1", "b-2"], "c": ["c-1"]}
-    owners: dict[int, list[str]] = {shard: [] for shard in range(SHARDS)}
+    owners: dict[int, list[str]] = {shard: [] for shard in range(SHARD_COUNT)}
     for zone, names in zones.items():
         for name in names:
             near = frozenset(names) - {name}
@@ -226,20 +226,20 @@
             for shard, route in enumerate(routes.routes):
                 owners[shard] += [name] if route.role is Role.OWNER else []
                 if route.role is Role.AGGREGATOR:
-                    owner_zone = zones_before(shard, zone, zones)[0]
+                    owner_zone = preceding_zones(shard, zone, zones)[0]
                     assert (
                         route.upstream
-                        == in_aggregator_order(owner_zone, shard, zones[owner_zone], frozenset())[0]
+                        == ranked_aggregators(owner_zone, shard, zones[owner_zone], frozenset())[0]
                     )
     assert all(len(names) == 1 for names in owners.values())
     assert len({names[0] for names in owners.values()}) > 2
 
 
 def test_a_zone_whose_last_link_has_ended_is_waited_for_before_the_next_owns() -> None:
-    zone = "b" if zones_before(SHARD, "b", ["a"]) else "a"
+    zone = "b" if preceding_zones(SHARD, "b", ["a"]) else "a"
     other = "a" if zone == "b" else "b"
     routes = ShardRoutes(f"{zone}-1", zone)
-    linked = Peers(away={f"{other}-1": other}, listed_zones=frozenset(other), fleet_size=2)
+    linked = Peers(remote_peers={f"{other}-1": other}, listed_zones=frozenset(other), fleet_size=2)
     lost = Peers(listed_zones=frozenset(other), fleet_size=2)
     routes.update(0.0, linked)
     routes.update(5.0, linked)
@@ -254,10 +254,10 @@
 
 def test_busy_proxies_come_last_unless_they_are_most() -> None:
     names = ["a-1", "a-2", "a-3", "a-4"]
-    usual = in_aggregator_order("a", SHARD, names, frozenset())
-    assert in_aggregator_order("a", SHARD, names, frozenset(usual[:1])) == usual[1:] + usual[:1]
-    assert in_aggregator_order("a", SHARD, names, frozenset(usual[:3])) == usual[3:] + usual[:3]
-    assert in_aggregator_order("a", SHARD, names, frozenset(usual)) == usual
+    usual = ranked_aggregators("a", SHARD, names, frozenset())
+    assert ranked_aggregators("a", SHARD, names, frozenset(usual[:1])) == usual[1:] + usual[:1]
+    assert ranked_aggregators("a", SHARD, names, frozenset(usual[:3])) == usual[3:] + usual[:3]
+    assert ranked_aggregators("a", SHARD, names, frozenset(usual)) == usual
 
 
 # ---- demands and grants
@@ -268,7 +268,7 @@
     assert fleet.demand(1.0, fleet.other, 15).granted == 15
     grant = fleet.demand(1.0, fleet.owner, 15)
     assert grant.granted == 4  # 20, less the reserve for those that return, in whole tokens
-    assert RETRY_LEAST_S <= grant.retry_after_s <= RETRY_MOST_S
+    assert MIN_RETRY_S <= grant.retry_after_s <= MAX_RETRY_S
     assert fleet.demand(1.0, fleet.owner, 1, returning=1).granted == 1
     assert fleet.demand(1.0, fleet.owner, 1, returning=1).granted == 0
     assert fleet.demand(2.0, fleet.owner, 100).granted == 9
@@ -295,7 +295,7 @@
 def test_a_burst_of_one_is_granted_and_a_small_part_of_a_large_one_too() -> None:
     for burst, part in ((1.0, 1.0), (200.0, 0.005)):
         owner = ShardOwner("term", 0.0, False)
-        owner.back(0.0, 1, round(1 / part))
+        owner.update_backing(0.0, 1, round(1 / part))
         assert owner.grant(1000.0, "x", TENANT, QuotaLimit(5.0, burst), 1).granted == 1
 
 
@@ -308,7 +308,7 @@
     moment.set_limits(4.0, {TENANT: LIMIT})
     moment.update_peers(4.0, Peers(fleet_size=1))
     moment.receive(4.0, "y", QuotaHandover(SHARD, 0.0, {TENANT: 9.0}))
-    moment.update_peers(4.01, Peers(near=frozenset("y"), fleet_size=2, busy=frozenset(["x-1"])))
+    moment.update_peers(4.01, Peers(zone_peers=frozenset("y"), fleet_size=2, busy=frozenset(["x-1"])))
     handed = [m for _, m in moment.take_messages() if isinstance(m, QuotaHandover) and m.shard == SHARD]
     assert [m.levels[TENANT] for m in handed] == [pytest.approx(9.0, abs=0.2)]
 
@@ -371,9 +371,9 @@
     ((_, request),) = list(fleet.other.take_messages())
     fleet.owner.receive(1.0, fleet.other.name, request)
     list(fleet.owner.take_messages())  # lost
-    assert fleet.other.resend_at == pytest.approx(1.0 + RESEND_LEAST_S)
-    fleet.other.resend(1.0 + RESEND_LEAST_S)
-    assert fleet.other.resend_at == pytest.approx(1.0 + 3 * RESEND_LEAST_S)
+    assert fleet.other.resend_at == pytest.approx(1.0 + MIN_RESEND_S)
+    fleet.other.resend(1.0 + MIN_RESEND_S)
+    assert fleet.other.resend_at == pytest.approx(1.0 + 3 * MIN_RESEND_S)
     fleet.deliver(1.03)
     assert fleet.other.take_grants()[0].granted == 5 and fleet.other.resend_at == inf
     assert owner_of(fleet.owner).levels(1.03)[1][TENANT] == pytest.approx(15, abs=0.5)
@@ -385,7 +385,7 @@
 def test_a_demand_that_goes_in_a_circle_is_answered() -> None:
     node = node_with(Role.MEMBER)
     list(node.take_messages())
-    node.receive(0.1, "x", QuotaRequest([TokenDemand(TENANT, 5, 2)], hops=MOST_HOPS))
+    node.receive(0.1, "x", QuotaRequest([TokenDemand(TENANT, 5, 2)], hops=MAX_HOPS))
     ((peer, message),) = list(node.take_messages())
     assert peer == "x" and isinstance(message, QuotaGrant) and message.grants[0].granted == 0
 
@@ -394,11 +394,11 @@
     node = node_with(Role.MEMBER)
     node.demand(0.1, TENANT, 1)
     list(node.take_messages())
-    node.tick(0.1 + PENDING_S + 0.01)
+    node.tick(0.1 + PENDING_TIMEOUT_S + 0.01)
     (grant,) = node.take_grants()
     assert grant.granted == 0 and grant.retry_after_s > 0
-    node.demand(0.2 + PENDING_S, TENANT, 1)
-    node.tick(0.2 + PENDING_S + GRANT_LIFETIME_S + 0.01)
+    node.demand(0.2 + PENDING_TIMEOUT_S, TENANT, 1)
+    node.tick(0.2 + PENDING_TIMEOUT_S + GRANT_LIFETIME_S + 0.01)
     assert any(isinstance(m, QuotaRequest) and m.demands for _, m in node.take_messages())
 
 
@@ -417,7 +417,7 @@
         assert [(r.tokens, r.term) for m in messages for r in m.returned] == ([] if copy else [(3, "term")])
     node.receive(0.4, upstream, QuotaGrant([TokenGrant(TENANT, again, 3, 0.0, "term")]))
     assert node.take_grants()[0].granted == 3
-    node.tick(0.5 + GRANT_LIFETIME_S + ABANDONED_S)
+    node.tick(0.5 + GRANT_LIFETIME_S + ABANDONED_TTL_S)
     assert not node._sent._abandoned
 
 
@@ -428,7 +428,7 @@
     node.demand(0.1, TENANT, 3)
     ((first, _),) = [(p, m) for p, m in node.take_messages() if isinstance(m, QuotaRequest) and m.demands]
     left = NEAR - {first}
-    node.update_peers(0.2, peers(near=left, busy=frozenset(["a-1"])))
+    node.update_peers(0.2, peers(zone_peers=left, busy=frozenset(["a-1"])))
     ((second, message),) = [
         (p, m) for p, m in node.take_messages() if isinstance(m, QuotaRequest) and m.demands
     ]
@@ -443,8 +443,8 @@
     assert fleet.demand(0.0, fleet.owner, 20).granted == 0
     fleet.run(0.0, 1.0)
     assert fleet.demand(1.0, fleet.owner, 20).granted == 9  # backed by itself and by the other zone's vote
-    assert owner_of(fleet.owner).back(1.0, 1, 2) == 1.0
-    assert owner_of(fleet.owner).back(1.0 + VOTE_LIFETIME_S, 1, 2) == 0.5  # no vote any more
+    assert owner_of(fleet.owner).update_backing(1.0, 1, 2) == 1.0
+    assert owner_of(fleet.owner).update_backing(1.0 + VOTE_LIFETIME_S, 1, 2) == 0.5  # no vote any more
 
 
 def test_a_fleet_that_starts_for_the_first_time_begins_full() -> None:
@@ -452,8 +452,8 @@
     assert fleet.demand(0.1, fleet.other, 20, 20).granted == 20
     late = QuotaNode("a-1", "a", 1, 0.0, bootstrap=True)
     late.set_limits(0.0, {TENANT: LIMIT})
-    late.update_peers(FOUNDING_S + 0.1, Peers(fleet_size=1))
-    late.demand(FOUNDING_S + 0.1, TENANT, 20)
+    late.update_peers(BOOTSTRAP_WINDOW_S + 0.1, Peers(fleet_size=1))
+    late.demand(BOOTSTRAP_WINDOW_S + 0.1, TENANT, 20)
     assert late.take_grants()[0].granted == 0
 
 
@@ -482,9 +482,9 @@
     fleet = Fleet()
     fleet.owner.tick(1.0)
     term = owner_of(fleet.owner).term
-    fleet.owner.tick(1.0 + STALL_S)  # as long as that is well
+    fleet.owner.tick(1.0 + STALL_THRESHOLD_S)  # as long as that is well
     assert owner_of(fleet.owner).term == term
-    fleet.owner.demand(1.1 + 2 * STALL_S, TENANT, 20)
+    fleet.owner.demand(1.1 + 2 * STALL_THRESHOLD_S, TENANT, 20)
     assert fleet.owner.take_grants()[0].granted == 0
     assert owner_of(fleet.owner).term != term
 
@@ -492,12 +492,12 @@
 def test_returned_tokens_count_once_and_for_their_term_only() -> None:
     fleet = Fleet()
     grant = fleet.demand(1.0, fleet.other, 20, 20)
-    fleet.other.give_back(TENANT, 5, grant.term)
+    fleet.other.return_tokens(TENANT, 5, grant.term)
     fleet.deliver(1.0)
     assert fleet.demand(1.0, fleet.owner, 20, 20).granted == 5
     rejected = fleet.owner.rejected
     for tokens, term in ((5, "another"), (-5, grant.term), (0, grant.term)):
-        fleet.other.give_back(TENANT, tokens, term)
+        fleet.other.return_tokens(TENANT, tokens, term)
         fleet.deliver(1.0)
     assert fleet.demand(1.0, fleet.owner, 20, 20).granted == 0
     assert fleet.owner.rejected + fleet.other.rejected == rejected + 3
@@ -528,14 +528,14 @@
 
 
 def test_a_handover_counts_for_a_short_time_and_once() -> None:
-    for waited, full in ((0.1, True), (HANDOVER_S + 0.1, False)):
+    for waited, full in ((0.1, True), (HANDOVER_TTL_S + 0.1, False)):
         node = QuotaNode("a-1", "a", 1, 0.0)
         node.set_limits(0.0, {TENANT: LIMIT})
         node.receive(0.0, "a-2", QuotaHandover(SHARD, 100.0, {TENANT: 20.0, "unknown": 5.0}))
         node.update_peers(waited, Peers(fleet_size=1))
         node.demand(waited, TENANT, 20, 20)
         assert (node.take_grants()[0].granted == 20) is full
-    owner, late = owner_of(node), waited + HANDOVER_S + 0.1
+    owner, late = owner_of(node), waited + HANDOVER_TTL_S + 0.1
     node.demand(late, TENANT, 20, 20)
     node.receive(late, "a-2", QuotaHandover(SHARD, 100.0, {TENANT: 20.0}))
     assert owner.levels(late)[1][TENANT] < 1 and owner is owner_of(node)
@@ -543,14 +543,14 @@
 
 def test_a_zone_backs_one_owner_at_a_time() -> None:
     fleet = Fleet()
-    assert owner_of(fleet.owner).back(1e-3, 1, 2) == 1.0
+    assert owner_of(fleet.owner).update_backing(1e-3, 1, 2) == 1.0
     fleet.owner.receive(0.1, fleet.other.name, QuotaSettlement(withdrawn=[SHARD]))
-    assert owner_of(fleet.owner).back(0.1, 1, 2) == 0.5
+    assert owner_of(fleet.owner).update_backing(0.1, 1, 2) == 0.5
     fleet.other.tick(0.3)
     fleet.deliver(0.3)
-    assert owner_of(fleet.owner).back(0.3, 1, 2) == 1.0
+    assert owner_of(fleet.owner).update_backing(0.3, 1, 2) == 1.0
     fleet.cut(0.4, fleet.owner)  # a vote goes with the link that it came on
-    assert owner_of(fleet.owner).back(0.4, 1, 2) == 0.5
+    assert owner_of(fleet.owner).update_backing(0.4, 1, 2) == 0.5
 
 
 def test_changes_of_limits_give_nothing_by_themselves() -> None:
@@ -579,7 +579,7 @@
         QuotaRequest([TokenDemand(TENANT, 1, 1, 2)]),
         QuotaSettlement(charged=[ChargedRequests(TENANT, -3)]),
         QuotaSettlement(returned=[ReturnedTokens(TENANT, -1, "term")]),
-        QuotaRequest(votes=[ShardVote(SHARDS, "c", 1)]),
+        QuotaRequest(votes=[ShardVote(SHARD_COUNT, "c", 1)]),
         QuotaRequest(votes=[ShardVote(SHARD, "c", -1)]),
         QuotaHandover(-1, 0.0, {}),
         Hello("proxy", "x", "10.0.0.1", "a", 1),
@@ -617,9 +617,9 @@
     leases.put_back(0.0, TENANT)
     assert leases.request(0.05, TENANT, LIMIT, 0.5, 2) is Verdict.GRANTED
     leases.put_back(0.05, TENANT)
-    leases.tick(0.06 + LEASE_S)
+    leases.tick(0.06 + LEASE_DURATION_S)
     owner = owner_of(leases.node)
-    assert owner.levels(0.06 + LEASE_S)[1][TENANT] == 20.0
+    assert owner.levels(0.06 + LEASE_DURATION_S)[1][TENANT] == 20.0
 
 
 def test_a_tenant_that_asks_often_leases_ahead_but_no_more_than_its_share() -> None:
@@ -630,7 +630,7 @@
         leases.request(n / 200, TENANT, QuotaLimit(100.0, 100.0), 0.5, n)
         leases._leases[TENANT].waiting.clear()
         leases._leases[TENANT].asked = 0
-    assert asked[0] == 1 and max(asked) <= 1 + 100.0 * 0.75 * LEASE_S and asked[-1] > 1
+    assert asked[0] == 1 and max(asked) <= 1 + 100.0 * 0.75 * LEASE_DURATION_S and asked[-1] > 1
 
 
 def test_leases_of_tenants_that_ask_no_more_are_forgotten() -> None:
@@ -653,4 +653,4 @@
 
 def test_shards_are_the_same_everywhere() -> None:
     assert [shard_of(name) for name in ("sese880", "bago261", "lehu480")] == [0, 4, 15]
-    assert shard_duty(3) == "quota/3"
+    assert shard_key(3) == "quota/3"
--- a/tests/system/test_quota_loop.py
+++ b/tests/system/test_quota_loop.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable
 
-from troutdock.proxy.quota_loop import BUSY_MS, MOST_DATAGRAM_BYTES, QuotaLoop
+from troutdock.proxy.quota_loop import BUSY_LAG_MS, MAX_DATAGRAM_BYTES, QuotaLoop
 from troutdock.rpc.messages import (
     INCARNATION_TAG_MODULUS,
     Hello,
@@ -23,7 +23,7 @@
 from troutdock.platform.clock import SystemClock
 from troutdock.quota.bucket import QuotaLimit
 from troutdock.quota.node import QuotaNode
-from troutdock.quota.routes import ALONE, Peers, zones_before
+from troutdock.quota.routes import SINGLE_PROXY, Peers, preceding_zones
 
 TENANT, LIMIT = "t", QuotaLimit(10.0, 20.0)
 OWNER = Hello("espalier", "owner", "127.0.0.1", "a", 11, True)
@@ -90,7 +90,7 @@
         (grant,) = asker.node.take_grants()
         assert grant.granted == 7 and not asker.on_links
         # what must come once goes on the link
-        asker.node.give_back(TENANT, 3, grant.term)
+        asker.node.return_tokens(TENANT, 3, grant.term)
         asker.loop.flush()
         ((name, message),) = asker.on_links
         assert name == "owner" and isinstance(message, QuotaSettlement)
@@ -100,7 +100,7 @@
 
 def test_datagrams_of_strangers_and_of_other_lives_are_dropped_and_counted() -> None:
     async def story(owner: Side, asker: Side) -> None:
-        owner.loop.update_peers(ALONE)
+        owner.loop.update_peers(SINGLE_PROXY)
         demands = [TokenDemand(TENANT, 1, 5)]
         for sender, life, ip in (
             ("asker", 23, ASKER.ip),
@@ -129,7 +129,7 @@
 
 def test_what_is_too_long_for_a_datagram_goes_on_the_link() -> None:
     async def story(owner: Side, asker: Side) -> None:
-        votes = [ShardVote(1, "zone", n) for n in range(MOST_DATAGRAM_BYTES // 8)]
+        votes = [ShardVote(1, "zone", n) for n in range(MAX_DATAGRAM_BYTES // 8)]
         asker.loop._send_messages("owner", [QuotaRequest(votes=votes), QuotaGrant([])])
         assert [type(message) for _, message in asker.on_links] == [QuotaRequest, QuotaGrant]
 
@@ -138,20 +138,20 @@
 
 def test_a_late_loop_is_busy_until_it_is_prompt_again() -> None:
     async def story(owner: Side, asker: Side) -> None:
-        lag = [10 * BUSY_MS]
+        lag = [10 * BUSY_LAG_MS]
         side = Side(OWNER, {}, lambda: lag[0])
         for _ in range(5):
-            side.loop._follow_lag()
+            side.loop._update_lag()
         assert side.statuses == [True]
         lag[0] = 0.0
         for _ in range(30):
-            side.loop._follow_lag()
+            side.loop._update_lag()
         assert side.statuses == [True, False]
 
     play(story)
 
 
 def test_zones_before() -> None:
-    orders = {shard: zones_before(shard, "a", ["a", "b", "c"]) for shard in range(16)}
+    orders = {shard: preceding_zones(shard, "a", ["a", "b", "c"]) for shard in range(16)}
     assert all("a" not in zones for zones in orders.values())
     assert any(zones == [] for zones in orders.values()) and any(len(zones) == 2 for zones in orders.values())
--- a/tests/system/test_quotas_in_company.py
+++ b/tests/system/test_quotas_in_company.py
@@ -5,10 +5,10 @@
 import pytest
 from proxy_fleet import SimulatedFleet, TwoServices, max_in_window, proxy_settings
 
-from troutdock.proxy.load_exchange import ALIVE, LINKS_TO_OWNERS, Exchange
+from troutdock.proxy.load_exchange import LIVENESS_DUTY, LINKS_TO_OWNERS, LoadExchange
 from troutdock.rpc.messages import Member
 from troutdock.endpoints.rendezvous import ranked
-from troutdock.quota.routes import SHARDS, in_aggregator_order, shard_of, zone_duty, zones_before
+from troutdock.quota.routes import SHARD_COUNT, ranked_aggregators, shard_of, zone_key, preceding_zones
 
 RATE, BURST, WINDOW_S = 40.0, 40.0, 5.0
 ALLOWED = (RATE * WINDOW_S + BURST) * 1.1 + 20  # as the operators' rule counts
@@ -76,7 +76,7 @@
 def test_where_the_owner_and_the_aggregators_are_lost_the_next_lease_no_fresh_burst(seed: int) -> None:
     t = town(seed)
     press(t, 3000, 300)
-    order = in_aggregator_order("a", shard_of("tenant"), [n for n in t.ingresses if n[0] == "a"], frozenset())
+    order = ranked_aggregators("a", shard_of("tenant"), [n for n in t.ingresses if n[0] == "a"], frozenset())
     for name in {owner(t), order[0]}:
         t.kill(name)
     press(t, 5000, 300)
@@ -105,15 +105,15 @@
     t = town(5)
     t.cut = {(x, y) for x in t.ingresses for y in t.ingresses if x != y}
     for ingress in t.ingresses.values():  # each takes itself for the only one
-        ingress.exchange.company = lambda now: (1, 1)  # type: ignore[method-assign]
+        ingress.exchange.membership = lambda now: (1, 1)  # type: ignore[method-assign]
     press(t, 6000, 300)
     assert max_in_window(t.admitted, WINDOW_S * 1000) > ALLOWED
 
 
 def test_whom_an_ingress_dials() -> None:
     """In the zone the lower address; other zones by the home of a duty or the owner of a shard, once its own zone is linked."""
-    e = Exchange("a-1", "10.0.0.2", "a", 1, TwoServices())
-    e.listed(
+    e = LoadExchange("a-1", "10.0.0.2", "a", 1, TwoServices())
+    e.update_members(
         0.0,
         [
             Member("a-0", "10.0.0.1", 1, "a", 1),
@@ -125,59 +125,61 @@
         True,
     )
     near = [("a-0", "a"), ("a-2", "a")]
-    assert [m.name for m in e.wanted(0.0, [], ())] == ["a-2"]  # who is unmet may be the speaker
+    assert [m.name for m in e.dial_targets(0.0, [], ())] == ["a-2"]  # who is unmet may be the speaker
     names = ["a-0", "a-1", "a-2"]
-    homes = [duty for duty in e.duties() if e.home(duty, ["a-0", "a-2"])]
+    homes = [duty for duty in e.duties() if e.is_responsible(duty, ["a-0", "a-2"])]
     asked = [
         shard
-        for shard in range(SHARDS)
-        if ranked(zone_duty("a", shard), names)[0] == "a-1" and zones_before(shard, "a", ["b"])
+        for shard in range(SHARD_COUNT)
+        if ranked(zone_key("a", shard), names)[0] == "a-1" and preceding_zones(shard, "a", ["b"])
     ]
-    away = {m.name for m in e.wanted(0.1, near, ()) if m.zone == "b"}
+    away = {m.name for m in e.dial_targets(0.1, near, ()) if m.zone == "b"}
     expected = {ranked(f"b/{duty}", ["b-0", "b-1"])[0] for duty in homes}
     for shard in asked:
-        expected.update(ranked(zone_duty("b", shard), ["b-0", "b-1"])[:LINKS_TO_OWNERS])
+        expected.update(ranked(zone_key("b", shard), ["b-0", "b-1"])[:LINKS_TO_OWNERS])
     assert away == expected
 
 
 def test_of_owners_that_cannot_be_reached_the_next_is_dialled() -> None:
-    e = Exchange("a-1", "10.0.0.2", "a", 1, NoServices())
+    e = LoadExchange("a-1", "10.0.0.2", "a", 1, NoServices())
     members = [
         Member(f"{zone}-{n}", f"10.0.{z}.{n}", 1, zone, 1) for z, zone in enumerate("bc", 1) for n in range(3)
     ]
-    e.listed(0.0, members, (), True)
-    wanted = {m.name for m in e.wanted(0.0, [], ())}
-    for shard in range(SHARDS):  # alone in its zone, it asks for every shard
-        for zone in zones_before(shard, "a", ["b", "c"]):
-            order = ranked(zone_duty(zone, shard), [f"{zone}-{n}" for n in range(3)])
+    e.update_members(0.0, members, (), True)
+    wanted = {m.name for m in e.dial_targets(0.0, [], ())}
+    for shard in range(SHARD_COUNT):  # alone in its zone, it asks for every shard
+        for zone in preceding_zones(shard, "a", ["b", "c"]):
+            order = ranked(zone_key(zone, shard), [f"{zone}-{n}" for n in range(3)])
             assert order[0] in wanted
-            assert order[1] in {m.name for m in e.wanted(0.1, [], [order[0]])}
+            assert order[1] in {m.name for m in e.dial_targets(0.1, [], [order[0]])}
             linked = [(order[0], zone)]
-            assert order[0] in {m.name for m in e.wanted(0.2, linked, ())}
+            assert order[0] in {m.name for m in e.dial_targets(0.2, linked, ())}
             break
     # a zone behind one that is linked is left alone, where it is home for nothing else there
-    behind = {zone for shard in range(SHARDS) for zone in zones_before(shard, "a", ["b", "c"])[:1]}
+    behind = {zone for shard in range(SHARD_COUNT) for zone in preceding_zones(shard, "a", ["b", "c"])[:1]}
     linked_zones = [(f"{zone}-0", zone) for zone in sorted(behind)]
-    dialled = e._wanted_for_quotas(
+    dialled = e._quota_dial_targets(
         [], {zone: {m.name: m for m in members if m.zone == zone} for zone in "bc"}, linked_zones, ()
     )
     expected = set()
-    for shard in range(SHARDS):
-        for zone in zones_before(shard, "a", ["b", "c"])[:1]:
+    for shard in range(SHARD_COUNT):
+        for zone in preceding_zones(shard, "a", ["b", "c"])[:1]:
             expected.update(
-                ranked(zone_duty(zone, shard), [f"{zone}-{n}" for n in range(3)])[:LINKS_TO_OWNERS]
+                ranked(zone_key(zone, shard), [f"{zone}-{n}" for n in range(3)])[:LINKS_TO_OWNERS]
             )
     assert set(dialled) == expected
 
 
 def test_one_that_cannot_be_reached_makes_room_and_one_that_left_the_list_stays_while_it_is_up() -> None:
-    f = Exchange("a-1", "10.0.0.2", "a", 1, NoServices())
-    f.listed(0.0, [Member("b-0", "10.0.1.1", 1, "b", 1), Member("b-1", "10.0.1.2", 1, "b", 1)], (), True)
-    first = ranked(f"b/{ALIVE}", ["b-0", "b-1"])[0]
-    other = ranked(f"b/{ALIVE}", ["b-0", "b-1"])[1]
-    assert first in {m.name for m in f.wanted(0.0, [], ())}
-    assert [m.name for m in f.wanted(0.1, [], [first])] == [other]  # for every duty and shard
+    f = LoadExchange("a-1", "10.0.0.2", "a", 1, NoServices())
+    f.update_members(
+        0.0, [Member("b-0", "10.0.1.1", 1, "b", 1), Member("b-1", "10.0.1.2", 1, "b", 1)], (), True
+    )
+    first = ranked(f"b/{LIVENESS_DUTY}", ["b-0", "b-1"])[0]
+    other = ranked(f"b/{LIVENESS_DUTY}", ["b-0", "b-1"])[1]
+    assert first in {m.name for m in f.dial_targets(0.0, [], ())}
+    assert [m.name for m in f.dial_targets(0.1, [], [first])] == [other]  # for every duty and shard
     # who has left the list may merely be cut off from the registry: a link that is up stays, another goes
-    f.listed(1.0, [], [first], False)
-    assert f.keeps(first, f.ip, {}, True) and not f.keeps(first, f.ip, {}, False)
-    assert not f.keeps(other, f.ip, {}, True)
+    f.update_members(1.0, [], [first], False)
+    assert f.should_keep(first, f.ip, {}, True) and not f.should_keep(first, f.ip, {}, False)
+    assert not f.should_keep(other, f.ip, {}, True)
--- a/troutdock/proxy/daemon.py
+++ b/troutdock/proxy/daemon.py
@@ -23,7 +23,7 @@
 from troutdock.proxy.quota_loop import QuotaLoop
 from troutdock.proxy.request_reader import SystemReader, passes, verdict
 from troutdock.proxy.route_table import Table
-from troutdock.proxy.load_exchange import News
+from troutdock.proxy.load_exchange import LoadUpdate
 from troutdock.rpc.http_calls import HttpRequest, HttpServer, HttpResponse
 from troutdock.rpc.connection import SILENCE_TIMEOUT_S, Address, PeerConnection
 from troutdock.rpc.messages import (
@@ -348,8 +348,8 @@
     def _tell(self, event: Event) -> None:
         self._decides.handle(self.clock.now(), event)
 
-    def _others(self, news: News) -> None:
-        for origin, out in news.out.items():
+    def _others(self, news: LoadUpdate) -> None:
+        for origin, out in news.loads.items():
             found = {self._numbers[id]: count for id, count in out.items() if id in self._numbers}
             if found:
                 self._tell(PeerLoad(origin, found))
--- a/troutdock/proxy/peer_connections.py
+++ b/troutdock/proxy/peer_connections.py
@@ -15,7 +15,7 @@
 import logbook
 
 from troutdock.settings.boot import Boot
-from troutdock.proxy.load_exchange import Exchange, News, Services
+from troutdock.proxy.load_exchange import LoadExchange, LoadUpdate, Services
 from troutdock.rpc.connection import Address, Connector, PeerConnection, Listener
 from troutdock.rpc.messages import (
     Hello,
@@ -47,7 +47,7 @@
         self,
         boot: Boot,
         hello: Hello,
-        heard: Callable[[News], None],
+        heard: Callable[[LoadUpdate], None],
         company: Callable[[int, int], None],
         services: Services,
         peers_changed: Callable[[Peers], None] = lambda _: None,
@@ -73,7 +73,7 @@
         self._is_dial_due = False
         self._busy_until: dict[str, float] = {}  # by name; infinite while it is linked
         self._loop = asyncio.get_running_loop()
-        self.exchange = Exchange(boot.name, boot.ip, boot.zone, hello.life, services)
+        self.exchange = LoadExchange(boot.name, boot.ip, boot.zone, hello.life, services)
         self._dialers: dict[str, Connector] = {}  # by name
         self._links: dict[PeerConnection, None] = {}
         self._listener = Listener(lambda: PeerConnection(hello, self._heard, self._up, self._down))
@@ -89,7 +89,7 @@
 
     def listed(self, members: Members) -> None:
         """The registry's list of ingresses."""
-        self.exchange.listed(self._loop.time(), members.entries, members.gone, members.full)
+        self.exchange.update_members(self._loop.time(), members.entries, members.gone, members.full)
         self._is_listed = True
         self._dial()
         self._tell_company()
@@ -99,7 +99,7 @@
 
     def load(self, instance: str, count: int) -> None:
         """Own open attempts at a backend have changed."""
-        self.exchange.load(instance, count)
+        self.exchange.set_load(instance, count)
         self._soon()
 
     def _soon(self) -> None:
@@ -109,7 +109,7 @@
 
     def _tell_zone(self) -> None:
         self._zone_due = False
-        self._to_zone(self.exchange.for_zone())
+        self._to_zone(self.exchange.zone_update())
 
     def _to_zone(self, shares: Shares | None) -> None:
         if shares is not None:
@@ -125,11 +125,11 @@
             if link.peer is not None and link.peer.zone != self._boot.zone
         }
         zones = [(name, link.peer.zone) for name, link in away.items() if link.peer is not None]
-        for names, shares in self.exchange.for_away(self._loop.time(), self._neighbours(), zones):
+        for names, shares in self.exchange.remote_updates(self._loop.time(), self._neighbours(), zones):
             payload = encode(shares)
             for name in names:
                 away[name].send_payload(payload)
-        self._to_zone(self.exchange.passed_on())
+        self._to_zone(self.exchange.forwarded_update())
         if not self._closed:
             self._loop.call_later(AWAY_S, self._away)
 
@@ -158,9 +158,9 @@
         if self._closed:
             return
         linked = [(link.peer.name, link.peer.zone) for link in self._links if link.peer is not None]
-        wanted = {m.name: m for m in self.exchange.wanted(self._loop.time(), linked, self._failing())}
+        wanted = {m.name: m for m in self.exchange.dial_targets(self._loop.time(), linked, self._failing())}
         for name, dialer in list(self._dialers.items()):
-            if not self.exchange.keeps(name, dialer.address[0], wanted, dialer.is_ready):
+            if not self.exchange.should_keep(name, dialer.address[0], wanted, dialer.is_ready):
                 dialer.close()
                 del self._dialers[name]
         for name, member in wanted.items():
@@ -190,7 +190,7 @@
         if self._is_busy and peer.leases:
             link.send(QuotaStatus(True))
         away = peer.zone != self._boot.zone
-        link.send(self.exchange.full(self._loop.time(), peer.name, away))
+        link.send(self.exchange.full_state(self._loop.time(), peer.name, away))
         self._tell_peers()
         self._dial_soon()  # this one may speak for its zone now
 
@@ -204,7 +204,7 @@
             peer = link.peer
             if peer is None or peer.zone != self._boot.zone or peer.name in self._neighbours():
                 return  # two links, where both have dialled: the other one is up
-            self._on_news(self.exchange.forget(self._loop.time(), peer.name))
+            self._on_news(self.exchange.expire(self._loop.time(), peer.name))
 
     def _heard(self, link: PeerConnection, message: Message) -> None:
         if link.peer is None or link not in self._links:
@@ -216,8 +216,8 @@
         if not isinstance(message, Shares):
             return
         now = self._loop.time()
-        news = self.exchange.hear(now, message, link.peer.name, link.peer.zone, link.peer.life)
-        if news.out:
+        news = self.exchange.receive(now, message, link.peer.name, link.peer.zone, link.peer.life)
+        if news.loads:
             self._on_news(news)
 
     def _look(self) -> None:
@@ -225,9 +225,9 @@
             return
         now = self._loop.time()
         for name in self._neighbours():
-            self.exchange.alive(now, name)
-        news = self.exchange.forget(now)
-        if news.out:
+            self.exchange.mark_alive(now, name)
+        news = self.exchange.expire(now)
+        if news.loads:
             self._on_news(news)
         self._dial()
         self._tell_company()
@@ -236,7 +236,7 @@
             self._loop.call_later(LOOK_S, self._look)
 
     def _tell_company(self) -> None:
-        company = self.exchange.company(self._loop.time())
+        company = self.exchange.membership(self._loop.time())
         if company != self._told:
             self._told = company
             self._company(*company)
@@ -271,11 +271,11 @@
         self.exchange.busy = self._busy_names()
         self._peers_changed(
             Peers(
-                near=frozenset(peer.name for peer in linked if peer.zone == zone),
-                away={peer.name: peer.zone for peer in linked if peer.zone != zone},
-                listed_near=frozenset(m.name for m in members if m.zone == zone) - set(self._failing()),
+                zone_peers=frozenset(peer.name for peer in linked if peer.zone == zone),
+                remote_peers={peer.name: peer.zone for peer in linked if peer.zone != zone},
+                listed_zone_peers=frozenset(m.name for m in members if m.zone == zone) - set(self._failing()),
                 listed_zones=frozenset(m.zone for m in members if m.zone != zone),
-                fleet_size=self.exchange.company(self._loop.time())[0] if self._is_listed else 0,
+                fleet_size=self.exchange.membership(self._loop.time())[0] if self._is_listed else 0,
                 busy=self.exchange.busy,
             )
         )
--- a/troutdock/proxy/quota_loop.py
+++ b/troutdock/proxy/quota_loop.py
@@ -35,10 +35,10 @@
 
 log = logbook.Logger("quotas")
 
-TICK_S = 0.1  # between two looks at the time
-BUSY_MS, IDLE_MS = 40.0, 15.0  # lag from which on this proxy is busy, and down to which it stays so
+TICK_INTERVAL_S = 0.1  # between two looks at the time
+BUSY_LAG_MS, IDLE_LAG_MS = 40.0, 15.0  # lag from which on this proxy is busy, and down to which it stays so
 LAG_WEIGHT = 0.3  # of the newest look at the lag, in its average
-MOST_DATAGRAM_BYTES = 1400  # what is longer goes on the link
+MAX_DATAGRAM_BYTES = 1400  # what is longer goes on the link
 LOG_INTERVAL_S = 10.0  # between two lines about messages that made no sense
 
 
@@ -101,7 +101,7 @@
         self._datagrams, _ = await self._loop.create_datagram_endpoint(
             lambda: _Datagrams(self._receive_datagram), local_addr=address
         )
-        self._follow_lag()
+        self._update_lag()
         self._tick()
 
     def now(self) -> float:
@@ -162,14 +162,14 @@
         """False: it is too long, or there is no way."""
         peer = self._peer(name)
         payload = encode_datagram(datagram)
-        if self._datagrams is None or peer is None or len(payload) > MOST_DATAGRAM_BYTES:
+        if self._datagrams is None or peer is None or len(payload) > MAX_DATAGRAM_BYTES:
             return False
         self._datagrams.sendto(encode_frame(payload), (peer.ip, self._port))
         return True
 
     def _receive_datagram(self, data: bytes, address: Address) -> None:
         try:
-            (payload,) = FrameDecoder(MOST_DATAGRAM_BYTES).feed(data)
+            (payload,) = FrameDecoder(MAX_DATAGRAM_BYTES).feed(data)
             datagram = decode_datagram(payload)
         except (FrameError, MessageError, ValueError):  # the last: not one whole frame
             self.node.rejected += 1
@@ -197,12 +197,12 @@
         if self.node.rejected > self._rejected and now - self._logged_at >= LOG_INTERVAL_S:
             log.warning("quota messages rejected count={}", self.node.rejected - self._rejected)
             self._rejected, self._logged_at = self.node.rejected, now
-        self._follow_lag()
-        self._timer = self._loop.call_later(TICK_S, self._tick)
+        self._update_lag()
+        self._timer = self._loop.call_later(TICK_INTERVAL_S, self._tick)
 
-    def _follow_lag(self) -> None:
+    def _update_lag(self) -> None:
         self._average_lag_ms += (self._lag_ms() - self._average_lag_ms) * LAG_WEIGHT
-        is_late = self._average_lag_ms > (IDLE_MS if self._is_busy else BUSY_MS)
+        is_late = self._average_lag_ms > (IDLE_LAG_MS if self._is_busy else BUSY_LAG_MS)
         self._may_be_unsettled = self._may_be_unsettled and not self.node.is_settled(self.now())
         is_busy = is_late or self._may_be_unsettled
         if is_busy != self._is_busy:
--- a/troutdock/quota/bucket.py
+++ b/troutdock/quota/bucket.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FillingTime:
+class FillTime:
     """How long an owner was backed since its term began, by the part of the fleet that backed it.
 
     Attributes:
@@ -41,7 +41,7 @@
 
     __slots__ = ("level", "limit", "time")
 
-    def __init__(self, limit: QuotaLimit, time: FillingTime) -> None:
+    def __init__(self, limit: QuotaLimit, time: FillTime) -> None:
         """Begin empty at the given time."""
         self.limit, self.time = limit, time
         self.level = 0.0
@@ -50,7 +50,7 @@
         """The tokens that it holds at an owner whom that part of the fleet backs: at least one."""
         return min(self.limit.burst, max(1.0, self.limit.burst * part))
 
-    def refill(self, time: FillingTime, part: float) -> None:
+    def refill(self, time: FillTime, part: float) -> None:
         """Add what the rate yields until the given time, up to the given part of the burst."""
         gained = max(0.0, time.backed_s - self.time.backed_s) * self.limit.rate_per_s
         drained = max(0.0, time.unbacked_s - self.time.unbacked_s) * self.limit.rate_per_s
--- a/troutdock/quota/demands.py
+++ b/troutdock/quota/demands.py
@@ -2,7 +2,7 @@
 
 A proxy keeps one demand for a tenant under way to its upstream peer (`SentDemands`), and remembers who waits
 for what (`PendingDemands`). Both ends bear lost, late and repeated messages: a demand is sent again under its
-number until it is answered, is answered again with what it got (`LastAnswers`), and is given up after
+number until it is answered, is answered again with what it got (`AnswerCache`), and is given up after
 GRANT_LIFETIME_S; what comes for it then is told apart, so that it can be handed back once.
 """
 
@@ -15,12 +15,12 @@
 from troutdock.rpc.messages import TokenDemand, TokenGrant
 
 GRANT_LIFETIME_S = 0.25  # a demand is given up then; a grant that comes later is handed back unspent
-ABANDONED_S = 2.0  # so long the answer to a demand that was given up may still come
-ANSWERS_KEPT_S = 5.0  # longer than a demand is sent again and its copies are on their way
-RESEND_LEAST_S, RESEND_MOST_S = 0.03, 0.2  # between two sendings of a demand, at first; it doubles
-RESEND_TIMES = 2.5  # of the usual time of an answer
+ABANDONED_TTL_S = 2.0  # so long the answer to a demand that was given up may still come
+ANSWER_TTL_S = 5.0  # longer than a demand is sent again and its copies are on their way
+MIN_RESEND_S, MAX_RESEND_S = 0.03, 0.2  # between two sendings of a demand, at first; it doubles
+RESEND_FACTOR = 2.5  # of the usual time of an answer
 ANSWER_WEIGHT = 0.1  # of the newest answer's time, in the usual one
-MOST_WANTED = 1_000_000  # tokens in one demand: more is no demand that a proxy can have
+MAX_WANTED = 1_000_000  # tokens in one demand: more is no demand that a proxy can have
 
 
 # ---- up: what was asked of the upstream peer
@@ -37,7 +37,7 @@
         returning: How many of them are for clients at their appointed time.
         hops: How often parts of it have been passed on.
         sent_at: Seconds, the first time.
-        again_at: When it is to be sent again.
+        next_send_at: When it is to be sent again.
         interval_s: Until then, doubled each time.
     """
 
@@ -47,7 +47,7 @@
     returning: int
     hops: int
     sent_at: float
-    again_at: float
+    next_send_at: float
     interval_s: float
 
     def message(self, tenant: str) -> TokenDemand:
@@ -68,8 +68,8 @@
         self, now: float, upstream: str, tenant: str, number: int, wanted: int, returning: int, hops: int
     ) -> SentDemand:
         """Begin one; see SentDemand for the arguments."""
-        usual_s = RESEND_TIMES * self._usual_s.get(upstream, 0.0)
-        interval_s = min(RESEND_MOST_S, max(RESEND_LEAST_S, usual_s))
+        usual_s = RESEND_FACTOR * self._usual_s.get(upstream, 0.0)
+        interval_s = min(MAX_RESEND_S, max(MIN_RESEND_S, usual_s))
         sent = SentDemand(upstream, number, wanted, returning, hops, now, now + interval_s, interval_s)
         self.by_tenant[tenant] = sent
         return sent
@@ -77,14 +77,14 @@
     @property
     def resend_at(self) -> float:
         """When the next one is to be sent again; infinite where none is under way."""
-        return min((sent.again_at for sent in self.by_tenant.values()), default=inf)
+        return min((sent.next_send_at for sent in self.by_tenant.values()), default=inf)
 
     def due(self, now: float) -> Iterator[tuple[str, SentDemand]]:
         """Those that are to be sent again now, by tenant."""
         for tenant, sent in self.by_tenant.items():
-            if now >= sent.again_at:
+            if now >= sent.next_send_at:
                 sent.interval_s *= 2
-                sent.again_at = now + sent.interval_s
+                sent.next_send_at = now + sent.interval_s
                 yield tenant, sent
 
     def abandon(self, where: Callable[[str, SentDemand], bool]) -> None:
@@ -95,7 +95,7 @@
 
     def abandon_overdue(self, now: float) -> None:
         """Give up those that are unanswered for GRANT_LIFETIME_S, and forget what was given up long ago."""
-        for number in [n for n, sent in self._abandoned.items() if now - sent.sent_at > ABANDONED_S]:
+        for number in [n for n, sent in self._abandoned.items() if now - sent.sent_at > ABANDONED_TTL_S]:
             del self._abandoned[number]
         self.abandon(lambda _, sent: now - sent.sent_at > GRANT_LIFETIME_S)
 
@@ -175,7 +175,7 @@
         if not waiting:
             self._by_tenant.pop(tenant, None)
 
-    def of(self, tenant: str) -> list[PendingDemand]:
+    def for_tenant(self, tenant: str) -> list[PendingDemand]:
         """Those for a tenant, in their turn."""
         return list(self._by_tenant.get(tenant, {}).values())
 
@@ -191,7 +191,7 @@
                 del self._by_tenant[tenant]
 
 
-def share_out(granted: int, demands: list[PendingDemand]) -> list[int]:
+def distribute_tokens(granted: int, demands: list[PendingDemand]) -> list[int]:
     """Tokens for each demand: clients at their appointed time first, then in turn."""
     left = granted
     shares = []
@@ -205,8 +205,8 @@
     return shares
 
 
-class LastAnswers:
-    """The last answer to each peer and tenant, for at least ANSWERS_KEPT_S, so that it can be sent again."""
+class AnswerCache:
+    """The last answer to each peer and tenant, for at least ANSWER_TTL_S, so that it can be sent again."""
 
     def __init__(self) -> None:
         """Begin with none."""
@@ -228,8 +228,8 @@
             for key in [key for key in answers if key[0] == peer]:
                 del answers[key]
 
-    def age(self, now: float) -> None:
+    def rotate(self, now: float) -> None:
         """Time has gone by."""
-        if now - self._aged_at >= ANSWERS_KEPT_S:
+        if now - self._aged_at >= ANSWER_TTL_S:
             self._aged_at = now
             self._newer, self._older = {}, self._newer
--- a/troutdock/quota/leases.py
+++ b/troutdock/quota/leases.py
@@ -1,14 +1,14 @@
-"""The tokens that one proxy has leased, and the requests that wait for some (no I/O, no clock).
+"""Tokens leased by one proxy and the requests that wait for tokens (no I/O, no clock).
 
-Theory of operation. A request takes a leased token, or waits while one is asked for, or is refused at
-once where the owner has just said that there is none. A demand covers the requests that wait and, for a
-tenant that asks often, what is expected within LEASE_S. What is not spent within LEASE_S of the grant is
-handed back.
+Theory of operation. A request takes a leased token, waits while a token is requested, or is rejected
+immediately if the owner has recently reported that none is available. A demand covers the waiting requests
+and, for a tenant with a high request rate, the number of requests expected within LEASE_DURATION_S. Tokens
+that are not spent within LEASE_DURATION_S of the grant are returned to the owner.
 
-The *share* of a tenant is the part of its quota that this proxy takes for its own, as the design's slice:
-at least the even split; in each second in which it ran dry and the owner gave all that it asked, it grows
-by half; in each second in which the owner refused, it loses half of its growth. It bounds what is leased
-ahead, and return times follow from it.
+The *share* of a tenant is the fraction of its quota that this proxy claims for itself. It is never less than
+the even split. It grows by half in each second in which the proxy ran out of tokens and the owner granted
+everything it asked for. It loses half of its growth in each second in which the owner rejected a demand. The
+share bounds how many tokens are leased ahead, and retry times are computed from it.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 from troutdock.quota.bucket import QuotaLimit
 from troutdock.quota.node import LocalGrant, QuotaNode
 
-LEASE_S = 0.1  # so long leased tokens may be spent
-GROWTH, DECAY = 1.5, 0.5  # of the share, a second (design page)
+LEASE_DURATION_S = 0.1  # so long leased tokens may be spent
+SHARE_GROWTH, SHARE_DECAY = 1.5, 0.5  # of the share, a second (design page)
 SHARE_INTERVAL_S = 1.0
-PACE_S = 1.0  # over which the pace of arrivals is taken
-FORGET_S = 60.0  # a tenant that has asked nothing for so long is forgotten
+ARRIVAL_WINDOW_S = 1.0  # over which the pace of arrivals is taken
+IDLE_TENANT_TTL_S = 60.0  # a tenant that has asked nothing for so long is forgotten
 
 
 class Verdict(Enum):
@@ -86,7 +86,7 @@
         """
         lease = self._lease(now, tenant, even)
         lease.rate_per_s = limit.rate_per_s
-        lease.pace_per_s += 1 / PACE_S
+        lease.pace_per_s += 1 / ARRIVAL_WINDOW_S
         if lease.tokens and not lease.waiting:
             lease.tokens -= 1
             return Verdict.GRANTED
@@ -108,7 +108,7 @@
         """A granted token was not spent: another request may take it for a moment."""
         if (lease := self._leases.get(tenant)) is not None:
             lease.tokens += 1
-            lease.expires_at = max(lease.expires_at, now + LEASE_S)
+            lease.expires_at = max(lease.expires_at, now + LEASE_DURATION_S)
 
     def share(self, now: float, tenant: str, even: float) -> float:
         """The part of the quota that this proxy takes for its own, from the even split to 1."""
@@ -124,16 +124,16 @@
                     if lease.waiting and not lease.asked:
                         self._ask(now, grant.tenant, lease)
                 elif grant.granted:
-                    self.node.give_back(grant.tenant, grant.granted, grant.term)
+                    self.node.return_tokens(grant.tenant, grant.granted, grant.term)
         return results
 
     def tick(self, now: float) -> None:
         """Hand back what was not spent in time, and forget who asks no more."""
         for tenant, lease in list(self._leases.items()):
             if lease.tokens and now >= lease.expires_at:
-                self.node.give_back(tenant, lease.tokens, lease.term)
+                self.node.return_tokens(tenant, lease.tokens, lease.term)
                 lease.tokens = 0
-            if now - lease.paced_at > FORGET_S and not lease.waiting:
+            if now - lease.paced_at > IDLE_TENANT_TTL_S and not lease.waiting:
                 del self._leases[tenant]
 
     # ---- parts
@@ -143,9 +143,9 @@
         if lease is None:
             lease = self._leases[tenant] = _Lease(even, even, paced_at=now, shared_at=now)
         if lease.tokens and now >= lease.expires_at:
-            self.node.give_back(tenant, lease.tokens, lease.term)
+            self.node.return_tokens(tenant, lease.tokens, lease.term)
             lease.tokens = 0
-        lease.pace_per_s *= max(0.0, 1 - (now - lease.paced_at) / PACE_S)
+        lease.pace_per_s *= max(0.0, 1 - (now - lease.paced_at) / ARRIVAL_WINDOW_S)
         lease.paced_at = now
         self._follow_share(now, lease, even)
         return lease
@@ -158,14 +158,14 @@
         if now - lease.shared_at < SHARE_INTERVAL_S:
             return
         if lease.was_refused:
-            lease.share = max(even, lease.share - (lease.share - even) * DECAY)
+            lease.share = max(even, lease.share - (lease.share - even) * SHARE_DECAY)
         elif lease.ran_dry:
-            lease.share = min(1.0, lease.share * GROWTH)
+            lease.share = min(1.0, lease.share * SHARE_GROWTH)
         lease.shared_at = now
         lease.ran_dry = lease.was_refused = False
 
     def _ask(self, now: float, tenant: str, lease: _Lease) -> None:
-        expected = min(lease.pace_per_s, lease.rate_per_s * lease.share) * LEASE_S
+        expected = min(lease.pace_per_s, lease.rate_per_s * lease.share) * LEASE_DURATION_S
         returning = sum(lease.waiting.values())
         lease.asked = len(lease.waiting) + int(expected)
         self.node.demand(now, tenant, lease.asked, returning)
@@ -175,7 +175,7 @@
         if lease.term != grant.term:  # what is left can't be handed back any more
             lease.tokens = 0
         lease.tokens += grant.granted
-        lease.term, lease.expires_at = grant.term, now + LEASE_S
+        lease.term, lease.expires_at = grant.term, now + LEASE_DURATION_S
         if grant.retry_after_s:
             lease.refused_until, lease.was_refused = now + grant.retry_after_s, True
         for request in sorted(lease.waiting, key=lambda request: not lease.waiting[request]):
--- a/troutdock/quota/node.py
+++ b/troutdock/quota/node.py
@@ -1,28 +1,31 @@
-"""One proxy's part in the quotas of the fleet: owner, aggregator, and requester of leases (no I/O, no
-clock).
-
-Theory of operation. A proxy that lets a request in has a token for it, and every token comes from the
-bucket of one owner. Demands go up the tree of `routes`: from a proxy to the aggregator of its zone, from
-there to the owner; grants come back down. Each level keeps one demand for a tenant under way, and sums up
-in the next what has come in meanwhile, so that the messages of a hot tenant are bounded by round trips,
-and a tenant nobody asks for costs none. Who got less than it wanted is told for how long asking is of no
-use, and answers for that time by itself.
-
-What holds whatever is lost, late, cut off, frozen or restarted:
-
-    demands, grants   go as datagrams; a demand is sent again under its number until it is answered, and
-                      answered again with what it got. A lost grant costs tokens, never gives any
-    returns           go to the term that granted them; any other drops them
-    two owners        fill and hold their buckets by the parts of the fleet that back them (owner.ShardOwner),
-                      and a zone backs one at a time: rate x VOTE_LIFETIME_S more at most, once a change
-    a new owner       begins empty, but for what one that ends or yields hands over after its last grant
-    a standstill      who has not run for STALL_S may have been replaced: its terms end, its votes are void
-    a late grant      is handed back after GRANT_LIFETIME_S, as what it allows lies in an earlier window
-    a limit           counts as the owner knows it; a raised one adds no tokens
-
-So what is granted in any window is at most rate x (window + VOTE_LIFETIME_S x changes of owner in it) +
-burst, and what is spent was granted GRANT_LIFETIME_S + LEASE_S before at most. The calculation beside the
-operators' rule is in docs/design/quotas.md.
+"""State machine of one proxy for fleet-wide quotas: owner, aggregator and requester (no I/O, no clock).
+
+Theory of operation. A proxy admits a request only with a token, and every token comes from the bucket of a
+single owner. Demands travel up the tree defined in `routes`: from a proxy to the aggregator of its zone, and
+from there to the owner. Grants travel back down. Each level has at most one outstanding demand per tenant and
+combines everything that arrives in the meantime into the next one. The message rate of a busy tenant is
+therefore bounded by the round-trip time, and a tenant without requests causes no messages. A requester that
+received less than it wanted is given a time for which further demands are useless, and rejects requests
+locally during that time.
+
+Invariants under message loss, delay, partitions, stalls and restarts:
+
+    demands, grants   are sent as datagrams. A demand is resent under the same number until it is answered,
+                      and a repeated demand gets the same answer. A lost grant loses tokens, never creates any
+    returned tokens   go to the term that granted them; an owner in any other term drops them
+    two owners        fill and cap their buckets by the fraction of the fleet that backs each of them
+                      (owner.ShardOwner), and a zone backs one owner at a time: at most rate x VOTE_LIFETIME_S
+                      extra tokens for each change of owner
+    a new owner       starts with empty buckets, plus the levels that a terminating or yielding owner hands
+                      over after its last grant
+    a stalled owner   that has not run for STALL_THRESHOLD_S may have been replaced: its terms end, and the
+                      votes it received become void
+    a late grant      is returned after GRANT_LIFETIME_S, because it was counted in an earlier window
+    a limit           applies as the owner knows it; raising a limit adds no tokens
+
+The tokens granted in any window are therefore at most rate x (window + VOTE_LIFETIME_S x changes of owner in
+the window) + burst, and a spent token was granted at most GRANT_LIFETIME_S + LEASE_DURATION_S earlier. The
+calculation is compared with the operators' rule in docs/design/quotas.md.
 """
 
 from __future__ import annotations
@@ -46,23 +49,23 @@
 from troutdock.quota.bucket import QuotaLimit
 from troutdock.quota.demands import (
     GRANT_LIFETIME_S,
-    MOST_WANTED,
-    LastAnswers,
+    MAX_WANTED,
+    AnswerCache,
     PendingDemand,
     PendingDemands,
     SentDemands,
-    share_out,
+    distribute_tokens,
 )
 from troutdock.quota.outbox import Outbox
-from troutdock.quota.owner import RETRY_MOST_S, ShardOwner
+from troutdock.quota.owner import MAX_RETRY_S, ShardOwner
 from troutdock.quota.ownership import OwnedShards
-from troutdock.quota.routes import ALONE, SHARDS, Peers, Role, ShardRoutes, shard_of
+from troutdock.quota.routes import SINGLE_PROXY, SHARD_COUNT, Peers, Role, ShardRoutes, shard_of
 
 VOTE_INTERVAL_S = 0.2  # between two votes of a zone: three lie within a vote's lifetime
-STALL_S = 0.5  # a process that has not run for so long may have been replaced as owner
-PENDING_S = 1.0  # a demand that has not been answered for so long is told to come again
-RETRY_UNSERVED_S = 0.1  # what is told where there is no owner, or it does not know the tenant
-MOST_HOPS = 4  # a demand that has been passed on so often goes in a circle
+STALL_THRESHOLD_S = 0.5  # a process that has not run for so long may have been replaced as owner
+PENDING_TIMEOUT_S = 1.0  # a demand that has not been answered for so long is told to come again
+NO_OWNER_RETRY_S = 0.1  # what is told where there is no owner, or it does not know the tenant
+MAX_HOPS = 4  # a demand that has been passed on so often goes in a circle
 LOCAL = ""  # this proxy itself, among those that ask
 
 
@@ -101,7 +104,7 @@
         self._peers = Peers()
         self._owned = OwnedShards(life, now, bootstrap)
         self._pending = PendingDemands()
-        self._answered = LastAnswers()
+        self._answered = AnswerCache()
         self._sent = SentDemands()
         self._refused_until: dict[str, float] = {}  # by tenant
         self._charges: dict[str, int] = {}
@@ -115,7 +118,7 @@
     def standalone(cls) -> QuotaNode:
         """The only proxy there is; its buckets begin full."""
         node = cls("", "", 0, 0.0, bootstrap=True)
-        node.update_peers(0.0, ALONE)
+        node.update_peers(0.0, SINGLE_PROXY)
         return node
 
     # ---- what this proxy knows
@@ -147,12 +150,16 @@
     def update_peers(self, now: float, peers: Peers) -> None:
         """Other proxies were linked, lost, listed or delisted."""
         self._observe(now)
-        for name in (set(self._peers.near) | set(self._peers.away)) - set(peers.near) - set(peers.away):
+        for name in (
+            (set(self._peers.zone_peers) | set(self._peers.remote_peers))
+            - set(peers.zone_peers)
+            - set(peers.remote_peers)
+        ):
             self._forget_peer(name)
         self._peers = peers
-        self._owned.set_fleet(len(peers.near) + 1, peers.fleet_size)
+        self._owned.set_fleet(len(peers.zone_peers) + 1, peers.fleet_size)
         self._follow_routes(now)
-        self._owned.back(now)
+        self._owned.update_backing(now)
 
     def _forget_peer(self, name: str) -> None:
         """A peer's link has ended, and with it what was asked and voted on it."""
@@ -166,7 +173,7 @@
 
     def _observe(self, now: float) -> None:
         """End this proxy's terms where it has stood still for so long that it may have been replaced."""
-        if now - self._ticked_at > STALL_S:
+        if now - self._ticked_at > STALL_THRESHOLD_S:
             self._ticked_at = now
             self._owned.end_terms(now)
 
@@ -177,20 +184,20 @@
         self._follow_routes(now)
         if now - self._voted_at >= VOTE_INTERVAL_S:
             self._voted_at = now
-            for shard in range(SHARDS):
+            for shard in range(SHARD_COUNT):
                 self._vote(shard)
-        self._owned.back(now)
+        self._owned.update_backing(now)
         self._flush_charges(now)
-        self._answered.age(now)
+        self._answered.rotate(now)
         self._sent.abandon_overdue(now)
         for tenant in self._pending.tenants():
             self._serve(now, tenant)
             self._answer_overdue(now, tenant)
 
     def _answer_overdue(self, now: float, tenant: str) -> None:
-        for pending in self._pending.of(tenant):
-            if now - pending.received_at > PENDING_S:
-                self._answer(tenant, pending, 0, RETRY_UNSERVED_S, "")
+        for pending in self._pending.for_tenant(tenant):
+            if now - pending.received_at > PENDING_TIMEOUT_S:
+                self._answer(tenant, pending, 0, NO_OWNER_RETRY_S, "")
 
     @property
     def resend_at(self) -> float:
@@ -221,10 +228,10 @@
             self._ask_again(now, shard, route.upstream)
 
     def _is_linked(self, peer: str) -> bool:
-        return peer in self._peers.near or peer in self._peers.away
+        return peer in self._peers.zone_peers or peer in self._peers.remote_peers
 
     def _yield(self, now: float, shard: int, successor: str) -> None:
-        handover = self._owned.give_up(now, shard)
+        handover = self._owned.release(now, shard)
         if handover is not None and successor:
             self._outbox.add_handover(successor, handover)
 
@@ -237,7 +244,9 @@
         """Back the owner that this zone has chosen."""
         route = self._routes.routes[shard]
         if route.role is Role.AGGREGATOR:
-            self._outbox.add_vote(route.upstream, ShardVote(shard, self.zone, len(self._peers.near) + 1))
+            self._outbox.add_vote(
+                route.upstream, ShardVote(shard, self.zone, len(self._peers.zone_peers) + 1)
+            )
 
     def _ask_again(self, now: float, shard: int, upstream: str) -> None:
         """What was asked of another peer than the upstream one is asked anew."""
@@ -265,12 +274,12 @@
         """Requests of a tenant were sent to a backend without a token."""
         self._charges[tenant] = self._charges.get(tenant, 0) + requests
 
-    def give_back(self, tenant: str, tokens: int, term: str) -> None:
+    def return_tokens(self, tenant: str, tokens: int, term: str) -> None:
         """Leased tokens were not spent."""
         self._receive_returned(ReturnedTokens(tenant, tokens, term), 0)
 
     def _receive_demand(self, now: float, requester: str, demand: TokenDemand, hops: int) -> None:
-        if not 0 <= demand.returning <= demand.wanted <= MOST_WANTED:
+        if not 0 <= demand.returning <= demand.wanted <= MAX_WANTED:
             self.rejected += 1
             return
         answered = self._answered.last(requester, demand.tenant)
@@ -284,7 +293,7 @@
 
     def _serve(self, now: float, tenant: str) -> None:
         """Answer the tenant's demands, or pass them on, or leave them waiting."""
-        demands = self._pending.of(tenant)
+        demands = self._pending.for_tenant(tenant)
         shard = shard_of(tenant)
         owner = self._owned.get(shard)
         upstream = self._routes.routes[shard].upstream
@@ -299,7 +308,7 @@
         limit = self._owned.limits.get(tenant)
         for pending in demands:
             if limit is None:
-                self._answer(tenant, pending, 0, RETRY_UNSERVED_S, "")
+                self._answer(tenant, pending, 0, NO_OWNER_RETRY_S, "")
                 continue
             answer = owner.grant(now, pending.requester, tenant, limit, pending.wanted, pending.returning)
             self._answer(tenant, pending, answer.granted, answer.retry_after_s, owner.term)
@@ -309,13 +318,13 @@
         for pending in demands:
             if refused_for_s > 0:
                 self._answer(tenant, pending, 0, refused_for_s, "")
-            elif pending.hops >= MOST_HOPS:
-                self._answer(tenant, pending, 0, RETRY_UNSERVED_S, "")
-        waiting = self._pending.of(tenant)
+            elif pending.hops >= MAX_HOPS:
+                self._answer(tenant, pending, 0, NO_OWNER_RETRY_S, "")
+        waiting = self._pending.for_tenant(tenant)
         if not waiting:
             return
         self._last_number += 1
-        wanted = min(MOST_WANTED, sum(pending.wanted for pending in waiting))
+        wanted = min(MAX_WANTED, sum(pending.wanted for pending in waiting))
         returning = min(wanted, sum(pending.returning for pending in waiting))
         hops = 1 + max(pending.hops for pending in waiting)
         sent = self._sent.send(now, upstream, tenant, self._last_number, wanted, returning, hops)
@@ -341,7 +350,7 @@
                 if limit is not None:
                     owner.charge(now, tenant, limit, requests)
             elif upstream:
-                self._outbox.add_charge(upstream, ChargedRequests(tenant, min(MOST_WANTED, requests)))
+                self._outbox.add_charge(upstream, ChargedRequests(tenant, min(MAX_WANTED, requests)))
             else:
                 continue
             del self._charges[tenant]
@@ -362,26 +371,26 @@
                     self._receive_grant(now, peer, grant)
             case QuotaSettlement():
                 self._receive_settlement(peer, message)
-            case QuotaHandover(shard) if 0 <= shard < SHARDS:
+            case QuotaHandover(shard) if 0 <= shard < SHARD_COUNT:
                 self._owned.receive_handover(now, message)
             case _:
                 self.rejected += 1
 
     def _receive_vote(self, now: float, peer: str, vote: ShardVote, hops: int) -> None:
-        if not 0 <= vote.shard < SHARDS or vote.zone == self.zone or not 0 < vote.weight <= MOST_WANTED:
+        if not 0 <= vote.shard < SHARD_COUNT or vote.zone == self.zone or not 0 < vote.weight <= MAX_WANTED:
             self.rejected += 1
             return
         upstream = self._routes.routes[vote.shard].upstream
         if vote.shard in self._owned:
             self._owned.vote(now, vote.shard, vote.zone, vote.weight, peer)
-        elif upstream and upstream != peer and hops < MOST_HOPS:
+        elif upstream and upstream != peer and hops < MAX_HOPS:
             self._outbox.add_vote(upstream, vote, hops + 1)
 
     def _receive_settlement(self, peer: str, message: QuotaSettlement) -> None:
         for shard in message.withdrawn:
             self._owned.withdraw(shard, peer)
         for charged in message.charged:
-            if 0 < charged.requests <= MOST_WANTED:
+            if 0 < charged.requests <= MAX_WANTED:
                 self.charge(charged.tenant, charged.requests)
             else:
                 self.rejected += 1
@@ -392,7 +401,7 @@
         shard = shard_of(returned.tenant)
         owner, limit = self._owned.get(shard), self._owned.limits.get(returned.tenant)
         upstream = self._routes.routes[shard].upstream
-        valid = 0 < returned.tokens <= MOST_WANTED and hops < MOST_HOPS
+        valid = 0 < returned.tokens <= MAX_WANTED and hops < MAX_HOPS
         if valid and owner is not None and owner.term == returned.term and limit is not None:
             owner.put_back(returned.tenant, limit, returned.tokens)
         elif valid and owner is None and upstream:
@@ -420,11 +429,11 @@
 
     def _distribute(self, now: float, grant: TokenGrant) -> None:
         """Share out what has come, and hand back what nobody waits for any more."""
-        retry_after_s = min(RETRY_MOST_S, grant.retry_after_s)
+        retry_after_s = min(MAX_RETRY_S, grant.retry_after_s)
         if retry_after_s:
             self._refused_until[grant.tenant] = now + retry_after_s
-        waiting = self._pending.of(grant.tenant)
-        shares = share_out(grant.granted, waiting)
+        waiting = self._pending.for_tenant(grant.tenant)
+        shares = distribute_tokens(grant.granted, waiting)
         for pending, share in zip(waiting, shares, strict=True):
             if share or retry_after_s:
                 whole = share >= pending.wanted
--- a/troutdock/quota/owner.py
+++ b/troutdock/quota/owner.py
@@ -14,13 +14,13 @@
 from dataclasses import dataclass
 from math import inf
 
-from troutdock.quota.bucket import FillingTime, QuotaLimit, TokenBucket
+from troutdock.quota.bucket import FillTime, QuotaLimit, TokenBucket
 
 VOTE_LIFETIME_S = 0.6  # so long a zone's vote counts: three of them are sent in it
-RESERVE_PART = 0.02  # of the burst: what only clients that return at their appointed time may take
-RETRY_LEAST_S, RETRY_MOST_S = 0.02, 0.5  # how long one that got less than it wanted is to wait
-ACTIVE_S = 1.0  # who has asked in this time takes part in what the rate yields
-FULL_FILLING_S = 1e9  # filling time of an owner whose buckets are known to be full
+RESERVE_FRACTION = 0.02  # of the burst: what only clients that return at their appointed time may take
+MIN_RETRY_S, MAX_RETRY_S = 0.02, 0.5  # how long one that got less than it wanted is to wait
+ACTIVE_WINDOW_S = 1.0  # who has asked in this time takes part in what the rate yields
+FULL_FILL_TIME_S = 1e9  # filling time of an owner whose buckets are known to be full
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,8 +54,8 @@
             now: Seconds.
             full: No tokens can have been spent before, as the whole fleet has just started.
         """
-        self.term, self.began_at = term, now
-        self._backed_s = FULL_FILLING_S if full else 0.0
+        self.term, self.started_at = term, now
+        self._backed_s = FULL_FILL_TIME_S if full else 0.0
         self._unbacked_s = 0.0
         self._advanced_at = now
         self._backed_part = 0.0
@@ -74,10 +74,10 @@
         self._advanced_at = max(now, self._advanced_at)
 
     @property
-    def _time(self) -> FillingTime:
-        return FillingTime(self._backed_s, self._unbacked_s)
+    def _time(self) -> FillTime:
+        return FillTime(self._backed_s, self._unbacked_s)
 
-    def back(self, now: float, near: int, fleet_size: int) -> float:
+    def update_backing(self, now: float, near: int, fleet_size: int) -> float:
         """Work out the backed part anew.
 
         Args:
@@ -113,7 +113,7 @@
         """The tenant's bucket, filled until now."""
         bucket = self._buckets.get(tenant)
         if bucket is None:  # as if it had stood empty at the beginning of the term
-            bucket = self._buckets[tenant] = TokenBucket(limit, FillingTime(0.0))
+            bucket = self._buckets[tenant] = TokenBucket(limit, FillTime(0.0))
         elif bucket.limit != limit:
             bucket.refill(self._time, self._backed_part)
             bucket.change_limit(limit)
@@ -141,7 +141,7 @@
         asked = self._asked_at.setdefault(tenant, {})
         asked[requester] = now
         granted = bucket.take(min(returning, wanted))
-        reserve = min(RESERVE_PART * limit.burst, bucket.capacity(self._backed_part) - 1)
+        reserve = min(RESERVE_FRACTION * limit.burst, bucket.capacity(self._backed_part) - 1)
         granted += bucket.take(wanted - granted, reserve)
         if granted >= wanted:
             return Answer(granted)
@@ -149,11 +149,11 @@
 
     def _retry_after(self, now: float, limit: QuotaLimit, asked: dict[str, float]) -> float:
         """So that all that ask get to it about twice for each token that comes."""
-        for name in [name for name, at in asked.items() if now - at > ACTIVE_S]:
+        for name in [name for name, at in asked.items() if now - at > ACTIVE_WINDOW_S]:
             del asked[name]
         fill_per_s = limit.rate_per_s * self._backed_part
         wait = len(asked) / (2 * fill_per_s) if fill_per_s > 0 else inf
-        return min(RETRY_MOST_S, max(RETRY_LEAST_S, wait))
+        return min(MAX_RETRY_S, max(MIN_RETRY_S, wait))
 
     def put_back(self, tenant: str, limit: QuotaLimit, tokens: int) -> None:
         """Tokens of this term that were not spent."""
@@ -197,5 +197,5 @@
         for tenant, bucket in self._buckets.items():
             bucket.refill(self._time, self._backed_part)
             bucket.add(levels.get(tenant, bucket.limit.rate_per_s * backed_s), self._backed_part)
-            bucket.time = FillingTime(self._backed_s + backed_s, self._unbacked_s)
+            bucket.time = FillTime(self._backed_s + backed_s, self._unbacked_s)
         self._backed_s += backed_s  # of the tenants that neither has a bucket for
--- a/troutdock/quota/ownership.py
+++ b/troutdock/quota/ownership.py
@@ -10,10 +10,10 @@
 from troutdock.quota.owner import ShardOwner
 from troutdock.quota.routes import shard_of
 
-FOUNDING_S = 5.0  # an owner of the first moments of a whole fleet begins with full buckets
-HANDOVER_S = 2.0  # so long what was handed over waits for its receiver to become owner
-SKIP_HANDOVER_S = 1.0  # an owner of less than this that was handed nothing has nothing worth handing over
-TERM_LIVES = 1 << 20  # a term names its owner's life by the last bits
+BOOTSTRAP_WINDOW_S = 5.0  # an owner of the first moments of a whole fleet begins with full buckets
+HANDOVER_TTL_S = 2.0  # so long what was handed over waits for its receiver to become owner
+MIN_HANDOVER_TERM_S = 1.0  # an owner of less than this that was handed nothing has nothing worth handing over
+TERM_INCARNATION_MODULUS = 1 << 20  # a term names its owner's life by the last bits
 
 
 @dataclass(frozen=True, slots=True)
@@ -68,7 +68,7 @@
 
     def _new_term(self, now: float, full: bool) -> ShardOwner:
         self._last_term += 1
-        return ShardOwner(f"{self._life % TERM_LIVES:x}.{self._last_term:x}", now, full)
+        return ShardOwner(f"{self._life % TERM_INCARNATION_MODULUS:x}.{self._last_term:x}", now, full)
 
     def end_terms(self, now: float) -> None:
         """Begin all anew, with empty buckets and without votes: another proxy may have owned meanwhile."""
@@ -81,18 +81,18 @@
 
     def acquire(self, now: float, shard: int) -> None:
         """Own a shard from now on, with what was handed over for it of late."""
-        is_founding = self._bootstrap and now - self._began_at <= FOUNDING_S
+        is_founding = self._bootstrap and now - self._began_at <= BOOTSTRAP_WINDOW_S
         full = is_founding and shard not in self._had_other_owner
         owner = self._owners[shard] = self._new_term(now, full)
-        owner.back(now, self._near, self._fleet_size)
+        owner.update_backing(now, self._near, self._fleet_size)
         handed = self._handed.pop(shard, None)
-        if handed is not None and now - handed.received_at <= HANDOVER_S:
+        if handed is not None and now - handed.received_at <= HANDOVER_TTL_S:
             self._adopt(now, owner, handed.message)
 
-    def give_up(self, now: float, shard: int) -> QuotaHandover | None:
+    def release(self, now: float, shard: int) -> QuotaHandover | None:
         """Own a shard no more; what its next owner is to be handed, if that is worth it."""
         owner = self._owners.pop(shard)
-        if owner.has_adopted or now - owner.began_at >= SKIP_HANDOVER_S:
+        if owner.has_adopted or now - owner.started_at >= MIN_HANDOVER_TERM_S:
             return QuotaHandover(shard, *owner.levels(now))
         return None
 
@@ -101,7 +101,7 @@
         owner = self._owners.get(message.shard)
         if owner is None:
             self._handed[message.shard] = _Handover(now, message)
-        elif now - owner.began_at <= HANDOVER_S:
+        elif now - owner.started_at <= HANDOVER_TTL_S:
             self._adopt(now, owner, message)
 
     def _adopt(self, now: float, owner: ShardOwner, message: QuotaHandover) -> None:
@@ -116,16 +116,16 @@
         """How many proxies are linked in this zone, this one included, and how many there are."""
         self._near, self._fleet_size = near, fleet_size
 
-    def back(self, now: float) -> None:
+    def update_backing(self, now: float) -> None:
         """Work out anew which part of the fleet backs each; see ShardOwner.back."""
         for owner in self._owners.values():
-            owner.back(now, self._near, self._fleet_size)
+            owner.update_backing(now, self._near, self._fleet_size)
 
     def vote(self, now: float, shard: int, zone: str, weight: int, voter: str) -> None:
         """A zone backs this proxy as owner of one of its shards; see ShardOwner.vote."""
         owner = self._owners[shard]
         owner.vote(now, zone, weight, voter)
-        owner.back(now, self._near, self._fleet_size)
+        owner.update_backing(now, self._near, self._fleet_size)
 
     def withdraw(self, shard: int, voter: str) -> None:
         """A peer's votes for one shard count no more."""
