--- a/tests/system/test_quota_leases.py
+++ b/tests/system/test_quota_leases.py
@@ -629,7 +629,7 @@
     for n in range(200):
         leases.request(n / 200, TENANT, QuotaLimit(100.0, 100.0), 0.5, n)
         leases._leases[TENANT].waiting.clear()
-        leases._leases[TENANT].asked = 0
+        leases._leases[TENANT].demanded = 0
     assert asked[0] == 1 and max(asked) <= 1 + 100.0 * 0.75 * LEASE_DURATION_S and asked[-1] > 1
 
 
--- a/troutdock/proxy/load_exchange.py
+++ b/troutdock/proxy/load_exchange.py
@@ -1,18 +1,20 @@
-"""What ingresses tell one another: open attempts, as numbers that hold now, and how many are heard.
-
-No I/O, no clock. An ingress tells its zone each of its own changes at once: bytes within a zone cost
-nothing. Other zones are told sums. For each service one ingress of a zone is its *home*, the first live
-one in an order that all agree on, and another one is home for telling how many ingresses its zone hears;
-a home tells the homes of the other zones what its zone has open at each backend, and passes on to its own
-zone what it hears of theirs. So the work of telling is shared by as many ingresses as there are services,
-and what one says grows with its zone's requests, not with the number of ingresses (one speaker a zone
-that passed on every ingress's numbers sent 410 KB/s on links of 250 at 20 ingresses a zone, and was cut
-off by its own queue).
-
-Numbers are absolute, so that nothing is counted twice whichever way it comes; a link begins with all of
-them. Tenants' quotas are not told here: they are leased (troutdock.quota). Whom an ingress dials for
-that, by the order of its shards' owners, is decided here with the rest. Times are seconds of the owner's
-steady clock.
+"""Exchange of load values between ingresses: open attempts by backend, ingress counts (no I/O, no clock).
+
+Theory of operation. An ingress sends each change of its own values to all ingresses of its zone immediately,
+because traffic within a zone is free of charge. Other zones receive sums. For each service, one ingress of a
+zone is *responsible*: the first live one in an order that all ingresses compute alike. Another ingress is
+responsible for reporting how many ingresses its zone can reach (LIVENESS_DUTY). The responsible ingress sends
+its zone's open attempts at each backend of the service to its counterparts in the other zones, and forwards
+what it receives from them to its own zone. The work is therefore distributed over as many ingresses as there
+are services, and the traffic of one ingress grows with the requests of its zone and not with the number of
+ingresses. (With a single speaker for each zone that forwarded the values of every ingress, 20 ingresses in a
+zone caused 410 KB/s on links of 250 KB/s, and the speaker was disconnected because its send queue was full.)
+
+Invariants. Values are absolute, so nothing is counted twice whichever path it takes. A new link starts with
+the full state. Values of an ingress or a zone that has been silent for STALE_TIMEOUT_S are dropped.
+
+Tenant quotas are not exchanged here; they are leased (troutdock.quota). This module also selects the owners
+of quota shards that an ingress connects to. Times are seconds of the caller's monotonic clock.
 """
 
 from __future__ import annotations
@@ -26,39 +28,39 @@
 from troutdock.endpoints.rendezvous import first_ranked, ranked
 from troutdock.quota.routes import SHARD_COUNT, ranked_aggregators, preceding_zones
 
-STALE_TIMEOUT_S = 1.2  # an ingress or zone that was not heard of for so long tells nothing any more
-LEFT_MEMBER_TTL_S = 10.0  # one that has left the list without being heard to end still counts for so long
-LIVENESS_INTERVAL_S = 0.4  # at least so often another zone is told how many are heard here
-LINKS_TO_OWNERS = 2  # into the zone of a shard's owner: the second serves when the first has just ended
-ZONE_LINK_WAIT_S = 0.5  # for the neighbours in the zone that are listed to be linked
-REMOTE_DIAL_DELAY_S = 1.0  # a zone whose home has not dialled for so long is dialled
-LIVENESS_DUTY = "use"  # the duty of telling how many are heard; by its name processes of before have it alike
-SHARE_TAG_MODULUS = 10_000  # of lives and epochs
-MAX_TABLE_NAMES = 20_000  # in a table, until it is begun anew
-ZONE_PREFIX = "@"  # before a zone's name, where it stands in an ingress's place
+STALE_TIMEOUT_S = 1.2  # values of an ingress or a zone that has been silent for this long are dropped
+LEFT_MEMBER_TTL_S = 10.0  # a member removed from the list is still counted for this long
+LIVENESS_INTERVAL_S = 0.4  # maximum interval between reports of the number of reachable ingresses
+LINKS_TO_OWNERS = 2  # into the zone of a shard's owner: the second takes over when the first fails
+ZONE_LINK_WAIT_S = 0.5  # how long to wait for links to the listed members of the own zone
+REMOTE_DIAL_DELAY_S = 1.0  # a zone whose responsible ingress has not connected within this time is dialled
+LIVENESS_DUTY = "use"  # duty of reporting reachable ingresses; older versions use the same name
+SHARE_TAG_MODULUS = 10_000  # of incarnations and epochs
+MAX_TABLE_NAMES = 20_000  # entries of a name table before it is reset
+ZONE_PREFIX = "@"  # marks the name of a zone where the name of an ingress is expected
 
 
 class Services(Protocol):
-    """What an exchange needs of the book of instances."""
+    """The part of the endpoint table that a LoadExchange uses."""
 
     def services(self) -> Iterable[str]:
-        """Those that have instances."""
+        """Returns the services that have instances."""
 
     def service_of(self, instance: str) -> str:
-        """Whose it is, nothing where it is not known."""
+        """Returns the service of an instance, or an empty string if it is unknown."""
 
     def instances_of(self, service: str) -> Iterable[str]:
-        """Its instances."""
+        """Returns the instances of a service."""
 
 
 class _PendingChanges:
-    """What one kind of neighbour does not know yet, and what it was told of names and lives."""
+    """Changes not yet sent to one group of peers, and the names and incarnations already sent to it."""
 
     __slots__ = ("incarnations", "instances", "names_sent")
 
     def __init__(self) -> None:
-        self.instances: dict[str, dict[str, None]] = {}  # instances by origin
-        self.names_sent = 0  # of the table
+        self.instances: dict[str, dict[str, None]] = {}  # changed instances by origin
+        self.names_sent = 0  # length of the sent part of the name table
         self.incarnations: dict[str, int] = {}
 
     def add(self, origin: str, instances: Iterable[str]) -> None:
@@ -67,7 +69,14 @@
 
 @dataclass(slots=True)
 class ZonePeer:
-    """Another ingress of the zone, as it was told of last. direct: by itself, on a link that is still up."""
+    """Last known state of another ingress of the own zone.
+
+    Attributes:
+        incarnation: Of its process.
+        last_seen_at: Seconds.
+        direct: The state was sent by the ingress itself, on a link that is still up.
+        loads: Open attempts by instance.
+    """
 
     incarnation: int
     last_seen_at: float
@@ -77,7 +86,13 @@
 
 @dataclass(slots=True)
 class RemoteZone:
-    """Another zone, as it was told of last. here: ingresses that are heard there."""
+    """Last known state of another zone.
+
+    Attributes:
+        last_seen_at: Seconds.
+        reachable: Number of reachable ingresses in the zone.
+        loads: Sum of open attempts by instance.
+    """
 
     last_seen_at: float = -inf
     reachable: int = 0
@@ -86,45 +101,53 @@
 
 @dataclass(slots=True)
 class LoadUpdate:
-    """What a message has brought: open attempts by origin and instance."""
+    """Changed numbers of open attempts, by origin (an ingress or a zone) and instance."""
 
     loads: dict[str, dict[str, int]] = field(default_factory=dict)
 
 
 class LoadExchange:
-    """One ingress's part in it."""
+    """State machine of one ingress for the exchange of load values."""
 
     def __init__(self, name: str, ip: str, zone: str, incarnation: int, services: Services) -> None:
-        """me: the machine's name, which is its origin."""
+        """Starts without members and load.
+
+        Args:
+            name: Of this machine; also the origin of its values.
+            ip: Address of this ingress, which decides who dials.
+            zone: Of this ingress.
+            incarnation: Of this process.
+            services: Services and instances known here.
+        """
         self.name, self.zone, self.incarnation = name, zone, incarnation
         self.ip = ip
         self.services = services
         self.members: dict[str, Member] = {}
-        self._left: dict[str, Member] = {}  # members that have gone from the list
+        self._left: dict[str, Member] = {}  # members removed from the list
         self._left_at: dict[str, float] = {}
-        self.zone_peers: dict[str, ZonePeer] = {}  # of the zone
+        self.zone_peers: dict[str, ZonePeer] = {}  # by name
         self.remote_zones: dict[str, RemoteZone] = {}  # by zone
         self.own_loads: dict[str, int] = {}
-        self.zone_loads: dict[str, int] = {}  # open in the whole zone
+        self.zone_loads: dict[str, int] = {}  # sums over the whole zone
         # own changes, and changes of other zones that are forwarded to this zone
         self._zone_changes, self._forwarded_changes = _PendingChanges(), _PendingChanges()
-        self._unsent: dict[str, dict[str, None]] = {}  # by duty: what other zones don't know yet
-        self._previous_duties: set[str] = set()  # duties that were this one's at the last telling
-        # neighbours and duties that were looked at last
+        self._unsent: dict[str, dict[str, None]] = {}  # by duty: instances whose values other zones lack
+        self._previous_duties: set[str] = set()  # own duties at the last update for other zones
+        # linked zone members and duties for which _own_duties was computed
         self._duties_input: tuple[frozenset[str], frozenset[str]] | None = None
-        self._own_duties: set[str] = set()  # of these, those that are this one's
-        self._names: dict[str, int] = {}  # own table
-        self._names_sent: dict[str, int] = {}  # how much of it those of other zones know
-        self._peer_tables: dict[str, tuple[int, list[str]]] = {}  # of neighbours: by name, with their lives
-        self._unlinked_since: dict[str, float] = {}  # other zones, and since when none of theirs is linked
-        self._zone_incomplete_since = inf  # a listed neighbour in the zone is not linked
+        self._own_duties: set[str] = set()  # duties that this ingress is responsible for
+        self._names: dict[str, int] = {}  # own name table
+        self._names_sent: dict[str, int] = {}  # length of the part that each remote peer has
+        self._peer_tables: dict[str, tuple[int, list[str]]] = {}  # of peers, by name, with their incarnations
+        self._unlinked_since: dict[str, float] = {}  # other zones without a link, and since when
+        self._zone_incomplete_since = inf  # since when a listed member of the own zone is not linked
         self._liveness_sent_at = 0.0
-        self.busy: frozenset[str] = frozenset()  # names of those that handle messages late
+        self.busy: frozenset[str] = frozenset()  # names of ingresses that report a high event loop lag
 
-    # ---- who is there
+    # ---- membership
 
     def update_members(self, now: float, entries: Iterable[Member], gone: Iterable[str], full: bool) -> None:
-        """The registry's list, whole or what has changed of it."""
+        """Applies the registry's member list: the full list, or changes to it."""
         entries = list(entries)
         if full:
             named = {member.name for member in entries}
@@ -141,41 +164,52 @@
         return {name for name, o in self.zone_peers.items() if now - o.last_seen_at <= STALE_TIMEOUT_S}
 
     def membership(self, now: float) -> tuple[int, int]:
-        """How many ingresses there are, this one among them, and how many are heard, itself included."""
+        """Returns how many ingresses exist and how many are reachable, both including this one."""
         for name in [name for name in self._left if now - self._left_at[name] > LEFT_MEMBER_TTL_S]:
             del self._left[name], self._left_at[name]
-        here = self._reachable_in_zone(now) - {self.name}
+        local = self._reachable_in_zone(now) - {self.name}
         zones: dict[str, int] = {}
         for member in (*self.members.values(), *self._left.values()):
             if member.zone != self.zone:
                 zones[member.zone] = zones.get(member.zone, 0) + 1
         known = {m.name for m in (*self.members.values(), *self._left.values()) if m.zone == self.zone}
-        heard = sum(
+        remote = sum(
             min(count, self.remote_zones[zone].reachable)
             for zone, count in zones.items()
             if zone in self.remote_zones and now - self.remote_zones[zone].last_seen_at <= STALE_TIMEOUT_S
         )
-        return len((known | here) - {self.name}) + sum(zones.values()) + 1, len(here) + heard + 1
+        return len((known | local) - {self.name}) + sum(zones.values()) + 1, len(local) + remote + 1
 
     def duties(self) -> list[str]:
-        """What each zone has a home for."""
+        """Returns the duties for which each zone has one responsible ingress."""
         return [*(f"service/{service}" for service in self.services.services()), LIVENESS_DUTY]
 
-    def is_responsible(self, duty: str, live: Iterable[str]) -> bool:
-        """Whether this one does a duty for its zone, of those that it is linked to there."""
-        return first_ranked(_order(self.zone, duty), [self.name, *live]) == self.name
+    def is_responsible(self, duty: str, linked: Iterable[str]) -> bool:
+        """Returns whether this ingress is responsible for a duty in its zone.
+
+        Args:
+            duty: Name of the duty.
+            linked: Names of the ingresses of the zone that are linked.
+        """
+        return first_ranked(_rank_key(self.zone, duty), [self.name, *linked]) == self.name
 
     def dial_targets(
         self, now: float, linked: Iterable[tuple[str, str]], failing: Collection[str]
     ) -> list[Member]:
-        """Whom this one is to dial. linked: names and zones of those it is linked to; failing: not reached.
+        """Returns the members that this ingress has to connect to.
+
+        Within the zone, the ingress with the lower address dials. Between zones, the ingresses responsible
+        for the same duty connect to each other; the one with the higher address dials only if the other has
+        not done so for REMOTE_DIAL_DELAY_S. If a member can't be reached, the next one in order is dialled.
 
-        In the zone the lower address dials. Homes dial those of other zones for the same duty, the higher
-        address only where the other has not for a while; one that can't be reached makes room for the next.
+        Args:
+            now: Seconds.
+            linked: Names and zones of the ingresses that this one is linked to.
+            failing: Names of the members to which the last connection attempt failed.
         """
         linked = list(linked)
-        near = [name for name, zone in linked if zone == self.zone]
-        found = {m.name: m for m in self.members.values() if m.zone == self.zone and self.ip < m.ip}
+        local = [name for name, zone in linked if zone == self.zone]
+        targets = {m.name: m for m in self.members.values() if m.zone == self.zone and self.ip < m.ip}
         zones: dict[str, dict[str, Member]] = {}
         for m in self.members.values():
             if m.zone != self.zone:
@@ -185,64 +219,69 @@
                 self._unlinked_since.pop(zone, None)
             else:
                 self._unlinked_since.setdefault(zone, now)
-        # who is not linked to its own zone yet does not know whose duties are whose
-        unmet = [m.name for m in self.members.values() if m.zone == self.zone and m.name not in near]
-        if unmet and set(unmet) - set(failing):
+        # before all links within the zone are up, the assignment of duties is unknown
+        not_linked = [m.name for m in self.members.values() if m.zone == self.zone and m.name not in local]
+        if not_linked and set(not_linked) - set(failing):
             self._zone_incomplete_since = min(self._zone_incomplete_since, now)
         else:
             self._zone_incomplete_since = inf
         if self._zone_incomplete_since != inf and now - self._zone_incomplete_since <= ZONE_LINK_WAIT_S:
-            return list(found.values())
+            return list(targets.values())
         for duty in self.duties():
-            if not self.is_responsible(duty, near):
+            if not self.is_responsible(duty, local):
                 continue
-            for zone, there in zones.items():
-                order = ranked(_order(zone, duty), there)
+            for zone, candidates in zones.items():
+                order = ranked(_rank_key(zone, duty), candidates)
                 name = next((n for n in order if n not in failing), order[0])
-                waited = now - self._unlinked_since.get(zone, now) >= REMOTE_DIAL_DELAY_S
-                if self.ip < there[name].ip or waited or (name, zone) in linked:
-                    found[name] = there[name]
-        found.update(self._quota_dial_targets(near, zones, linked, failing))
-        return list(found.values())
+                is_overdue = now - self._unlinked_since.get(zone, now) >= REMOTE_DIAL_DELAY_S
+                if self.ip < candidates[name].ip or is_overdue or (name, zone) in linked:
+                    targets[name] = candidates[name]
+        targets.update(self._quota_dial_targets(local, zones, linked, failing))
+        return list(targets.values())
 
     def _quota_dial_targets(
         self,
-        near: Collection[str],
+        local: Collection[str],
         zones: Mapping[str, Mapping[str, Member]],
         linked: Collection[tuple[str, str]],
         failing: Collection[str],
     ) -> dict[str, Member]:
-        """For each shard that this one asks for in its zone's name, who owns it, and who does next.
+        """Returns the owner and the next candidate of each shard that this ingress aggregates for its zone.
 
-        The zone that asks dials: it alone needs the link. Zones behind one that is linked are left alone.
+        The zone of the aggregator dials, because only it needs the link. Zones that follow a linked zone
+        in the order are not dialled.
         """
-        found: dict[str, Member] = {}
+        targets: dict[str, Member] = {}
         for shard in range(SHARD_COUNT):
-            if ranked_aggregators(self.zone, shard, [self.name, *near], self.busy)[0] != self.name:
+            if ranked_aggregators(self.zone, shard, [self.name, *local], self.busy)[0] != self.name:
                 continue
             for zone in preceding_zones(shard, self.zone, zones):
                 order = ranked_aggregators(zone, shard, zones[zone], self.busy)
-                reached = [name for name in order if name not in failing] or order
-                for name in reached[:LINKS_TO_OWNERS]:
-                    found[name] = zones[zone][name]
+                reachable = [name for name in order if name not in failing] or order
+                for name in reachable[:LINKS_TO_OWNERS]:
+                    targets[name] = zones[zone][name]
                 if any(of == zone for _, of in linked):
                     break
-        return found
+        return targets
 
     def should_keep(self, name: str, address: str, wanted: Collection[str], up: bool) -> bool:
-        """Whether a link that was dialled stays: also one that is up to who has merely left the list."""
+        """Returns whether a dialled link is kept.
+
+        A link that is up is also kept if its member has only disappeared from the list: the member may be
+        partitioned from the registry.
+        """
         member = self.members.get(name)
         return (name in wanted and (member is None or member.ip == address)) or (up and member is None)
 
     def mark_alive(self, now: float, name: str) -> None:
-        """A neighbour is linked, though it has nothing to tell."""
+        """Records that a linked peer is alive although it has sent no values."""
         if (known := self.zone_peers.get(name)) is not None:
             known.last_seen_at = now
 
-    # ---- numbers of the zone
+    # ---- load of the zone
 
     def set_load(self, instance: str, count: int) -> None:
-        """So many own attempts are open there."""
+        """Sets the number of attempts that this ingress has open at an instance."""
         self._adjust_zone_load(instance, count - self.own_loads.get(instance, 0))
         if count:
             self.own_loads[instance] = count
@@ -250,8 +289,8 @@
             self.own_loads.pop(instance, None)
         self._zone_changes.add(self.name, [instance])
 
-    def _adjust_zone_load(self, instance: str, more: int) -> None:
-        count = self.zone_loads.get(instance, 0) + more
+    def _adjust_zone_load(self, instance: str, delta: int) -> None:
+        count = self.zone_loads.get(instance, 0) + delta
         if count > 0:
             self.zone_loads[instance] = count
         else:
@@ -264,34 +303,45 @@
     def _name_index(self, name: str) -> int:
         return self._names.setdefault(name, len(self._names))
 
-    def _pairs(self, found: Mapping[str, int]) -> list[int]:
-        return [n for name, count in found.items() for n in (self._name_index(name), count)]
+    def _pairs(self, loads: Mapping[str, int]) -> list[int]:
+        return [n for name, count in loads.items() for n in (self._name_index(name), count)]
 
-    def _share(self, origin: str, life: int, out: Mapping[str, int], told: bool = False) -> Share:
+    def _share(
+        self, origin: str, incarnation: int, loads: Mapping[str, int], already_sent: bool = False
+    ) -> Share:
         return Share(
-            self._name_index(origin), life % SHARE_TAG_MODULUS, self._pairs(out), life=0 if told else life
+            self._name_index(origin),
+            incarnation % SHARE_TAG_MODULUS,
+            self._pairs(loads),
+            life=0 if already_sent else incarnation,
         )
 
-    def _zone_share(self, zone: str, out: Mapping[str, int], here: int) -> Share:
-        return Share(self._name_index(ZONE_PREFIX + zone), 0, self._pairs(out), here=here)
+    def _zone_share(self, zone: str, loads: Mapping[str, int], reachable: int) -> Share:
+        return Share(self._name_index(ZONE_PREFIX + zone), 0, self._pairs(loads), here=reachable)
 
-    def _own_zone_share(self, now: float, out: Mapping[str, int], here: bool = True) -> Share:
+    def _own_zone_share(self, now: float, loads: Mapping[str, int], with_count: bool = True) -> Share:
         return self._zone_share(
-            self.zone, out, len(self._reachable_in_zone(now) - {self.name}) + 1 if here else 0
+            self.zone, loads, len(self._reachable_in_zone(now) - {self.name}) + 1 if with_count else 0
         )
 
-    def full_state(self, now: float, peer: str, away: bool) -> Shares:
-        """All that a new neighbour is told first. away: it is of another zone."""
-        if away:
+    def full_state(self, now: float, peer: str, is_remote: bool) -> Shares:
+        """Returns the first message on a new link: the full state.
+
+        Args:
+            now: Seconds.
+            peer: Name of the receiver.
+            is_remote: The receiver is in another zone, and gets the sums of this zone only.
+        """
+        if is_remote:
             entries = [self._own_zone_share(now, self.zone_loads)]
         else:
             entries = [self._share(self.name, self.incarnation, self.own_loads)]
             for name in sorted(self._reachable_in_zone(now)):
-                o = self.zone_peers[name]
-                entries.append(self._share(name, o.incarnation, o.loads))
-            for zone, a in self.remote_zones.items():
-                if now - a.last_seen_at <= STALE_TIMEOUT_S:
-                    entries.append(self._zone_share(zone, a.loads, a.reachable))
+                peer_state = self.zone_peers[name]
+                entries.append(self._share(name, peer_state.incarnation, peer_state.loads))
+            for zone, zone_state in self.remote_zones.items():
+                if now - zone_state.last_seen_at <= STALE_TIMEOUT_S:
+                    entries.append(self._zone_share(zone, zone_state.loads, zone_state.reachable))
         self._names_sent[peer] = len(self._names)
         return Shares(entries, 0, list(self._names), True)
 
@@ -301,106 +351,118 @@
             self._names_sent.clear()
             self._zone_changes.names_sent = self._forwarded_changes.names_sent = 0
 
-    def _take_update(self, side: _PendingChanges) -> Shares | None:
-        if not side.instances:
+    def _take_update(self, pending: _PendingChanges) -> Shares | None:
+        if not pending.instances:
             return None
         self._reset_full_table()
         entries = []
-        for origin, instances in side.instances.items():
+        for origin, instances in pending.instances.items():
             if origin == self.name:
                 changed = {i: self.own_loads.get(i, 0) for i in instances}
                 entries.append(
                     self._share(
-                        origin, self.incarnation, changed, side.incarnations.get(origin) == self.incarnation
+                        origin,
+                        self.incarnation,
+                        changed,
+                        pending.incarnations.get(origin) == self.incarnation,
                     )
                 )
-                side.incarnations[origin] = self.incarnation
-            elif (a := self.remote_zones.get(origin[len(ZONE_PREFIX) :])) is not None:
-                changed = {i: a.loads.get(i, 0) for i in instances}
-                entries.append(self._zone_share(origin[len(ZONE_PREFIX) :], changed, a.reachable))
-        side.instances.clear()
+                pending.incarnations[origin] = self.incarnation
+            elif (zone_state := self.remote_zones.get(origin[len(ZONE_PREFIX) :])) is not None:
+                changed = {i: zone_state.loads.get(i, 0) for i in instances}
+                entries.append(self._zone_share(origin[len(ZONE_PREFIX) :], changed, zone_state.reachable))
+        pending.instances.clear()
         if not entries:
             return None
-        base, side.names_sent = side.names_sent, len(self._names)
-        names = list(self._names)[base:] if base < side.names_sent else []
+        base, pending.names_sent = pending.names_sent, len(self._names)
+        names = list(self._names)[base:] if base < pending.names_sent else []
         return Shares(entries, base if names else -1, names)
 
     def zone_update(self) -> Shares | None:
-        """What the neighbours in the zone don't know yet of this one."""
+        """Returns the unsent changes of this ingress for the peers in its zone, or None."""
         return self._take_update(self._zone_changes)
 
     def forwarded_update(self) -> Shares | None:
-        """What the neighbours in the zone don't know yet of other zones."""
+        """Returns the unsent changes of other zones for the peers in this zone, or None."""
         return self._take_update(self._forwarded_changes)
 
     def remote_updates(
-        self, now: float, near: Collection[str], away: Collection[tuple[str, str]]
+        self, now: float, local: Collection[str], remote: Collection[tuple[str, str]]
     ) -> list[tuple[list[str], Shares]]:
-        """What other zones don't know yet: messages, and for whom of those linked there.
+        """Returns the unsent changes for other zones: messages, each with the names of its receivers.
 
-        near: names linked in the zone; away: names and zones of the others.
+        Args:
+            now: Seconds.
+            local: Names of the linked ingresses of the own zone.
+            remote: Names and zones of the linked ingresses of other zones.
         """
-        known = frozenset(near), frozenset(self.duties())
+        duties_input = frozenset(local), frozenset(self.duties())
         # recomputing every duty for every peer about 25 times a second would cost too much CPU
-        if known != self._duties_input:
-            self._duties_input = known
-            self._own_duties = {duty for duty in known[1] if self.is_responsible(duty, near)}
-        homes = self._own_duties
-        for duty in homes - self._previous_duties:  # whoever told it before may not have told the last of it
+        if duties_input != self._duties_input:
+            self._duties_input = duties_input
+            self._own_duties = {duty for duty in duties_input[1] if self.is_responsible(duty, local)}
+        own_duties = self._own_duties
+        for duty in own_duties - self._previous_duties:  # the predecessor may not have sent its last values
             if duty != LIVENESS_DUTY:
                 all_of = self.services.instances_of(duty.partition("/")[2])
                 self._unsent.setdefault(duty, {}).update(dict.fromkeys(all_of))
-        self._previous_duties = homes
-        alive = now - self._liveness_sent_at >= LIVENESS_INTERVAL_S
+        self._previous_duties = own_duties
+        liveness_due = now - self._liveness_sent_at >= LIVENESS_INTERVAL_S
         groups: dict[tuple[str, ...], set[str]] = {}
-        for duty in sorted(homes):
-            if duty in self._unsent or (duty == LIVENESS_DUTY and alive):
+        for duty in sorted(own_duties):
+            if duty in self._unsent or (duty == LIVENESS_DUTY and liveness_due):
                 zones: dict[str, list[str]] = {}
-                for name, zone in away:
+                for name, zone in remote:
                     zones.setdefault(zone, []).append(name)
-                firsts = sorted(ranked(_order(zone, duty), names)[0] for zone, names in zones.items())
-                groups.setdefault(tuple(firsts), set()).add(duty)
+                first_names = sorted(ranked(_rank_key(zone, duty), names)[0] for zone, names in zones.items())
+                groups.setdefault(tuple(first_names), set()).add(duty)
         self._reset_full_table()
-        found = []
-        for to, duties in groups.items():
-            here = alive and LIVENESS_DUTY in duties
-            if here:
+        messages = []
+        for receivers, duties in groups.items():
+            with_count = liveness_due and LIVENESS_DUTY in duties
+            if with_count:
                 self._liveness_sent_at = now
-            out: dict[str, int] = {}
+            loads: dict[str, int] = {}
             for duty in duties:
-                out.update((i, self.zone_loads.get(i, 0)) for i in self._unsent.pop(duty, {}))
-            if to:
-                entries = [self._own_zone_share(now, out, here)]
-                base = min(self._names_sent.get(name, 0) for name in to)
+                loads.update((i, self.zone_loads.get(i, 0)) for i in self._unsent.pop(duty, {}))
+            if receivers:
+                entries = [self._own_zone_share(now, loads, with_count)]
+                base = min(self._names_sent.get(name, 0) for name in receivers)
                 names = list(self._names)[base:]
-                for peer in to:
+                for peer in receivers:
                     self._names_sent[peer] = len(self._names)
-                found.append((list(to), Shares(entries, base if names else -1, names)))
-        for duty in [duty for duty in self._unsent if duty not in homes]:
-            del self._unsent[duty]  # another one tells it
-        return found
+                messages.append((list(receivers), Shares(entries, base if names else -1, names)))
+        for duty in [duty for duty in self._unsent if duty not in own_duties]:
+            del self._unsent[duty]  # another ingress sends them
+        return messages
 
-    def _update_peer_table(self, sender: str, life: int, shares: Shares) -> list[str]:
-        """The sender's table, with what this message adds to it; empty names were never told here.
+    def _update_peer_table(self, sender: str, incarnation: int, shares: Shares) -> list[str]:
+        """Adds the names of a message to the sender's name table, and returns the table.
 
-        Two links of one life tell of one table in either order, so a base of 0 takes no later names away.
+        Empty entries are names that have not been received. Two links of one incarnation share one table and
+        may deliver in either order, so a base of 0 does not truncate the table.
         """
-        of, table = self._peer_tables.get(sender, (life, []))
-        if of != life:
+        known_incarnation, table = self._peer_tables.get(sender, (incarnation, []))
+        if known_incarnation != incarnation:
             table = []
-        self._peer_tables[sender] = life, table
+        self._peer_tables[sender] = incarnation, table
         if 0 <= shares.base <= len(table) + 2 * MAX_TABLE_NAMES:
             table.extend([""] * (shares.base - len(table)))
             table[shares.base : shares.base + len(shares.names)] = shares.names
         return table
 
-    def receive(self, now: float, shares: Shares, sender: str, zone: str, life: int = 0) -> LoadUpdate:
-        """A neighbour's message; numbers that its table does not have are left out.
+    def receive(self, now: float, shares: Shares, sender: str, zone: str, incarnation: int = 0) -> LoadUpdate:
+        """Applies a peer's message and returns the changes; values with an unknown name index are ignored.
 
-        zone, life: the neighbour's, as it said them when the link began; 0: not told.
+        Args:
+            now: Seconds.
+            shares: The message.
+            sender: Name of the peer.
+            zone: Of the peer, from its Hello.
+            incarnation: Incarnation of the peer, from its Hello; 0 if unknown.
         """
-        news = LoadUpdate()
-        table = self._update_peer_table(sender, life, shares)
+        update = LoadUpdate()
+        table = self._update_peer_table(sender, incarnation, shares)
 
         def pairs(flat: list[int]) -> dict[str, int]:
             return {
@@ -411,47 +473,51 @@
 
         for share in shares.entries:
             origin = (table[share.origin] if 0 <= share.origin < len(table) else "") or self.name
-            if origin == sender and life and share.life not in (0, life):
-                continue  # another life's word of itself
-            out = pairs(share.out)
+            if origin == sender and incarnation and share.life not in (0, incarnation):
+                continue  # its own values, from another incarnation
+            loads = pairs(share.out)
             if origin.startswith(ZONE_PREFIX):
                 of = origin[len(ZONE_PREFIX) :]
                 if of != self.zone:
-                    self._receive_remote_zone(now, of, share, out, shares.full, zone == of, news)
+                    self._receive_remote_zone(now, of, share, loads, shares.full, zone == of, update)
             elif origin != self.name and zone == self.zone:
-                self._receive_zone_peer(now, origin, share, out, shares.full, origin == sender, news)
-        return news
+                self._receive_zone_peer(now, origin, share, loads, shares.full, origin == sender, update)
+        return update
 
     def _receive_zone_peer(
         self,
         now: float,
         origin: str,
         share: Share,
-        out: dict[str, int],
+        loads: dict[str, int],
         full: bool,
-        own: bool,
-        news: LoadUpdate,
+        direct: bool,
+        update: LoadUpdate,
     ) -> None:
-        """own: it speaks of itself, so that its life is the one that runs, whatever its clock says."""
+        """Applies the values of an ingress of the own zone.
+
+        If the sender reports its own values (direct), its incarnation is the running one, even if it is lower
+        than a known one because the clock was set back.
+        """
         known = self.zone_peers.get(origin)
-        if known is not None and known.direct and not own:
-            return  # others can know no better, and may tell of a former life
+        if known is not None and known.direct and not direct:
+            return  # other peers know no more, and may report a previous incarnation
         if not share.life and (known is None or known.incarnation % SHARE_TAG_MODULUS != share.tag):
             return
-        if known is not None and 0 < share.life < known.incarnation and not own:
+        if known is not None and 0 < share.life < known.incarnation and not direct:
             return
-        fresh = known is None or share.life not in (0, known.incarnation)
-        if fresh:
+        is_new = known is None or share.life not in (0, known.incarnation)
+        if is_new:
             if known is not None and known.loads:
-                news.loads.setdefault(origin, {}).update(dict.fromkeys(known.loads, 0))
+                update.loads.setdefault(origin, {}).update(dict.fromkeys(known.loads, 0))
                 for instance, count in known.loads.items():
                     self._adjust_zone_load(instance, -count)
             known = self.zone_peers[origin] = ZonePeer(share.life, now)
         assert known is not None
-        known.last_seen_at, known.direct = now, own
+        known.last_seen_at, known.direct = now, direct
         if full:
-            out = {**{i: 0 for i in known.loads if i not in out}, **out}
-        changed = {i: n for i, n in out.items() if known.loads.get(i, 0) != n}
+            loads = {**{i: 0 for i in known.loads if i not in loads}, **loads}
+        changed = {i: n for i, n in loads.items() if known.loads.get(i, 0) != n}
         for instance, count in changed.items():
             self._adjust_zone_load(instance, count - known.loads.get(instance, 0))
             if count:
@@ -459,56 +525,61 @@
             else:
                 known.loads.pop(instance, None)
         if changed:
-            news.loads.setdefault(origin, {}).update(changed)
+            update.loads.setdefault(origin, {}).update(changed)
 
     def _receive_remote_zone(
         self,
         now: float,
         zone: str,
         share: Share,
-        out: dict[str, int],
+        loads: dict[str, int],
         full: bool,
-        first_hand: bool,
-        news: LoadUpdate,
+        direct: bool,
+        update: LoadUpdate,
     ) -> None:
-        """first_hand: it comes from that zone, and is passed on."""
+        """Applies the sums of another zone; if they come from that zone (direct), they are also forwarded."""
         origin = ZONE_PREFIX + zone
         known = self.remote_zones.setdefault(zone, RemoteZone())
         known.last_seen_at, known.reachable = now, share.here or known.reachable
-        if full and first_hand:
-            out = {**{i: 0 for i in known.loads if i not in out}, **out}
-        changed = {i: n for i, n in out.items() if known.loads.get(i, 0) != n}
+        if full and direct:
+            loads = {**{i: 0 for i in known.loads if i not in loads}, **loads}
+        changed = {i: n for i, n in loads.items() if known.loads.get(i, 0) != n}
         for instance, count in changed.items():
             if count:
                 known.loads[instance] = count
             else:
                 known.loads.pop(instance, None)
         if changed:
-            news.loads.setdefault(origin, {}).update(changed)
-        if first_hand and (changed or not out):
+            update.loads.setdefault(origin, {}).update(changed)
+        if direct and (changed or not loads):
             self._forwarded_changes.add(origin, changed)
 
     def expire(self, now: float, origin: str | None = None) -> LoadUpdate:
-        """Open attempts of those not heard of any more, or of one whose link has ended, are none."""
-        news = LoadUpdate()
-        for name, o in list(self.zone_peers.items()):
-            if name == origin or now - o.last_seen_at > STALE_TIMEOUT_S:
-                o.direct = False
-                if o.loads:
-                    news.loads[name] = dict.fromkeys(o.loads, 0)
-                    for instance, count in o.loads.items():
+        """Clears the values of silent ingresses and zones, and returns the changes.
+
+        Args:
+            now: Seconds.
+            origin: Name of an ingress whose link has closed; its values are cleared immediately.
+        """
+        update = LoadUpdate()
+        for name, peer in list(self.zone_peers.items()):
+            if name == origin or now - peer.last_seen_at > STALE_TIMEOUT_S:
+                peer.direct = False
+                if peer.loads:
+                    update.loads[name] = dict.fromkeys(peer.loads, 0)
+                    for instance, count in peer.loads.items():
                         self._adjust_zone_load(instance, -count)
-                    o.loads.clear()
-                if now - o.last_seen_at > LEFT_MEMBER_TTL_S * 6:
+                    peer.loads.clear()
+                if now - peer.last_seen_at > LEFT_MEMBER_TTL_S * 6:
                     del self.zone_peers[name]
-        for zone, a in list(self.remote_zones.items()):
-            if now - a.last_seen_at > STALE_TIMEOUT_S and a.loads:
-                news.loads[ZONE_PREFIX + zone] = dict.fromkeys(a.loads, 0)
-                a.loads.clear()
-            if now - a.last_seen_at > LEFT_MEMBER_TTL_S * 6:
+        for zone, zone_state in list(self.remote_zones.items()):
+            if now - zone_state.last_seen_at > STALE_TIMEOUT_S and zone_state.loads:
+                update.loads[ZONE_PREFIX + zone] = dict.fromkeys(zone_state.loads, 0)
+                zone_state.loads.clear()
+            if now - zone_state.last_seen_at > LEFT_MEMBER_TTL_S * 6:
                 del self.remote_zones[zone]
-        return news
+        return update
 
 
-def _order(zone: str, duty: str) -> str:
+def _rank_key(zone: str, duty: str) -> str:
     return f"{zone}/{duty}"
--- a/troutdock/proxy/quota_loop.py
+++ b/troutdock/proxy/quota_loop.py
@@ -1,8 +1,9 @@
-"""The loop round a proxy's part in the fleet's quotas: links, datagrams and timers for troutdock.quota.node.
+"""I/O for the quota state machine (troutdock.quota.node): links, datagrams and timers.
 
-Demands, grants and votes go as datagrams, one netstring of JSON each: on a link a lost packet would hold up
-all that is behind it. Who may speak is decided by the links: a datagram counts from the address and the life
-that a linked peer has named. What must come once goes on the links.
+Demands, grants and votes are sent as datagrams, each one netstring of JSON, because on a link a lost packet
+would delay everything behind it. Links authenticate the senders: a datagram is accepted only from the address
+and the incarnation that a linked peer has declared. Messages that must be delivered exactly once are sent on
+the links.
 """
 
 from __future__ import annotations
@@ -35,15 +36,18 @@
 
 log = logbook.Logger("quotas")
 
-TICK_INTERVAL_S = 0.1  # between two looks at the time
-BUSY_LAG_MS, IDLE_LAG_MS = 40.0, 15.0  # lag from which on this proxy is busy, and down to which it stays so
-LAG_WEIGHT = 0.3  # of the newest look at the lag, in its average
-MAX_DATAGRAM_BYTES = 1400  # what is longer goes on the link
-LOG_INTERVAL_S = 10.0  # between two lines about messages that made no sense
+TICK_INTERVAL_S = 0.1  # interval of the periodic work
+BUSY_LAG_MS, IDLE_LAG_MS = (
+    40.0,
+    15.0,
+)  # event loop lag at which a proxy becomes busy, and below which it stops
+LAG_WEIGHT = 0.3  # of the newest sample in the average lag
+MAX_DATAGRAM_BYTES = 1400  # longer messages are sent on the link
+LOG_INTERVAL_S = 10.0  # between two log lines about rejected messages
 
 
 class _Datagrams(asyncio.DatagramProtocol):
-    """The door for datagrams of other proxies."""
+    """Receives datagrams from other proxies."""
 
     def __init__(self, receive: Callable[[bytes, Address], None]) -> None:
         self._receive = receive
@@ -53,7 +57,7 @@
 
 
 class QuotaLoop:
-    """Carries a QuotaNode's messages and grants; it belongs to the event loop that runs."""
+    """Transports the messages and grants of a QuotaNode; bound to the running event loop."""
 
     def __init__(
         self,
@@ -67,25 +71,25 @@
         set_busy: Callable[[bool], None],
         bootstrap: bool,
     ) -> None:
-        """Begin idle.
+        """Starts idle.
 
         Args:
             node: The state machine.
-            clock: The decision module's.
-            hello: Who this proxy is.
-            peer: Who a linked proxy is, by name.
-            send: To a linked proxy, by name, on its link.
-            inform: The decision module, of grants.
-            lag_ms: How late the event loop handles what has come.
-            set_busy: Gets each change of whether others should own and aggregate in this proxy's place, as it
-                is late or not linked yet.
-            bootstrap: The whole fleet starts, so that nobody else is linked yet either.
+            clock: The clock of the decision module.
+            hello: Identity of this proxy.
+            peer: Returns the identity of a linked proxy by its name.
+            send: Sends a message to a linked proxy, by name, on its link.
+            inform: Notifies the decision module of grants.
+            lag_ms: Returns the lag of the event loop.
+            set_busy: Called when the busy state changes. Other proxies should own and aggregate in place of a
+                busy proxy, which has a high lag or is not linked yet.
+            bootstrap: The whole fleet starts, so other proxies are not linked yet either.
         """
         self.node = node
         self._clock, self._hello, self._peer = clock, hello, peer
         self._send, self._inform = send, inform
         self._datagrams: asyncio.DatagramTransport | None = None
-        self._port = 0  # of all proxies' datagrams
+        self._port = 0  # used for datagrams by all proxies
         self._resend_timer: asyncio.TimerHandle | None = None
         self._lag_ms, self._set_busy = lag_ms, set_busy
         self._average_lag_ms, self._is_busy = 0.0, False
@@ -96,7 +100,7 @@
         self._rejected, self._logged_at = 0, 0.0
 
     async def start(self, address: Address) -> None:
-        """Open the door for datagrams, and look at the time from now on; OSError if it is taken."""
+        """Opens the datagram socket and starts the timers; raises OSError if the address is in use."""
         self._port = address[1]
         self._datagrams, _ = await self._loop.create_datagram_endpoint(
             lambda: _Datagrams(self._receive_datagram), local_addr=address
@@ -105,27 +109,27 @@
         self._tick()
 
     def now(self) -> float:
-        """Seconds, as the node counts them."""
+        """Returns the time of the node in seconds."""
         return self._clock.now() / 1000
 
     def update_peers(self, peers: Peers) -> None:
-        """Other proxies were linked, lost, listed or delisted."""
+        """Applies a change of links to other proxies or of the registry's list."""
         self.node.update_peers(self.now(), peers)
         self.flush()
 
     def receive(self, peer: str, message: Message) -> None:
-        """A linked proxy has sent something about quotas."""
+        """Handles a quota message of a linked proxy."""
         self.node.receive(self.now(), peer, message)
         self.flush_soon()
 
     def flush_soon(self) -> None:
-        """Send what there is once the present events are through, so that one message holds it all."""
+        """Schedules a flush after the current events, so that their output is sent in one message."""
         if not self._is_flush_due and self.node.has_output:
             self._is_flush_due = True
             self._loop.call_soon(self.flush)
 
     def flush(self) -> None:
-        """Hand grants to the decision module, and send all messages."""
+        """Notifies the decision module of grants, and sends all messages."""
         self._is_flush_due = False
         if self.node.has_grants:
             self._inform(LeasesDue())
@@ -141,25 +145,25 @@
         self.flush()
 
     def _send_messages(self, name: str, messages: list[Message]) -> None:
-        """Send to one proxy: in one datagram what may be lost, on its link the rest."""
+        """Sends messages to one proxy: those that may be lost in one datagram, the rest on its link."""
         datagram = QuotaDatagram(self._hello.name, self._hello.life % INCARNATION_TAG_MODULUS)
-        unsure: list[Message] = []
+        lossy: list[Message] = []
         for message in messages:
             match message:
                 case QuotaRequest(demands, votes, hops):
                     datagram.demands, datagram.votes, datagram.hops = demands, votes, hops
-                    unsure.append(message)
+                    lossy.append(message)
                 case QuotaGrant(grants):
                     datagram.grants = grants
-                    unsure.append(message)
+                    lossy.append(message)
                 case _:
                     self._send(name, message)
-        if unsure and not self._send_datagram(name, datagram):
-            for message in unsure:
+        if lossy and not self._send_datagram(name, datagram):
+            for message in lossy:
                 self._send(name, message)
 
     def _send_datagram(self, name: str, datagram: QuotaDatagram) -> bool:
-        """False: it is too long, or there is no way."""
+        """Sends a datagram; returns False if it is too long, or the socket or the peer is unavailable."""
         peer = self._peer(name)
         payload = encode_datagram(datagram)
         if self._datagrams is None or peer is None or len(payload) > MAX_DATAGRAM_BYTES:
@@ -171,10 +175,10 @@
         try:
             (payload,) = FrameDecoder(MAX_DATAGRAM_BYTES).feed(data)
             datagram = decode_datagram(payload)
-        except (FrameError, MessageError, ValueError):  # the last: not one whole frame
+        except (FrameError, MessageError, ValueError):  # ValueError: not exactly one complete frame
             self.node.rejected += 1
             return
-        if not self._is_of_peer(datagram, address):
+        if not self._is_from_peer(datagram, address):
             self.node.rejected += 1
             return
         if datagram.demands or datagram.votes:
@@ -182,7 +186,7 @@
         if datagram.grants:
             self.receive(datagram.sender, QuotaGrant(datagram.grants))
 
-    def _is_of_peer(self, datagram: QuotaDatagram, address: Address) -> bool:
+    def _is_from_peer(self, datagram: QuotaDatagram, address: Address) -> bool:
         peer = self._peer(datagram.sender)
         return peer is not None and (peer.ip, peer.life % INCARNATION_TAG_MODULUS) == (
             address[0],
@@ -202,16 +206,16 @@
 
     def _update_lag(self) -> None:
         self._average_lag_ms += (self._lag_ms() - self._average_lag_ms) * LAG_WEIGHT
-        is_late = self._average_lag_ms > (IDLE_LAG_MS if self._is_busy else BUSY_LAG_MS)
+        is_lagging = self._average_lag_ms > (IDLE_LAG_MS if self._is_busy else BUSY_LAG_MS)
         self._may_be_unsettled = self._may_be_unsettled and not self.node.is_settled(self.now())
-        is_busy = is_late or self._may_be_unsettled
+        is_busy = is_lagging or self._may_be_unsettled
         if is_busy != self._is_busy:
             self._is_busy = is_busy
             log.info("quota status busy={} lag_ms={:.0f}", is_busy, self._average_lag_ms)
             self._set_busy(is_busy)
 
     def close(self) -> None:
-        """Hand ownership over and look at the time no more; the links are to live a moment longer."""
+        """Hands ownership over and stops the timers; the links must stay open for a moment longer."""
         if self._timer is not None:
             self._timer.cancel()
         self.node.hand_over(self.now())
--- a/troutdock/quota/__init__.py
+++ b/troutdock/quota/__init__.py
@@ -1,7 +1,8 @@
-"""Quotas over the whole fleet: one token bucket a tenant, and leases of its tokens (no I/O, no clock).
+"""Fleet-wide quotas: one token bucket for each tenant, whose tokens are leased to proxies (no I/O, no clock).
 
-A quota is kept by one *owner* among all proxies. The others lease tokens from it as requests come, spend them
-at once, and hand back what they don't use. `node.QuotaNode` is the state machine of one proxy; `leases` is
-what the decision module talks to. Theory of operation and the proof of the bound: `node`'s head and
-docs/design/quotas.md. Times are seconds of the proxy's own steady clock.
+A single *owner* among all proxies keeps the bucket of a tenant. The other proxies lease tokens from it when
+requests arrive, spend them at once, and return those that they don't use. `node.QuotaNode` is the state
+machine of one proxy; the decision module uses `leases`. The theory of operation and the proof of the bound
+are in the docstring of `node` and in docs/design/quotas.md. Times are seconds of the proxy's own monotonic
+clock.
 """
--- a/troutdock/quota/demands.py
+++ b/troutdock/quota/demands.py
@@ -1,9 +1,10 @@
-"""Demands for tokens on their way up the tree, and their answers on the way down (no I/O, no clock).
+"""Demands for tokens that travel up the tree, and their answers (no I/O, no clock).
 
-A proxy keeps one demand for a tenant under way to its upstream peer (`SentDemands`), and remembers who waits
-for what (`PendingDemands`). Both ends bear lost, late and repeated messages: a demand is sent again under its
-number until it is answered, is answered again with what it got (`AnswerCache`), and is given up after
-GRANT_LIFETIME_S; what comes for it then is told apart, so that it can be handed back once.
+A proxy has at most one outstanding demand per tenant at its upstream peer (`SentDemands`), and records which
+requesters wait for tokens (`PendingDemands`). Both ends tolerate lost, late and duplicate messages: a demand
+is resent under the same number until it is answered, a duplicate gets the same answer again (`AnswerCache`),
+and a demand is abandoned after GRANT_LIFETIME_S. A grant for an abandoned demand is recognised, so that its
+tokens are returned exactly once.
 """
 
 from __future__ import annotations
@@ -14,31 +15,31 @@
 
 from troutdock.rpc.messages import TokenDemand, TokenGrant
 
-GRANT_LIFETIME_S = 0.25  # a demand is given up then; a grant that comes later is handed back unspent
-ABANDONED_TTL_S = 2.0  # so long the answer to a demand that was given up may still come
-ANSWER_TTL_S = 5.0  # longer than a demand is sent again and its copies are on their way
-MIN_RESEND_S, MAX_RESEND_S = 0.03, 0.2  # between two sendings of a demand, at first; it doubles
-RESEND_FACTOR = 2.5  # of the usual time of an answer
-ANSWER_WEIGHT = 0.1  # of the newest answer's time, in the usual one
-MAX_WANTED = 1_000_000  # tokens in one demand: more is no demand that a proxy can have
+GRANT_LIFETIME_S = 0.25  # a demand is abandoned then; tokens granted later are returned
+ABANDONED_TTL_S = 2.0  # how long an answer to an abandoned demand is recognised
+ANSWER_TTL_S = 5.0  # longer than a demand is resent and duplicates are in transit
+MIN_RESEND_S, MAX_RESEND_S = 0.03, 0.2  # range of the first resend interval, which then doubles
+RESEND_FACTOR = 2.5  # of the average response time
+ANSWER_WEIGHT = 0.1  # of the newest response time in the average
+MAX_WANTED = 1_000_000  # tokens in one demand; a larger number is invalid
 
 
-# ---- up: what was asked of the upstream peer
+# ---- demands sent to the upstream peer
 
 
 @dataclass(slots=True)
 class SentDemand:
-    """The demand for a tenant that is under way.
+    """The outstanding demand for a tenant.
 
     Attributes:
-        upstream: The peer that was asked.
-        number: For the answer.
+        upstream: The peer it was sent to.
+        number: Identifies the answer.
         wanted: Tokens.
-        returning: How many of them are for clients at their appointed time.
-        hops: How often parts of it have been passed on.
-        sent_at: Seconds, the first time.
-        next_send_at: When it is to be sent again.
-        interval_s: Until then, doubled each time.
+        returning: How many of them are for clients that return at their scheduled retry time.
+        hops: Largest number of times that a part of it has been forwarded.
+        sent_at: Seconds, time of the first transmission.
+        next_send_at: Seconds, time of the next transmission.
+        interval_s: Current resend interval, doubled each time.
     """
 
     upstream: str
@@ -51,56 +52,56 @@
     interval_s: float
 
     def message(self, tenant: str) -> TokenDemand:
-        """It, as it goes to the upstream peer."""
+        """Returns the message for the upstream peer."""
         return TokenDemand(tenant, self.number, self.wanted, self.returning)
 
 
 class SentDemands:
-    """All demands of one proxy that are under way, one for a tenant."""
+    """All outstanding demands of one proxy, at most one per tenant."""
 
     def __init__(self) -> None:
-        """Begin with none."""
+        """Starts empty."""
         self.by_tenant: dict[str, SentDemand] = {}
         self._abandoned: dict[int, SentDemand] = {}  # by number
-        self._usual_s: dict[str, float] = {}  # of an answer, by peer
+        self._average_s: dict[str, float] = {}  # average response time by peer
 
     def send(
         self, now: float, upstream: str, tenant: str, number: int, wanted: int, returning: int, hops: int
     ) -> SentDemand:
-        """Begin one; see SentDemand for the arguments."""
-        usual_s = RESEND_FACTOR * self._usual_s.get(upstream, 0.0)
-        interval_s = min(MAX_RESEND_S, max(MIN_RESEND_S, usual_s))
+        """Records a demand that is sent now; see SentDemand for the arguments."""
+        expected_s = RESEND_FACTOR * self._average_s.get(upstream, 0.0)
+        interval_s = min(MAX_RESEND_S, max(MIN_RESEND_S, expected_s))
         sent = SentDemand(upstream, number, wanted, returning, hops, now, now + interval_s, interval_s)
         self.by_tenant[tenant] = sent
         return sent
 
     @property
     def resend_at(self) -> float:
-        """When the next one is to be sent again; infinite where none is under way."""
+        """Time of the next retransmission in seconds; infinite if no demand is outstanding."""
         return min((sent.next_send_at for sent in self.by_tenant.values()), default=inf)
 
     def due(self, now: float) -> Iterator[tuple[str, SentDemand]]:
-        """Those that are to be sent again now, by tenant."""
+        """Yields the demands due for retransmission, with their tenants, and doubles their intervals."""
         for tenant, sent in self.by_tenant.items():
             if now >= sent.next_send_at:
                 sent.interval_s *= 2
                 sent.next_send_at = now + sent.interval_s
                 yield tenant, sent
 
-    def abandon(self, where: Callable[[str, SentDemand], bool]) -> None:
-        """Give up those for which it holds; their tenants may be asked for anew."""
+    def abandon(self, matches: Callable[[str, SentDemand], bool]) -> None:
+        """Abandons the demands that match; new demands for their tenants may then be sent."""
         for tenant, sent in list(self.by_tenant.items()):
-            if where(tenant, sent):
+            if matches(tenant, sent):
                 self._abandoned[sent.number] = self.by_tenant.pop(tenant)
 
     def abandon_overdue(self, now: float) -> None:
-        """Give up those that are unanswered for GRANT_LIFETIME_S, and forget what was given up long ago."""
+        """Abandons demands unanswered for GRANT_LIFETIME_S, and drops those abandoned long ago."""
         for number in [n for n, sent in self._abandoned.items() if now - sent.sent_at > ABANDONED_TTL_S]:
             del self._abandoned[number]
         self.abandon(lambda _, sent: now - sent.sent_at > GRANT_LIFETIME_S)
 
     def take_abandoned(self, peer: str, grant: TokenGrant) -> bool:
-        """Whether this answers one that was given up; it counts once."""
+        """Returns whether a grant answers an abandoned demand, once for each demand."""
         sent = self._abandoned.get(grant.number)
         if sent is None or sent.upstream != peer or not 0 <= grant.granted <= sent.wanted:
             return False
@@ -108,39 +109,39 @@
         return True
 
     def take_answered(self, now: float, peer: str, grant: TokenGrant) -> SentDemand | None:
-        """The demand that this answers, which is under way no more; none where it makes no sense."""
+        """Removes and returns the demand that a grant answers; None if the grant is unexpected or invalid."""
         sent = self.by_tenant.get(grant.tenant)
         if sent is None or sent.upstream != peer or sent.number != grant.number:
             return None
         if not 0 <= grant.granted <= sent.wanted or not grant.retry_after_s >= 0:
             return None
         del self.by_tenant[grant.tenant]
-        took_s = now - sent.sent_at
-        usual_s = self._usual_s.setdefault(peer, took_s)
-        self._usual_s[peer] = usual_s + (took_s - usual_s) * ANSWER_WEIGHT
+        elapsed_s = now - sent.sent_at
+        average_s = self._average_s.setdefault(peer, elapsed_s)
+        self._average_s[peer] = average_s + (elapsed_s - average_s) * ANSWER_WEIGHT
         return sent
 
     def forget(self, peer: str) -> None:
-        """The peer's link has ended, and with it what was asked on it."""
-        self._usual_s.pop(peer, None)
+        """Drops the demands sent to a peer whose link has closed."""
+        self._average_s.pop(peer, None)
         for tenant in [tenant for tenant, sent in self.by_tenant.items() if sent.upstream == peer]:
             del self.by_tenant[tenant]
 
 
-# ---- down: who waits for what
+# ---- demands received
 
 
 @dataclass(slots=True)
 class PendingDemand:
-    """A demand that is not answered yet.
+    """A received demand that is not answered yet.
 
     Attributes:
-        requester: The peer that asks, or LOCAL.
-        number: The requester's, for the answer.
+        requester: Name of the requesting peer, or LOCAL.
+        number: The requester's number, repeated in the answer.
         wanted: Tokens.
-        returning: How many of them are for clients at their appointed time.
+        returning: How many of them are for clients that return at their scheduled retry time.
         received_at: Seconds.
-        hops: How often it was passed on.
+        hops: How often it was forwarded.
     """
 
     requester: str
@@ -152,14 +153,14 @@
 
 
 class PendingDemands:
-    """Who waits for which tenant's tokens, one demand for each requester and tenant."""
+    """Unanswered demands, at most one for each requester and tenant."""
 
     def __init__(self) -> None:
-        """Begin with none."""
+        """Starts empty."""
         self._by_tenant: dict[str, dict[str, PendingDemand]] = {}
 
     def add(self, tenant: str, pending: PendingDemand) -> bool:
-        """Take one in; false if the requester waits for that one or a later one already."""
+        """Adds a demand; returns False if this one or a later one of the requester is already pending."""
         waiting = self._by_tenant.setdefault(tenant, {})
         known = waiting.get(pending.requester)
         if known is not None and known.number >= pending.number:
@@ -168,7 +169,7 @@
         return True
 
     def remove(self, tenant: str, pending: PendingDemand) -> None:
-        """It is answered."""
+        """Removes an answered demand."""
         waiting = self._by_tenant.get(tenant, {})
         if waiting.get(pending.requester) is pending:
             del waiting[pending.requester]
@@ -176,15 +177,15 @@
             self._by_tenant.pop(tenant, None)
 
     def for_tenant(self, tenant: str) -> list[PendingDemand]:
-        """Those for a tenant, in their turn."""
+        """Returns the demands for a tenant in order of arrival."""
         return list(self._by_tenant.get(tenant, {}).values())
 
     def tenants(self) -> list[str]:
-        """Those that are waited for."""
+        """Returns the tenants with pending demands."""
         return list(self._by_tenant)
 
     def forget(self, requester: str) -> None:
-        """The requester's link has ended."""
+        """Drops the demands of a requester whose link has closed."""
         for tenant, waiting in list(self._by_tenant.items()):
             waiting.pop(requester, None)
             if not waiting:
@@ -192,7 +193,7 @@
 
 
 def distribute_tokens(granted: int, demands: list[PendingDemand]) -> list[int]:
-    """Tokens for each demand: clients at their appointed time first, then in turn."""
+    """Splits tokens among demands: returning clients first, then in order of arrival."""
     left = granted
     shares = []
     for pending in demands:
@@ -206,30 +207,30 @@
 
 
 class AnswerCache:
-    """The last answer to each peer and tenant, for at least ANSWER_TTL_S, so that it can be sent again."""
+    """The last answer for each peer and tenant, kept for at least ANSWER_TTL_S to answer duplicates."""
 
     def __init__(self) -> None:
-        """Begin with none."""
-        self._newer: dict[tuple[str, str], TokenGrant] = {}
-        self._older: dict[tuple[str, str], TokenGrant] = {}
-        self._aged_at = -inf
+        """Starts empty."""
+        self._recent: dict[tuple[str, str], TokenGrant] = {}
+        self._previous: dict[tuple[str, str], TokenGrant] = {}
+        self._rotated_at = -inf
 
     def record(self, peer: str, grant: TokenGrant) -> None:
-        """What a peer was told."""
-        self._newer[peer, grant.tenant] = grant
+        """Records an answer sent to a peer."""
+        self._recent[peer, grant.tenant] = grant
 
     def last(self, peer: str, tenant: str) -> TokenGrant | None:
-        """What it was told last; nothing where that is long ago."""
-        return self._newer.get((peer, tenant)) or self._older.get((peer, tenant))
+        """Returns the last answer to a peer, or None if it has expired."""
+        return self._recent.get((peer, tenant)) or self._previous.get((peer, tenant))
 
     def forget(self, peer: str) -> None:
-        """The peer's link has ended: its next life counts its demands from the beginning."""
-        for answers in (self._newer, self._older):
+        """Drops the answers to a peer whose link has closed: its next incarnation numbers demands from 1."""
+        for answers in (self._recent, self._previous):
             for key in [key for key in answers if key[0] == peer]:
                 del answers[key]
 
     def rotate(self, now: float) -> None:
-        """Time has gone by."""
-        if now - self._aged_at >= ANSWER_TTL_S:
-            self._aged_at = now
-            self._newer, self._older = {}, self._newer
+        """Drops answers that have expired."""
+        if now - self._rotated_at >= ANSWER_TTL_S:
+            self._rotated_at = now
+            self._recent, self._previous = {}, self._recent
--- a/troutdock/quota/node.py
+++ b/troutdock/quota/node.py
@@ -61,23 +61,23 @@
 from troutdock.quota.ownership import OwnedShards
 from troutdock.quota.routes import SINGLE_PROXY, SHARD_COUNT, Peers, Role, ShardRoutes, shard_of
 
-VOTE_INTERVAL_S = 0.2  # between two votes of a zone: three lie within a vote's lifetime
-STALL_THRESHOLD_S = 0.5  # a process that has not run for so long may have been replaced as owner
-PENDING_TIMEOUT_S = 1.0  # a demand that has not been answered for so long is told to come again
-NO_OWNER_RETRY_S = 0.1  # what is told where there is no owner, or it does not know the tenant
-MAX_HOPS = 4  # a demand that has been passed on so often goes in a circle
-LOCAL = ""  # this proxy itself, among those that ask
+VOTE_INTERVAL_S = 0.2  # between two votes of a zone; three are sent within VOTE_LIFETIME_S
+STALL_THRESHOLD_S = 0.5  # an owner that has not run for longer may have been replaced
+PENDING_TIMEOUT_S = 1.0  # an older unanswered demand is rejected with a retry time
+NO_OWNER_RETRY_S = 0.1  # retry time if there is no owner, or the owner does not know the tenant
+MAX_HOPS = 4  # a message forwarded more often is in a routing loop
+LOCAL = ""  # this proxy as a requester
 
 
 @dataclass(frozen=True, slots=True)
 class LocalGrant:
-    """What this proxy's own demand for a tenant has got.
+    """Answer to a demand of this proxy itself.
 
     Attributes:
-        tenant: Whose quota.
+        tenant: Name of the tenant.
         granted: Tokens to spend.
-        retry_after_s: For how long asking again is of no use; 0 where all was granted.
-        term: The owner's, for handing tokens back.
+        retry_after_s: How long to wait before the next demand; 0 if everything was granted.
+        term: The owner's term, needed to return tokens.
     """
 
     tenant: str
@@ -87,24 +87,24 @@
 
 
 class QuotaNode:
-    """The state machine of one proxy; hand it every event, then take its messages and grants."""
+    """State machine of one proxy; the caller passes every event, then takes messages and grants."""
 
-    def __init__(self, name: str, zone: str, life: int, now: float, bootstrap: bool = False) -> None:
-        """Begin without peers, limits and ownership.
+    def __init__(self, name: str, zone: str, incarnation: int, now: float, bootstrap: bool = False) -> None:
+        """Starts without peers, limits and ownership.
 
         Args:
             name: Of this proxy, as its peers know it.
-            zone: Where it stands.
-            life: Of this process; names its terms.
+            zone: Of this proxy.
+            incarnation: Of this process; identifies its terms.
             now: Seconds.
-            bootstrap: The whole fleet starts for the first time, so that no quota is used yet.
+            bootstrap: The whole fleet starts for the first time, so no quota has been used yet.
         """
         self.name, self.zone = name, zone
         self._routes = ShardRoutes(name, zone)
         self._peers = Peers()
-        self._owned = OwnedShards(life, now, bootstrap)
+        self._owned = OwnedShards(incarnation, now, bootstrap)
         self._pending = PendingDemands()
-        self._answered = AnswerCache()
+        self._answers = AnswerCache()
         self._sent = SentDemands()
         self._refused_until: dict[str, float] = {}  # by tenant
         self._charges: dict[str, int] = {}
@@ -112,43 +112,43 @@
         self._local_grants: list[LocalGrant] = []
         self._last_number = 0
         self._ticked_at, self._voted_at = inf, -inf
-        self.rejected = 0  # messages' parts that made no sense, and returns to terms that are over
+        self.rejected = 0  # invalid parts of messages, and returns to terms that have ended
 
     @classmethod
     def standalone(cls) -> QuotaNode:
-        """The only proxy there is; its buckets begin full."""
+        """Returns the node of a single proxy without peers; its buckets start full."""
         node = cls("", "", 0, 0.0, bootstrap=True)
         node.update_peers(0.0, SINGLE_PROXY)
         return node
 
-    # ---- what this proxy knows
+    # ---- state
 
     @property
     def has_output(self) -> bool:
-        """There are messages or grants to take."""
+        """Whether there are messages or grants to take."""
         return bool(self._outbox or self._local_grants)
 
     @property
     def has_grants(self) -> bool:
-        """There are answers to this proxy's own demands."""
+        """Whether there are answers to this proxy's own demands."""
         return bool(self._local_grants)
 
     def is_settled(self, now: float) -> bool:
-        """Its neighbours are linked, or have had the time for it: it can own and aggregate."""
+        """Returns whether this proxy can be owner or aggregator; see ShardRoutes.is_settled."""
         return self._routes.is_settled(now)
 
     def owned_shards(self) -> list[int]:
-        """The shards that this proxy owns."""
+        """Returns the shards that this proxy owns."""
         return sorted(self._owned)
 
     def set_limits(self, now: float, limits: Mapping[str, QuotaLimit]) -> None:
-        """The limits of all limited tenants, as the configuration in force has them."""
+        """Sets the limits of all limited tenants from the current configuration."""
         self._observe(now)
         for tenant in self._owned.set_limits(now, limits):
             self._refused_until.pop(tenant, None)
 
     def update_peers(self, now: float, peers: Peers) -> None:
-        """Other proxies were linked, lost, listed or delisted."""
+        """Applies a change of links to other proxies or of the registry's list."""
         self._observe(now)
         for name in (
             (set(self._peers.zone_peers) | set(self._peers.remote_peers))
@@ -158,13 +158,13 @@
             self._forget_peer(name)
         self._peers = peers
         self._owned.set_fleet(len(peers.zone_peers) + 1, peers.fleet_size)
-        self._follow_routes(now)
+        self._update_routes(now)
         self._owned.update_backing(now)
 
     def _forget_peer(self, name: str) -> None:
-        """A peer's link has ended, and with it what was asked and voted on it."""
+        """Drops the demands, answers and votes of a peer whose link has closed."""
         self._outbox.forget(name)
-        self._answered.forget(name)
+        self._answers.forget(name)
         self._pending.forget(name)
         self._sent.forget(name)
         self._owned.forget_voter(name)
@@ -172,23 +172,23 @@
     # ---- time
 
     def _observe(self, now: float) -> None:
-        """End this proxy's terms where it has stood still for so long that it may have been replaced."""
+        """Ends this proxy's terms if it has stalled for so long that it may have been replaced."""
         if now - self._ticked_at > STALL_THRESHOLD_S:
             self._ticked_at = now
             self._owned.end_terms(now)
 
     def tick(self, now: float) -> None:
-        """Time has gone by; to be called several times within VOTE_INTERVAL_S."""
+        """Handles the passing of time; must be called several times within VOTE_INTERVAL_S."""
         self._observe(now)
         self._ticked_at = now
-        self._follow_routes(now)
+        self._update_routes(now)
         if now - self._voted_at >= VOTE_INTERVAL_S:
             self._voted_at = now
             for shard in range(SHARD_COUNT):
                 self._vote(shard)
         self._owned.update_backing(now)
         self._flush_charges(now)
-        self._answered.rotate(now)
+        self._answers.rotate(now)
         self._sent.abandon_overdue(now)
         for tenant in self._pending.tenants():
             self._serve(now, tenant)
@@ -201,18 +201,18 @@
 
     @property
     def resend_at(self) -> float:
-        """When the next demand is to be sent again; infinite where none is under way."""
+        """Time of the next retransmission in seconds; infinite if no demand is outstanding."""
         return self._sent.resend_at
 
     def resend(self, now: float) -> None:
-        """Send demands again whose answers are overdue."""
+        """Resends demands whose answers are overdue."""
         self._observe(now)
         for tenant, sent in self._sent.due(now):
             self._outbox.add_demand(sent.upstream, sent.message(tenant), sent.hops)
 
     # ---- roles
 
-    def _follow_routes(self, now: float) -> None:
+    def _update_routes(self, now: float) -> None:
         before = list(self._routes.routes)
         for shard in self._routes.update(now, self._peers):
             route, old = self._routes.routes[shard], before[shard]
@@ -225,7 +225,7 @@
             if old.role is Role.AGGREGATOR and self._is_linked(old.upstream):
                 self._outbox.add_withdrawal(old.upstream, shard)
             self._vote(shard)
-            self._ask_again(now, shard, route.upstream)
+            self._resend_pending(now, shard, route.upstream)
 
     def _is_linked(self, peer: str) -> bool:
         return peer in self._peers.zone_peers or peer in self._peers.remote_peers
@@ -236,20 +236,20 @@
             self._outbox.add_handover(successor, handover)
 
     def hand_over(self, now: float) -> None:
-        """Give up all ownership to those that are next, for good; to be called just before the links end."""
+        """Hands all ownership over to the successors; to be called just before the links are closed."""
         for shard in self._owned:
             self._yield(now, shard, self._routes.successor(shard))
 
     def _vote(self, shard: int) -> None:
-        """Back the owner that this zone has chosen."""
+        """Votes for the owner that this zone has selected."""
         route = self._routes.routes[shard]
         if route.role is Role.AGGREGATOR:
             self._outbox.add_vote(
                 route.upstream, ShardVote(shard, self.zone, len(self._peers.zone_peers) + 1)
             )
 
-    def _ask_again(self, now: float, shard: int, upstream: str) -> None:
-        """What was asked of another peer than the upstream one is asked anew."""
+    def _resend_pending(self, now: float, shard: int, upstream: str) -> None:
+        """Abandons demands sent to a previous upstream peer, and sends them to the current one."""
         self._sent.abandon(lambda tenant, sent: sent.upstream != upstream and shard_of(tenant) == shard)
         for tenant in self._pending.tenants():
             if shard_of(tenant) == shard:
@@ -258,33 +258,33 @@
     # ---- demands
 
     def demand(self, now: float, tenant: str, wanted: int, returning: int = 0) -> None:
-        """This proxy wants tokens; the answer is among the grants, maybe at once.
+        """Requests tokens for this proxy; the answer is available from take_grants, possibly immediately.
 
         Args:
             now: Seconds.
-            tenant: Whose quota; one demand for it at a time.
+            tenant: Name of the tenant; only one demand for it at a time.
             wanted: Tokens, at least 1.
-            returning: How many of them are for clients at their appointed time.
+            returning: How many of them are for clients that return at their scheduled retry time.
         """
         self._observe(now)
         self._last_number += 1
         self._receive_demand(now, LOCAL, TokenDemand(tenant, self._last_number, wanted, returning), 0)
 
     def charge(self, tenant: str, requests: int = 1) -> None:
-        """Requests of a tenant were sent to a backend without a token."""
+        """Charges requests of a tenant that were sent to a backend without a token."""
         self._charges[tenant] = self._charges.get(tenant, 0) + requests
 
     def return_tokens(self, tenant: str, tokens: int, term: str) -> None:
-        """Leased tokens were not spent."""
+        """Returns leased tokens that were not spent."""
         self._receive_returned(ReturnedTokens(tenant, tokens, term), 0)
 
     def _receive_demand(self, now: float, requester: str, demand: TokenDemand, hops: int) -> None:
         if not 0 <= demand.returning <= demand.wanted <= MAX_WANTED:
             self.rejected += 1
             return
-        answered = self._answered.last(requester, demand.tenant)
+        answered = self._answers.last(requester, demand.tenant)
         if answered is not None and demand.number <= answered.number:
-            if demand.number == answered.number:  # the answer was lost, or is late
+            if demand.number == answered.number:  # the answer was lost or delayed
                 self._outbox.add_grant(requester, answered)
             return
         pending = PendingDemand(requester, demand.number, demand.wanted, demand.returning, now, hops)
@@ -292,7 +292,7 @@
             self._serve(now, demand.tenant)
 
     def _serve(self, now: float, tenant: str) -> None:
-        """Answer the tenant's demands, or pass them on, or leave them waiting."""
+        """Answers the tenant's demands, forwards them, or leaves them pending."""
         demands = self._pending.for_tenant(tenant)
         shard = shard_of(tenant)
         owner = self._owned.get(shard)
@@ -300,7 +300,7 @@
         if owner is not None:
             self._serve_as_owner(now, owner, tenant, demands)
         elif upstream and demands and tenant not in self._sent.by_tenant:
-            self._pass_on(now, upstream, tenant, demands)
+            self._forward(now, upstream, tenant, demands)
 
     def _serve_as_owner(
         self, now: float, owner: ShardOwner, tenant: str, demands: list[PendingDemand]
@@ -313,7 +313,7 @@
             answer = owner.grant(now, pending.requester, tenant, limit, pending.wanted, pending.returning)
             self._answer(tenant, pending, answer.granted, answer.retry_after_s, owner.term)
 
-    def _pass_on(self, now: float, upstream: str, tenant: str, demands: list[PendingDemand]) -> None:
+    def _forward(self, now: float, upstream: str, tenant: str, demands: list[PendingDemand]) -> None:
         refused_for_s = self._refused_until.get(tenant, now) - now
         for pending in demands:
             if refused_for_s > 0:
@@ -338,7 +338,7 @@
             self._local_grants.append(LocalGrant(tenant, granted, retry_after_s, term))
             return
         grant = TokenGrant(tenant, pending.number, granted, round(retry_after_s, 4), term)
-        self._answered.record(pending.requester, grant)
+        self._answers.record(pending.requester, grant)
         self._outbox.add_grant(pending.requester, grant)
 
     def _flush_charges(self, now: float) -> None:
@@ -358,7 +358,7 @@
     # ---- messages
 
     def receive(self, now: float, peer: str, message: Message) -> None:
-        """A linked peer has sent something; what makes no sense is counted and dropped."""
+        """Handles a message of a linked peer; invalid parts are dropped and counted."""
         self._observe(now)
         match message:
             case QuotaRequest():
@@ -411,24 +411,24 @@
 
     def _receive_grant(self, now: float, peer: str, grant: TokenGrant) -> None:
         if self._sent.take_abandoned(peer, grant):
-            self._hand_back(grant)
+            self._return_grant(grant)
             return
         sent = self._sent.take_answered(now, peer, grant)
         if sent is None:
             self.rejected += 1
             return
         if now - sent.sent_at > GRANT_LIFETIME_S and grant.granted:
-            self._hand_back(grant)
+            self._return_grant(grant)
         else:
             self._distribute(now, grant)
         self._serve(now, grant.tenant)
 
-    def _hand_back(self, grant: TokenGrant) -> None:
+    def _return_grant(self, grant: TokenGrant) -> None:
         if grant.granted:
             self._receive_returned(ReturnedTokens(grant.tenant, grant.granted, grant.term), 0)
 
     def _distribute(self, now: float, grant: TokenGrant) -> None:
-        """Share out what has come, and hand back what nobody waits for any more."""
+        """Distributes granted tokens, and returns those that no demand is waiting for."""
         retry_after_s = min(MAX_RETRY_S, grant.retry_after_s)
         if retry_after_s:
             self._refused_until[grant.tenant] = now + retry_after_s
@@ -436,18 +436,18 @@
         shares = distribute_tokens(grant.granted, waiting)
         for pending, share in zip(waiting, shares, strict=True):
             if share or retry_after_s:
-                whole = share >= pending.wanted
-                self._answer(grant.tenant, pending, share, 0.0 if whole else retry_after_s, grant.term)
+                is_complete = share >= pending.wanted
+                self._answer(grant.tenant, pending, share, 0.0 if is_complete else retry_after_s, grant.term)
         if left := grant.granted - sum(shares):
             self._receive_returned(ReturnedTokens(grant.tenant, left, grant.term), 0)
 
     # ---- output
 
     def take_messages(self) -> Iterable[tuple[str, Message]]:
-        """What is to be sent, by peer; each is given once."""
+        """Yields and removes the messages to be sent, by peer."""
         return self._outbox.take()
 
     def take_grants(self) -> list[LocalGrant]:
-        """Answers to this proxy's own demands; each is given once."""
+        """Returns and removes the answers to this proxy's own demands."""
         grants, self._local_grants = self._local_grants, []
         return grants
--- a/troutdock/quota/outbox.py
+++ b/troutdock/quota/outbox.py
@@ -1,4 +1,4 @@
-"""What one proxy has to say to its peers about quotas, gathered into few messages (no I/O, no clock)."""
+"""Batches the outgoing quota messages of one proxy by peer (no I/O, no clock)."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 
 
 @dataclass(slots=True)
-class _ForPeer:
-    """What goes to one peer with the next messages."""
+class _PeerMessages:
+    """Content of the next messages to one peer."""
 
     request: QuotaRequest = field(default_factory=QuotaRequest)
     grants: list[TokenGrant] = field(default_factory=list)
@@ -40,58 +40,58 @@
 
 
 class Outbox:
-    """Messages by peer, until they are taken."""
+    """Outgoing messages by peer."""
 
     def __init__(self) -> None:
-        """Begin empty."""
-        self._peers: dict[str, _ForPeer] = {}
+        """Starts empty."""
+        self._peers: dict[str, _PeerMessages] = {}
 
     def __bool__(self) -> bool:
         return bool(self._peers)
 
-    def _for(self, peer: str) -> _ForPeer:
-        return self._peers.setdefault(peer, _ForPeer())
+    def _messages_for(self, peer: str) -> _PeerMessages:
+        return self._peers.setdefault(peer, _PeerMessages())
 
     def add_demand(self, peer: str, demand: TokenDemand, hops: int) -> None:
-        """hops: how often it was passed on, this time included."""
-        request = self._for(peer).request
+        """Adds a demand; hops: how often it was forwarded, including this time."""
+        request = self._messages_for(peer).request
         request.demands.append(demand)
         request.hops = max(request.hops, hops)
 
     def add_vote(self, peer: str, vote: ShardVote, hops: int = 0) -> None:
-        """hops: how often it was passed on, this time included."""
-        request = self._for(peer).request
+        """Adds a vote; hops: how often it was forwarded, including this time."""
+        request = self._messages_for(peer).request
         request.votes.append(vote)
         request.hops = max(request.hops, hops)
 
     def add_returned(self, peer: str, returned: ReturnedTokens, hops: int) -> None:
-        """hops: how often they were passed on, this time included."""
-        settlement = self._for(peer).settlement
+        """Adds returned tokens; hops: how often they were forwarded, including this time."""
+        settlement = self._messages_for(peer).settlement
         settlement.returned.append(returned)
         settlement.hops = max(settlement.hops, hops)
 
     def add_grant(self, peer: str, grant: TokenGrant) -> None:
-        """An answer to one of the peer's demands."""
-        self._for(peer).grants.append(grant)
+        """Adds an answer to one of the peer's demands."""
+        self._messages_for(peer).grants.append(grant)
 
     def add_charge(self, peer: str, charged: ChargedRequests) -> None:
-        """Requests that were sent without a token."""
-        self._for(peer).settlement.charged.append(charged)
+        """Adds a charge for requests that were sent without a token."""
+        self._messages_for(peer).settlement.charged.append(charged)
 
     def add_withdrawal(self, peer: str, shard: int) -> None:
-        """The peer is voted for no more."""
-        self._for(peer).settlement.withdrawn.append(shard)
+        """Withdraws this zone's vote for the peer as owner of a shard."""
+        self._messages_for(peer).settlement.withdrawn.append(shard)
 
     def add_handover(self, peer: str, handover: QuotaHandover) -> None:
-        """The peer owns a shard from now on."""
-        self._for(peer).handovers.append(handover)
+        """Adds the bucket levels of a shard for its next owner."""
+        self._messages_for(peer).handovers.append(handover)
 
     def forget(self, peer: str) -> None:
-        """The peer's link has ended."""
+        """Drops the messages to a peer whose link has closed."""
         self._peers.pop(peer, None)
 
     def take(self) -> Iterator[tuple[str, Message]]:
-        """All messages, by peer; each is given once."""
+        """Yields and removes all messages, grouped by peer."""
         peers, self._peers = self._peers, {}
         for peer, outgoing in peers.items():
             for message in outgoing.messages():
--- a/troutdock/quota/routes.py
+++ b/troutdock/quota/routes.py
@@ -1,10 +1,10 @@
-"""Which proxy the requests for a quota go to: the agreed tree of owners and aggregators (no I/O, no clock).
+"""Routing of quota demands: the tree of owners and aggregators (no I/O, no clock).
 
-Tenants are divided into shards. For each shard every zone has an *aggregator*, the first of its live
-proxies in an order that all agree on, and one zone's aggregator is the *owner*, again the first zone in
-an agreed order. A proxy asks the aggregator of its zone, and that one the owner's zone. A peer that is
-asked though it is neither passes the request on by its own view, so views that differ for a moment still
-lead to an owner.
+Tenants are divided into shards. For each shard, every zone has an *aggregator*: the first of its live proxies
+in an order that all proxies compute alike. The aggregator of the first zone, in an order computed the same
+way, is the *owner*. A proxy sends its demands to the aggregator of its zone, which sends them to the owner's
+zone. A peer that receives a demand without being the aggregator or the owner forwards it according to its own
+view, so demands still reach an owner while views differ temporarily.
 """
 
 from __future__ import annotations
@@ -17,23 +17,23 @@
 
 from troutdock.endpoints.rendezvous import first_ranked, ranked
 
-SHARD_COUNT = 16  # the same in every process of a fleet: who owns what follows from it
-SETTLE_TIMEOUT_S = 0.4  # for the listed neighbours of a process that has just started to be linked
-ZONE_GRACE_S = 0.5  # how long requests wait for a zone that is not linked, before the next zone owns
+SHARD_COUNT = 16  # must be equal in all processes of a fleet, because ownership depends on it
+SETTLE_TIMEOUT_S = 0.4  # how long a process that has just started waits for links to the listed peers
+ZONE_GRACE_S = 0.5  # how long demands wait for a zone without a link before the next zone becomes owner
 
 
 class Role(Enum):
-    """What a proxy is for one shard."""
+    """Role of a proxy for one shard."""
 
-    UNSETTLED = "unsettled"  # it can't tell yet: requests wait
-    MEMBER = "member"  # asks the aggregator of its zone
-    AGGREGATOR = "aggregator"  # asks the owner on its zone's behalf
+    UNSETTLED = "unsettled"  # not known yet: demands wait
+    MEMBER = "member"  # sends demands to the aggregator of its zone
+    AGGREGATOR = "aggregator"  # sends demands to the owner on behalf of its zone
     OWNER = "owner"  # keeps the buckets
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """A proxy's role for a shard, and the peer that it asks; empty for an owner or an unsettled one."""
+    """A proxy's role for a shard, and its upstream peer; empty for an owner or an unsettled proxy."""
 
     role: Role
     upstream: str = ""
@@ -44,15 +44,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Peers:
-    """The other proxies as this one sees them.
+    """This proxy's view of the other proxies.
 
     Attributes:
-        zone_peers: Names of those in its own zone that are linked.
-        remote_peers: Zones by the names of linked ones in other zones.
-        listed_zone_peers: Names of those in its own zone that the registry lists, but for those not reached.
-        listed_zones: Other zones that the registry lists proxies of.
-        fleet_size: How many proxies there are, this one included; 0 until the registry has told.
-        busy: Names, this one's perhaps among them, of those that handle messages late or have just started.
+        zone_peers: Names of the linked proxies in the own zone.
+        remote_peers: Zones of the linked proxies in other zones, by name.
+        listed_zone_peers: Names of the listed proxies in the own zone, except unreachable ones.
+        listed_zones: Other zones in which the registry lists proxies.
+        fleet_size: Number of proxies, including this one; 0 until the registry has reported it.
+        busy: Names of proxies, possibly this one too, with a high message delay or a recent start.
     """
 
     zone_peers: Set[str] = frozenset()
@@ -67,24 +67,25 @@
 
 
 def shard_of(tenant: str) -> int:
-    """The shard that a tenant's quota belongs to."""
+    """Returns the shard of a tenant's quota."""
     return crc32(tenant.encode()) % SHARD_COUNT
 
 
 def shard_key(shard: int) -> str:
-    """The name under which a shard's zones are put in order."""
+    """Returns the key by which zones are ranked for a shard."""
     return f"quota/{shard}"
 
 
 def zone_key(zone: str, shard: int) -> str:
-    """The name under which the proxies of a zone are put in order for a shard."""
+    """Returns the key by which the proxies of a zone are ranked for a shard."""
     return f"{zone}/{shard_key(shard)}"
 
 
 def ranked_aggregators(zone: str, shard: int, names: Collection[str], busy: Set[str]) -> list[str]:
-    """A zone's proxies, the aggregator of a shard first.
+    """Returns the proxies of a zone, the aggregator of a shard first.
 
-    Busy ones come last, unless they are more than three quarters: then the others would be next to be so.
+    Busy proxies come last, unless they are more than three quarters of all: the remaining proxies would then
+    become busy next.
     """
     order = ranked(zone_key(zone, shard), names)
     idle = [name for name in order if name not in busy]
@@ -94,26 +95,26 @@
 
 
 def preceding_zones(shard: int, zone: str, zones: Iterable[str]) -> list[str]:
-    """The other zones that come before one in a shard's order, the first of them being the owner's."""
+    """Returns the zones that precede a zone in the order of a shard; the first one is the owner's zone."""
     order = ranked(shard_key(shard), {zone, *zones})
     return order[: order.index(zone)]
 
 
 class ShardRoutes:
-    """One proxy's routes of all shards."""
+    """Routes of one proxy for all shards."""
 
     def __init__(self, name: str, zone: str) -> None:
-        """Begin unsettled."""
+        """Starts with unsettled routes."""
         self.name, self.zone = name, zone
         self.routes = [UNSETTLED] * SHARD_COUNT
         self._peers = Peers()
         self._listed_at = inf
-        self._zone_lost_at: dict[str, float] = {}  # other zones that were linked, and whose last link ended
-        self._aggregates_since: dict[int, float] = {}  # by shard: links to other zones come up from then on
-        self._stable_until = -inf  # until then routes change with the peers only
+        self._zone_lost_at: dict[str, float] = {}  # when the last link to another zone closed
+        self._aggregates_since: dict[int, float] = {}  # by shard: since when this proxy may dial other zones
+        self._stable_until = -inf  # until then, routes change only if the peers change
 
     def update(self, now: float, peers: Peers) -> list[int]:
-        """Follow a change of peers, or of time; the shards whose route has changed."""
+        """Updates the routes after a change of peers or of time; returns the shards whose route changed."""
         if peers == self._peers and now < self._stable_until:
             return []
         if peers.fleet_size and self._listed_at == inf:
@@ -136,7 +137,7 @@
         return changed
 
     def is_settled(self, now: float) -> bool:
-        """Its neighbours are linked, or have had the time for it."""
+        """Returns whether the listed peers of the zone are linked, or SETTLE_TIMEOUT_S has passed."""
         if self._listed_at == inf:
             return False
         return (
@@ -166,9 +167,9 @@
         return Route(Role.AGGREGATOR, ranked_aggregators(before[0], shard, names, peers.busy)[0])
 
     def successor(self, shard: int) -> str:
-        """Who would be the owner after this proxy; empty where there is nobody."""
-        if near := ranked_aggregators(self.zone, shard, self._peers.zone_peers, self._peers.busy):
-            return near[0]
+        """Returns the next owner if this proxy terminates; empty if there is none."""
+        if zone_order := ranked_aggregators(self.zone, shard, self._peers.zone_peers, self._peers.busy):
+            return zone_order[0]
         zone = first_ranked(shard_key(shard), set(self._peers.remote_peers.values()))
         names = [name for name, of in self._peers.remote_peers.items() if of == zone]
         return first_ranked(zone_key(zone or "", shard), names) or ""
