--- a/tests/support/proxy_fleet.py
+++ b/tests/support/proxy_fleet.py
@@ -88,9 +88,9 @@
 
     def __init__(self, fleet: SimulatedFleet, name: str, zone: str, first: bool) -> None:
         ip = f"10.{zone}.{len(fleet.ingresses):04}"
-        super().__init__(fleet.network, name, zone, ip, fleet.network.new_life(), first, TwoServices())
+        super().__init__(fleet.network, name, zone, ip, fleet.network.new_incarnation(), first, TwoServices())
         self.fleet = fleet
-        seed = self.life * 1000 + crc32(name.encode()) % 1000
+        seed = self.incarnation * 1000 + crc32(name.encode()) % 1000
         self.fabric = ProxyAdmission(fleet.settings, seed, quotas=self.node)
 
     @property
--- a/tests/support/quota_fleet.py
+++ b/tests/support/quota_fleet.py
@@ -1,6 +1,7 @@
-"""A simulated fleet of proxies that have nothing but quotas: leases, clients, faults, and a record of all admissions.
+"""A simulated fleet of proxies that handle quotas only: leases, clients, faults and a record of all admissions.
 
-Every request that took a token is recorded with its time, and every window is held against the operators' bound.
+Every request that took a token is recorded with its time, and every window is checked against the operators'
+bound.
 """
 
 from __future__ import annotations
@@ -14,12 +15,12 @@
 from troutdock.quota.leases import QuotaLeases, Verdict
 from troutdock.quota.routes import shard_of
 
-WINDOW_S = 5.0  # of the operators' rule
+WINDOW_S = 5.0  # window of the operators' rule
 TOLERANCE, ALLOWANCE = 1.1, 20  # (rate x window + burst) x 1.1 + 20
-WAIT_S = 0.16  # so long a request waits for a token: a fifth of 800 ms
-SPREAD_S = 0.5  # until a changed limit has reached all proxies
-MOST_BACKLOG = 4096  # requests that wait at a frozen proxy: a listener's queue
-CLIENT_S = 1.0  # a client whose request has waited there for so long has left
+MAX_TOKEN_WAIT_S = 0.16  # how long a request waits for a token: a fifth of 800 ms
+CONFIG_SPREAD_S = 0.5  # how long a changed limit takes to reach all proxies
+MAX_BACKLOG = 4096  # requests queued at a frozen proxy, as in a listen queue
+CLIENT_TIMEOUT_S = 1.0  # a client disconnects after waiting this long at a frozen proxy
 
 
 @dataclass(slots=True)
@@ -27,22 +28,22 @@
     """Requests of one tenant.
 
     Attributes:
-        tenant: Whose.
-        per_s: First tries a second.
-        names: The proxies that they come to, by lot; None for all that are alive.
-        until: They end then.
-        patience_s: How long a client waits before it leaves, if that is shorter than the proxy's own time.
-        again: The part of refused tries that come again at once.
-        period: There are requests in a part of each period only.
-        active: That part, its begin and end in seconds; all of it by default.
+        tenant: Name of the tenant.
+        per_s: First attempts per second.
+        names: Proxies that receive them, drawn at random; None for all proxies.
+        until: Time of the last request, in seconds.
+        timeout_s: How long a client waits, if that is shorter than the proxy's own limit.
+        retry_fraction: Fraction of rejected attempts that are retried immediately.
+        period: Length of the load pattern in seconds.
+        active: Begin and end of the part of each period that has requests; by default the whole period.
     """
 
     tenant: str
     per_s: float
     names: list[str] | None = None
     until: float = 1e9
-    patience_s: float = WAIT_S
-    again: float = 0.0
+    timeout_s: float = MAX_TOKEN_WAIT_S
+    retry_fraction: float = 0.0
     period: float = 1.0
     active: tuple[float, float] = (0.0, 1e9)
     offered: int = 0
@@ -53,34 +54,34 @@
 @dataclass(slots=True)
 class _Request:
     load: Load
-    tries: int
+    attempts: int
 
 
 class Proxy(Process):
-    """One proxy's leases and the requests that wait for them."""
+    """A proxy with leases and requests that wait for tokens."""
 
     def __init__(self, fleet: Fleet, name: str, zone: str, ip: str, bootstrap: bool) -> None:
-        super().__init__(fleet, name, zone, ip, fleet.new_life(), bootstrap)
+        super().__init__(fleet, name, zone, ip, fleet.new_incarnation(), bootstrap)
         self.fleet = fleet
         self.leases = QuotaLeases(self.node)
         self.limits: dict[str, QuotaLimit] = {}
         self.waiting: dict[int, _Request] = {}
-        self.queued = 0  # requests at a frozen process
-        self.follow_limits({})  # as the decision module does before there is a configuration
+        self.queued = 0  # requests queued at the frozen process
+        self.set_limits({})  # like the decision module before the first configuration
 
-    def follow_limits(self, limits: dict[str, QuotaLimit]) -> None:
+    def set_limits(self, limits: dict[str, QuotaLimit]) -> None:
         self.limits = limits
         self.node.set_limits(self.now, limits)
 
     def arrive(self, request: _Request) -> None:
-        """A client's request is here; lost where the listener's queue is full."""
+        """Receives a request of a client, or drops it if the listen queue is full."""
         if self.is_frozen:
             self.queued += 1
-            if self.queued > MOST_BACKLOG:
+            if self.queued > MAX_BACKLOG:
                 return
         else:
             self.queued = 0
-        left_at = self.network.now + CLIENT_S
+        left_at = self.network.now + CLIENT_TIMEOUT_S
         self.do(lambda: self._request(request, left_at), is_request=True)
 
     def _request(self, request: _Request, left_at: float) -> None:
@@ -89,7 +90,7 @@
         if limit is None or self.network.now > left_at:
             return
         number = self.fleet.next_number()
-        even, returning = 1 / self.fleet_size, request.tries > 0
+        even, returning = 1 / self.fleet_size, request.attempts > 0
         verdict = self.leases.request(self.now, tenant, limit, even, number, returning)
         if verdict is Verdict.GRANTED:
             self._granted(request)
@@ -99,7 +100,7 @@
             self.waiting[number] = request
             self.leases_due()
             if number in self.waiting:
-                wait = min(WAIT_S, request.load.patience_s)
+                wait = min(MAX_TOKEN_WAIT_S, request.load.timeout_s)
                 self.network.later(wait, lambda: self.do(lambda: self._leave(number)))
 
     def _leave(self, number: int) -> None:
@@ -109,11 +110,11 @@
             self.fleet.refused(request)
 
     def _granted(self, request: _Request) -> None:
-        lot = self.fleet.random.random()
-        if lot < self.fleet.put_back_part:
+        draw = self.fleet.random.random()
+        if draw < self.fleet.put_back_fraction:
             self.leases.put_back(self.now, request.load.tenant)
             return
-        if lot > 1 - self.fleet.charge_part:
+        if draw > 1 - self.fleet.charge_fraction:
             self.node.charge(request.load.tenant)
         self.fleet.admitted(request)
 
@@ -131,17 +132,17 @@
 
 @dataclass(slots=True)
 class LimitHistory:
-    """What limit a tenant had from when on; none where it was not limited."""
+    """Limits of a tenant with the times of change; None if it was not limited."""
 
     changes: list[tuple[float, QuotaLimit | None]] = field(default_factory=list)
 
     def steps(self) -> list[tuple[float, float, float]]:
-        """Times, rates and bursts, the higher of two while the change is on its way."""
-        times = sorted({at + late for at, _ in self.changes for late in (0.0, SPREAD_S)})
+        """Returns times, rates and bursts; during the propagation of a change, the higher values apply."""
+        times = sorted({at + spread_s for at, _ in self.changes for spread_s in (0.0, CONFIG_SPREAD_S)})
         steps = []
         for at in times:
-            before = [limit for since, limit in self.changes if since <= at - SPREAD_S][-1:]
-            meanwhile = [limit for since, limit in self.changes if at - SPREAD_S < since <= at]
+            before = [limit for since, limit in self.changes if since <= at - CONFIG_SPREAD_S][-1:]
+            meanwhile = [limit for since, limit in self.changes if at - CONFIG_SPREAD_S < since <= at]
             limits = [limit for limit in before + meanwhile if limit is not None]
             rate = max((limit.rate_per_s for limit in limits), default=0.0)
             steps.append((at, rate, max((limit.burst for limit in limits), default=0.0)))
@@ -149,7 +150,7 @@
 
 
 def ideal_admissions(offered_at: list[float], limit: QuotaLimit, begin: float) -> int:
-    """How many of these one token bucket would admit that all requests come to; it begins empty."""
+    """Returns how many requests a single token bucket would admit that starts empty and receives all of them."""
     level, last, admitted = 0.0, begin, 0
     for at in offered_at:
         level, last = min(limit.burst, level + (at - last) * limit.rate_per_s), at
@@ -160,7 +161,7 @@
 
 
 class Bound:
-    """What the operators' rule allows in a window."""
+    """The number of admissions that the operators' rule allows in a window."""
 
     def __init__(self, history: LimitHistory) -> None:
         self._steps = [*history.steps(), (1e9, 0.0, 0.0)]
@@ -176,8 +177,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Excess:
-    """A window with more admissions than are allowed."""
+class WindowResult:
+    """Admissions in one window and the allowed number."""
 
     tenant: str
     begin: float
@@ -186,7 +187,7 @@
 
 
 class Fleet(Network):
-    """Proxies by name; zones: how many proxies each has."""
+    """A network of proxies; zones: the number of proxies in each zone."""
 
     def __init__(
         self, seed: int, zones: dict[str, int], limits: dict[str, QuotaLimit], bootstrap: bool = True
@@ -196,17 +197,17 @@
         self.histories = {tenant: LimitHistory([(0.0, limit)]) for tenant, limit in limits.items()}
         self.admissions: dict[str, list[float]] = {tenant: [] for tenant in limits}
         self.loads: list[Load] = []
-        self.put_back_part = self.charge_part = 0.0
+        self.put_back_fraction = self.charge_fraction = 0.0
         self._last_number = 0
         for zone, count in zones.items():
             for n in range(count):
                 proxy = self._start(f"{zone}-{n}", zone, bootstrap)
-                proxy.is_young = False
-                proxy.follow_limits(self.limits)
+                proxy.is_starting = False
+                proxy.set_limits(self.limits)
         self.publish()
 
     def proxies(self) -> list[Proxy]:
-        """Those that are alive."""
+        """Returns the live proxies."""
         return [
             process for process in self.processes.values() if process.alive and isinstance(process, Proxy)
         ]
@@ -216,7 +217,7 @@
         return self._last_number
 
     def owners(self, tenant: str) -> list[Proxy]:
-        """Who thinks that it owns the tenant's quota."""
+        """Returns the proxies that consider themselves owner of the tenant's quota."""
         shard = shard_of(tenant)
         return [proxy for proxy in self.proxies() if shard in proxy.node.owned_shards()]
 
@@ -230,18 +231,18 @@
         return proxy
 
     def start(self, name: str, zone: str) -> Proxy:
-        """A new process, of a new or a known name."""
+        """Starts a process under a new or a known name."""
         known = self.processes.get(name)
         if known is not None and known.alive:
             self.kill(known)
         proxy = self._start(name, zone)
         limits = self.limits
-        self.later(self.random.uniform(0.02, 0.3), lambda: proxy.do(lambda: proxy.follow_limits(limits)))
+        self.later(self.random.uniform(0.02, 0.3), lambda: proxy.do(lambda: proxy.set_limits(limits)))
         self.publish()
         return proxy
 
     def change_limit(self, tenant: str, limit: QuotaLimit | None) -> None:
-        """Another limit, or none, which reaches the proxies one after another."""
+        """Changes or removes a limit; the proxies receive the change one after another."""
         limits = {name: known for name, known in self.limits.items() if name != tenant}
         if limit is not None:
             limits[tenant] = limit
@@ -249,13 +250,13 @@
         self.histories.setdefault(tenant, LimitHistory()).changes.append((self.now, limit))
         self.admissions.setdefault(tenant, [])
         for proxy in self.proxies():
-            delay = self.random.uniform(0.02, SPREAD_S * 0.8)
-            self.later(delay, lambda proxy=proxy: proxy.do(lambda: proxy.follow_limits(self.limits)))
+            delay = self.random.uniform(0.02, CONFIG_SPREAD_S * 0.8)
+            self.later(delay, lambda proxy=proxy: proxy.do(lambda: proxy.set_limits(self.limits)))
 
     # ---- clients
 
     def offer(self, load: Load) -> Load:
-        """Requests come from now on."""
+        """Starts a load."""
         self.loads.append(load)
         self._next(load)
         return load
@@ -267,20 +268,20 @@
         if not begin <= phase < end:
             at += (begin - phase) % load.period + self.random.random() * 0.002
         if at < load.until:
-            self.at(at, lambda: self._first_try(load))
+            self.at(at, lambda: self._send_first(load))
 
-    def _first_try(self, load: Load) -> None:
-        self.crowd(load, 1)
+    def _send_first(self, load: Load) -> None:
+        self.send_burst(load, 1)
         self._next(load)
 
-    def crowd(self, load: Load, count: int) -> None:
-        """So many requests at once."""
+    def send_burst(self, load: Load, count: int) -> None:
+        """Sends a number of requests at once."""
         for _ in range(count):
             load.offered += 1
             load.offered_at.append(self.now)
-            self._try(_Request(load, 0))
+            self._send(_Request(load, 0))
 
-    def _try(self, request: _Request) -> None:
+    def _send(self, request: _Request) -> None:
         names = request.load.names
         if names:
             process = self.processes[self.random.choice(names)]
@@ -294,15 +295,19 @@
         self.admissions[request.load.tenant].append(self.now)
 
     def refused(self, request: _Request) -> None:
-        if request.tries < 3 and request.load.again and self.random.random() < request.load.again:
-            request.tries += 1
-            self.later(self.random.uniform(0.0005, 0.005), lambda: self._try(request))
-
-    # ---- verdict
-
-    def worst(self) -> Excess:
-        """The window that comes next to its bound, or goes farthest beyond."""
-        worst = Excess("", 0.0, 0, 1.0)
+        if (
+            request.attempts < 3
+            and request.load.retry_fraction
+            and self.random.random() < request.load.retry_fraction
+        ):
+            request.attempts += 1
+            self.later(self.random.uniform(0.0005, 0.005), lambda: self._send(request))
+
+    # ---- result
+
+    def worst_window(self) -> WindowResult:
+        """Returns the window with the largest ratio of admissions to its bound."""
+        worst_window = WindowResult("", 0.0, 0, 1.0)
         for tenant, times in self.admissions.items():
             bound = Bound(self.histories[tenant])
             first = 0
@@ -313,6 +318,6 @@
                 if count <= ALLOWANCE:
                     continue
                 allowed = bound.allowed(at - WINDOW_S, at)
-                if count * worst.allowed > worst.admitted * allowed:
-                    worst = Excess(tenant, at - WINDOW_S, count, allowed)
-        return worst
+                if count * worst_window.allowed > worst_window.admitted * allowed:
+                    worst_window = WindowResult(tenant, at - WINDOW_S, count, allowed)
+        return worst_window
--- a/tests/support/quota_network.py
+++ b/tests/support/quota_network.py
@@ -1,9 +1,10 @@
-"""Processes that share quotas, and the links between them, in simulated time: no sockets.
+"""Simulation of processes that share quotas and of the links between them, without sockets.
 
-A process has a QuotaNode and a LoadExchange, and does with them what proxy.quota_loop and proxy.peer_connections
-do: it ticks, dials whom the exchange wants, and ends a link that has been silent. A link keeps the order of its
-messages. What is sent into a cut waits, as in a socket, and arrives when the cut is healed, if the link is still up there. Demands,
-grants and votes go as datagrams: some are lost, some come twice or late, and those sent into a cut are gone.
+A process has a QuotaNode and a LoadExchange and uses them like proxy.quota_loop and proxy.peer_connections:
+it ticks, dials the targets of the exchange, and closes silent links. A link preserves the order of its
+messages. As with a socket, a message sent into a partition is delayed and arrives after the partition has
+healed, if the link is still up. Demands, grants and votes are sent as datagrams: some are lost, duplicated or
+delayed, and those sent into a partition are lost.
 """
 
 from __future__ import annotations
@@ -19,19 +20,19 @@
 from troutdock.quota.node import QuotaNode
 from troutdock.quota.routes import Peers
 
-TICK_S, LOOK_S, DIAL_S = 0.1, 0.25, 0.01
-SILENT_S = 1.0  # a link on which nothing was heard for so long ends
-CHECK_S = 0.1  # between two looks at silent links
-CONNECT_S, PAUSE_S, PAUSE_MOST_S = 0.6, 0.05, 0.5
-NEAR_DELAY_S, AWAY_DELAY_S = 0.0003, 0.0015
-LOST_PART, TWICE_PART, LATE_PART = 0.02, 0.02, 0.01  # of the datagrams
-LATE_S = 0.6  # at most
+TICK_INTERVAL_S, DIAL_INTERVAL_S, DIAL_DELAY_S = 0.1, 0.25, 0.01
+SILENCE_TIMEOUT_S = 1.0  # a link is closed after this time without input
+SILENCE_CHECK_INTERVAL_S = 0.1  # interval of the check for silent links
+CONNECT_TIMEOUT_S, RECONNECT_DELAY_S, MAX_RECONNECT_DELAY_S = 0.6, 0.05, 0.5
+ZONE_DELAY_S, REMOTE_DELAY_S = 0.0003, 0.0015
+LOSS_FRACTION, DUPLICATE_FRACTION, DELAYED_FRACTION = 0.02, 0.02, 0.01  # of datagrams
+MAX_EXTRA_DELAY_S = 0.6  # of a delayed datagram
 
 Action = Callable[[], None]
 
 
 class NoServices:
-    """No backends."""
+    """A service table without services."""
 
     def services(self) -> list[str]:
         return []
@@ -44,7 +45,7 @@
 
 
 class Clock:
-    """What is due, in the order of time."""
+    """Simulated clock with a queue of scheduled actions."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -66,41 +67,41 @@
         self.now = until
 
 
-class End:
-    """One side of a link. held: what waits for a cut to heal before it arrives here."""
+class LinkEnd:
+    """One side of a link; delayed: deliveries to this side that wait for a partition to heal."""
 
-    __slots__ = ("arrives_at", "dialer", "heard_at", "held", "is_open", "other", "process")
+    __slots__ = ("connector", "delayed", "is_open", "last_arrival_at", "last_received_at", "other", "process")
 
-    def __init__(self, process: Process, now: float, dialer: Dialer | None = None) -> None:
-        self.process, self.dialer = process, dialer
-        self.other: End = self
-        self.is_open, self.heard_at, self.arrives_at = True, now, now
-        self.held: list[Action] = []
+    def __init__(self, process: Process, now: float, connector: Connector | None = None) -> None:
+        self.process, self.connector = process, connector
+        self.other: LinkEnd = self
+        self.is_open, self.last_received_at, self.last_arrival_at = True, now, now
+        self.delayed: list[Action] = []
 
     @property
     def peer(self) -> Process:
         return self.other.process
 
 
-class Dialer:
-    """Keeps a link up to a process by name, as troutdock.rpc.connection does."""
+class Connector:
+    """Maintains a link to a named process, like troutdock.rpc.connection.Connector."""
 
     def __init__(self, process: Process, member: Member) -> None:
         self.process, self.name, self.ip = process, member.name, member.ip
-        self.up = self.tried = self.is_closed = False
-        self.end: End | None = None
-        self._pause = PAUSE_S
-        self._try()
+        self.is_ready = self.attempted = self.is_closed = False
+        self.end: LinkEnd | None = None
+        self._delay = RECONNECT_DELAY_S
+        self._connect()
 
-    def _try(self) -> None:
+    def _connect(self) -> None:
         if self.is_closed or not self.process.alive:
             return
         network = self.process.network
         target = network.processes.get(self.name)
         if target is None or not target.alive:
-            network.later(2 * AWAY_DELAY_S, self._failed)
+            network.later(2 * REMOTE_DELAY_S, self._failed)
         elif target.is_frozen or network.is_cut(self.process, target) or network.is_cut(target, self.process):
-            network.later(CONNECT_S, self._failed)
+            network.later(CONNECT_TIMEOUT_S, self._failed)
         else:
             network.later(network.delay(self.process, target) * 3, lambda: self._connected(target))
 
@@ -111,23 +112,23 @@
         if not target.alive or target.is_frozen or network.is_cut(self.process, target):
             self._failed()
             return
-        self.end = End(self.process, network.now, self)
-        accepted = End(target, network.now)
+        self.end = LinkEnd(self.process, network.now, self)
+        accepted = LinkEnd(target, network.now)
         self.end.other, accepted.other = accepted, self.end
-        self.up, self.tried, self._pause = True, True, PAUSE_S
+        self.is_ready, self.attempted, self._delay = True, True, RECONNECT_DELAY_S
         end = self.end
-        network.carry(accepted, lambda: self.process.link_up(end))  # before all that is said on it
+        network.carry(accepted, lambda: self.process.link_up(end))  # before any message on the link
         target.do(lambda: target.link_up(accepted))
 
     def _failed(self) -> None:
-        self.tried = True
+        self.attempted = True
         self.ended()
 
     def ended(self) -> None:
-        """The link or a try has come to nothing."""
-        self.up, self.end = False, None
-        self.process.network.later(self._pause, self._try)
-        self._pause = min(PAUSE_MOST_S, self._pause * 2)
+        """Schedules the next attempt after the link closed or an attempt failed."""
+        self.is_ready, self.end = False, None
+        self.process.network.later(self._delay, self._connect)
+        self._delay = min(MAX_RECONNECT_DELAY_S, self._delay * 2)
 
     def close(self) -> None:
         self.is_closed = True
@@ -136,7 +137,7 @@
 
 
 class Process:
-    """One life of a process."""
+    """One incarnation of a process."""
 
     def __init__(
         self,
@@ -144,28 +145,28 @@
         name: str,
         zone: str,
         ip: str,
-        life: int,
+        incarnation: int,
         bootstrap: bool,
         services: Services | None = None,
     ) -> None:
-        self.network, self.name, self.zone, self.ip, self.life = network, name, zone, ip, life
-        self.clock_offset = network.random.uniform(10.0, 1e5)  # each steady clock has its own zero
-        self.node = QuotaNode(name, zone, life, self.now, bootstrap)
-        self.exchange = LoadExchange(name, ip, zone, life, services or NoServices())
+        self.network, self.name, self.zone, self.ip, self.incarnation = network, name, zone, ip, incarnation
+        self.clock_offset = network.random.uniform(10.0, 1e5)  # each monotonic clock has its own origin
+        self.node = QuotaNode(name, zone, incarnation, self.now, bootstrap)
+        self.exchange = LoadExchange(name, ip, zone, incarnation, services or NoServices())
         self.alive, self.is_listed = True, False
-        self.ends: dict[End, None] = {}
-        self.dialers: dict[str, Dialer] = {}
-        self.lateness = (0.0, 0.0)  # of its messages, both ways
-        self.is_young, self.is_late = not bootstrap, False
-        self._told_busy = False
+        self.ends: dict[LinkEnd, None] = {}
+        self.connectors: dict[str, Connector] = {}
+        self.extra_delay_s = (0.0, 0.0)  # range of the extra delay of its messages, in both directions
+        self.is_starting, self.has_high_lag = not bootstrap, False
+        self._reported_busy = False
         self.fleet_size = 1
-        self._busy_until: dict[str, float] = {}  # other processes; infinite while they are linked
+        self._busy_until: dict[str, float] = {}  # by process name; infinite while it is linked
         self._frozen_at: float | None = None
         self._backlog: list[Action] = []
         self._requests: list[Action] = []
         self._is_dial_due = self._is_resend_due = False
         network.later(network.random.uniform(0, 0.02), lambda: self.do(self._tick))
-        network.later(network.random.uniform(0, 0.02), lambda: self.do(self._look))
+        network.later(network.random.uniform(0, 0.02), lambda: self.do(self._check_links))
 
     @property
     def now(self) -> float:
@@ -175,10 +176,10 @@
     def is_frozen(self) -> bool:
         return self._frozen_at is not None
 
-    # ---- what it does
+    # ---- execution
 
     def do(self, action: Action, is_request: bool = False) -> None:
-        """Run it here, once the process runs; never if it is dead."""
+        """Runs an action in the process: after resuming if it is frozen, never if it is dead."""
         if not self.alive:
             return
         if self._frozen_at is not None:
@@ -201,75 +202,75 @@
         self.node.resend(self.now)
 
     def leases_due(self) -> None:
-        """Grants have come, or time has gone by."""
+        """Called when grants have arrived and at every tick."""
         self.node.take_grants()
 
     def _tick(self) -> None:
         self.node.tick(self.now)
         self.leases_due()
-        self._follow_status()
-        self.network.later(TICK_S, lambda: self.do(self._tick))
-
-    def _follow_status(self) -> None:
-        """Tell the others whether this one is too late, or too young, to own and aggregate."""
-        self.is_young = self.is_young and not self.node.is_settled(self.now)
-        is_busy = self.is_young or self.is_late
-        if is_busy != self._told_busy:
-            self._told_busy = is_busy
+        self._update_status()
+        self.network.later(TICK_INTERVAL_S, lambda: self.do(self._tick))
+
+    def _update_status(self) -> None:
+        """Reports a change of whether this process has too high a lag, or started too recently, to own or aggregate."""
+        self.is_starting = self.is_starting and not self.node.is_settled(self.now)
+        is_busy = self.is_starting or self.has_high_lag
+        if is_busy != self._reported_busy:
+            self._reported_busy = is_busy
             for end in self.ends:
                 self.network.send_on(end, QuotaStatus(is_busy))
-            self.tell_peers()
+            self.update_peers()
 
-    def _hear_status(self, name: str, status: QuotaStatus) -> None:
+    def _receive_status(self, name: str, status: QuotaStatus) -> None:
         if status.busy:
             self._busy_until[name] = inf
         else:
             self._busy_until.pop(name, None)
-        self.tell_peers()
+        self.update_peers()
         self._dial_soon()
 
     def _busy_names(self) -> frozenset[str]:
         for name in [name for name, until in self._busy_until.items() if until <= self.now]:
             del self._busy_until[name]
-        return frozenset([*self._busy_until, self.name] if self._told_busy else self._busy_until)
+        return frozenset([*self._busy_until, self.name] if self._reported_busy else self._busy_until)
 
-    def _look(self) -> None:
+    def _check_links(self) -> None:
         self._dial()
-        self.tell_peers()
-        self.network.later(LOOK_S, lambda: self.do(self._look))
+        self.update_peers()
+        self.network.later(DIAL_INTERVAL_S, lambda: self.do(self._check_links))
 
     def listed(self, members: list[Member]) -> None:
         self.exchange.update_members(self.now, members, (), True)
         self.is_listed = True
         self._dial()
-        self.tell_peers()
+        self.update_peers()
 
     def freeze(self) -> None:
         if self.alive and self._frozen_at is None:
             self._frozen_at = self.network.now
 
-    def wake(self) -> None:
-        """Handle what has come meanwhile: clients first or last; links begin anew before or after."""
+    def resume(self) -> None:
+        """Resumes a frozen process: handles its backlog and requests, and reconnects, in a random order."""
         if not self.alive or self._frozen_at is None:
             return
-        stood, self._frozen_at = self.network.now - self._frozen_at, None
+        stalled_s, self._frozen_at = self.network.now - self._frozen_at, None
         for end in self.ends:
-            end.heard_at = self.network.now
+            end.last_received_at = self.network.now
         backlog, requests = self._backlog, self._requests
         self._backlog, self._requests = [], []
-        renewal = [self.renew] if stood > SILENT_S else []
-        if self.network.random.random() < self.network.clients_first_part:
-            actions = requests + backlog + renewal
+        reconnects = [self.close_all] if stalled_s > SILENCE_TIMEOUT_S else []
+        if self.network.random.random() < self.network.clients_first_fraction:
+            actions = requests + backlog + reconnects
         elif self.network.random.random() < 0.5:
-            actions = backlog + requests + renewal
+            actions = backlog + requests + reconnects
         else:
-            actions = renewal + backlog + requests
+            actions = reconnects + backlog + requests
         for action in actions:
             self.do(action)
 
     # ---- links
 
-    def tell_peers(self) -> None:
+    def update_peers(self) -> None:
         linked = [end.peer for end in self.ends]
         members = self.exchange.members.values()
         self.exchange.busy = self._busy_names()
@@ -289,58 +290,66 @@
     def _dial_soon(self) -> None:
         if not self._is_dial_due:
             self._is_dial_due = True
-            self.network.later(DIAL_S, lambda: self.do(self._dial))
+            self.network.later(DIAL_DELAY_S, lambda: self.do(self._dial))
 
     def _dial(self) -> None:
         self._is_dial_due = False
         linked = [(end.peer.name, end.peer.zone) for end in self.ends]
-        failing = [name for name, dialer in self.dialers.items() if dialer.tried and not dialer.up]
+        failing = [
+            name
+            for name, connector in self.connectors.items()
+            if connector.attempted and not connector.is_ready
+        ]
         wanted = {m.name: m for m in self.exchange.dial_targets(self.now, linked, failing)}
-        for name, dialer in list(self.dialers.items()):
-            if not self.exchange.should_keep(name, dialer.ip, wanted, dialer.up):
-                del self.dialers[name]
-                dialer.close()
+        for name, connector in list(self.connectors.items()):
+            if not self.exchange.should_keep(name, connector.ip, wanted, connector.is_ready):
+                del self.connectors[name]
+                connector.close()
         for name, member in wanted.items():
-            if name not in self.dialers:
-                self.dialers[name] = Dialer(self, member)
+            if name not in self.connectors:
+                self.connectors[name] = Connector(self, member)
 
-    def link_up(self, end: End) -> None:
+    def link_up(self, end: LinkEnd) -> None:
         if not end.is_open:
             return
         peer = end.peer
         for other in list(self.ends):
-            if other.peer.name == peer.name and other.peer.life != peer.life:
+            if other.peer.name == peer.name and other.peer.incarnation != peer.incarnation:
                 listed = self.exchange.members.get(peer.name)
-                if listed is not None and listed.life == other.peer.life and peer.life < other.peer.life:
+                if (
+                    listed is not None
+                    and listed.life == other.peer.incarnation
+                    and peer.incarnation < other.peer.incarnation
+                ):
                     self.close(end)
                     return
                 self.close(other)
         self.ends[end] = None
-        end.heard_at = self.network.now
+        end.last_received_at = self.network.now
         self._busy_until.pop(peer.name, None)
-        if self._told_busy:
+        if self._reported_busy:
             self.network.send_on(end, QuotaStatus(True))
-        self.tell_peers()
+        self.update_peers()
         self._dial_soon()
 
-    def close(self, end: End) -> None:
-        """End a link here; the other side is told, where the way is open."""
+    def close(self, end: LinkEnd) -> None:
+        """Closes a link on this side; the other side is notified if the network is not partitioned."""
         if not end.is_open:
             return
         end.is_open = False
-        end.held.clear()
+        end.delayed.clear()
         other = end.other
         self.network.carry(end, lambda: other.process.close(other))
-        if end.dialer is not None:
-            end.dialer.ended()
+        if end.connector is not None:
+            end.connector.ended()
         if end in self.ends:
             del self.ends[end]
             if end.peer.name in self._busy_until:
                 self._busy_until[end.peer.name] = self.now + BUSY_MEMORY_S
-            self.tell_peers()
+            self.update_peers()
             self._dial_soon()
 
-    def renew(self) -> None:
+    def close_all(self) -> None:
         for end in list(self.ends):
             self.close(end)
 
@@ -348,30 +357,30 @@
         if any(end.peer is sender for end in self.ends):
             self.node.receive(self.now, sender.name, message)
 
-    def receive(self, end: End, message: Message) -> None:
+    def receive(self, end: LinkEnd, message: Message) -> None:
         if not end.is_open or end not in self.ends:
             return
         if isinstance(message, QuotaStatus):
-            self._hear_status(end.peer.name, message)
+            self._receive_status(end.peer.name, message)
         else:
             self.node.receive(self.now, end.peer.name, message)
 
 
 class Network:
-    """All processes by name, and what lies between them."""
+    """All processes by name and the network between them."""
 
     def __init__(self, seed: int) -> None:
         self.random = Random(seed)
         self.clock = Clock()
         self.processes: dict[str, Process] = {}
         self.messages = 0
-        self.messages_away = 0
-        self.clients_first_part = 0.4  # of the wakings: which socket is read first is not settled
+        self.remote_messages = 0
+        self.clients_first_fraction = 0.4  # of resumptions; the order in which sockets are read is undefined
         self._cuts: set[tuple[str, str]] = set()
-        self._holding: dict[End, None] = {}
-        self._last_life = 0
+        self._blocked_ends: dict[LinkEnd, None] = {}
+        self._last_incarnation = 0
         self._registered: dict[str, Member] = {}
-        self.later(CHECK_S, self._check_silence)
+        self.later(SILENCE_CHECK_INTERVAL_S, self._check_silence)
 
     @property
     def now(self) -> float:
@@ -383,9 +392,9 @@
     def later(self, delay: float, action: Action) -> None:
         self.clock.later(delay, action)
 
-    def new_life(self) -> int:
-        self._last_life += 1
-        return self._last_life
+    def new_incarnation(self) -> int:
+        self._last_incarnation += 1
+        return self._last_incarnation
 
     def alive(self) -> list[Process]:
         return [process for process in self.processes.values() if process.alive]
@@ -393,7 +402,7 @@
     # ---- membership
 
     def publish(self, soonest: float = 0.02, latest: float = 0.3) -> None:
-        """The registry's list reaches every process a little later."""
+        """Sends the registry's list to every process after a random delay."""
         for process in self.alive():
             delay = self.random.uniform(soonest, latest) if latest else 0.0
             self.later(delay, lambda process=process: self._list(process))
@@ -403,58 +412,62 @@
         process.do(lambda: process.listed(members))
 
     def members(self) -> list[Member]:
-        """Those that the registry lists."""
+        """Returns the members that the registry lists."""
         return list(self._registered.values())
 
     def register(self, process: Process) -> None:
-        """The registry knows of it from now on; it tells with the next list."""
-        self._registered[process.name] = Member(process.name, process.ip, 1, process.zone, process.life)
+        """Adds a process to the registry; other processes learn it from the next published list."""
+        self._registered[process.name] = Member(
+            process.name, process.ip, 1, process.zone, process.incarnation
+        )
 
     def unregister(self, process: Process) -> None:
-        """The registry knows that this life is over."""
+        """Removes an incarnation from the registry."""
         known = self._registered.get(process.name)
-        if known is not None and known.life == process.life:
+        if known is not None and known.life == process.incarnation:
             del self._registered[process.name]
 
     def delist(self, process: Process) -> None:
-        """The registry has found out that this life is over, and tells."""
+        """Removes an incarnation from the registry and publishes the list."""
         self.unregister(process)
         self.publish()
 
-    # ---- ways
+    # ---- transport
 
     @property
     def cuts(self) -> set[tuple[str, str]]:
-        """Pairs of names, from one to the other, between which nothing comes through, silently."""
+        """Pairs of names, from sender to receiver, between which all messages are lost without an error."""
         return self._cuts
 
     @cuts.setter
     def cuts(self, cuts: set[tuple[str, str]]) -> None:
         self._cuts = cuts
-        for end in list(self._holding):
+        for end in list(self._blocked_ends):
             if (end.peer.name, end.process.name) not in cuts:
-                del self._holding[end]
-                held, end.held = end.held, []
-                for action in held:
+                del self._blocked_ends[end]
+                delayed, end.delayed = end.delayed, []
+                for action in delayed:
                     self.carry(end.other, action)
 
     def is_cut(self, sender: Process, receiver: Process) -> bool:
         return (sender.name, receiver.name) in self._cuts
 
     def delay(self, sender: Process, receiver: Process) -> float:
-        usual = NEAR_DELAY_S if sender.zone == receiver.zone else AWAY_DELAY_S
-        late = sum(self.random.uniform(*p.lateness) for p in (sender, receiver) if p.lateness[1])
-        return usual * self.random.uniform(0.8, 1.5) + late
+        base_delay = ZONE_DELAY_S if sender.zone == receiver.zone else REMOTE_DELAY_S
+        extra_delay = sum(
+            self.random.uniform(*p.extra_delay_s) for p in (sender, receiver) if p.extra_delay_s[1]
+        )
+        return base_delay * self.random.uniform(0.8, 1.5) + extra_delay
 
-    def carry(self, end: End, action: Action) -> None:
-        """To the other end's process, after all that was sent before."""
+    def carry(self, end: LinkEnd, action: Action) -> None:
+        """Delivers an action to the process at the other end, after everything sent before."""
         other = end.other
-        if other.held or self.is_cut(end.process, other.process):
-            other.held.append(action)
-            self._holding[other] = None
+        if other.delayed or self.is_cut(end.process, other.process):
+            other.delayed.append(action)
+            self._blocked_ends[other] = None
             return
-        other.arrives_at = max(other.arrives_at, self.now + self.delay(end.process, other.process))
-        self.at(other.arrives_at, lambda: other.process.do(action))
+        other.last_arrival_at = max(other.last_arrival_at, self.now + self.delay(end.process, other.process))
+        self.at(other.last_arrival_at, lambda: other.process.do(action))
 
     def send(self, sender: Process, name: str, message: Message) -> None:
         for end in sender.ends:
@@ -466,19 +479,27 @@
                 return
 
     def _send_datagram(self, sender: Process, receiver: Process, message: Message) -> None:
-        """Outside the links; it counts where the receiver is linked to that life of the sender."""
+        """Sends outside the links; accepted if the receiver is linked to this incarnation of the sender."""
         self.messages += 1
-        self.messages_away += sender.zone != receiver.zone
-        copies = 0 if self.random.random() < LOST_PART else 2 if self.random.random() < TWICE_PART else 1
+        self.remote_messages += sender.zone != receiver.zone
+        copies = (
+            0
+            if self.random.random() < LOSS_FRACTION
+            else 2
+            if self.random.random() < DUPLICATE_FRACTION
+            else 1
+        )
         for _ in range(0 if self.is_cut(sender, receiver) else copies):
-            late = self.random.uniform(0, LATE_S) if self.random.random() < LATE_PART else 0.0
-            delay = self.delay(sender, receiver) + late
+            extra_delay = (
+                self.random.uniform(0, MAX_EXTRA_DELAY_S) if self.random.random() < DELAYED_FRACTION else 0.0
+            )
+            delay = self.delay(sender, receiver) + extra_delay
             self.later(delay, lambda: receiver.do(lambda: receiver.receive_datagram(sender, message)))
 
-    def send_on(self, end: End, message: Message) -> None:
+    def send_on(self, end: LinkEnd, message: Message) -> None:
         other = end.other
         self.messages += 1
-        self.messages_away += end.process.zone != other.process.zone
+        self.remote_messages += end.process.zone != other.process.zone
         self.carry(end, lambda: other.process.receive(other, message))
 
     def _check_silence(self) -> None:
@@ -490,17 +511,17 @@
             for end in process.ends:
                 peer = end.peer
                 if end.other.is_open and peer.alive and not peer.is_frozen and not self.is_cut(peer, process):
-                    end.heard_at = now
-                elif now - end.heard_at >= SILENT_S:
+                    end.last_received_at = now
+                elif now - end.last_received_at >= SILENCE_TIMEOUT_S:
                     silent.append(end)
             for end in silent:
                 process.do(lambda end=end: process.close(end))
-        self.later(CHECK_S, self._check_silence)
+        self.later(SILENCE_CHECK_INTERVAL_S, self._check_silence)
 
     # ---- faults
 
     def kill(self, process: Process) -> None:
-        """The process ends at once; its machine ends its links."""
+        """Kills a process; its machine closes its links."""
         if process.alive:
             process.alive = False
             for end in process.ends:
@@ -509,11 +530,11 @@
                 self.carry(end, lambda other=other: other.process.close(other))
 
     def lose_power(self, process: Process) -> None:
-        """Nothing is heard of it any more."""
+        """Stops a process without closing its links."""
         process.alive = False
 
     def end_in_order(self, process: Process) -> None:
-        """It hands over what it owns, and its links end a moment later."""
+        """Terminates a process in order: it hands over its shards, and its links close 20 ms later."""
 
         def hand_over() -> None:
             process.node.hand_over(process.now)
@@ -522,7 +543,7 @@
         process.do(hand_over)
 
     def reset(self, process: Process) -> None:
-        """All its links break; what is on its way is lost."""
+        """Resets all links of a process; messages in transit are lost."""
         for end in list(process.ends):
             other = end.other
             process.do(lambda end=end: process.close(end))
@@ -530,4 +551,4 @@
 
     def freeze(self, process: Process, for_s: float) -> None:
         process.freeze()
-        self.later(for_s, process.wake)
+        self.later(for_s, process.resume)
--- a/tests/support/quota_courses.py
+++ b/tests/support/quota_scenarios.py
@@ -1,4 +1,4 @@
-"""Seeded courses of a fleet of proxies that share quotas: who asks, and what fails meanwhile."""
+"""Seeded fault scenarios for a fleet of proxies that share quotas: client load and injected faults."""
 
 from __future__ import annotations
 
@@ -6,38 +6,38 @@
 from dataclasses import dataclass
 from random import Random
 
-from quota_fleet import Excess, Fleet, Load, Proxy, ideal_admissions
+from quota_fleet import WindowResult, Fleet, Load, Proxy, ideal_admissions
 
 from troutdock.quota.bucket import QuotaLimit
 
-START_S, SECONDS, REST_S = 1.0, 10.0, 2.0  # faults lie within the middle; the rest is to settle
-DELIST_S = (0.8, 4.0)  # until the registry takes a dead process from its list
-MOST_PER_S = 700.0  # requests of one tenant
+WARM_UP_S, FAULTS_S, SETTLE_S = 1.0, 10.0, 2.0  # warm-up, time with faults, and time to settle
+DELIST_DELAY_S = (0.8, 4.0)  # until the registry removes a dead process from its list
+MAX_REQUESTS_PER_S = 700.0  # requests per second of one tenant
 # shorter and longer than STALL_THRESHOLD_S and than the time after which a silent link is closed
-FREEZES_S = (0.2, 0.45, 0.7, 1.1, 1.8, 3.0)
+FREEZE_DURATIONS_S = (0.2, 0.45, 0.7, 1.1, 1.8, 3.0)
 HOT = "hot"
-LEAST_SERVED = 0.99
+MIN_SERVED = 0.99
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What a course came to.
+    """Result of a scenario.
 
     Attributes:
-        seed: Of the course.
+        seed: Of the scenario.
         kind: Its faults, a key of KINDS.
-        proxies: That are alive at its end.
-        worst: The window that comes next to its bound, or goes beyond.
-        served: By tenant, what was admitted of what one bucket for all, empty as clients began, would have.
-        missed: Requests that such a bucket would have admitted, of the tenant with the most of them.
-        messages: Between proxies.
-        requests: First tries.
+        proxies: Number of live proxies at its end.
+        worst: The window with the largest ratio of admissions to its bound.
+        served: By tenant, admissions divided by those of one shared bucket that is empty when the load starts.
+        missed: Largest number, over the tenants, of requests short of MIN_SERVED of such a bucket's admissions.
+        messages: Number of messages between proxies.
+        requests: Number of first attempts.
     """
 
     seed: int
     kind: str
     proxies: int
-    worst: Excess
+    worst: WindowResult
     served: dict[str, float]
     missed: float
     messages: int
@@ -56,8 +56,8 @@
         )
 
 
-class Course:
-    """A fleet, its clients, and a series of faults."""
+class Scenario:
+    """A fleet, its clients and a series of faults."""
 
     def __init__(self, seed: int, kind: str) -> None:
         self.seed, self.kind = seed, kind
@@ -99,46 +99,46 @@
         for n, (tenant, limit) in enumerate(self.limits.items()):
             if tenant == HOT and self.kind in ("impatient", "stalls"):
                 continue
-            until = START_S + SECONDS + REST_S
+            until = WARM_UP_S + FAULTS_S + SETTLE_S
             if n and (self.kind == "calm" or random.random() < 0.3):
-                per_s, again = limit.rate_per_s * random.uniform(0.2, 0.8), 0.0
+                per_s, retry_fraction = limit.rate_per_s * random.uniform(0.2, 0.8), 0.0
             else:
-                per_s = min(limit.rate_per_s * 100, max(MOST_PER_S, 3 * limit.rate_per_s))
-                again = random.choice([0.0, 0.0, 0.5])
+                per_s = min(limit.rate_per_s * 100, max(MAX_REQUESTS_PER_S, 3 * limit.rate_per_s))
+                retry_fraction = random.choice([0.0, 0.0, 0.5])
             only = (
                 random.sample(names, random.randint(1, min(3, len(names)))) if random.random() < 0.3 else None
             )
-            self.fleet.offer(Load(tenant, per_s, only, until, again=again))
+            self.fleet.offer(Load(tenant, per_s, only, until, retry_fraction=retry_fraction))
 
     def _offer_impatient(self) -> None:
-        """Crowds that leave before an answer comes, far from the owner; others then take what was handed back."""
+        """Bursts of clients far from the owner time out before the answer; other clients then use the returned tokens."""
         limit = self.limits[HOT]
-        hurried = Load(HOT, 1.0)
-        self.fleet.loads.append(hurried)
+        load = Load(HOT, 1.0)
+        self.fleet.loads.append(load)
         owners = self.fleet.owners(HOT)
         others = [proxy for proxy in self.fleet.proxies() if proxy not in owners]
         for proxy in self.random.sample(others, min(2, len(others))):
-            proxy.lateness = (0.06, 0.07)  # a second answer comes after WAIT_S
-        for second in range(2, int(START_S + SECONDS), 2):
+            proxy.extra_delay_s = (0.06, 0.07)  # a second answer arrives after MAX_TOKEN_WAIT_S
+        for second in range(2, int(WARM_UP_S + FAULTS_S), 2):
             for after in (0.0, 0.55, 1.1):
-                self.fleet.at(second + after, lambda: self._crowd(hurried, int(limit.burst) + 5))
-        per_s, until = 40 * limit.rate_per_s, START_S + SECONDS + REST_S
+                self.fleet.at(second + after, lambda: self._send_burst(load, int(limit.burst) + 5))
+        per_s, until = 40 * limit.rate_per_s, WARM_UP_S + FAULTS_S + SETTLE_S
         self.fleet.offer(
             Load(HOT, per_s, [proxy.name for proxy in owners], until, period=2.0, active=(1.75, 2.0))
         )
 
-    def _crowd(self, load: Load, count: int) -> None:
-        slow = [proxy.name for proxy in self.fleet.proxies() if proxy.lateness[1]]
+    def _send_burst(self, load: Load, count: int) -> None:
+        slow = [proxy.name for proxy in self.fleet.proxies() if proxy.extra_delay_s[1]]
         if slow:
             load.names = [self.random.choice(slow)]
-            self.fleet.crowd(load, count)
+            self.fleet.send_burst(load, count)
 
     def _offer_after_stalls(self) -> None:
-        """Owners stand still one after another with full buckets, and wake together as a crowd comes."""
-        self.fleet.clients_first_part = 0.9
-        wake = START_S + self.random.uniform(6.5, 8.0)
+        """Owners stall one after another with full buckets, and resume together when a burst of load arrives."""
+        self.fleet.clients_first_fraction = 0.9
+        wake = WARM_UP_S + self.random.uniform(6.5, 8.0)
         stalled: list[str] = []
-        at = START_S + 1.2
+        at = WARM_UP_S + 1.2
         while at < wake - 3.0 and len(stalled) < 3:
             self.fleet.at(at, lambda: self._stall_owner(wake, stalled))
             at += self.random.uniform(1.8, 2.4)
@@ -154,12 +154,12 @@
         awake = [name for name in self.fleet.processes if name not in stalled][:1]
         names = [*stalled, *awake]
         per_s = 1.5 * len(names) * self.limits[HOT].rate_per_s
-        self.fleet.offer(Load(HOT, per_s, names, START_S + SECONDS + REST_S))
+        self.fleet.offer(Load(HOT, per_s, names, WARM_UP_S + FAULTS_S + SETTLE_S))
 
     # ---- faults
 
     def _owner(self) -> Proxy | None:
-        """An owner of a tenant that is asked for, or by lot any proxy."""
+        """Returns a random owner of a tenant, or with probability 0.3 any live proxy."""
         alive = [proxy for proxy in self.fleet.proxies() if not proxy.is_frozen]
         owners = [p for p in self.fleet.owners(self.random.choice(list(self.limits))) if not p.is_frozen]
         if not alive:
@@ -173,19 +173,19 @@
         lost = self.random.choice(
             [self.fleet.kill, self.fleet.kill, self.fleet.lose_power, self.fleet.end_in_order]
         )
-        self._lose(proxy, lost)
+        self._stop(proxy, lost)
 
     def _end(self) -> None:
         proxy = self._owner()
         if proxy is not None and len(self.fleet.proxies()) > 1:
-            self._lose(proxy, self.fleet.end_in_order)
+            self._stop(proxy, self.fleet.end_in_order)
 
-    def _lose(self, proxy: Proxy, lost: Callable[[Proxy], None]) -> None:
+    def _stop(self, proxy: Proxy, lost: Callable[[Proxy], None]) -> None:
         lost(proxy)
         if self.random.random() < 0.6:
             back = self.random.choice([0.05, 0.3, 1.0, 2.5])
             self.fleet.later(back, lambda: self._restart(proxy))
-        self.fleet.later(self.random.uniform(*DELIST_S), lambda: self.fleet.delist(proxy))
+        self.fleet.later(self.random.uniform(*DELIST_DELAY_S), lambda: self.fleet.delist(proxy))
 
     def _restart(self, proxy: Proxy) -> None:
         if not proxy.alive and self.fleet.processes[proxy.name] is proxy:
@@ -194,7 +194,7 @@
     def _freeze(self) -> None:
         proxy = self._owner()
         if proxy is not None:
-            self.fleet.freeze(proxy, self.random.choice(FREEZES_S) * self.random.uniform(0.9, 1.1))
+            self.fleet.freeze(proxy, self.random.choice(FREEZE_DURATIONS_S) * self.random.uniform(0.9, 1.1))
 
     def _cut(self) -> None:
         random, processes = self.random, list(self.fleet.processes.values())
@@ -244,30 +244,30 @@
         proxy = self._owner()
         if proxy is None:
             return
-        proxy.lateness = (0.05, self.random.choice([0.1, 0.3, 0.5]))
+        proxy.extra_delay_s = (0.05, self.random.choice([0.1, 0.3, 0.5]))
         until = self.random.uniform(0.5, 4.0)
-        if self.random.random() < 0.6:  # it is its own lag, which it notices
+        if self.random.random() < 0.6:  # the delay is caused by its own event loop lag, which it detects
             noticed = self.random.uniform(0.2, 1.5)
-            self.fleet.later(noticed, lambda: setattr(proxy, "is_late", True))
-            self.fleet.later(max(until, noticed) + 0.5, lambda: setattr(proxy, "is_late", False))
-        self.fleet.later(until, lambda: setattr(proxy, "lateness", (0.0, 0.0)))
+            self.fleet.later(noticed, lambda: setattr(proxy, "has_high_lag", True))
+            self.fleet.later(max(until, noticed) + 0.5, lambda: setattr(proxy, "has_high_lag", False))
+        self.fleet.later(until, lambda: setattr(proxy, "extra_delay_s", (0.0, 0.0)))
 
-    # ---- the course
+    # ---- execution
 
     def _schedule(self) -> None:
         faults, least, most = KINDS[self.kind]
         if not faults:
             return
-        at = START_S + self.random.uniform(0.2, 1.5)
-        while at < START_S + SECONDS:
+        at = WARM_UP_S + self.random.uniform(0.2, 1.5)
+        while at < WARM_UP_S + FAULTS_S:
             fault = self.random.choice(faults)
             self.fleet.at(at, lambda fault=fault: fault(self))
             at += self.random.uniform(least, most)
 
     def run(self) -> Outcome:
-        """The whole course, and what it came to."""
+        """Runs the scenario and returns its result."""
         fleet = self.fleet
-        fleet.clock.run(START_S)
+        fleet.clock.run(WARM_UP_S)
         if self.kind == "impatient":
             self._offer_impatient()
         elif self.kind == "stalls":
@@ -275,51 +275,51 @@
         self._offer()
         self._schedule()
         if self.kind not in ("calm", "impatient", "stalls"):
-            fleet.put_back_part, fleet.charge_part = (
+            fleet.put_back_fraction, fleet.charge_fraction = (
                 self.random.choice([0.0, 0.05]),
                 self.random.choice([0.0, 0.02]),
             )
-        fleet.clock.run(START_S + SECONDS + REST_S)
+        fleet.clock.run(WARM_UP_S + FAULTS_S + SETTLE_S)
         ideal = {load.tenant: self._ideal(load) for load in fleet.loads}
         return Outcome(
             self.seed,
             self.kind,
             len(fleet.proxies()),
-            fleet.worst(),
+            fleet.worst_window(),
             {load.tenant: load.admitted / max(1, ideal[load.tenant]) for load in fleet.loads},
-            max(LEAST_SERVED * ideal[load.tenant] - load.admitted for load in fleet.loads),
+            max(MIN_SERVED * ideal[load.tenant] - load.admitted for load in fleet.loads),
             fleet.messages,
             sum(load.offered for load in fleet.loads),
         )
 
     def _ideal(self, load: Load) -> int:
-        return ideal_admissions(load.offered_at, self.limits[load.tenant], START_S)
+        return ideal_admissions(load.offered_at, self.limits[load.tenant], WARM_UP_S)
 
 
-Fault = Callable[[Course], None]
-KINDS: dict[str, tuple[list[Fault], float, float]] = {  # faults, and the least and most time between two
+Fault = Callable[[Scenario], None]
+KINDS: dict[str, tuple[list[Fault], float, float]] = {  # faults, and the range of seconds between two
     "calm": ([], 0.0, 0.0),
-    "kills": ([Course._kill], 0.5, 2.5),
-    "rolling": ([Course._kill, Course._kill, Course._kill, Course._join], 0.2, 0.8),
-    "ends": ([Course._end, Course._end, Course._join], 0.5, 2.5),
-    "freezes": ([Course._freeze], 0.3, 1.5),
-    "cuts": ([Course._cut], 1.0, 4.0),
-    "resets": ([Course._reset], 0.2, 1.5),
-    "joins": ([Course._join], 0.2, 1.5),
-    "limits": ([Course._change_limit], 0.5, 2.5),
-    "slow": ([Course._slow], 0.3, 1.5),
+    "kills": ([Scenario._kill], 0.5, 2.5),
+    "rolling": ([Scenario._kill, Scenario._kill, Scenario._kill, Scenario._join], 0.2, 0.8),
+    "ends": ([Scenario._end, Scenario._end, Scenario._join], 0.5, 2.5),
+    "freezes": ([Scenario._freeze], 0.3, 1.5),
+    "cuts": ([Scenario._cut], 1.0, 4.0),
+    "resets": ([Scenario._reset], 0.2, 1.5),
+    "joins": ([Scenario._join], 0.2, 1.5),
+    "limits": ([Scenario._change_limit], 0.5, 2.5),
+    "slow": ([Scenario._slow], 0.3, 1.5),
     "impatient": ([], 0.0, 0.0),
     "stalls": ([], 0.0, 0.0),
     "mixed": (
         [
-            Course._kill,
-            Course._end,
-            Course._freeze,
-            Course._cut,
-            Course._reset,
-            Course._join,
-            Course._change_limit,
-            Course._slow,
+            Scenario._kill,
+            Scenario._end,
+            Scenario._freeze,
+            Scenario._cut,
+            Scenario._reset,
+            Scenario._join,
+            Scenario._change_limit,
+            Scenario._slow,
         ],
         0.3,
         2.0,
@@ -327,6 +327,6 @@
 }
 
 
-def run_course(seed: int, kind: str = "") -> Outcome:
-    """A course by its number, of a kind by lot unless one is named."""
-    return Course(seed, kind or sorted(KINDS)[seed % len(KINDS)]).run()
+def run_scenario(seed: int, kind: str = "") -> Outcome:
+    """Runs the scenario with a seed; the kind follows from the seed unless one is given."""
+    return Scenario(seed, kind or sorted(KINDS)[seed % len(KINDS)]).run()
--- a/tests/system/test_quota_courses.py
+++ b/tests/system/test_quota_scenarios.py
@@ -3,7 +3,7 @@
     python tests/system/test_quota_courses.py 4000 0      that many courses from number 0 on
 
 plays them on QUOTA_COURSE_PROCESSES (4) cores and prints every course that breaks the bound, with its seed and
-kind: run_course(seed, kind) plays it again. QUOTA_COURSE_SEEDS plays so many of each kind under pytest.
+kind: run_scenario(seed, kind) plays it again. QUOTA_COURSE_SEEDS plays so many of each kind under pytest.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
     sys.path[:0] = [str(root), str(root / "tests" / "peers")]
 
 import pytest
-from quota_courses import KINDS, Outcome, run_course
+from quota_scenarios import KINDS, Outcome, run_scenario
 from quota_fleet import Fleet, Load
 
 
@@ -37,18 +37,18 @@
 
 def finds_fault(kind: str, first_seed: int = 0) -> bool:
     """Whether one of the courses from first_seed on goes beyond the bound."""
-    return any(run_course(seed, kind).ratio > 1.0 for seed in range(first_seed, first_seed + MOST_SEEDS))
+    return any(run_scenario(seed, kind).ratio > 1.0 for seed in range(first_seed, first_seed + MOST_SEEDS))
 
 
 @pytest.mark.parametrize("seed", range(SEEDS_IN_CI))
 @pytest.mark.parametrize("kind", sorted(set(KINDS) - {"calm"}))
 def test_no_window_goes_beyond_the_bound(kind: str, seed: int) -> None:
-    check(run_course(seed, kind))
+    check(run_scenario(seed, kind))
 
 
 @pytest.mark.parametrize("seed", range(1, 5))
 def test_calm_clients_get_what_one_bucket_would_give_them(seed: int) -> None:
-    outcome = run_course(seed, "calm")
+    outcome = run_scenario(seed, "calm")
     check(outcome)
     assert outcome.missed <= 1, str(outcome)  # a token that is leased elsewhere; at least 0.99 otherwise
 
@@ -63,7 +63,7 @@
     fleet.clock.run(13.0)
     assert hot.admitted >= 0.95 * rate * 12
     assert quiet.admitted >= 0.99 * quiet.offered
-    assert fleet.worst().admitted <= fleet.worst().allowed
+    assert fleet.worst_window().admitted <= fleet.worst_window().allowed
 
 
 @pytest.mark.parametrize("in_each_zone", [int(os.environ.get("QUOTA_PROXIES_IN_EACH_ZONE", "4"))])
@@ -76,7 +76,7 @@
     for owner in fleet.owners("hot"):
         fleet.kill(owner)
     fleet.clock.run(4.0)
-    assert fleet.worst().admitted <= fleet.worst().allowed
+    assert fleet.worst_window().admitted <= fleet.worst_window().allowed
     assert hot.admitted >= 0.95 * 100 * 2
 
 
@@ -131,7 +131,7 @@
 
 def _run(seed: int) -> Outcome:
     kinds = sorted(KINDS)
-    return run_course(seed // len(kinds), kinds[seed % len(kinds)])
+    return run_scenario(seed // len(kinds), kinds[seed % len(kinds)])
 
 
 def main(count: int, first: int) -> int:
