--- a/tests/system/test_quota_fleet.py
+++ b/tests/system/test_quota_fleet.py
@@ -1,4 +1,4 @@
-"""A tenant's quota over ingresses that nobody counts: held by all together, and used up by whoever is asked."""
+"""A tenant's quota over a fleet of ingresses: their total stays within it, and each ingress can use all of it."""
 
 from __future__ import annotations
 
@@ -16,33 +16,33 @@
 
 
 class NoServices(TwoServices):
-    """No backends yet: telling how many are heard is the only duty."""
+    """A service table without services, so LIVENESS_DUTY is the only duty."""
 
     def services(self) -> list[str]:
         return []
 
 
-def town(seed: int, first: bool = True) -> SimulatedFleet:
+def new_fleet(seed: int, first: bool = True) -> SimulatedFleet:
     return SimulatedFleet(seed, ZONES, proxy_settings(RATE, BURST), first)
 
 
-def press(town: SimulatedFleet, until: float, per_s: float, only: list[str] | None = None) -> None:
-    """Tries come evenly in time, to ingresses drawn by lot."""
-    while town.now < until:
-        town.run(town.now + town.random.expovariate(per_s) * 1000)
-        town.ask(town.random.choice(only or list(town.ingresses)))
+def send_load(fleet: SimulatedFleet, until: float, per_s: float, only: list[str] | None = None) -> None:
+    """Requests arrive at a constant mean rate at random ingresses."""
+    while fleet.now < until:
+        fleet.run(fleet.now + fleet.random.expovariate(per_s) * 1000)
+        fleet.ask(fleet.random.choice(only or list(fleet.ingresses)))
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_beyond_the_quota_all_together_stay_within_it(seed: int) -> None:
-    t = town(seed)
-    press(t, 12_000, 300)
+def test_load_above_the_quota_is_limited_to_the_quota(seed: int) -> None:
+    t = new_fleet(seed)
+    send_load(t, 12_000, 300)
     assert max_in_window(t.admitted, WINDOW_S * 1000) <= ALLOWED
-    assert len(t.admitted) >= 0.95 * (RATE * 12)  # and it is used up
+    assert len(t.admitted) >= 0.95 * (RATE * 12)  # and the quota is used
 
 
-def test_below_the_quota_nobody_is_refused_however_uneven() -> None:
-    t = town(1)
+def test_load_below_the_quota_is_admitted_however_uneven() -> None:
+    t = new_fleet(1)
     asked = 0
     for only in (["a-0"], ["b-1", "c-2"], None):
         until = t.now + 4000
@@ -53,65 +53,67 @@
     assert len(t.admitted) >= 0.99 * asked
 
 
-def test_cut_in_two_both_sides_together_stay_within_it() -> None:
-    t = town(2)
-    press(t, 3000, 300)
+def test_both_sides_of_a_partition_together_stay_within_the_quota() -> None:
+    t = new_fleet(2)
+    send_load(t, 3000, 300)
     sides = [n for n in t.ingresses if n[0] == "a"], [n for n in t.ingresses if n[0] != "a"]
     t.cut = {(x, y) for x in sides[0] for y in sides[1]} | {(y, x) for x in sides[0] for y in sides[1]}
-    press(t, 9000, 300)
+    send_load(t, 9000, 300)
     t.cut = set()
-    press(t, 14_000, 300)
+    send_load(t, 14_000, 300)
     assert max_in_window(t.admitted, WINDOW_S * 1000) <= ALLOWED
 
 
-def owner(town: SimulatedFleet) -> str:
-    """Who leases the tenant's tokens."""
+def owner(fleet: SimulatedFleet) -> str:
+    """Returns the ingress that owns the tenant's quota."""
     (name,) = [
-        i.name for i in town.ingresses.values() if i.alive and shard_of("tenant") in i.node.owned_shards()
+        i.name for i in fleet.ingresses.values() if i.alive and shard_of("tenant") in i.node.owned_shards()
     ]
     return name
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_where_the_owner_and_the_aggregators_are_lost_the_next_lease_no_fresh_burst(seed: int) -> None:
-    t = town(seed)
-    press(t, 3000, 300)
+def test_failed_owners_and_aggregators_cause_no_second_burst(seed: int) -> None:
+    t = new_fleet(seed)
+    send_load(t, 3000, 300)
     order = ranked_aggregators("a", shard_of("tenant"), [n for n in t.ingresses if n[0] == "a"], frozenset())
     for name in {owner(t), order[0]}:
         t.kill(name)
-    press(t, 5000, 300)
+    send_load(t, 5000, 300)
     t.kill(owner(t))
-    press(t, 10_000, 300)
+    send_load(t, 10_000, 300)
     assert max_in_window(t.admitted, WINDOW_S * 1000) <= ALLOWED
-    left = sum(i.alive for i in t.ingresses.values()) / len(
-        t.ingresses
-    )  # the lost ones' part may still be in use
+    # the share of the failed ingresses may still be in use
+    left = sum(i.alive for i in t.ingresses.values()) / len(t.ingresses)
     assert sum(at >= 6000 for at in t.admitted) >= 0.95 * RATE * 4 * left
 
 
-def test_restarted_and_added_ingresses_bring_no_fresh_burst() -> None:
-    t = town(4)
-    press(t, 4000, 300)
+def test_restarted_and_added_ingresses_cause_no_second_burst() -> None:
+    t = new_fleet(4)
+    send_load(t, 4000, 300)
     for name in ["a-0", "b-0", "b-1", "c-0", "c-1", "a-3"]:
         t.kill(name)
-    press(t, 4500, 300)
+    send_load(t, 4500, 300)
     for name in ["a-0", "b-0", "b-1", "c-0", "c-1", "a-3", "a-9", "b-9"]:
         t.add(name, name[0])
-    press(t, 10_000, 300)
+    send_load(t, 10_000, 300)
     assert max_in_window(t.admitted, WINDOW_S * 1000) <= ALLOWED
 
 
-def test_the_check_finds_ingresses_that_tell_nothing() -> None:
-    t = town(5)
+def test_the_check_finds_ingresses_that_do_not_communicate() -> None:
+    t = new_fleet(5)
     t.cut = {(x, y) for x in t.ingresses for y in t.ingresses if x != y}
-    for ingress in t.ingresses.values():  # each takes itself for the only one
+    for ingress in t.ingresses.values():  # each considers itself the only ingress
         ingress.exchange.membership = lambda now: (1, 1)  # type: ignore[method-assign]
-    press(t, 6000, 300)
+    send_load(t, 6000, 300)
     assert max_in_window(t.admitted, WINDOW_S * 1000) > ALLOWED
 
 
-def test_whom_an_ingress_dials() -> None:
-    """In the zone the lower address; other zones by the home of a duty or the owner of a shard, once its own zone is linked."""
+def test_dial_targets_of_an_ingress() -> None:
+    """The lower address dials within a zone; other zones are dialled once the own zone is linked.
+
+    They are dialled by the ingress that is responsible for a duty, or that aggregates a shard.
+    """
     e = LoadExchange("a-1", "10.0.0.2", "a", 1, TwoServices())
     e.update_members(
         0.0,
@@ -125,7 +127,9 @@
         True,
     )
     near = [("a-0", "a"), ("a-2", "a")]
-    assert [m.name for m in e.dial_targets(0.0, [], ())] == ["a-2"]  # who is unmet may be the speaker
+    assert [m.name for m in e.dial_targets(0.0, [], ())] == [
+        "a-2"
+    ]  # an ingress that is not linked yet may be the responsible one
     names = ["a-0", "a-1", "a-2"]
     homes = [duty for duty in e.duties() if e.is_responsible(duty, ["a-0", "a-2"])]
     asked = [
@@ -140,14 +144,14 @@
     assert away == expected
 
 
-def test_of_owners_that_cannot_be_reached_the_next_is_dialled() -> None:
+def test_the_next_owner_is_dialled_if_the_first_is_unreachable() -> None:
     e = LoadExchange("a-1", "10.0.0.2", "a", 1, NoServices())
     members = [
         Member(f"{zone}-{n}", f"10.0.{z}.{n}", 1, zone, 1) for z, zone in enumerate("bc", 1) for n in range(3)
     ]
     e.update_members(0.0, members, (), True)
     wanted = {m.name for m in e.dial_targets(0.0, [], ())}
-    for shard in range(SHARD_COUNT):  # alone in its zone, it asks for every shard
+    for shard in range(SHARD_COUNT):  # alone in its zone, it aggregates every shard
         for zone in preceding_zones(shard, "a", ["b", "c"]):
             order = ranked(zone_key(zone, shard), [f"{zone}-{n}" for n in range(3)])
             assert order[0] in wanted
@@ -155,7 +159,7 @@
             linked = [(order[0], zone)]
             assert order[0] in {m.name for m in e.dial_targets(0.2, linked, ())}
             break
-    # a zone behind one that is linked is left alone, where it is home for nothing else there
+    # a zone that follows a linked zone is not dialled, unless another duty requires it
     behind = {zone for shard in range(SHARD_COUNT) for zone in preceding_zones(shard, "a", ["b", "c"])[:1]}
     linked_zones = [(f"{zone}-0", zone) for zone in sorted(behind)]
     dialled = e._quota_dial_targets(
@@ -170,7 +174,7 @@
     assert set(dialled) == expected
 
 
-def test_one_that_cannot_be_reached_makes_room_and_one_that_left_the_list_stays_while_it_is_up() -> None:
+def test_unreachable_members_are_replaced_and_delisted_members_stay_linked() -> None:
     f = LoadExchange("a-1", "10.0.0.2", "a", 1, NoServices())
     f.update_members(
         0.0, [Member("b-0", "10.0.1.1", 1, "b", 1), Member("b-1", "10.0.1.2", 1, "b", 1)], (), True
@@ -179,7 +183,7 @@
     other = ranked(f"b/{LIVENESS_DUTY}", ["b-0", "b-1"])[1]
     assert first in {m.name for m in f.dial_targets(0.0, [], ())}
     assert [m.name for m in f.dial_targets(0.1, [], [first])] == [other]  # for every duty and shard
-    # who has left the list may merely be cut off from the registry: a link that is up stays, another goes
+    # a delisted member may only be partitioned from the registry: a link that is up is kept, others are closed
     f.update_members(1.0, [], [first], False)
     assert f.should_keep(first, f.ip, {}, True) and not f.should_keep(first, f.ip, {}, False)
     assert not f.should_keep(other, f.ip, {}, True)
--- a/tests/system/test_quota_leases.py
+++ b/tests/system/test_quota_leases.py
@@ -1,4 +1,4 @@
-"""Leases of quotas: who owns a shard, what is granted, and what is never given out twice."""
+"""Leases of quotas: ownership of shards, grants, and that no token is granted twice."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 
 def peers(**more: object) -> Peers:
-    """Those of a-1, in a zone of three; b is another zone."""
+    """Returns the peers of a-1 in a zone of three proxies; b is another zone."""
     fields = {
         "zone_peers": NEAR,
         "remote_peers": {"b-1": "b"},
@@ -60,12 +60,12 @@
 
 
 def others(zone: str = "a", me: str = "a-1") -> frozenset[str]:
-    """All of a zone but me: busy, so that I aggregate."""
+    """Returns all proxies of a zone except one; marked as busy, they leave it the aggregator."""
     return frozenset(f"{zone}-{n}" for n in range(1, 9)) - {me}
 
 
 def node_with(role: Role, now: float = 0.0, bootstrap: bool = False) -> QuotaNode:
-    """a-1, in the given role for SHARD."""
+    """Returns a node in the given role for SHARD."""
     first_zone = "a" if preceding_zones(SHARD, "b", ["a"]) else "b"
     other_zone = "b" if first_zone == "a" else "a"
     zone = {Role.OWNER: first_zone, Role.AGGREGATOR: other_zone, Role.MEMBER: "a"}[role]
@@ -89,7 +89,7 @@
 
 
 class Fleet:
-    """Two zones of one proxy each, linked; the first in order owns."""
+    """Two linked zones of one proxy each; the first zone in order owns SHARD."""
 
     def __init__(self, limit: QuotaLimit = LIMIT, bootstrap: bool = True) -> None:
         self.owner_zone, self.other_zone = ("a", "b") if preceding_zones(SHARD, "b", ["a"]) else ("b", "a")
@@ -125,7 +125,7 @@
                 break
 
     def run(self, start: float, end: float) -> None:
-        """Both look at the time, ten times a second."""
+        """Ticks both nodes ten times per second."""
         for n in range(int((end - start) * 10 + 1e-6) + 1):
             for node in (self.owner, self.other):
                 node.tick(start + n / 10)
@@ -145,7 +145,7 @@
 # ---- buckets
 
 
-def test_a_bucket_holds_and_fills_by_the_part_that_backs_its_owner() -> None:
+def test_a_bucket_fills_and_is_capped_by_the_backed_fraction() -> None:
     bucket = TokenBucket(LIMIT, FillTime(0.0))
     bucket.refill(FillTime(100.0, 100.0), 0.5)
     assert bucket.level == 10.0
@@ -155,7 +155,9 @@
     bucket.charge(100)
     assert bucket.level == -20.0 and bucket.take(1) == 0
     bucket.refill(FillTime(200.0, 100.0), 1.0)
-    bucket.refill(FillTime(200.5, 100.5), 0.5)  # what is beyond its part drains as another one fills
+    bucket.refill(
+        FillTime(200.5, 100.5), 0.5
+    )  # tokens above the capacity drain at the other owner's fill rate
     assert bucket.level == 15.0
     bucket.refill(FillTime(202.0, 102.0), 0.5)
     assert bucket.level == 10.0
@@ -165,31 +167,30 @@
     assert bucket.level == 3.0
     tiny = TokenBucket(QuotaLimit(1.0, 2.0), FillTime(0.0))
     tiny.refill(FillTime(100.0), 0.01)
-    assert tiny.level == 1.0  # else a small part of a small burst would never let anybody in
+    assert tiny.level == 1.0  # otherwise a small fraction of a small burst would never admit a request
 
 
-# ---- who owns
+# ---- ownership
 
 
 def test_routes_of_a_proxy_that_has_just_started() -> None:
     routes = ShardRoutes("a-1", "a")
     routes.update(0.0, Peers(zone_peers=NEAR, busy=NEAR))
-    assert {r.role for r in routes.routes} <= {Role.UNSETTLED, Role.MEMBER}  # nobody has told who there is
+    assert {r.role for r in routes.routes} <= {Role.UNSETTLED, Role.MEMBER}  # no member list received yet
     listed = peers(zone_peers=frozenset(["a-2"]), remote_peers={})
     routes.update(1.0, listed)
-    assert Role.OWNER not in {r.role for r in routes.routes}  # a-3 may be before it
+    assert Role.OWNER not in {r.role for r in routes.routes}  # a-3 may precede it
     assert not routes.is_settled(1.0)
     routes.update(1.0 + SETTLE_TIMEOUT_S, listed)
     assert routes.is_settled(1.0 + SETTLE_TIMEOUT_S) and Role.OWNER in {r.role for r in routes.routes}
-    for shard, route in enumerate(
-        routes.routes
-    ):  # the other zone is dialled from now on, where it is before this one
+    # the other zone is dialled from now on, if it precedes this one
+    for shard, route in enumerate(routes.routes):
         assert route.role is not Role.UNSETTLED or preceding_zones(shard, "a", ["b"])
     routes.update(1.0 + SETTLE_TIMEOUT_S + ZONE_GRACE_S, listed)
     assert Role.UNSETTLED not in {r.role for r in routes.routes}
 
 
-def test_who_becomes_aggregator_waits_for_its_links_before_it_owns() -> None:
+def test_a_new_aggregator_waits_for_links_before_it_becomes_owner() -> None:
     zone, other = ("b", "a") if preceding_zones(SHARD, "b", ["a"]) else ("a", "b")
     routes = ShardRoutes(f"{zone}-1", zone)
     member = Peers(
@@ -210,11 +211,11 @@
     assert routes.routes[SHARD] == Route(Role.AGGREGATOR, f"{other}-1")
     routes = ShardRoutes(f"{zone}-1", zone)
     routes.update(0.0, alone)
-    routes.update(ZONE_GRACE_S, alone)  # nobody there: this zone owns
+    routes.update(ZONE_GRACE_S, alone)  # the other zone is not reachable: this zone owns
     assert routes.routes[SHARD].role is Role.OWNER
 
 
-def test_all_agree_on_one_owner_for_each_shard() -> None:
+def test_all_proxies_agree_on_one_owner_for_each_shard() -> None:
     zones = {"a": ["a-1", "a-2", "a-3"], "b": ["b-1", "b-2"], "c": ["c-1"]}
     owners: dict[int, list[str]] = {shard: [] for shard in range(SHARD_COUNT)}
     for zone, names in zones.items():
@@ -235,7 +236,7 @@
     assert len({names[0] for names in owners.values()}) > 2
 
 
-def test_a_zone_whose_last_link_has_ended_is_waited_for_before_the_next_owns() -> None:
+def test_the_next_zone_becomes_owner_only_after_a_grace_period() -> None:
     zone = "b" if preceding_zones(SHARD, "b", ["a"]) else "a"
     other = "a" if zone == "b" else "b"
     routes = ShardRoutes(f"{zone}-1", zone)
@@ -252,7 +253,7 @@
     assert routes.routes[SHARD].role is Role.AGGREGATOR
 
 
-def test_busy_proxies_come_last_unless_they_are_most() -> None:
+def test_busy_proxies_are_ranked_last_unless_most_are_busy() -> None:
     names = ["a-1", "a-2", "a-3", "a-4"]
     usual = ranked_aggregators("a", SHARD, names, frozenset())
     assert ranked_aggregators("a", SHARD, names, frozenset(usual[:1])) == usual[1:] + usual[:1]
@@ -263,18 +264,18 @@
 # ---- demands and grants
 
 
-def test_tokens_come_from_the_owner_and_only_once() -> None:
+def test_the_owner_grants_each_token_once() -> None:
     fleet = Fleet()
     assert fleet.demand(1.0, fleet.other, 15).granted == 15
     grant = fleet.demand(1.0, fleet.owner, 15)
-    assert grant.granted == 4  # 20, less the reserve for those that return, in whole tokens
+    assert grant.granted == 4  # 20 minus the reserve for returning clients, in whole tokens
     assert MIN_RETRY_S <= grant.retry_after_s <= MAX_RETRY_S
     assert fleet.demand(1.0, fleet.owner, 1, returning=1).granted == 1
     assert fleet.demand(1.0, fleet.owner, 1, returning=1).granted == 0
     assert fleet.demand(2.0, fleet.owner, 100).granted == 9
 
 
-def test_a_grant_that_comes_late_is_handed_back_and_asked_for_anew() -> None:
+def test_a_late_grant_is_returned_and_demanded_again() -> None:
     node = node_with(Role.MEMBER)
     node.demand(0.1, TENANT, 3)
     sent = node._sent.by_tenant[TENANT]
@@ -292,14 +293,14 @@
     assert [demand.wanted for demand in request.demands] == [3]
 
 
-def test_a_burst_of_one_is_granted_and_a_small_part_of_a_large_one_too() -> None:
+def test_a_token_is_granted_from_a_burst_of_one_and_a_small_backed_fraction() -> None:
     for burst, part in ((1.0, 1.0), (200.0, 0.005)):
         owner = ShardOwner("term", 0.0, False)
         owner.update_backing(0.0, 1, round(1 / part))
         assert owner.grant(1000.0, "x", TENANT, QuotaLimit(5.0, burst), 1).granted == 1
 
 
-def test_an_owner_for_a_moment_passes_on_what_it_was_handed() -> None:
+def test_a_short_term_owner_forwards_its_handover() -> None:
     fleet = Fleet(bootstrap=False)
     fleet.run(0.0, 4.0)
     fleet.owner.receive(4.0, "x", QuotaHandover(SHARD, 0.0, {TENANT: 9.0}))
@@ -313,7 +314,7 @@
     assert [m.levels[TENANT] for m in handed] == [pytest.approx(9.0, abs=0.2)]
 
 
-def test_a_handover_to_one_that_knows_no_limits_yet_counts_for_nothing() -> None:
+def test_a_handover_to_a_node_without_limits_is_ignored() -> None:
     node = QuotaNode("a-1", "a", 1, 0.0)
     node.update_peers(0.0, Peers(fleet_size=1))
     node.receive(0.1, "b", QuotaHandover(SHARD, 1e9, {TENANT: 20.0}))
@@ -322,7 +323,7 @@
     assert node.take_grants()[0].granted <= 1
 
 
-def test_demands_that_come_while_one_is_under_way_go_in_the_next() -> None:
+def test_demands_received_during_an_outstanding_one_are_combined() -> None:
     node = node_with(Role.AGGREGATOR)
     list(node.take_messages())
     for requester, wanted in (("x", 2), ("y", 3), ("z", 4)):
@@ -336,21 +337,21 @@
     assert out["x"] == QuotaGrant([TokenGrant(TENANT, 5, 2, 0.0, "term")])
     again = out[upstream]
     assert isinstance(again, QuotaRequest) and again.demands[0].wanted == 7
-    # fewer than wanted: those that return first, then in turn; all are told when to come again
+    # fewer tokens than wanted: split in order, with a retry time for incomplete grants
     node.receive(0.3, upstream, QuotaGrant([TokenGrant(TENANT, again.demands[0].number, 4, 0.2, "term")]))
     grants = {peer: m.grants[0] for peer, m in node.take_messages() if isinstance(m, QuotaGrant)}
     assert {peer: (g.granted, g.retry_after_s) for peer, g in grants.items()} == {
         "y": (3, 0.0),
         "z": (1, 0.2),
     }
-    node.receive(0.4, "x", QuotaRequest([TokenDemand(TENANT, 6, 1)]))  # answered here until the time is over
+    node.receive(0.4, "x", QuotaRequest([TokenDemand(TENANT, 6, 1)]))  # rejected locally until the retry time
     ((peer, refused),) = list(node.take_messages())
     assert peer == "x" and refused == QuotaGrant([TokenGrant(TENANT, 6, 0, 0.1)])
     node.receive(0.51, "x", QuotaRequest([TokenDemand(TENANT, 7, 1)]))
     assert [peer for peer, _ in node.take_messages()] == [upstream]
 
 
-def test_a_quiet_tenant_costs_no_message_and_a_hot_one_a_bounded_number() -> None:
+def test_idle_tenants_cause_no_messages_and_busy_ones_a_bounded_number() -> None:
     fleet = Fleet()
     for node in (fleet.other, fleet.owner):
         node.tick(0.01)
@@ -365,7 +366,7 @@
     assert fleet.messages - sent <= 4 * LIMIT.rate_per_s + 10
 
 
-def test_a_demand_whose_answer_is_lost_is_sent_again_and_gets_the_same_answer() -> None:
+def test_a_resent_demand_gets_the_same_answer() -> None:
     fleet = Fleet()
     fleet.other.demand(1.0, TENANT, 5)
     ((_, request),) = list(fleet.other.take_messages())
@@ -377,12 +378,12 @@
     fleet.deliver(1.03)
     assert fleet.other.take_grants()[0].granted == 5 and fleet.other.resend_at == inf
     assert owner_of(fleet.owner).levels(1.03)[1][TENANT] == pytest.approx(15, abs=0.5)
-    fleet.owner.receive(1.04, fleet.other.name, request)  # a copy that the network held back
+    fleet.owner.receive(1.04, fleet.other.name, request)  # a duplicate delayed by the network
     fleet.deliver(1.04)
     assert owner_of(fleet.owner).levels(1.04)[1][TENANT] == pytest.approx(15, abs=0.5)
 
 
-def test_a_demand_that_goes_in_a_circle_is_answered() -> None:
+def test_a_demand_in_a_routing_loop_is_answered() -> None:
     node = node_with(Role.MEMBER)
     list(node.take_messages())
     node.receive(0.1, "x", QuotaRequest([TokenDemand(TENANT, 5, 2)], hops=MAX_HOPS))
@@ -390,7 +391,7 @@
     assert peer == "x" and isinstance(message, QuotaGrant) and message.grants[0].granted == 0
 
 
-def test_what_is_not_answered_is_told_to_come_again_and_asked_anew() -> None:
+def test_unanswered_demands_are_rejected_and_resent() -> None:
     node = node_with(Role.MEMBER)
     node.demand(0.1, TENANT, 1)
     list(node.take_messages())
@@ -402,7 +403,7 @@
     assert any(isinstance(m, QuotaRequest) and m.demands for _, m in node.take_messages())
 
 
-def test_the_answer_to_a_demand_that_was_given_up_is_handed_back_once() -> None:
+def test_a_grant_for_an_abandoned_demand_is_returned_once() -> None:
     node = node_with(Role.MEMBER)
     node.demand(0.1, TENANT, 3)
     number, upstream = node._sent.by_tenant[TENANT].number, node._sent.by_tenant[TENANT].upstream
@@ -421,7 +422,7 @@
     assert not node._sent._abandoned
 
 
-def test_what_was_asked_on_a_link_that_ended_is_asked_of_the_next() -> None:
+def test_a_demand_on_a_closed_link_is_sent_to_the_next_peer() -> None:
     node = QuotaNode("a-1", "a", 1, 0.0)
     node.set_limits(0.0, {TENANT: LIMIT})
     node.update_peers(0.0, peers(busy=frozenset(["a-1"])))
@@ -435,19 +436,19 @@
     assert {second} == set(left) and isinstance(message, QuotaRequest) and message.demands[0].wanted == 3
 
 
-# ---- nothing is given out twice
+# ---- no token is granted twice
 
 
-def test_an_owner_of_a_running_fleet_begins_empty_and_fills_by_what_backs_it() -> None:
+def test_a_new_owner_in_a_running_fleet_starts_empty() -> None:
     fleet = Fleet(bootstrap=False)
     assert fleet.demand(0.0, fleet.owner, 20).granted == 0
     fleet.run(0.0, 1.0)
-    assert fleet.demand(1.0, fleet.owner, 20).granted == 9  # backed by itself and by the other zone's vote
+    assert fleet.demand(1.0, fleet.owner, 20).granted == 9  # backed by itself and the other zone's vote
     assert owner_of(fleet.owner).update_backing(1.0, 1, 2) == 1.0
-    assert owner_of(fleet.owner).update_backing(1.0 + VOTE_LIFETIME_S, 1, 2) == 0.5  # no vote any more
+    assert owner_of(fleet.owner).update_backing(1.0 + VOTE_LIFETIME_S, 1, 2) == 0.5  # the vote has expired
 
 
-def test_a_fleet_that_starts_for_the_first_time_begins_full() -> None:
+def test_a_fleet_that_starts_for_the_first_time_has_full_buckets() -> None:
     fleet = Fleet()
     assert fleet.demand(0.1, fleet.other, 20, 20).granted == 20
     late = QuotaNode("a-1", "a", 1, 0.0, bootstrap=True)
@@ -457,12 +458,12 @@
     assert late.take_grants()[0].granted == 0
 
 
-def test_two_owners_that_divide_a_fleet_grant_what_one_would() -> None:
+def test_two_owners_of_a_partitioned_fleet_grant_as_much_as_one() -> None:
     fleet = Fleet()
     fleet.demand(1.0, fleet.owner, 20, 20)
     fleet.cut(1.0, fleet.owner)
     fleet.cut(1.0, fleet.other)
-    granted = 0  # within the first seconds of a fleet too: the second owner does not begin full
+    granted = 0  # also within BOOTSTRAP_WINDOW_S: the second owner does not start full
     for n in range(1, 101):
         now = 1.0 + n / 20
         for node in (fleet.owner, fleet.other):
@@ -470,7 +471,7 @@
             node.demand(now, TENANT, 5)
             granted += sum(grant.granted for grant in node.take_grants())
     assert 0.85 * LIMIT.rate_per_s * 5 <= granted <= LIMIT.rate_per_s * 5 + 1
-    for n in range(1, 101):  # nobody asks: each holds its part of the burst
+    for n in range(1, 101):  # without demands, each holds its fraction of the burst
         for node in (fleet.owner, fleet.other):
             node.tick(6.0 + n / 10)
     for node in (fleet.owner, fleet.other):
@@ -478,18 +479,18 @@
         assert node.take_grants()[0].granted == LIMIT.burst / 2
 
 
-def test_who_stood_still_begins_a_new_term() -> None:
+def test_a_stalled_owner_starts_a_new_term() -> None:
     fleet = Fleet()
     fleet.owner.tick(1.0)
     term = owner_of(fleet.owner).term
-    fleet.owner.tick(1.0 + STALL_THRESHOLD_S)  # as long as that is well
+    fleet.owner.tick(1.0 + STALL_THRESHOLD_S)  # a stall of exactly this length is tolerated
     assert owner_of(fleet.owner).term == term
     fleet.owner.demand(1.1 + 2 * STALL_THRESHOLD_S, TENANT, 20)
     assert fleet.owner.take_grants()[0].granted == 0
     assert owner_of(fleet.owner).term != term
 
 
-def test_returned_tokens_count_once_and_for_their_term_only() -> None:
+def test_returned_tokens_are_accepted_once_and_in_their_term_only() -> None:
     fleet = Fleet()
     grant = fleet.demand(1.0, fleet.other, 20, 20)
     fleet.other.return_tokens(TENANT, 5, grant.term)
@@ -503,7 +504,7 @@
     assert fleet.owner.rejected + fleet.other.rejected == rejected + 3
 
 
-def test_a_better_owner_gets_the_buckets_and_who_ends_hands_them_over() -> None:
+def test_bucket_levels_are_handed_over_on_yield_and_on_termination() -> None:
     fleet = Fleet()
     fleet.cut(1.0, fleet.other)
     fleet.run(1.0, 8.0)
@@ -527,7 +528,7 @@
     assert owner_of(fleet.other).levels(9.9 + ZONE_GRACE_S)[1][TENANT] > level - 1
 
 
-def test_a_handover_counts_for_a_short_time_and_once() -> None:
+def test_a_handover_is_valid_once_and_for_a_limited_time() -> None:
     for waited, full in ((0.1, True), (HANDOVER_TTL_S + 0.1, False)):
         node = QuotaNode("a-1", "a", 1, 0.0)
         node.set_limits(0.0, {TENANT: LIMIT})
@@ -549,11 +550,11 @@
     fleet.other.tick(0.3)
     fleet.deliver(0.3)
     assert owner_of(fleet.owner).update_backing(0.3, 1, 2) == 1.0
-    fleet.cut(0.4, fleet.owner)  # a vote goes with the link that it came on
+    fleet.cut(0.4, fleet.owner)  # a vote is dropped with the link on which it arrived
     assert owner_of(fleet.owner).update_backing(0.4, 1, 2) == 0.5
 
 
-def test_changes_of_limits_give_nothing_by_themselves() -> None:
+def test_a_changed_limit_adds_no_tokens() -> None:
     fleet = Fleet()
     fleet.run(0.0, 1.0)
     fleet.demand(1.0, fleet.owner, 20, 20)
@@ -585,7 +586,7 @@
         Hello("proxy", "x", "10.0.0.1", "a", 1),
     ],
 )
-def test_messages_that_make_no_sense_are_dropped_and_counted(message: Message) -> None:
+def test_invalid_messages_are_dropped_and_counted(message: Message) -> None:
     node = node_with(Role.MEMBER)
     node.demand(0.1, TENANT, 3)
     upstream = node._sent.by_tenant[TENANT].upstream
@@ -605,13 +606,13 @@
 
 
 def request(leases: QuotaLeases, now: float, number: int, returning: bool = False) -> bool:
-    """Whether it is granted, at once as the owner is here."""
+    """Returns whether a request is granted, immediately because the owner is local."""
     verdict = leases.request(now, TENANT, LIMIT, 0.5, number, returning)
     results = {result.request: result.granted for result in leases.results(now)}
     return verdict is Verdict.GRANTED or results.get(number, False)
 
 
-def test_a_lease_is_spent_or_handed_back() -> None:
+def test_leased_tokens_are_spent_or_returned() -> None:
     leases = leases_of_owner()
     assert request(leases, 0.0, 1)
     leases.put_back(0.0, TENANT)
@@ -622,7 +623,7 @@
     assert owner.levels(0.06 + LEASE_DURATION_S)[1][TENANT] == 20.0
 
 
-def test_a_tenant_that_asks_often_leases_ahead_but_no_more_than_its_share() -> None:
+def test_a_busy_tenant_leases_ahead_within_its_share() -> None:
     leases = leases_of_owner()
     asked = []
     leases.node.demand = lambda now, tenant, wanted, returning=0: asked.append(wanted)  # type: ignore[method-assign]
@@ -633,7 +634,7 @@
     assert asked[0] == 1 and max(asked) <= 1 + 100.0 * 0.75 * LEASE_DURATION_S and asked[-1] > 1
 
 
-def test_leases_of_tenants_that_ask_no_more_are_forgotten() -> None:
+def test_leases_of_idle_tenants_are_dropped() -> None:
     leases = leases_of_owner()
     request(leases, 0.0, 1)
     leases.tick(30.0)
@@ -642,7 +643,7 @@
     assert not leases._leases
 
 
-def test_a_process_of_before_is_understood_and_understands() -> None:
+def test_hello_is_compatible_with_earlier_versions() -> None:
     assert decode(b'{"t":"hello","role":"espalier","name":"x","ip":"10.0.0.1","zone":"a","life":3}') == Hello(
         "espalier", "x", "10.0.0.1", "a", 3
     )
@@ -651,6 +652,6 @@
     )
 
 
-def test_shards_are_the_same_everywhere() -> None:
+def test_shards_and_keys_are_stable() -> None:
     assert [shard_of(name) for name in ("sese880", "bago261", "lehu480")] == [0, 4, 15]
     assert shard_key(3) == "quota/3"
--- a/tests/system/test_quota_loop.py
+++ b/tests/system/test_quota_loop.py
@@ -1,4 +1,4 @@
-"""The loop round quotas: datagrams of linked peers count, all others are dropped, and what must come once goes on links."""
+"""I/O of quotas: only datagrams of linked peers are accepted; messages that must arrive exactly once use links."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
 
 TENANT, LIMIT = "t", QuotaLimit(10.0, 20.0)
 OWNER = Hello("espalier", "owner", "127.0.0.1", "a", 11, True)
-ASKER = Hello("espalier", "asker", "127.0.0.2", "a", 22, True)
+REQUESTER = Hello("espalier", "requester", "127.0.0.2", "a", 22, True)
 
 
 class Side:
-    """A loop and what it does."""
+    """A QuotaLoop that records its output."""
 
     def __init__(self, me: Hello, peers: dict[str, Hello], lag_ms: Callable[[], float] = lambda: 0.0) -> None:
         clock = SystemClock()
@@ -59,18 +59,18 @@
             self.informed.set()
 
 
-def play(story: Callable[[Side, Side], object]) -> None:
+def run_scenario(scenario: Callable[[Side, Side], object]) -> None:
     async def run() -> None:
-        owner, asker = Side(OWNER, {"asker": ASKER}), Side(ASKER, {"owner": OWNER})
+        owner, requester = Side(OWNER, {"requester": REQUESTER}), Side(REQUESTER, {"owner": OWNER})
         await owner.loop.start((OWNER.ip, 0))
         port = owner.loop._datagrams.get_extra_info("sockname")[1]  # type: ignore[union-attr]
-        await asker.loop.start((ASKER.ip, port))
+        await requester.loop.start((REQUESTER.ip, port))
         owner.loop._port = port
         try:
             async with asyncio.timeout(10):
-                await story(owner, asker)  # type: ignore[misc]
+                await scenario(owner, requester)  # type: ignore[misc]
         finally:
-            for side in (owner, asker):
+            for side in (owner, requester):
                 side.loop.close()
 
     asyncio.run(run())
@@ -80,32 +80,32 @@
     return Peers(frozenset([other]), {}, frozenset([other]), frozenset(), 2, frozenset([busy]))
 
 
-def test_a_demand_goes_to_the_owner_and_its_grant_comes_back() -> None:
-    async def story(owner: Side, asker: Side) -> None:
-        owner.loop.update_peers(linked("owner", "asker", busy="asker"))
-        asker.loop.update_peers(linked("asker", "owner", busy="asker"))
-        asker.node.demand(asker.loop.now(), TENANT, 7)
-        asker.loop.flush_soon()
-        await asker.informed.wait()
-        (grant,) = asker.node.take_grants()
-        assert grant.granted == 7 and not asker.on_links
-        # what must come once goes on the link
-        asker.node.return_tokens(TENANT, 3, grant.term)
-        asker.loop.flush()
-        ((name, message),) = asker.on_links
+def test_a_demand_reaches_the_owner_and_is_granted() -> None:
+    async def scenario(owner: Side, requester: Side) -> None:
+        owner.loop.update_peers(linked("owner", "requester", busy="requester"))
+        requester.loop.update_peers(linked("requester", "owner", busy="requester"))
+        requester.node.demand(requester.loop.now(), TENANT, 7)
+        requester.loop.flush_soon()
+        await requester.informed.wait()
+        (grant,) = requester.node.take_grants()
+        assert grant.granted == 7 and not requester.on_links
+        # returned tokens must arrive exactly once and use the link
+        requester.node.return_tokens(TENANT, 3, grant.term)
+        requester.loop.flush()
+        ((name, message),) = requester.on_links
         assert name == "owner" and isinstance(message, QuotaSettlement)
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_datagrams_of_strangers_and_of_other_lives_are_dropped_and_counted() -> None:
-    async def story(owner: Side, asker: Side) -> None:
+def test_datagrams_of_unlinked_senders_and_other_incarnations_are_rejected() -> None:
+    async def scenario(owner: Side, requester: Side) -> None:
         owner.loop.update_peers(SINGLE_PROXY)
         demands = [TokenDemand(TENANT, 1, 5)]
         for sender, life, ip in (
-            ("asker", 23, ASKER.ip),
-            ("asker", 22, "127.0.0.9"),
-            ("nobody", 22, ASKER.ip),
+            ("requester", 23, REQUESTER.ip),
+            ("requester", 22, "127.0.0.9"),
+            ("nobody", 22, REQUESTER.ip),
         ):
             payload = encode_datagram(QuotaDatagram(sender, life % INCARNATION_TAG_MODULUS, demands))
             owner.loop._receive_datagram(encode_frame(payload), (ip, 7000))
@@ -114,30 +114,30 @@
             b"junk",
             b"3:{}x",
             encode_frame(b"{}"),
-            encode_frame(b'["asker",22,[["t","one",5]]]'),
+            encode_frame(b'["requester",22,[["t","one",5]]]'),
             b"9" * 3000,
         ):
-            owner.loop._receive_datagram(data, (ASKER.ip, 7000))
+            owner.loop._receive_datagram(data, (REQUESTER.ip, 7000))
         assert owner.node.rejected == 9 and not owner.node.has_output
         owner.loop._receive_datagram(
-            encode_frame(encode_datagram(QuotaDatagram("asker", 22, demands))), (ASKER.ip, 7000)
+            encode_frame(encode_datagram(QuotaDatagram("requester", 22, demands))), (REQUESTER.ip, 7000)
         )
         assert owner.node.has_output and owner.node.rejected == 9
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_what_is_too_long_for_a_datagram_goes_on_the_link() -> None:
-    async def story(owner: Side, asker: Side) -> None:
+def test_messages_too_long_for_a_datagram_use_the_link() -> None:
+    async def scenario(owner: Side, requester: Side) -> None:
         votes = [ShardVote(1, "zone", n) for n in range(MAX_DATAGRAM_BYTES // 8)]
-        asker.loop._send_messages("owner", [QuotaRequest(votes=votes), QuotaGrant([])])
-        assert [type(message) for _, message in asker.on_links] == [QuotaRequest, QuotaGrant]
+        requester.loop._send_messages("owner", [QuotaRequest(votes=votes), QuotaGrant([])])
+        assert [type(message) for _, message in requester.on_links] == [QuotaRequest, QuotaGrant]
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_a_late_loop_is_busy_until_it_is_prompt_again() -> None:
-    async def story(owner: Side, asker: Side) -> None:
+def test_a_proxy_is_busy_while_its_event_loop_lags() -> None:
+    async def scenario(owner: Side, requester: Side) -> None:
         lag = [10 * BUSY_LAG_MS]
         side = Side(OWNER, {}, lambda: lag[0])
         for _ in range(5):
@@ -148,10 +148,10 @@
             side.loop._update_lag()
         assert side.statuses == [True, False]
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_zones_before() -> None:
+def test_preceding_zones() -> None:
     orders = {shard: preceding_zones(shard, "a", ["a", "b", "c"]) for shard in range(16)}
     assert all("a" not in zones for zones in orders.values())
     assert any(zones == [] for zones in orders.values()) and any(len(zones) == 2 for zones in orders.values())
--- a/tests/system/test_quota_scenarios.py
+++ b/tests/system/test_quota_scenarios.py
@@ -1,9 +1,10 @@
-"""Quotas in seeded courses of faults: no window beyond the operators' bound, and what calm clients get.
+"""Quotas in seeded fault scenarios: admissions stay within the operators' bound, and clients get their quota.
 
-    python tests/system/test_quota_courses.py 4000 0      that many courses from number 0 on
+    python tests/system/test_quota_scenarios.py 4000 0      runs 4000 scenarios, starting at number 0
 
-plays them on QUOTA_COURSE_PROCESSES (4) cores and prints every course that breaks the bound, with its seed and
-kind: run_scenario(seed, kind) plays it again. QUOTA_COURSE_SEEDS plays so many of each kind under pytest.
+The command uses QUOTA_COURSE_PROCESSES (default 4) processes and prints every scenario that violates the bound,
+with its seed and kind; run_scenario(seed, kind) repeats it. QUOTA_COURSE_SEEDS sets the number of seeds of each
+kind under pytest.
 """
 
 from __future__ import annotations
@@ -27,8 +28,8 @@
 from troutdock.quota.node import QuotaNode
 from troutdock.quota.owner import Answer, ShardOwner
 
-SEEDS_IN_CI = int(os.environ.get("QUOTA_COURSE_SEEDS", "1"))  # courses of each kind
-MOST_SEEDS = 12  # within which a planted fault is to be found
+SEEDS_IN_CI = int(os.environ.get("QUOTA_COURSE_SEEDS", "1"))  # scenarios of each kind
+MAX_SEEDS = 12  # seeds within which an injected fault must be found
 
 
 def check(outcome: Outcome) -> None:
@@ -36,27 +37,31 @@
 
 
 def finds_fault(kind: str, first_seed: int = 0) -> bool:
-    """Whether one of the courses from first_seed on goes beyond the bound."""
-    return any(run_scenario(seed, kind).ratio > 1.0 for seed in range(first_seed, first_seed + MOST_SEEDS))
+    """Returns whether one of the scenarios from first_seed on violates the bound."""
+    return any(run_scenario(seed, kind).ratio > 1.0 for seed in range(first_seed, first_seed + MAX_SEEDS))
 
 
 @pytest.mark.parametrize("seed", range(SEEDS_IN_CI))
 @pytest.mark.parametrize("kind", sorted(set(KINDS) - {"calm"}))
-def test_no_window_goes_beyond_the_bound(kind: str, seed: int) -> None:
+def test_admissions_stay_within_the_bound(kind: str, seed: int) -> None:
     check(run_scenario(seed, kind))
 
 
 @pytest.mark.parametrize("seed", range(1, 5))
-def test_calm_clients_get_what_one_bucket_would_give_them(seed: int) -> None:
+def test_calm_clients_get_as_much_as_from_one_bucket(seed: int) -> None:
     outcome = run_scenario(seed, "calm")
     check(outcome)
-    assert outcome.missed <= 1, str(outcome)  # a token that is leased elsewhere; at least 0.99 otherwise
+    assert outcome.missed <= 1, str(
+        outcome
+    )  # one token may be leased by another proxy; at least 0.99 otherwise
 
 
 @pytest.mark.parametrize(
     ("zones", "rate"), [({"a": 2}, 0.5), ({"a": 3, "b": 2}, 20.0), ({"a": 3, "b": 3, "c": 2}, 200.0)]
 )
-def test_a_hot_tenant_gets_its_rate_and_a_quiet_one_all(zones: dict[str, int], rate: float) -> None:
+def test_a_busy_tenant_gets_its_rate_and_a_quiet_tenant_everything(
+    zones: dict[str, int], rate: float
+) -> None:
     fleet = Fleet(1, zones, {"hot": QuotaLimit(rate, max(1.0, rate)), "quiet": QuotaLimit(50.0, 50.0)})
     fleet.clock.run(1.0)
     hot, quiet = fleet.offer(Load("hot", min(2000.0, 100 * rate))), fleet.offer(Load("quiet", 35.0))
@@ -67,8 +72,8 @@
 
 
 @pytest.mark.parametrize("in_each_zone", [int(os.environ.get("QUOTA_PROXIES_IN_EACH_ZONE", "4"))])
-def test_a_larger_fleet_keeps_the_bound_where_its_owner_is_lost(in_each_zone: int) -> None:
-    """With 33 it is a fleet of 198: some ten seconds."""
+def test_a_larger_fleet_stays_within_the_bound_when_the_owner_fails(in_each_zone: int) -> None:
+    """With QUOTA_PROXIES_IN_EACH_ZONE=33, the fleet has 198 proxies and the test takes about ten seconds."""
     fleet = Fleet(2, dict.fromkeys("abcdef", in_each_zone), {"hot": QuotaLimit(100.0, 100.0)})
     fleet.clock.run(0.8)
     hot = fleet.offer(Load("hot", 600.0))
@@ -80,33 +85,33 @@
     assert hot.admitted >= 0.95 * 100 * 2
 
 
-# ---- planted faults: each is found by the same check
+# ---- injected faults: the same check must find each of them
 
 
-def test_the_courses_find_an_owner_that_begins_full(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_scenarios_find_an_owner_that_starts_with_full_buckets(monkeypatch: pytest.MonkeyPatch) -> None:
     begin = ShardOwner.__init__
     monkeypatch.setattr(ShardOwner, "__init__", lambda self, term, now, full: begin(self, term, now, True))
     assert finds_fault("kills")
 
 
-def test_the_courses_find_a_lease_that_is_granted_twice(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_scenarios_find_a_lease_that_is_granted_twice(monkeypatch: pytest.MonkeyPatch) -> None:
     grant = ShardOwner.grant
 
-    def grants_the_same_again(
+    def grant_without_deduction(
         self: ShardOwner, now: float, requester: str, tenant: str, *demand: object
     ) -> Answer:
         bucket = self._buckets.get(tenant)
         level = bucket.level if bucket is not None else 0.0
         answer = grant(self, now, requester, tenant, *demand)  # type: ignore[arg-type]
         if bucket is not None and bucket.level < level:
-            bucket.level = level  # the owner has not taken them
+            bucket.level = level  # the owner does not deduct the tokens
         return answer
 
-    monkeypatch.setattr(ShardOwner, "grant", grants_the_same_again)
+    monkeypatch.setattr(ShardOwner, "grant", grant_without_deduction)
     assert finds_fault("calm", 1)
 
 
-def test_the_courses_find_returned_tokens_that_count_twice(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_scenarios_find_returned_tokens_that_are_added_twice(monkeypatch: pytest.MonkeyPatch) -> None:
     put_back = ShardOwner.put_back
     monkeypatch.setattr(
         ShardOwner, "put_back", lambda self, tenant, limit, tokens: put_back(self, tenant, limit, 2 * tokens)
@@ -114,19 +119,21 @@
     assert finds_fault("impatient")
 
 
-def test_the_courses_find_an_owner_that_a_stall_does_not_end(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_scenarios_find_an_owner_that_keeps_its_term_after_a_stall(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(QuotaNode, "_observe", lambda self, now: None)
     assert finds_fault("stalls", 2)
 
 
-def test_the_courses_find_votes_that_never_expire(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A zone that has switched to another owner backs the first one for ever."""
+def test_the_scenarios_find_votes_that_never_expire(monkeypatch: pytest.MonkeyPatch) -> None:
+    """With the fault, a zone that has switched to another owner keeps backing the first one."""
     monkeypatch.setattr(owner_module, "VOTE_LIFETIME_S", 1e9)
     monkeypatch.setattr(ShardOwner, "forget_voter", lambda self, voter: None)
     assert finds_fault("cuts", 4)
 
 
-# ---- many courses
+# ---- command line
 
 
 def _run(seed: int) -> Outcome:
@@ -135,7 +142,7 @@
 
 
 def main(count: int, first: int) -> int:
-    """Play so many courses; how many of them break the bound, or starve a calm client."""
+    """Runs scenarios; returns how many of them violate the bound or starve a calm client."""
     broken, worst, requests = 0, 0.0, 0
     with ProcessPoolExecutor(int(os.environ.get("QUOTA_COURSE_PROCESSES", "4"))) as pool:
         for outcome in pool.map(_run, range(first, first + count), chunksize=8):
@@ -144,7 +151,7 @@
             if outcome.ratio > 1 or starved:
                 broken += 1
                 print("STARVED" if starved else "BROKEN", outcome, flush=True)
-    print(f"courses {count} broken {broken} worst {worst:.3f} of the bound, requests {requests}")
+    print(f"scenarios {count} broken {broken} worst {worst:.3f} of the bound, requests {requests}")
     return broken
 
 
