--- a/tests/system/test_quota_loop.py
+++ b/tests/system/test_quota_loop.py
@@ -27,7 +27,7 @@
 
 TENANT, LIMIT = "t", QuotaLimit(10.0, 20.0)
 OWNER = Hello("espalier", "owner", "127.0.0.1", "a", 11, True)
-REQUESTER = Hello("espalier", "requester", "127.0.0.2", "a", 22, True)
+ASKER = Hello("espalier", "asker", "127.0.0.2", "a", 22, True)
 
 
 class Side:
@@ -61,16 +61,16 @@
 
 def run_scenario(scenario: Callable[[Side, Side], object]) -> None:
     async def run() -> None:
-        owner, requester = Side(OWNER, {"requester": REQUESTER}), Side(REQUESTER, {"owner": OWNER})
+        owner, asker = Side(OWNER, {"asker": ASKER}), Side(ASKER, {"owner": OWNER})
         await owner.loop.start((OWNER.ip, 0))
         port = owner.loop._datagrams.get_extra_info("sockname")[1]  # type: ignore[union-attr]
-        await requester.loop.start((REQUESTER.ip, port))
+        await asker.loop.start((ASKER.ip, port))
         owner.loop._port = port
         try:
             async with asyncio.timeout(10):
-                await scenario(owner, requester)  # type: ignore[misc]
+                await scenario(owner, asker)  # type: ignore[misc]
         finally:
-            for side in (owner, requester):
+            for side in (owner, asker):
                 side.loop.close()
 
     asyncio.run(run())
@@ -81,31 +81,31 @@
 
 
 def test_a_demand_reaches_the_owner_and_is_granted() -> None:
-    async def scenario(owner: Side, requester: Side) -> None:
-        owner.loop.update_peers(linked("owner", "requester", busy="requester"))
-        requester.loop.update_peers(linked("requester", "owner", busy="requester"))
-        requester.node.demand(requester.loop.now(), TENANT, 7)
-        requester.loop.flush_soon()
-        await requester.informed.wait()
-        (grant,) = requester.node.take_grants()
-        assert grant.granted == 7 and not requester.on_links
+    async def scenario(owner: Side, asker: Side) -> None:
+        owner.loop.update_peers(linked("owner", "asker", busy="asker"))
+        asker.loop.update_peers(linked("asker", "owner", busy="asker"))
+        asker.node.demand(asker.loop.now(), TENANT, 7)
+        asker.loop.flush_soon()
+        await asker.informed.wait()
+        (grant,) = asker.node.take_grants()
+        assert grant.granted == 7 and not asker.on_links
         # returned tokens must arrive exactly once and use the link
-        requester.node.return_tokens(TENANT, 3, grant.term)
-        requester.loop.flush()
-        ((name, message),) = requester.on_links
+        asker.node.return_tokens(TENANT, 3, grant.term)
+        asker.loop.flush()
+        ((name, message),) = asker.on_links
         assert name == "owner" and isinstance(message, QuotaSettlement)
 
     run_scenario(scenario)
 
 
 def test_datagrams_of_unlinked_senders_and_other_incarnations_are_rejected() -> None:
-    async def scenario(owner: Side, requester: Side) -> None:
+    async def scenario(owner: Side, asker: Side) -> None:
         owner.loop.update_peers(SINGLE_PROXY)
         demands = [TokenDemand(TENANT, 1, 5)]
         for sender, life, ip in (
-            ("requester", 23, REQUESTER.ip),
-            ("requester", 22, "127.0.0.9"),
-            ("nobody", 22, REQUESTER.ip),
+            ("asker", 23, ASKER.ip),
+            ("asker", 22, "127.0.0.9"),
+            ("nobody", 22, ASKER.ip),
         ):
             payload = encode_datagram(QuotaDatagram(sender, life % INCARNATION_TAG_MODULUS, demands))
             owner.loop._receive_datagram(encode_frame(payload), (ip, 7000))
@@ -114,13 +114,13 @@
             b"junk",
             b"3:{}x",
             encode_frame(b"{}"),
-            encode_frame(b'["requester",22,[["t","one",5]]]'),
+            encode_frame(b'["asker",22,[["t","one",5]]]'),
             b"9" * 3000,
         ):
-            owner.loop._receive_datagram(data, (REQUESTER.ip, 7000))
+            owner.loop._receive_datagram(data, (ASKER.ip, 7000))
         assert owner.node.rejected == 9 and not owner.node.has_output
         owner.loop._receive_datagram(
-            encode_frame(encode_datagram(QuotaDatagram("requester", 22, demands))), (REQUESTER.ip, 7000)
+            encode_frame(encode_datagram(QuotaDatagram("asker", 22, demands))), (ASKER.ip, 7000)
         )
         assert owner.node.has_output and owner.node.rejected == 9
 
@@ -128,16 +128,16 @@
 
 
 def test_messages_too_long_for_a_datagram_use_the_link() -> None:
-    async def scenario(owner: Side, requester: Side) -> None:
+    async def scenario(owner: Side, asker: Side) -> None:
         votes = [ShardVote(1, "zone", n) for n in range(MAX_DATAGRAM_BYTES // 8)]
-        requester.loop._send_messages("owner", [QuotaRequest(votes=votes), QuotaGrant([])])
-        assert [type(message) for _, message in requester.on_links] == [QuotaRequest, QuotaGrant]
+        asker.loop._send_messages("owner", [QuotaRequest(votes=votes), QuotaGrant([])])
+        assert [type(message) for _, message in asker.on_links] == [QuotaRequest, QuotaGrant]
 
     run_scenario(scenario)
 
 
 def test_a_proxy_is_busy_while_its_event_loop_lags() -> None:
-    async def scenario(owner: Side, requester: Side) -> None:
+    async def scenario(owner: Side, asker: Side) -> None:
         lag = [10 * BUSY_LAG_MS]
         side = Side(OWNER, {}, lambda: lag[0])
         for _ in range(5):
