--- a/tests/system/test_quota_scenarios.py
+++ b/tests/system/test_quota_scenarios.py
@@ -16,7 +16,7 @@
 
 if __name__ == "__main__":
     root = Path(__file__).parents[2]
-    sys.path[:0] = [str(root), str(root / "tests" / "peers")]
+    sys.path[:0] = [str(root), str(root / "tests" / "support")]
 
 import pytest
 from quota_scenarios import KINDS, Outcome, run_scenario
