--- a/benchmarks/exchange.py
+++ b/benchmarks/exchange.py
@@ -27,7 +27,7 @@
 
     def ended(name: str, instance: str) -> None:
         exchange = town.ingresses[name].exchange
-        exchange.load(instance, exchange.out.get(instance, 1) - 1)
+        exchange.set_load(instance, exchange.own_loads.get(instance, 1) - 1)
 
     town.sent = 0
     while town.now < SECONDS * 1000:
@@ -35,7 +35,7 @@
         name, instance = town.random.choice(names), str(town.random.randint(1, 3))
         town.ask(name)
         exchange = town.ingresses[name].exchange
-        exchange.load(instance, exchange.out.get(instance, 0) + 1)
+        exchange.set_load(instance, exchange.own_loads.get(instance, 0) + 1)
         town.later(town.now + WORK_MS, lambda name=name, instance=instance: ended(name, instance))
     per_s = {name: sent / SECONDS for name, sent in town.sent_by.items()}
     return {
--- a/tests/support/proxy_fleet.py
+++ b/tests/support/proxy_fleet.py
@@ -1,6 +1,6 @@
 """A fleet of proxies in simulated time: their decisions and their messages to each other, without sockets.
 
-Each proxy has a ProxyAdmission and an Exchange. Messages take a few milliseconds within a zone and some tens of
+Each proxy has a ProxyAdmission and a LoadExchange. Messages take a few milliseconds within a zone and tens of
 milliseconds between zones, as in peer_connections.py. Quotas use a Process of quota_network, over connections
 that are opened and closed.
 """
--- a/tests/support/quota_fleet.py
+++ b/tests/support/quota_fleet.py
@@ -1,4 +1,4 @@
-"""A simulated fleet of proxies that handle quotas only: leases, clients, faults and a record of all admissions.
+"""A simulated fleet of proxies that handle quotas only: leases, clients, faults and recorded admissions.
 
 Every request that took a token is recorded with its time, and every window is checked against the operators'
 bound.
@@ -150,7 +150,7 @@
 
 
 def ideal_admissions(offered_at: list[float], limit: QuotaLimit, begin: float) -> int:
-    """Returns how many requests a single token bucket would admit that starts empty and receives all of them."""
+    """Returns how many requests a single, initially empty token bucket for all proxies would admit."""
     level, last, admitted = 0.0, begin, 0
     for at in offered_at:
         level, last = min(limit.burst, level + (at - last) * limit.rate_per_s), at
--- a/tests/support/quota_network.py
+++ b/tests/support/quota_network.py
@@ -212,7 +212,7 @@
         self.network.later(TICK_INTERVAL_S, lambda: self.do(self._tick))
 
     def _update_status(self) -> None:
-        """Reports a change of whether this process has too high a lag, or started too recently, to own or aggregate."""
+        """Reports whether this process has too high a lag, or started too recently, to own or aggregate."""
         self.is_starting = self.is_starting and not self.node.is_settled(self.now)
         is_busy = self.is_starting or self.has_high_lag
         if is_busy != self._reported_busy:
--- a/tests/support/quota_scenarios.py
+++ b/tests/support/quota_scenarios.py
@@ -28,8 +28,8 @@
         kind: Its faults, a key of KINDS.
         proxies: Number of live proxies at its end.
         worst: The window with the largest ratio of admissions to its bound.
-        served: By tenant, admissions divided by those of one shared bucket that is empty when the load starts.
-        missed: Largest number, over the tenants, of requests short of MIN_SERVED of such a bucket's admissions.
+        served: By tenant, admissions divided by those of one shared bucket, empty when the load starts.
+        missed: Largest shortfall of a tenant below MIN_SERVED times the admissions of such a bucket.
         messages: Number of messages between proxies.
         requests: Number of first attempts.
     """
@@ -111,7 +111,7 @@
             self.fleet.offer(Load(tenant, per_s, only, until, retry_fraction=retry_fraction))
 
     def _offer_impatient(self) -> None:
-        """Bursts of clients far from the owner time out before the answer; other clients then use the returned tokens."""
+        """Clients far from the owner time out before the answer; others then use the returned tokens."""
         limit = self.limits[HOT]
         load = Load(HOT, 1.0)
         self.fleet.loads.append(load)
@@ -134,7 +134,7 @@
             self.fleet.send_burst(load, count)
 
     def _offer_after_stalls(self) -> None:
-        """Owners stall one after another with full buckets, and resume together when a burst of load arrives."""
+        """Owners stall one after another with full buckets, and resume together when a burst arrives."""
         self.fleet.clients_first_fraction = 0.9
         wake = WARM_UP_S + self.random.uniform(6.5, 8.0)
         stalled: list[str] = []
--- a/tests/system/test_load_exchange.py
+++ b/tests/system/test_load_exchange.py
@@ -13,7 +13,7 @@
 
 
 def run_random_loads(seed: int, failures: int) -> SimulatedFleet:
-    """Sets random loads for eight seconds while ingresses fail and start; then 3.5 seconds without changes."""
+    """Sets random loads for 8 s while ingresses fail and start, then waits 3.5 s without changes."""
     random = Random(seed)
     fleet = SimulatedFleet(seed, ZONES, proxy_settings(4000.0, 4000.0))
     at = sorted(random.uniform(1000, 7000) for _ in range(failures))
--- a/tests/system/test_proxy_admission.py
+++ b/tests/system/test_proxy_admission.py
@@ -65,8 +65,8 @@
     node.update_peers(
         0.0,
         Peers(
-            near=frozenset(["owner"]),
-            listed_near=frozenset(["owner"]),
+            zone_peers=frozenset(["owner"]),
+            listed_zone_peers=frozenset(["owner"]),
             fleet_size=2,
             busy=frozenset(["asker"]),
         ),
--- a/tests/system/test_quota_fleet.py
+++ b/tests/system/test_quota_fleet.py
@@ -1,4 +1,4 @@
-"""A tenant's quota over a fleet of ingresses: their total stays within it, and each ingress can use all of it."""
+"""A tenant's quota over a fleet: all ingresses together stay within it, and each can use all of it."""
 
 from __future__ import annotations
 
@@ -183,7 +183,7 @@
     other = ranked(f"b/{LIVENESS_DUTY}", ["b-0", "b-1"])[1]
     assert first in {m.name for m in f.dial_targets(0.0, [], ())}
     assert [m.name for m in f.dial_targets(0.1, [], [first])] == [other]  # for every duty and shard
-    # a delisted member may only be partitioned from the registry: a link that is up is kept, others are closed
+    # a delisted member may only be partitioned from the registry: a link that is up is kept
     f.update_members(1.0, [], [first], False)
     assert f.should_keep(first, f.ip, {}, True) and not f.should_keep(first, f.ip, {}, False)
     assert not f.should_keep(other, f.ip, {}, True)
--- a/tests/system/test_quota_loop.py
+++ b/tests/system/test_quota_loop.py
@@ -1,4 +1,4 @@
-"""I/O of quotas: only datagrams of linked peers are accepted; messages that must arrive exactly once use links."""
+"""I/O of quotas: only datagrams of linked peers are accepted; messages that must not be lost use links."""
 
 from __future__ import annotations
 
--- a/tests/system/test_quota_scenarios.py
+++ b/tests/system/test_quota_scenarios.py
@@ -2,9 +2,9 @@
 
     python tests/system/test_quota_scenarios.py 4000 0      runs 4000 scenarios, starting at number 0
 
-The command uses QUOTA_COURSE_PROCESSES (default 4) processes and prints every scenario that violates the bound,
-with its seed and kind; run_scenario(seed, kind) repeats it. QUOTA_COURSE_SEEDS sets the number of seeds of each
-kind under pytest.
+The command uses QUOTA_COURSE_PROCESSES (default 4) processes and prints every scenario that violates the
+bound, with its seed and kind; run_scenario(seed, kind) repeats it. QUOTA_COURSE_SEEDS is the number of seeds
+of each kind under pytest.
 """
 
 from __future__ import annotations
