--- a/tests/system/test_load_exchange.py
+++ b/tests/system/test_load_exchange.py
@@ -23,14 +23,14 @@
         if at and fleet.now > at[0]:
             at.pop(0)
             zone = random.choice("abc")
-            there = [i for i in alive if i.zone == zone]
-            lost = (
-                next((i for i in there if fleet.speaks(i)), there[0])
+            in_zone = [i for i in alive if i.zone == zone]
+            failed = (
+                next((i for i in in_zone if fleet.speaks(i)), in_zone[0])
                 if random.random() < 0.6
-                else random.choice(there)
+                else random.choice(in_zone)
             )
-            if len(there) > 1:
-                fleet.kill(lost.name)
+            if len(in_zone) > 1:
+                fleet.kill(failed.name)
                 fleet.add(f"{zone}-{random.randint(20, 99)}", zone)
             continue
         ingress = random.choice(alive)
--- a/tests/system/test_quota_fleet.py
+++ b/tests/system/test_quota_fleet.py
@@ -131,14 +131,14 @@
         "a-2"
     ]  # an ingress that is not linked yet may be the responsible one
     names = ["a-0", "a-1", "a-2"]
-    homes = [duty for duty in e.duties() if e.is_responsible(duty, ["a-0", "a-2"])]
+    own_duties = [duty for duty in e.duties() if e.is_responsible(duty, ["a-0", "a-2"])]
     asked = [
         shard
         for shard in range(SHARD_COUNT)
         if ranked(zone_key("a", shard), names)[0] == "a-1" and preceding_zones(shard, "a", ["b"])
     ]
     away = {m.name for m in e.dial_targets(0.1, near, ()) if m.zone == "b"}
-    expected = {ranked(f"b/{duty}", ["b-0", "b-1"])[0] for duty in homes}
+    expected = {ranked(f"b/{duty}", ["b-0", "b-1"])[0] for duty in own_duties}
     for shard in asked:
         expected.update(ranked(zone_key("b", shard), ["b-0", "b-1"])[:LINKS_TO_OWNERS])
     assert away == expected
--- a/troutdock/quota/node.py
+++ b/troutdock/quota/node.py
@@ -63,9 +63,9 @@
 
 VOTE_INTERVAL_S = 0.2  # between two votes of a zone; three are sent within VOTE_LIFETIME_S
 STALL_THRESHOLD_S = 0.5  # an owner that has not run for longer may have been replaced
-PENDING_TIMEOUT_S = 1.0  # an older unanswered demand is rejected with a retry time
+PENDING_TIMEOUT_S = 1.0  # a demand unanswered for longer is rejected with a retry time
 NO_OWNER_RETRY_S = 0.1  # retry time if there is no owner, or the owner does not know the tenant
-MAX_HOPS = 4  # a message forwarded more often is in a routing loop
+MAX_HOPS = 4  # a message forwarded this often is in a routing loop
 LOCAL = ""  # this proxy as a requester
 
 
@@ -236,7 +236,7 @@
             self._outbox.add_handover(successor, handover)
 
     def hand_over(self, now: float) -> None:
-        """Hands all ownership over to the successors; to be called just before the links are closed."""
+        """Hands all ownership over to the successors, permanently; called just before the links close."""
         for shard in self._owned:
             self._yield(now, shard, self._routes.successor(shard))
 
