--- a/tests/management/test_door.py
+++ b/tests/management/test_door.py
@@ -10,7 +10,7 @@
 from loopback import Client, answer, request, run, silence, until, world
 
 from troutdock.management import api
-from troutdock.management.api import CALLERS
+from troutdock.management.api import MAX_CONNECTIONS
 
 HEALTH = b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
 
@@ -87,12 +87,12 @@
 def test_callers_that_say_nothing_keep_nobody_out_and_hold_a_bounded_number_of_places() -> None:
     async def test() -> None:
         async with managed(answer()) as w:
-            held = [await asyncio.open_connection(*w.service.management) for _ in range(3 * CALLERS)]
+            held = [await asyncio.open_connection(*w.service.management) for _ in range(3 * MAX_CONNECTIONS)]
             held[-1][1].write(b"GET /control/re")
-            await until(lambda: len(w.service._door.callers) == CALLERS)
+            await until(lambda: len(w.service._door.connections) == MAX_CONNECTIONS)
             for _ in range(3):
                 assert await call(w, "GET", "/control/ready") == 200
-            assert len(w.service._door.callers) < CALLERS + 1
+            assert len(w.service._door.connections) < MAX_CONNECTIONS + 1
             for _, writer in held:
                 writer.close()
 
@@ -120,7 +120,7 @@
                     number += 100
                     assert (await client.ask(request("ledger-read", number)))[0] in (200, 429)
 
-            busy = [asyncio.create_task(holds()) for _ in range(2 * CALLERS)]
+            busy = [asyncio.create_task(holds()) for _ in range(2 * MAX_CONNECTIONS)]
             busy += [asyncio.create_task(asks(n)) for n in range(16)]
             for turn in range(40):
                 path, status = (("out-of-service", 200), ("in-service", 200))[turn % 2]
@@ -136,7 +136,7 @@
 def test_a_caller_that_never_ends_its_call_is_told_so(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         async with managed(answer()) as w:
-            monkeypatch.setattr(api, "CALL_S", 0.02)
+            monkeypatch.setattr(api, "REQUEST_TIMEOUT_S", 0.02)
             reader, writer = await asyncio.open_connection(*w.service.management)
             assert (await Client(reader, writer).ask(b"GET /control/ready HTTP/1.1\r\n"))[0] == 408
             writer.close()
--- a/troutdock/daemon.py
+++ b/troutdock/daemon.py
@@ -27,7 +27,7 @@
 from troutdock.http.listener import Server
 from troutdock.http.transport import HttpTransport
 from troutdock.management.availability import State
-from troutdock.management.api import Books, Door
+from troutdock.management.api import BodyHandlers, ManagementServer
 from troutdock.ingress import SWEEP_S, Ingress, half_of_sockets
 from troutdock.overload.lag import Lag
 from troutdock.platform.background import Background
@@ -47,7 +47,7 @@
     async def close(self) -> None:
         """The ingress has drained: end in order."""
 
-    def books(self) -> Books:
+    def books(self) -> BodyHandlers:
         """What operators may see and add to at their door."""
 
 
@@ -80,7 +80,7 @@
         if config.listen is None:
             raise ValueError("a daemon needs an address to listen on")
         self.address = self._listen = config.listen
-        self._door = Door(
+        self._door = ManagementServer(
             {
                 b"/control/ready": (b"GET", lambda: self.ready),
                 b"/control/out-of-service": (b"POST", lambda: self._in_service(False)),
--- a/troutdock/grpc/front.py
+++ b/troutdock/grpc/front.py
@@ -129,7 +129,7 @@
         server = self.front.server
         server.other_connections[self] = self.front.connections[self] = None
         self.front.accepted += 1
-        if server.handing_over or server.availability.sends_away:
+        if server.handing_over or server.availability.drains_clients:
             self.go_away()
         self.flush()
 
--- a/troutdock/http/exchange.py
+++ b/troutdock/http/exchange.py
@@ -148,7 +148,7 @@
 
     def _head(self, status: int, headers: tuple[tuple[bytes, bytes], ...]) -> bytes:
         server = self.connection.server
-        if (server.availability.sends_away and not server.handing_over) or server.nearly_full:
+        if (server.availability.drains_clients and not server.handing_over) or server.nearly_full:
             self.keep_alive = False
         lines = [b"HTTP/1.1 %d %b" % (status, _REASONS.get(status, b""))]
         lines += [b"%b: %b" % pair for pair in headers]
--- a/troutdock/http/listener.py
+++ b/troutdock/http/listener.py
@@ -171,7 +171,7 @@
     @property
     def healthy(self) -> bool:
         """The result of the health check: this process accepts clients and knows a backend."""
-        return self.engine.ready and self.availability.takes_clients
+        return self.engine.ready and self.availability.accepts_clients
 
     # asyncio's own server cannot pause accepting and would exceed the limit on sockets.
 
--- a/troutdock/management/__init__.py
+++ b/troutdock/management/__init__.py
@@ -1,1 +1,1 @@
-"""What operators may ask of a running process, at an address apart from the clients'."""
+"""The management interface of a running process, on an address separate from the client listener."""
--- a/troutdock/management/api.py
+++ b/troutdock/management/api.py
@@ -1,9 +1,10 @@
-"""The operators' door: a listener of its own, HTTP/1.1, one call on each connection.
+"""The management server: a separate HTTP/1.1 listener that serves one request per connection.
 
-Calls are answered yes or no. Books are shown and added to with bodies, by what runs beside the ingress.
+Commands have no body and are answered with yes or no. Requests with a body read or add records that belong
+to the components that run in the ingress process.
 
-A caller may be slow or silent for as long as it likes without being in another's way: each has its own
-connection, there are CALLERS at most, and the one that has been here longest without a whole call makes room.
+A slow or silent client does not delay another one: each has its own connection. At most MAX_CONNECTIONS are
+open at once; beyond that, the oldest connection without a complete request is aborted.
 """
 
 from __future__ import annotations
@@ -19,11 +20,11 @@
 
 log = logging.getLogger("troutdock")
 
-CALLERS = 16  # connections at once, out of the descriptors that are not for clients or backends
-CALL_S = 5.0  # for a whole call, from the connection's start on: callers have been seen to take four
-MAX_CALL = 8 * 1024  # bytes of one call
-MAX_BOOK = 256 * 1024  # of one that adds to a book: some thousand lines; all callers together 4 MiB
-_WORDS = {
+MAX_CONNECTIONS = 16  # at once; they use file descriptors that are not reserved for clients or backends
+REQUEST_TIMEOUT_S = 5.0  # from connecting to a complete request; clients have been seen to take 4 s
+MAX_REQUEST_BYTES = 8 * 1024  # of a request without a body handler
+MAX_BODY_REQUEST_BYTES = 256 * 1024  # some thousand lines; 4 MiB over all connections
+_REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
     404: b"Not Found",
@@ -35,115 +36,124 @@
     503: b"Service Unavailable",
 }
 
-# for each path the method, and what to do: the answer is yes or no
-Calls = Mapping[bytes, tuple[bytes, Callable[[], bool]]]
-# for method and path what to do with a body: status and body of the answer
-Books = Mapping[tuple[bytes, bytes], Callable[[bytes], Awaitable[tuple[int, bytes]]]]
+# path -> (method, command); the command returns True for yes (200) and False for no (503)
+Commands = Mapping[bytes, tuple[bytes, Callable[[], bool]]]
+# (method, path) -> handler, which takes the request's body and returns the response's status and body
+BodyHandlers = Mapping[tuple[bytes, bytes], Callable[[bytes], Awaitable[tuple[int, bytes]]]]
 
 
-class Door:
-    """Listens for operators' calls until it is closed."""
+class ManagementServer:
+    """Listens for management requests until it is closed."""
 
-    def __init__(self, calls: Calls, books: Books | None = None) -> None:
-        self.calls, self.books = calls, books or {}
-        self.tasks: dict[asyncio.Task[None], None] = {}  # calls for books that are under way
-        self.callers: dict[Caller, None] = {}  # that have no answer yet, the longest here first
+    def __init__(self, calls: Commands, body_handlers: BodyHandlers | None = None) -> None:
+        self.commands, self.body_handlers = calls, body_handlers or {}
+        self.tasks: dict[asyncio.Task[None], None] = {}  # body handlers that are running
+        self.connections: dict[ManagementConnection, None] = {}  # not answered yet, oldest first
         self._server: asyncio.Server | None = None
 
     async def listen(self, address: Address) -> Address:
-        """Open it; gives the address, with the port that the system chose for 0. OSError if it is taken."""
-        self._server = await asyncio.get_running_loop().create_server(lambda: Caller(self), *address)
+        """Starts listening.
+
+        Returns:
+            The bound address; its port is the one that the system chose if port 0 was given.
+
+        Raises:
+            OSError: the address is in use.
+        """
+        self._server = await asyncio.get_running_loop().create_server(
+            lambda: ManagementConnection(self), *address
+        )
         host, port = self._server.sockets[0].getsockname()[:2]
         return host, port
 
-    def admit(self, caller: Caller) -> None:
-        """A caller is here."""
-        if len(self.callers) >= CALLERS:
-            next(iter(self.callers)).leave()
-        self.callers[caller] = None
+    def register(self, connection: ManagementConnection) -> None:
+        """Registers a new connection; aborts the oldest one if MAX_CONNECTIONS is reached."""
+        if len(self.connections) >= MAX_CONNECTIONS:
+            next(iter(self.connections)).abort()
+        self.connections[connection] = None
 
     def close(self) -> None:
-        """No more calls."""
+        """Stops listening, aborts open connections and cancels running body handlers."""
         if self._server is not None:
             self._server.close()
-        for caller in list(self.callers):
-            caller.leave()
+        for connection in list(self.connections):
+            connection.abort()
         for task in list(self.tasks):
             task.cancel()
 
 
-class Caller(asyncio.Protocol):
-    """One operator's connection."""
+class ManagementConnection(asyncio.Protocol):
+    """One connection to the management server."""
 
-    def __init__(self, door: Door) -> None:
-        self._door = door
+    def __init__(self, owner: ManagementServer) -> None:
+        self._owner = owner
         self._parser: Any = httptools.HttpRequestParser(self)
         self._url, self._received, self._body = b"", 0, b""
         self._transport: asyncio.Transport
-        self._late: asyncio.TimerHandle | None = None
+        self._timeout: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
-        self._door.admit(self)
-        self._late = asyncio.get_running_loop().call_later(CALL_S, self._answer, 408)
+        self._owner.register(self)
+        self._timeout = asyncio.get_running_loop().call_later(REQUEST_TIMEOUT_S, self._answer, 408)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._forget()
-        self._parser = None  # it holds this caller
+        self._unregister()
+        self._parser = None  # breaks the reference cycle with this connection
 
     def data_received(self, data: bytes) -> None:
-        if self not in self._door.callers:
-            return  # answered: what comes behind is dropped
+        if self not in self._owner.connections:
+            return  # already answered: further data is dropped
         self._received += len(data)
-        if self._received > MAX_BOOK:
+        if self._received > MAX_BODY_REQUEST_BYTES:
             self._answer(413)
             return
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self._answer(400)
-        if self._received > MAX_CALL and not self._for_book():
+        if self._received > MAX_REQUEST_BYTES and not self._has_body_handler():
             self._answer(413)
 
-    def leave(self) -> None:
-        """Its place is needed, or the door closes."""
-        self._forget()
+    def abort(self) -> None:
+        """Aborts the connection, to make room for a new one or because the server closes."""
+        self._unregister()
         self._transport.abort()
 
-    def _forget(self) -> None:
-        self._door.callers.pop(self, None)
-        if self._late is not None:
-            self._late.cancel()
+    def _unregister(self) -> None:
+        self._owner.connections.pop(self, None)
+        if self._timeout is not None:
+            self._timeout.cancel()
 
-    def _for_book(self) -> bool:
-        return any(path == self._path for _, path in self._door.books)
+    def _has_body_handler(self) -> bool:
+        return any(path == self._path for _, path in self._owner.body_handlers)
 
     @property
     def _path(self) -> bytes:
         return self._url.partition(b"?")[0]
 
-    async def _serve(self, does: Callable[[bytes], Awaitable[tuple[int, bytes]]]) -> None:
+    async def _serve(self, handler: Callable[[bytes], Awaitable[tuple[int, bytes]]]) -> None:
         try:
-            status, body = await does(self._body)
-        except Exception:  # guards the ingress: only this call fails
-            log.exception("operator: %s", self._path.decode(errors="replace"))
-            status, body = 500, b"an error of the ingress\n"
-        log.info("operator: %s: %d", self._path.decode(errors="replace"), status)
+            status, body = await handler(self._body)
+        except Exception:  # a failing handler must not stop the ingress: only this request fails
+            log.exception("management request %s failed", self._path.decode(errors="replace"))
+            status, body = 500, b"internal error in the ingress\n"
+        log.info("management request %s: status %d", self._path.decode(errors="replace"), status)
         self._answer(status, body)
 
     def _answer(self, status: int, body: bytes | None = None) -> None:
-        if self not in self._door.callers:
+        if self not in self._owner.connections:
             return
-        self._forget()
+        self._unregister()
         if body is None:
-            body = b"yes\n" if status == 200 else b"no: %b\n" % _WORDS[status].lower()
+            body = b"yes\n" if status == 200 else b"no: %b\n" % _REASON_PHRASES[status].lower()
         self._transport.write(
             b"HTTP/1.1 %d %b\r\nContent-Type: text/plain\r\nContent-Length: %d\r\n"
-            b"Connection: close\r\n\r\n%b" % (status, _WORDS[status], len(body), body)
+            b"Connection: close\r\n\r\n%b" % (status, _REASON_PHRASES[status], len(body), body)
         )
         self._transport.close()
 
-    # ---- called by the parser
+    # ---- callbacks of the parser
 
     def on_url(self, url: bytes) -> None:
         self._url += url
@@ -153,21 +163,21 @@
 
     def on_message_complete(self) -> None:
         path = self._path
-        if (book := self._door.books.get((self._parser.get_method(), path))) is not None:
-            task = asyncio.get_running_loop().create_task(self._serve(book))
-            self._door.tasks[task] = None
-            task.add_done_callback(lambda done: self._door.tasks.pop(done, None))
+        if (handler := self._owner.body_handlers.get((self._parser.get_method(), path))) is not None:
+            task = asyncio.get_running_loop().create_task(self._serve(handler))
+            self._owner.tasks[task] = None
+            task.add_done_callback(lambda done: self._owner.tasks.pop(done, None))
             return
-        if self._for_book() or self._received > MAX_CALL:
-            self._answer(405 if self._for_book() else 413)
+        if self._has_body_handler() or self._received > MAX_REQUEST_BYTES:
+            self._answer(405 if self._has_body_handler() else 413)
             return
-        if path not in self._door.calls:
+        if path not in self._owner.commands:
             self._answer(404)
             return
-        method, does = self._door.calls[path]
+        method, command = self._owner.commands[path]
         if self._parser.get_method() != method:
             self._answer(405)
             return
-        yes = does()
-        log.info("operator: %s: %s", path.decode(), "yes" if yes else "no")
-        self._answer(200 if yes else 503)
+        accepted = command()
+        log.info("management request %s: %s", path.decode(), "yes" if accepted else "no")
+        self._answer(200 if accepted else 503)
--- a/troutdock/management/availability.py
+++ b/troutdock/management/availability.py
@@ -1,15 +1,16 @@
-"""Whether this process wants clients, and what an operator may change about that.
+"""Whether this process accepts clients, and how an operator changes that.
 
-Theory of operation. A process goes through these:
+Theory of operation. The states and transitions of a process:
 
-    state           clients are       event            next
-    STARTING        not taken yet     opened           IN_SERVICE
-    IN_SERVICE      taken             take out         OUT_OF_SERVICE
-    OUT_OF_SERVICE  sent away         put back         IN_SERVICE
-    any             sent away         end (SIGTERM)    ENDING, for good
+    state           clients           event            next state
+    STARTING        not yet accepted  opened           IN_SERVICE
+    IN_SERVICE      accepted          take_out         OUT_OF_SERVICE
+    OUT_OF_SERVICE  drained           put_back         IN_SERVICE
+    any             drained           end (SIGTERM)    ENDING (final)
 
-To ask for the state that holds already is a yes that changes nothing: an operator's script may repeat itself.
-Whatever is sent while clients are sent away is served all the same; they are told to leave with the answer.
+A request for the current state succeeds and changes nothing, so an operator's script may repeat a command.
+Requests that arrive while clients are drained are still served; the response asks the client to close its
+connection.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 
 class State(Enum):
-    """What this process is at."""
+    """Life-cycle state of the process."""
 
     STARTING = "starting"
     IN_SERVICE = "in service"
@@ -27,41 +28,41 @@
 
 
 class Availability:
-    """The state, and since when it holds (seconds of the clock that the caller uses)."""
+    """The state, and the time since when it holds (seconds of the caller's clock)."""
 
     def __init__(self) -> None:
         self.state, self.since_s = State.STARTING, 0.0
 
     @property
-    def sends_away(self) -> bool:
-        """Clients are to leave with their next answer."""
+    def drains_clients(self) -> bool:
+        """Whether the next response to each client closes its connection."""
         return self.state in (State.OUT_OF_SERVICE, State.ENDING)
 
     @property
-    def takes_clients(self) -> bool:
-        """New clients are welcome."""
+    def accepts_clients(self) -> bool:
+        """Whether new clients are accepted."""
         return self.state is State.IN_SERVICE
 
     def opened(self, now_s: float) -> None:
-        """The clients' door is open."""
+        """Records that the client listener is open."""
         if self.state is State.STARTING:
-            self._turn(State.IN_SERVICE, now_s)
+            self._transition(State.IN_SERVICE, now_s)
 
     def take_out(self, now_s: float) -> bool:
-        """Send clients away; false where that can't be promised: not open yet."""
+        """Starts to drain clients; returns False if the client listener is not open yet."""
         if self.state is State.IN_SERVICE:
-            self._turn(State.OUT_OF_SERVICE, now_s)
+            self._transition(State.OUT_OF_SERVICE, now_s)
         return self.state is not State.STARTING
 
     def put_back(self, now_s: float) -> bool:
-        """Take clients again; false where the process is about to end, or has not begun."""
+        """Accepts clients again; returns False if the process is starting or ending."""
         if self.state is State.OUT_OF_SERVICE:
-            self._turn(State.IN_SERVICE, now_s)
+            self._transition(State.IN_SERVICE, now_s)
         return self.state is State.IN_SERVICE
 
     def end(self, now_s: float) -> None:
-        """The process ends once it has answered what it took."""
-        self._turn(State.ENDING, now_s)
+        """Drains clients for good; the process ends once all accepted requests are answered."""
+        self._transition(State.ENDING, now_s)
 
-    def _turn(self, state: State, now_s: float) -> None:
+    def _transition(self, state: State, now_s: float) -> None:
         self.state, self.since_s = state, now_s
