--- a/benchmarks/routed_cost.py
+++ b/benchmarks/routed_cost.py
@@ -15,7 +15,7 @@
 
 from benchmarks.library_cpu import compare
 from benchmarks.processes import daemon, free_port, node, process
-from troutdock.operator.subprocess_reader import read_apart
+from troutdock.operator.subprocess_reader import read_in_subprocess
 from troutdock.operator.compiled import Compiled
 from troutdock.routing_service.run import take_over
 from troutdock.routing_service.service import Routed, Terms
@@ -55,7 +55,7 @@
 
 def read(file: Path) -> Compiled:
     """It is good."""
-    found = read_apart(file)
+    found = read_in_subprocess(file)
     assert isinstance(found, Compiled), found
     return found
 
--- a/tests/reservations/test_reserved_front.py
+++ b/tests/reservations/test_reserved_front.py
@@ -18,7 +18,7 @@
 
 from troutdock import jsonlines
 from troutdock.cli.app import app
-from troutdock.operator.components import parts_of
+from troutdock.operator.components import create_components
 from troutdock.operator.reader import OperatorError, read_operator
 from troutdock.reservations import files, messages
 from troutdock.reservations.entries import Entry, Kind
@@ -256,12 +256,12 @@
                     }
                 )
             )
-            parts = parts_of("n0", read_operator(operator), settings())
+            parts = create_components("n0", read_operator(operator), settings())
             w = await stack.enter_async_context(world(COSTS, management="127.0.0.1:0", settings={"index": n}))
             for part in parts:
                 part.start(w.engine)
                 stack.push_async_callback(part.close)
-                w.service._door.books |= part.books()
+                w.service._door.body_handlers |= part.books()
             w.parts, w.door = parts, "{}:{}".format(*w.service.management)
             found.append(w)
         yield found
@@ -521,7 +521,7 @@
     file = lines(tmp_path / "entries.jsonl", made(), made(units=3.0))
     operator.write_text(f"reservations:\n  file: {file}\n  folder: {tmp_path / 'own'}\n")
     with pytest.raises(OperatorError, match=r"entries.jsonl:2: entry 'r' is known as"):
-        parts_of("n0", read_operator(operator), settings())
+        create_components("n0", read_operator(operator), settings())
 
 
 def test_promises_of_two_doors_on_one_file_stay_within_the_bound(tmp_path: Path) -> None:
--- a/tests/routing_service/test_deployment.py
+++ b/tests/routing_service/test_deployment.py
@@ -24,7 +24,7 @@
 from troutdock.cli.app import app
 from troutdock.daemon import Service, serve
 from troutdock.operator.compiled import Compiled, differences, read_deployment
-from troutdock.operator.yaml_tree import MOST_NODES, load
+from troutdock.operator.yaml_tree import MAX_VALUES, load
 from troutdock.routing_service import service as routed_service
 from troutdock.routing_service.reader import customer_number
 from troutdock.routing_service.run import take_over
@@ -194,7 +194,7 @@
     )
     file = tmp_path / "x.yaml"
     file.write_text(text)
-    assert any(f"more than {MOST_NODES}" in p.said for p in load(file, {}).problems)
+    assert any(f"more than {MAX_VALUES}" in p.message for p in load(file, {}).problems)
 
 
 @given(st.text(max_size=60))
--- a/tests/usage/test_ledger_front.py
+++ b/tests/usage/test_ledger_front.py
@@ -14,7 +14,7 @@
 from loopback import Peer, World, answer, request, run, until, world
 
 from troutdock.operator.reader import OperatorError, read_operator
-from troutdock.operator.usage import terms_of
+from troutdock.operator.usage import ledger_terms
 from troutdock.usage.ledger import Promise
 from troutdock.usage.memory import MemoryStore
 from troutdock.usage.store import StoreError
@@ -257,7 +257,7 @@
 def test_the_example_is_an_operators_file() -> None:
     section = read_operator(Path(__file__).parent.parent.parent / "deploy" / "operator.example.yaml").usage
     assert section is not None
-    terms = terms_of(section)
+    terms = ledger_terms(section)
     assert terms.promise is Promise.SYNC and terms.most_bytes == 1 << 30 and terms.keep_s == 7 * 86_400
     with pytest.raises(OperatorError, match="No such file"):
         read_operator(Path("nowhere.yaml"))
--- a/troutdock/__main__.py
+++ b/troutdock/__main__.py
@@ -66,12 +66,12 @@
     if not path:
         return []
     try:
-        from troutdock.operator.components import parts_of
+        from troutdock.operator.components import create_components
         from troutdock.operator.reader import OperatorError, read_operator
     except ImportError as error:
         raise ConfigError(f"TROUTDOCK_OPERATOR needs the extra operator: no {error.name} here") from error
     try:
-        return parts_of(config.name, read_operator(Path(path)), config.settings)
+        return create_components(config.name, read_operator(Path(path)), config.settings)
     except OperatorError as error:
         raise ConfigError(str(error)) from error
 
--- a/troutdock/cli/deployment.py
+++ b/troutdock/cli/deployment.py
@@ -29,11 +29,11 @@
     if as_json:
         rows = [
             {
-                "file": p.place.file,
-                "line": p.place.line,
-                "column": p.place.column,
+                "file": p.location.file,
+                "line": p.location.line,
+                "column": p.location.column,
                 "key": p.key,
-                "said": p.said,
+                "said": p.message,
             }
             for p in found
         ]
@@ -118,7 +118,7 @@
 
 def serve(file: Path = _FILE) -> None:
     """Serve a deployment until SIGTERM, which drains; SIGHUP takes over what has changed in the file."""
-    from troutdock.operator.subprocess_reader import read_apart
+    from troutdock.operator.subprocess_reader import read_in_subprocess
     from troutdock.routing_service.run import run
 
     running = read(file)
@@ -126,7 +126,7 @@
     def again() -> Compiled | list[str]:
         """For SIGHUP: the file anew, or what is wrong with it."""
         nonlocal running
-        found = read_apart(file)
+        found = read_in_subprocess(file)
         if isinstance(found, Compiled):
             for line in differences(running, found):
                 print(f"reload: {line}", file=sys.stderr)
--- a/troutdock/management/api.py
+++ b/troutdock/management/api.py
@@ -45,8 +45,8 @@
 class ManagementServer:
     """Listens for management requests until it is closed."""
 
-    def __init__(self, calls: Commands, body_handlers: BodyHandlers | None = None) -> None:
-        self.commands, self.body_handlers = calls, body_handlers or {}
+    def __init__(self, commands: Commands, body_handlers: BodyHandlers | None = None) -> None:
+        self.commands, self.body_handlers = commands, body_handlers or {}
         self.tasks: dict[asyncio.Task[None], None] = {}  # body handlers that are running
         self.connections: dict[ManagementConnection, None] = {}  # not answered yet, oldest first
         self._server: asyncio.Server | None = None
--- a/troutdock/operator/__init__.py
+++ b/troutdock/operator/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's own file: what the platform's configuration does not say. Loaded only where one is named."""
+"""The operator's file: settings beyond the platform's configuration. Loaded only if one is configured."""
--- a/troutdock/operator/compiled.py
+++ b/troutdock/operator/compiled.py
@@ -1,4 +1,4 @@
-"""From a deployment's file to what runs: all that is wrong with it, or its routes, pools and settings."""
+"""Compiles a deployment file into routes, pools and settings, or reports every problem in it."""
 
 from __future__ import annotations
 
@@ -11,8 +11,15 @@
 from troutdock.address import parse_address
 from troutdock.http.body_limits import body_budget_bytes, max_streams_for
 from troutdock.library.deployment import Deployment
-from troutdock.operator.deployment import DeploymentFile, Match, RouteSection, ValueMatch, nearest, validated
-from troutdock.operator.yaml_tree import Keys, Problem, Tree, load, named
+from troutdock.operator.deployment import (
+    DeploymentFile,
+    Match,
+    RouteSection,
+    ValueMatch,
+    suggestion,
+    validate,
+)
+from troutdock.operator.yaml_tree import Keys, Problem, Tree, load, format_keys
 from troutdock.platform.config import Config, ConfigError
 from troutdock.routing_service.reader import Customers
 from troutdock.routing_service.service import PoolTerms, Terms
@@ -20,12 +27,22 @@
 from troutdock.routing.table import Table
 
 
-COMPARED = ("hosts", "paths", "methods", "values", "to", "mirrors", "rewrite", "cls", "order")  # of a route
+COMPARED_ROUTE_FIELDS = (
+    "hosts",
+    "paths",
+    "methods",
+    "values",
+    "to",
+    "mirrors",
+    "rewrite",
+    "cls",
+    "order",
+)  # attributes of a route
 
 
 @dataclass(frozen=True, slots=True)
 class Compiled:
-    """A deployment that can run."""
+    """A valid deployment, ready to run."""
 
     file: DeploymentFile
     config: Config
@@ -33,65 +50,68 @@
 
 
 def read_deployment(path: Path, environment: Mapping[str, str] = os.environ) -> Compiled | list[Problem]:
-    """The file, or all that is wrong with it, in the order of its lines."""
+    """Returns the compile_deployment file, or all its problems in the order of its lines."""
     tree = load(path, environment)
-    file = validated(tree)
-    found = None if file is None else compiled(file, tree)
-    if tree.problems or found is None:
+    file = validate(tree)
+    deployment = None if file is None else compile_deployment(file, tree)
+    if tree.problems or deployment is None:
         return sorted(dict.fromkeys(tree.problems))
-    return found
+    return deployment
 
 
-def compiled(file: DeploymentFile, tree: Tree) -> Compiled | None:
-    """The file as it runs, or None with what is wrong across its sections added to the tree's problems."""
+def compile_deployment(file: DeploymentFile, tree: Tree) -> Compiled | None:
+    """Compiles a validate file.
+
+    Returns None if its sections contradict each other; these problems are added to the tree.
+    """
     routes: list[routing.Route] = []
     names: dict[str, int] = {}
     for number, section in enumerate(file.routes):
         keys: Keys = ("routes", number)
-        _cross(file, section, tree, keys)
+        _check_references(file, section, tree, keys)
         if section.name in names:
-            _wrong(
+            _add_problem(
                 tree,
                 (*keys, "name"),
                 f"{section.name!r} is there already, at "
-                f"{tree.place(('routes', names[section.name], 'name'))}",
+                f"{tree.location(('routes', names[section.name], 'name'))}",
             )
         names.setdefault(section.name, number)
         try:
             routes.append(routing.checked(_route(section, number)))
         except routing.BadRoute as error:
-            _wrong(tree, (*keys, "match"), str(error))
+            _add_problem(tree, (*keys, "match"), str(error))
     servers: dict[str, str] = {}
     for name, pool in file.pools.items():
         if not pool.servers:
-            _wrong(tree, ("pools", name, "servers"), "a pool without servers")
+            _add_problem(tree, ("pools", name, "servers"), "a pool without servers")
         for number, server in enumerate(pool.servers):
             if server in servers:
-                _wrong(
+                _add_problem(
                     tree,
                     ("pools", name, "servers", number),
                     f"{server} stands in {servers[server]!r} already: a server belongs to one pool",
                 )
             servers.setdefault(server, name)
     if file.customers.default_plan and file.customers.default_plan not in file.plans:
-        _wrong(
+        _add_problem(
             tree,
             ("customers", "default_plan"),
             f"{file.customers.default_plan!r} is no plan"
-            + nearest(file.customers.default_plan, list(file.plans)),
+            + suggestion(file.customers.default_plan, list(file.plans)),
         )
     if file.management and file.management == file.listen:
-        _wrong(tree, ("management",), "the clients' address is the same")
+        _add_problem(tree, ("management",), "the clients' address is the same")
     if tree.problems:
         return None
     table = Table.of(routes)
     for name, other in table.never():
-        said = f"no request can take it: {other!r} takes all of its own"
-        _wrong(tree, ("routes", names[name], "match"), said)
+        message = f"no request can take it: {other!r} takes all of its own"
+        _add_problem(tree, ("routes", names[name], "match"), message)
     try:
         config = _config(file)
     except (ConfigError, ValueError) as error:
-        _wrong(tree, (), str(error))
+        _add_problem(tree, (), str(error))
     if tree.problems:
         return None
     pools = tuple(
@@ -104,26 +124,26 @@
     return Compiled(file, config, Terms(pools, table, customers))
 
 
-def _wrong(tree: Tree, keys: Keys, said: str) -> None:
-    tree.problems.append(Problem(tree.place(keys), named(keys), said))
+def _add_problem(tree: Tree, keys: Keys, message: str) -> None:
+    tree.problems.append(Problem(tree.location(keys), format_keys(keys), message))
 
 
-def _cross(file: DeploymentFile, section: RouteSection, tree: Tree, keys: Keys) -> None:
-    """Names that a route uses and nobody has."""
+def _check_references(file: DeploymentFile, section: RouteSection, tree: Tree, keys: Keys) -> None:
+    """Reports classes and pools that a route refers to and that are not defined."""
     if section.cls not in file.classes:
-        said = f"{section.cls!r} is no class" + nearest(section.cls, list(file.classes))
-        _wrong(tree, (*keys, "class"), said)
-    used: list[tuple[Keys, str]] = []
+        message = f"{section.cls!r} is no class" + suggestion(section.cls, list(file.classes))
+        _add_problem(tree, (*keys, "class"), message)
+    references: list[tuple[Keys, str]] = []
     if isinstance(section.to, str):
-        used.append(((*keys, "to"), section.to))
+        references.append(((*keys, "to"), section.to))
     else:
-        used += [((*keys, "to", n, "pool"), part.pool) for n, part in enumerate(section.to)]
-    used += [((*keys, "mirror", n, "pool"), part.pool) for n, part in enumerate(section.mirror)]
-    for where, pool in used:
+        references += [((*keys, "to", n, "pool"), part.pool) for n, part in enumerate(section.to)]
+    references += [((*keys, "mirror", n, "pool"), part.pool) for n, part in enumerate(section.mirror)]
+    for where, pool in references:
         if pool not in file.pools:
-            _wrong(tree, where, f"{pool!r} is no pool" + nearest(pool, list(file.pools)))
+            _add_problem(tree, where, f"{pool!r} is no pool" + suggestion(pool, list(file.pools)))
     if section.mirror and section.cls in file.classes and file.classes[section.cls].effect != "safe":
-        _wrong(tree, (*keys, "mirror"), f"only safe requests are copied, and {section.cls} is not")
+        _add_problem(tree, (*keys, "mirror"), f"only safe requests are copied, and {section.cls} is not")
 
 
 def _route(section: RouteSection, order: int) -> routing.Route:
@@ -134,7 +154,7 @@
         else tuple(routing.Part(part.pool, part.weight) for part in section.to)
     )
     rewrite = section.rewrite
-    values = (*_values("header", match.headers), *_values("query", match.query))
+    values = (*_value_conditions("header", match.headers), *_value_conditions("query", match.query))
     return routing.Route(
         section.name,
         order,
@@ -167,24 +187,24 @@
     return paths
 
 
-def _values(where: str, wanted: dict[str, str | ValueMatch]) -> list[routing.Value]:
-    found = []
+def _value_conditions(where: str, wanted: dict[str, str | ValueMatch]) -> list[routing.Value]:
+    conditions = []
     for raw, value in wanted.items():
         name = raw.lower() if where == "header" else raw
         if isinstance(value, str):
-            found.append(routing.Value(where, name, routing.How.IS, value))
+            conditions.append(routing.Value(where, name, routing.How.IS, value))
         elif value.prefix is not None:
-            found.append(routing.Value(where, name, routing.How.PREFIX, value.prefix))
+            conditions.append(routing.Value(where, name, routing.How.PREFIX, value.prefix))
         elif value.pattern is not None:
-            found.append(routing.Value(where, name, routing.How.PATTERN, value.pattern))
+            conditions.append(routing.Value(where, name, routing.How.PATTERN, value.pattern))
         else:
             how = routing.How.PRESENT if value.present else routing.How.ABSENT
-            found.append(routing.Value(where, name, how))
-    return found
+            conditions.append(routing.Value(where, name, how))
+    return conditions
 
 
 def _config(file: DeploymentFile) -> Config:
-    """As if the platform had told it; no pool is the platform's own."""
+    """Returns the configuration as the platform would supply it, without a pool of the platform's own."""
     classes = [
         RequestClass(c.aim_ms, c.deadline_ms, c.worth, Effect(c.effect), window_ms=c.window_ms, name=name)
         for name, c in file.classes.items()
@@ -201,7 +221,7 @@
         for name, p in file.plans.items()
     ]
     limits = file.limits
-    made = Deployment.of(
+    deployment = Deployment.of(
         file.name,
         classes=classes,
         plans=plans,
@@ -211,7 +231,7 @@
         marks_retry=True,
     )
     return replace(
-        made.config,
+        deployment.config,
         listen=parse_address(file.listen),
         management=parse_address(file.management) if file.management else None,
         bodies=body_budget_bytes(limits.memory_mb),
@@ -220,7 +240,7 @@
 
 
 def differences(old: Compiled, new: Compiled) -> list[str]:
-    """What a reload would do, a line each; what needs a restart says so."""
+    """Returns the changes that a reload would make, one per line; changes that need a restart are marked."""
     lines = []
     before, after = (
         {r.id: r for r in sorted(c.terms.table.routes.values(), key=lambda r: r.order)} for c in (old, new)
@@ -229,7 +249,9 @@
         if name not in before:
             lines.append(f"route {name}: new")
         elif before[name] != after[name]:
-            changed = [f for f in COMPARED if getattr(before[name], f) != getattr(after[name], f)]
+            changed = [
+                f for f in COMPARED_ROUTE_FIELDS if getattr(before[name], f) != getattr(after[name], f)
+            ]
             lines.append(f"route {name}: other {', '.join(changed)}")
     lines += [f"route {name}: gone" for name in before if name not in after]
     pools = {p.name: p for p in old.terms.pools}
--- a/troutdock/operator/components.py
+++ b/troutdock/operator/components.py
@@ -1,4 +1,4 @@
-"""From an operator's file to what runs beside the ingress; each part is loaded only where it is asked for."""
+"""Creates the components that the operator's file enables; modules of other components aren't imported."""
 
 from __future__ import annotations
 
@@ -9,39 +9,50 @@
 from troutdock.operator.reader import OperatorError
 
 
-def parts_of(ingress: str, file: OperatorFile, settings: Settings) -> list[Any]:
-    """In the order in which they start; settings: of the deployment, which a section may have to fit.
+def create_components(ingress: str, file: OperatorFile, settings: Settings) -> list[Any]:
+    """Returns the enabled components in the order in which they start.
 
-    OperatorError names a file that can't be read, or a library that is missing.
+    Args:
+        ingress: the name of this ingress.
+        file: the operator's file.
+        settings: settings of the deployment, which some sections must match.
 
-    OSError where a store can't be had.
+    Raises:
+        OperatorError: a file can't be read, or a library is not installed.
+        OSError: a store can't be opened.
     """
-    parts: list[Any] = []
+    components: list[Any] = []
     try:
         if file.plans is not None:
             from troutdock.plans.service import Plans
 
-            parts.append(Plans(file.plans.file, file.plans.reread_s))
-        if (kept := file.reservations) is not None:
+            components.append(Plans(file.plans.file, file.plans.reread_s))
+        if (reserved := file.reservations) is not None:
             from troutdock.reservations.service import Reservations, Terms
 
-            parts.append(Reservations(Terms(kept.file, kept.folder, kept.reread_s, kept.fleet_units_per_s)))
+            components.append(
+                Reservations(
+                    Terms(reserved.file, reserved.folder, reserved.reread_s, reserved.fleet_units_per_s)
+                )
+            )
         if file.grpc is not None:
             from troutdock.grpc.service import GrpcComponent
-            from troutdock.operator.grpc import terms_of as grpc_terms_of
+            from troutdock.operator.grpc import grpc_options
 
-            parts.append(GrpcComponent(grpc_terms_of(file.grpc, settings)))
+            components.append(GrpcComponent(grpc_options(file.grpc, settings)))
         if file.usage is not None:
-            from troutdock.operator.usage import terms_of
+            from troutdock.operator.usage import ledger_terms
             from troutdock.usage.store import StoreError
             from troutdock.usage.service import Usage
 
             try:
-                parts.append(Usage(ingress, terms_of(file.usage)))
+                components.append(Usage(ingress, ledger_terms(file.usage)))
             except StoreError as error:
                 raise OSError(str(error)) from error
     except ImportError as error:
-        raise OperatorError(f"a section needs an extra of its own: {error.name} is not installed") from error
+        raise OperatorError(
+            f"a section needs an optional dependency: {error.name} is not installed"
+        ) from error
     except ValueError as error:
         raise OperatorError(str(error)) from error
-    return parts
+    return components
--- a/troutdock/operator/deployment.py
+++ b/troutdock/operator/deployment.py
@@ -1,4 +1,4 @@
-"""A whole deployment in one YAML file, for `troutdock serve`: its model, with units, defaults and bounds."""
+"""The model of a deployment file (YAML) for `troutdock serve`, with units, defaults and bounds."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from pydantic import BaseModel, ConfigDict, Field, ValidationError, field_validator, model_validator
 
 from troutdock.address import parse_address
-from troutdock.operator.yaml_tree import Keys, Problem, Tree, named
+from troutdock.operator.yaml_tree import Keys, Problem, Tree, format_keys
 
 Name = Annotated[str, Field(pattern=r"^[A-Za-z0-9_.-]{1,64}$", description="letters, digits, `_`, `.`, `-`")]
 Address = Annotated[str, Field(description="host:port")]
@@ -24,10 +24,11 @@
 
 
 class ClassSection(_Section):
-    """A kind of request.
+    """A class of requests.
 
-    effect: of running one twice. aim_ms: answers within it count in full. deadline_ms: of one that names no
-    time-out. window_ms: how long nodes know a key.
+    effect: whether a request may run twice. aim_ms: latency target; faster answers count in full.
+    deadline_ms: for a request without a time-out of its own. worth: priority weight.
+    window_ms: how long nodes remember an idempotency key.
     """
 
     effect: Literal["safe", "keyed", "unsafe"]
@@ -38,7 +39,7 @@
 
 
 class PlanSection(_Section):
-    """What a customer may use: units a second, and at once; 0 for no limit. Beyond the ceiling nothing."""
+    """A customer's quota: units per second and burst, 0 for no limit. Use never exceeds the ceiling."""
 
     rate: Annotated[float, Field(ge=0)]
     burst: Annotated[float, Field(ge=0)]
@@ -48,7 +49,7 @@
 
 
 class PoolSection(_Section):
-    """Servers that do the same. connect_ms: until a connection is up. idle_s: they close it then."""
+    """Equivalent servers. connect_ms: connect time-out. idle_s: after it servers close idle connections."""
 
     servers: list[Address]
     connect_ms: Annotated[float, Field(gt=0, le=60_000)] = 250.0
@@ -61,14 +62,14 @@
 
 
 class GrpcMatch(_Section):
-    """A gRPC service, and one of its methods; all of them without."""
+    """A gRPC service and one of its methods, or all methods if none is given."""
 
     service: str
     method: str = ""
 
 
 class ValueMatch(_Section):
-    """One of these."""
+    """A condition on a header or query value; exactly one field is set."""
 
     prefix: str | None = None
     pattern: str | None = None
@@ -82,7 +83,7 @@
 
 
 class Match(_Section):
-    """What a request has to be. path, prefix, pattern: at least one; a request that fits one of them fits."""
+    """Conditions on a request. At least one of path, prefix and pattern; a request must match one of them."""
 
     hosts: list[str] = []
     path: str | None = None
@@ -95,21 +96,21 @@
 
 
 class PartSection(_Section):
-    """A pool's part."""
+    """A pool and its weight in a traffic split."""
 
     pool: str
     weight: Annotated[float, Field(ge=0)] = 1.0
 
 
 class MirrorSection(_Section):
-    """A pool that gets copies of so many percent of what is safe."""
+    """A pool that receives copies of a percentage of the safe requests."""
 
     pool: str
     percent: Annotated[float, Field(gt=0, le=100)]
 
 
 class RewriteSection(_Section):
-    """prefix: in place of what path or prefix matched. set, remove: headers, names written small."""
+    """prefix: replaces the matched path or prefix. set, remove: headers, with names in lower case."""
 
     prefix: str | None = None
     set: dict[str, str] = {}
@@ -117,7 +118,7 @@
 
 
 class RouteSection(_Section):
-    """cls: of its requests. to: a pool, or several by weight; a customer keeps its part."""
+    """cls: class of the requests. to: a pool, or several by weight; a customer always gets the same pool."""
 
     name: Name
     match: Match
@@ -128,7 +129,7 @@
 
 
 class CustomersSection(_Section):
-    """Headers that tell whose a request is, its plan and units. default_plan: of those that name none."""
+    """Headers with a request's account, plan and units. default_plan: for requests that name no plan."""
 
     account: str = "account"
     plan: str = "plan"
@@ -137,7 +138,7 @@
 
 
 class LimitsSection(_Section):
-    """sockets: of the process. attempts: of one request. most_units: of one request."""
+    """sockets: per process. attempts, most_units: per request."""
 
     sockets: Annotated[int, Field(ge=64)] = 1024
     memory_mb: Annotated[float, Field(ge=24)] = 128.0
@@ -146,7 +147,7 @@
 
 
 class DeploymentFile(_Section):
-    """listen: of clients. management: the operators' door, none if empty. include: files joined in."""
+    """listen: client address. management: management address, none if empty. include: files to merge."""
 
     version: Literal[1]
     name: Name = "troutdock"
@@ -165,64 +166,64 @@
         return _address(text) if text else text
 
 
-def validated(tree: Tree) -> DeploymentFile | None:
-    """The file, or None with all that is wrong added to the tree's problems."""
+def validate(tree: Tree) -> DeploymentFile | None:
+    """Returns the file, or None; every problem is added to the tree."""
     if tree.problems:
         return None
     rows = tree.value.get("routes")
     if not isinstance(rows, list) or not rows:
-        return _checked(tree, DeploymentFile, tree.value, ())
-    # one by one: a call of the library holds the interpreter, which a loop beside it needs as well
-    routes = [_checked(tree, RouteSection, row, ("routes", number)) for number, row in enumerate(rows)]
-    whole = _checked(tree, DeploymentFile, {**tree.value, "routes": rows[:1]}, ())
-    if tree.problems or whole is None:
+        return _validate_model(tree, DeploymentFile, tree.value, ())
+    # One route at a time: a call of pydantic holds the GIL, which an event loop in another thread needs too.
+    routes = [_validate_model(tree, RouteSection, row, ("routes", number)) for number, row in enumerate(rows)]
+    file = _validate_model(tree, DeploymentFile, {**tree.value, "routes": rows[:1]}, ())
+    if tree.problems or file is None:
         return None
-    return whole.model_copy(update={"routes": routes})
+    return file.model_copy(update={"routes": routes})
 
 
 Model = TypeVar("Model", bound=_Section)
 
 
-def _checked(tree: Tree, model: type[Model], value: object, above: Keys) -> Model | None:
-    """The value as this model, or None with all that is wrong added to the tree's problems."""
+def _validate_model(tree: Tree, model: type[Model], value: object, parent: Keys) -> Model | None:
+    """Returns the value as this model, or None; every problem is added to the tree."""
     try:
         return model.model_validate(value)
     except ValidationError as error:
-        for one in error.errors():
-            inner: Keys = tuple(k for k in one["loc"] if not _of_union(k))
-            keys, said = (*above, *inner), one["msg"].removeprefix("Value error, ")
-            if one["type"] == "extra_forbidden":
-                said = "no such key" + nearest(str(keys[-1]), _keys_at(model, inner[:-1]))
-            elif one["type"] == "literal_error":
-                said = f"not one of {one['ctx']['expected']}"
-            problem = Problem(tree.place(keys), named(keys), said)
+        for detail in error.errors():
+            inner: Keys = tuple(k for k in detail["loc"] if not _is_union_member(k))
+            keys, message = (*parent, *inner), detail["msg"].removeprefix("Value error, ")
+            if detail["type"] == "extra_forbidden":
+                message = "no such key" + suggestion(str(keys[-1]), _allowed_keys(model, inner[:-1]))
+            elif detail["type"] == "literal_error":
+                message = f"not one of {detail['ctx']['expected']}"
+            problem = Problem(tree.location(keys), format_keys(keys), message)
             if problem not in tree.problems:
                 tree.problems.append(problem)
         return None
 
 
-def nearest(name: str, known: list[str]) -> str:
-    """A word on the known name that is most like it, or on all if they are few."""
-    found = get_close_matches(name, known, 1, 0.6)
-    if found:
-        return f"; is {found[0]!r} meant?"
+def suggestion(name: str, known: list[str]) -> str:
+    """Returns a hint with the most similar known name, or with all known names if they are few."""
+    matches = get_close_matches(name, known, 1, 0.6)
+    if matches:
+        return f"; is {matches[0]!r} meant?"
     return f"; there are {', '.join(known)}" if 0 < len(known) <= 12 else ""
 
 
-def _of_union(key: str | int) -> bool:
-    """pydantic names the member of a union that it tried, which no file has."""
+def _is_union_member(key: str | int) -> bool:
+    """Whether the key is a union member that pydantic tried; such keys are in the error, not in the file."""
     return isinstance(key, str) and (key in ("str", "ValueMatch") or key.startswith(("list[", "function-")))
 
 
-def _keys_at(model: Any, keys: Keys) -> list[str]:
-    """The keys that may stand there."""
+def _allowed_keys(model: Any, keys: Keys) -> list[str]:
+    """Returns the keys that are allowed at this position."""
     for key in keys:
         fields = getattr(model, "model_fields", None)
         if fields is not None:
             found = next((f for name, f in fields.items() if key in (name, f.alias)), None)
             model = None if found is None else found.annotation
         else:
-            model = _inner(model)
+            model = _element_type(model)
         while get_origin(model) in (Annotated, Union) or type(model).__name__ == "UnionType":
             parts = get_args(model)
             model = next((a for a in parts if hasattr(a, "model_fields") or get_origin(a)), None)
@@ -230,14 +231,18 @@
     return [f.alias or name for name, f in fields.items()]
 
 
-def _inner(kind: Any) -> Any:
-    """What stands in a list or a mapping."""
+def _element_type(kind: Any) -> Any:
+    """Returns the type of the elements of a list, or of the values of a mapping."""
     return get_args(kind)[-1] if get_args(kind) else None
 
 
 def schema() -> dict[str, Any]:
-    """JSON Schema of a file, for editors."""
-    made = DeploymentFile.model_json_schema(by_alias=True)
-    made["properties"]["include"] = {"type": "array", "items": {"type": "string"}, "description": "joined in"}
-    made["title"] = "troutdock deployment"
-    return {"$schema": "https://json-schema.org/draft/2020-12/schema", **made}
+    """Returns the JSON Schema of a deployment file, for editors."""
+    json_schema = DeploymentFile.model_json_schema(by_alias=True)
+    json_schema["properties"]["include"] = {
+        "type": "array",
+        "items": {"type": "string"},
+        "description": "files to merge",
+    }
+    json_schema["title"] = "troutdock deployment"
+    return {"$schema": "https://json-schema.org/draft/2020-12/schema", **json_schema}
--- a/troutdock/operator/grpc.py
+++ b/troutdock/operator/grpc.py
@@ -1,4 +1,4 @@
-"""From the operator's section to gRPC's terms."""
+"""Converts the operator's gRPC section into the options of the gRPC component."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from troutdock.operator.model import GrpcSection
 
 
-def terms_of(section: GrpcSection, settings: Settings) -> GrpcOptions:
-    """In gRPC's words; ValueError names a row that does not fit the settings."""
+def grpc_options(section: GrpcSection, settings: Settings) -> GrpcOptions:
+    """Returns the gRPC options; raises ValueError for a method row that contradicts the settings."""
     rows = tuple(MethodRule(row.path, row.cls, MethodType(row.kind), row.units) for row in section.methods)
     MethodTable(rows, settings)
     names = MetadataNames(*(str(name).encode() for name in section.metadata.model_dump().values()))
--- a/troutdock/operator/model.py
+++ b/troutdock/operator/model.py
@@ -17,9 +17,10 @@
 
 
 class Exports(_Section):
-    """every_s: how often files are made, 0 for never. rows: of one file. keep_days.
+    """Exported usage files.
 
-    What is acknowledged stays so long.
+    every_s: interval between exports, 0 for never. rows: maximum per file. keep_days: retention of
+    acknowledged exports.
     """
 
     every_s: Annotated[float, Field(ge=0, le=86_400)] = 60.0
@@ -37,7 +38,7 @@
 
 
 class UsageSection(_Section):
-    """The ledger of use. at_risk_ms: with `bounded`, the time whose answers a crash may lose."""
+    """The usage ledger. at_risk_ms: with `bounded`, a crash may lose the records of this last period."""
 
     promise: Literal["sync", "bounded", "memory"] = "sync"
     folder: Path | None = None
@@ -57,9 +58,9 @@
 
 
 class PlansSection(_Section):
-    """Assignments of plans. file: JSON lines, as `troutdock plans` writes them.
+    """Assignments of plans.
 
-    Looked at each reread_s seconds.
+    file: JSON lines as `troutdock plans` writes them; checked for changes every reread_s seconds.
     """
 
     file: Path
@@ -72,10 +73,10 @@
 
 
 class ReservationsSection(_Section):
-    """Allowance kept ahead. file: of entries. folder: of this gateway's parts, on a disk that lasts.
+    """Reserved quota. file: the entries. folder: this gateway's shares, on a persistent disk.
 
-    fleet_units_per_s: what the fleet is known to bear, of which a part may be promised; what it is seen to
-    serve counts where that is more.
+    fleet_units_per_s: known capacity of the fleet, of which a part may be reserved; the observed throughput
+    counts instead if it is higher.
     """
 
     file: Path
@@ -90,7 +91,7 @@
 
 
 class MethodRow(_Section):
-    """Which class of request a method's calls are. units: of calls whose metadata name none."""
+    """The request class of a method's calls. units: for calls whose metadata give none."""
 
     path: Annotated[str, Field(pattern=r"^(\*|/[^/]+/[^/]+)$")]
     cls: Annotated[str, Field(alias="class")]
@@ -99,7 +100,7 @@
 
 
 class MetadataNames(_Section):
-    """Under which names calls hold what the gateway needs."""
+    """Names of the metadata that the gateway reads from calls."""
 
     account: Name = "account"
     plan: Name = "plan"
@@ -112,14 +113,14 @@
     @classmethod
     def _lower(cls, name: str) -> str:
         if name != name.lower():
-            raise ValueError(f"{name!r}: names of metadata are written small")
+            raise ValueError(f"{name!r}: names of metadata must be in lower case")
         return name
 
 
 class GrpcSection(_Section):
-    """gRPC beside HTTP/1.1. listen: an address of its own beside the clients'. nodes: a fixed list, else the
+    """gRPC in addition to HTTP/1.1.
 
-    platform's nodes get calls as well.
+    listen: a separate address for gRPC clients. nodes: a fixed list; if empty, the platform's nodes.
     """
 
     methods: Annotated[list[MethodRow], Field(min_length=1)]
@@ -144,7 +145,7 @@
 
 
 class OperatorFile(_Section):
-    """The whole file; a section that is left out is off."""
+    """The whole file; a component without a section is disabled."""
 
     usage: UsageSection | None = None
     plans: PlansSection | None = None
--- a/troutdock/operator/reader.py
+++ b/troutdock/operator/reader.py
@@ -1,4 +1,4 @@
-"""Reads an operator's file: YAML by ruamel.yaml, checked by pydantic, every error with its line."""
+"""Reads an operator's file: parsed by ruamel.yaml, validated by pydantic; each error names its line."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 from troutdock.operator.model import OperatorFile
 
-MOST_BYTES = 4 << 20  # of a file: no operator writes more by hand
+MAX_FILE_BYTES = 4 << 20  # more than an operator writes by hand
 
 
 class OperatorError(Exception):
-    """The file can't be used; one line that names file, line and key."""
+    """The file can't be used; the message is one line with file, line and key."""
 
 
 def read_operator(path: Path) -> OperatorFile:
-    """The file's settings; OperatorError, and nothing of it is taken, if it is not whole or not right."""
+    """Returns the file's settings; raises OperatorError if any part of it is missing or invalid."""
     try:
-        if path.stat().st_size > MOST_BYTES:
-            raise OperatorError(f"{path}: larger than {MOST_BYTES} bytes")
+        if path.stat().st_size > MAX_FILE_BYTES:
+            raise OperatorError(f"{path}: larger than {MAX_FILE_BYTES} bytes")
         raw = YAML(typ="rt", pure=True).load(path.read_text(encoding="utf-8"))
     except MarkedYAMLError as error:
         line = f":{error.problem_mark.line + 1}" if error.problem_mark is not None else ""
@@ -32,35 +32,35 @@
     if not isinstance(raw, dict):
         raise OperatorError(f"{path}: no sections in it")
     try:
-        return OperatorFile.model_validate(_plain(raw))
+        return OperatorFile.model_validate(_to_plain(raw))
     except ValidationError as error:
         first = error.errors()[0]
         keys = list(first["loc"])
-        said = first["msg"].removeprefix("Value error, ")
+        message = first["msg"].removeprefix("Value error, ")
         raise OperatorError(
-            f"{path}:{_line(raw, keys)}: {'.'.join(map(str, keys)) or 'the file'}: {said}"
+            f"{path}:{_line_number(raw, keys)}: {'.'.join(map(str, keys)) or 'the file'}: {message}"
         ) from error
 
 
-def _plain(raw: Any) -> Any:
-    """Without the marks of where it stood."""
+def _to_plain(raw: Any) -> Any:
+    """Returns the value as plain dicts, lists and scalars, without ruamel's position marks."""
     if isinstance(raw, dict):
-        return {str(key): _plain(value) for key, value in raw.items()}
+        return {str(key): _to_plain(value) for key, value in raw.items()}
     if isinstance(raw, list):
-        return [_plain(value) for value in raw]
+        return [_to_plain(value) for value in raw]
     for kind in (bool, int, float, str):
         if isinstance(raw, kind):
             return kind(raw)
     return raw
 
 
-def _line(raw: Any, keys: list[Any]) -> int:
-    """The line of the last of these keys that is there, from 1."""
+def _line_number(raw: Any, keys: list[Any]) -> int:
+    """Returns the line (from 1) of the last of these keys that exists."""
     line = 1
     for key in keys:
         if not isinstance(raw, dict | list) or (isinstance(raw, dict) and key not in raw):
             break
-        marks: Any = raw  # ruamel's own kinds of dict and list
-        place = marks.lc.key(key) if isinstance(raw, dict) else marks.lc.item(key)
-        line, raw = place[0] + 1, raw[key]
+        marks: Any = raw  # ruamel's subclasses of dict and list
+        position = marks.lc.key(key) if isinstance(raw, dict) else marks.lc.item(key)
+        line, raw = position[0] + 1, raw[key]
     return line
--- a/troutdock/operator/subprocess_reader.py
+++ b/troutdock/operator/subprocess_reader.py
@@ -1,8 +1,8 @@
-"""Reads a deployment's file in a process of its own, for an ingress that serves meanwhile.
+"""Reads a deployment file in a subprocess, while the ingress keeps serving.
 
-Reading ten thousand routes of YAML takes ten seconds and millions of objects; in a thread of the ingress
-their making and, all at once, their end would stop its loop for a tenth of a second. What comes back are
-plain values, which have been checked there, and are compiled here.
+Reading ten thousand routes of YAML takes ten seconds and allocates millions of objects. In a thread of the
+ingress, creating these objects, and freeing them all at once, would block the event loop for 0.1 s. The
+subprocess validates the file and returns plain values, which are compiled in the ingress.
 """
 
 from __future__ import annotations
@@ -15,43 +15,48 @@
 
 import msgspec
 
-from troutdock.operator.compiled import Compiled, compiled
-from troutdock.operator.deployment import validated
+from troutdock.operator.compiled import Compiled, compile_deployment
+from troutdock.operator.deployment import validate
 from troutdock.operator.yaml_tree import Tree, load
 
-MOST_S = 120.0  # for all of it
+TIMEOUT_S = 120.0  # for the whole subprocess
 
 
-def read_apart(path: Path) -> Compiled | list[str]:
-    """The deployment, or what is wrong with it, a line each; blocks, but leaves the interpreter to others.
+def read_in_subprocess(path: Path) -> Compiled | list[str]:
+    """Returns the deployment, or its problems, one per line.
 
-    Its routes are in its table only.
+    Blocks the calling thread without holding the GIL. The routes of the deployment are only in its table,
+    not in its file.
     """
     try:
-        words = [sys.executable, "-m", "troutdock.operator.subprocess_reader", str(path)]
-        done = subprocess.run(words, capture_output=True, timeout=MOST_S, check=False)
-        found = msgspec.json.decode(done.stdout)
+        command = [sys.executable, "-m", "troutdock.operator.subprocess_reader", str(path)]
+        process = subprocess.run(command, capture_output=True, timeout=TIMEOUT_S, check=False)
+        result = msgspec.json.decode(process.stdout)
     except (OSError, subprocess.TimeoutExpired, msgspec.DecodeError) as error:
-        return [f"{path}: it could not be read apart: {error}"]
-    if found["problems"]:
-        return [str(line) for line in found["problems"]]
-    tree = Tree(found["value"])
-    file = validated(tree)
-    made = None if file is None else compiled(file, tree)
-    for rows in (found["value"]["routes"], [] if file is None else file.routes):
-        while rows:  # each by itself: the end of all of them at once would hold the interpreter
+        return [f"{path}: reading it in a subprocess failed: {error}"]
+    if result["problems"]:
+        return [str(line) for line in result["problems"]]
+    tree = Tree(result["value"])
+    file = validate(tree)
+    deployment = None if file is None else compile_deployment(file, tree)
+    for rows in (result["value"]["routes"], [] if file is None else file.routes):
+        while rows:  # one by one: freeing all of them at once would hold the GIL
             rows.pop()
-    return [str(p) for p in tree.problems] or [f"{path}: not as it was read"] if made is None else made
+    return (
+        [str(p) for p in tree.problems] or [f"{path}: validate in the subprocess, but not valid here"]
+        if deployment is None
+        else deployment
+    )
 
 
 def main() -> None:
-    """Print the values of the file that is named, or its problems."""
+    """Prints the values of the file named on the command line, or its problems, as JSON."""
     tree = load(Path(sys.argv[1]), os.environ)
-    file = validated(tree)
+    file = validate(tree)
     if file is not None:
-        compiled(file, tree)
-    told = [str(problem) for problem in sorted(dict.fromkeys(tree.problems))]
-    print(json.dumps({"problems": told, "value": None if told else tree.value}))
+        compile_deployment(file, tree)
+    problems = [str(problem) for problem in sorted(dict.fromkeys(tree.problems))]
+    print(json.dumps({"problems": problems, "value": None if problems else tree.value}))
 
 
 if __name__ == "__main__":
--- a/troutdock/operator/usage.py
+++ b/troutdock/operator/usage.py
@@ -1,4 +1,4 @@
-"""From the operator's section to the ledger's terms."""
+"""Converts the operator's usage section into the terms of the ledger."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from troutdock.usage.service import Terms
 
 
-def terms_of(section: UsageSection) -> Terms:
-    """In the ledger's units."""
+def ledger_terms(section: UsageSection) -> Terms:
+    """Returns the terms in the ledger's units: seconds and bytes."""
     exports = section.exports
     return Terms(
         Promise(section.promise),
--- a/troutdock/operator/yaml_tree.py
+++ b/troutdock/operator/yaml_tree.py
@@ -1,7 +1,7 @@
-"""YAML files as plain values, each with its place: file, line and column; with includes and the environment.
+"""Loads YAML files as plain values with file, line and column; resolves includes and environment variables.
 
-Bad input gives Problems, all at once: duplicate keys, tabs, anchors that blow up, includes in a circle,
-variables that are not set. A file is read in one go, so one that is replaced meanwhile is the old or the new.
+All problems are reported together: duplicate keys, tabs, excessive expansion of anchors, circular includes,
+unset variables. A file is read in one call, so a file that is replaced meanwhile is read either old or new.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 from ruamel.yaml import YAML
 from ruamel.yaml.error import MarkedYAMLError, YAMLError
 
-MOST_BYTES = 4 << 20  # of one file: no operator writes more by hand
-MOST_NODES = 500_000  # of all, with what aliases repeat
+MAX_FILE_BYTES = 4 << 20  # per file; more than an operator writes by hand
+MAX_VALUES = 500_000  # over all files, with expanded aliases
 _VARIABLE = re.compile(r"\$(?:\$|\{([A-Za-z_][A-Za-z0-9_]*)(?::-([^}]*))?\})")
 
 Keys = tuple[str | int, ...]
 
 
-class Place(NamedTuple):
-    """Line and column count from 1."""
+class Location(NamedTuple):
+    """A position in a file; line and column count from 1."""
 
     file: str
     line: int
@@ -34,147 +34,151 @@
 
 
 class Problem(NamedTuple):
-    """What is wrong, where, and by which key."""
+    """A problem in a file, with its location and key."""
 
-    place: Place
+    location: Location
     key: str
-    said: str
+    message: str
 
     def __str__(self) -> str:
-        return f"{self.place}: {self.key + ': ' if self.key else ''}{self.said}"
+        return f"{self.location}: {self.key + ': ' if self.key else ''}{self.message}"
 
 
 @dataclass(slots=True)
 class Tree:
-    """A file's values, those of its includes joined in, and what was wrong with them."""
+    """The values of a file merged with those of its includes, and the problems found."""
 
     value: dict[str, Any] = field(default_factory=dict)
-    places: dict[Keys, Place] = field(default_factory=dict)
+    locations: dict[Keys, Location] = field(default_factory=dict)
     problems: list[Problem] = field(default_factory=list)
 
-    def place(self, keys: Keys) -> Place:
-        """Of these keys, or of the nearest that are there."""
-        while keys and keys not in self.places:
+    def location(self, keys: Keys) -> Location:
+        """Returns the location of these keys, or of the nearest parent that exists."""
+        while keys and keys not in self.locations:
             keys = keys[:-1]
-        return self.places.get(keys, Place("", 1, 1))
+        return self.locations.get(keys, Location("", 1, 1))
 
 
-def named(keys: Keys) -> str:
-    """Keys as an operator writes them."""
+def format_keys(keys: Keys) -> str:
+    """Returns the keys in the notation of an operator, such as `routes[1].match`."""
     return "".join(f"[{key}]" if isinstance(key, int) else f".{key}" for key in keys).lstrip(".")
 
 
 def load(path: Path, environment: Mapping[str, str]) -> Tree:
-    """The file's tree; problems stand in it."""
+    """Loads the file and its includes; problems are in the returned tree."""
     tree = Tree()
     _Loader(tree, environment).file(path, ())
-    tree.places.setdefault((), Place(str(path), 1, 1))
+    tree.locations.setdefault((), Location(str(path), 1, 1))
     return tree
 
 
 class _Loader:
     def __init__(self, tree: Tree, environment: Mapping[str, str]) -> None:
-        self._tree, self._environment, self._nodes = tree, environment, 0
+        self._tree, self._environment, self._value_count = tree, environment, 0
 
-    def _wrong(self, place: Place, said: str, key: str = "") -> None:
-        self._tree.problems.append(Problem(place, key, said))
+    def _add_problem(self, location: Location, message: str, key: str = "") -> None:
+        self._tree.problems.append(Problem(location, key, message))
 
-    def file(self, path: Path, above: tuple[Path, ...]) -> None:
-        """This file's values, behind those of the files that it includes."""
-        start = Place(str(path), 1, 1)
-        if path.resolve() in above:
-            circle = " -> ".join(str(p) for p in (*above, path.resolve()))
-            self._wrong(start, f"it includes itself: {circle}")
+    def file(self, path: Path, parents: tuple[Path, ...]) -> None:
+        """Loads the included files, then merges the values of this file."""
+        start = Location(str(path), 1, 1)
+        if path.resolve() in parents:
+            cycle = " -> ".join(str(p) for p in (*parents, path.resolve()))
+            self._add_problem(start, f"it includes itself: {cycle}")
             return
         try:
             with path.open("rb") as file:
-                data = file.read(MOST_BYTES + 1)
-            if len(data) > MOST_BYTES:
-                self._wrong(start, f"larger than {MOST_BYTES} bytes")
+                data = file.read(MAX_FILE_BYTES + 1)
+            if len(data) > MAX_FILE_BYTES:
+                self._add_problem(start, f"larger than {MAX_FILE_BYTES} bytes")
                 return
             raw = YAML(typ="rt", pure=True).load(data.decode())
         except MarkedYAMLError as error:
             mark = error.problem_mark
-            place = start if mark is None else Place(str(path), mark.line + 1, mark.column + 1)
-            self._wrong(place, " ".join(f"{error.problem}".split()))
+            location = start if mark is None else Location(str(path), mark.line + 1, mark.column + 1)
+            self._add_problem(location, " ".join(f"{error.problem}".split()))
             return
         except (OSError, UnicodeDecodeError, YAMLError, RecursionError) as error:
-            self._wrong(start, " ".join(str(error).split())[:200] or type(error).__name__)
+            self._add_problem(start, " ".join(str(error).split())[:200] or type(error).__name__)
             return
         if raw is None:
             raw = {}
         if not isinstance(raw, dict):
-            self._wrong(start, "no keys in it")
+            self._add_problem(start, "no keys in it")
             return
         includes = raw.get("include", [])
         if not isinstance(includes, list) or not all(isinstance(name, str) for name in includes):
-            self._wrong(self._at(path, raw, "include"), "a list of files", "include")
+            self._add_problem(self._location(path, raw, "include"), "a list of files", "include")
             includes = []
         for name in includes:
-            self.file(path.parent / str(name), (*above, path.resolve()))
+            self.file(path.parent / str(name), (*parents, path.resolve()))
         value = {
-            str(key): self._plain(path, raw, key, item, (str(key),))
+            str(key): self._convert(path, raw, key, item, (str(key),))
             for key, item in raw.items()
             if key != "include"
         }
-        self._join(value, self._tree.value, (), path, raw)
+        self._merge(value, self._tree.value, (), path, raw)
 
-    def _at(self, path: Path, raw: Any, key: Any) -> Place:
-        several = isinstance(raw, list)
+    def _location(self, path: Path, raw: Any, key: Any) -> Location:
+        is_list = isinstance(raw, list)
         try:
             marks: Any = raw.lc
-            line, column = marks.item(key) if several else marks.key(key)
+            line, column = marks.item(key) if is_list else marks.key(key)
         except (AttributeError, KeyError, TypeError):
             line, column = 0, 0
-        return Place(str(path), line + 1, column + 1)
-
-    def _plain(self, path: Path, holder: Any, key: Any, item: Any, keys: Keys) -> Any:
-        place = self._at(path, holder, key)
-        self._tree.places.setdefault(keys, place)
-        self._nodes += 1
-        if self._nodes > MOST_NODES:
-            if self._nodes == MOST_NODES + 1:
-                self._wrong(place, f"more than {MOST_NODES} values, with what anchors repeat", named(keys))
+        return Location(str(path), line + 1, column + 1)
+
+    def _convert(self, path: Path, holder: Any, key: Any, item: Any, keys: Keys) -> Any:
+        location = self._location(path, holder, key)
+        self._tree.locations.setdefault(keys, location)
+        self._value_count += 1
+        if self._value_count > MAX_VALUES:
+            if self._value_count == MAX_VALUES + 1:
+                self._add_problem(
+                    location, f"more than {MAX_VALUES} values, with what anchors repeat", format_keys(keys)
+                )
             return None
         if isinstance(item, dict):
-            return {str(k): self._plain(path, item, k, v, (*keys, str(k))) for k, v in item.items()}
+            return {str(k): self._convert(path, item, k, v, (*keys, str(k))) for k, v in item.items()}
         if isinstance(item, list):
-            return [self._plain(path, item, n, v, (*keys, n)) for n, v in enumerate(item)]
+            return [self._convert(path, item, n, v, (*keys, n)) for n, v in enumerate(item)]
         for kind in (bool, int, float):
             if isinstance(item, kind):
                 return kind(item)
-        return self._text(str(item), place, keys) if isinstance(item, str) else item
+        return self._substitute(str(item), location, keys) if isinstance(item, str) else item
 
-    def _text(self, text: str, place: Place, keys: Keys) -> Any:
-        """With variables in place; one that is all of a value has the kind that its text has in YAML."""
+    def _substitute(self, text: str, location: Location, keys: Keys) -> Any:
+        """Substitutes variables; a value that is one variable may become a number or boolean."""
 
         def value(found: re.Match[str]) -> str:
-            name, other = found[1], found[2]
+            name, default = found[1], found[2]
             if name is None:
                 return "$"
-            if name not in self._environment and other is None:
-                self._wrong(place, f"the environment has no {name}", named(keys))
-            return self._environment.get(name, other or "")
-
-        whole = _VARIABLE.fullmatch(text)
-        put = _VARIABLE.sub(value, text)
-        if whole is not None and whole[1] is not None and re.fullmatch(r"-?\d+(\.\d+)?|true|false", put):
-            return YAML(typ="safe", pure=True).load(put)
-        return put
-
-    def _join(self, new: dict[str, Any], known: dict[str, Any], keys: Keys, path: Path, raw: Any) -> None:
-        """Mappings are joined, lists follow one another; a value that is there already is a problem."""
+            if name not in self._environment and default is None:
+                self._add_problem(location, f"the environment has no {name}", format_keys(keys))
+            return self._environment.get(name, default or "")
+
+        single = _VARIABLE.fullmatch(text)
+        result = _VARIABLE.sub(value, text)
+        if single is not None and single[1] is not None and re.fullmatch(r"-?\d+(\.\d+)?|true|false", result):
+            return YAML(typ="safe", pure=True).load(result)
+        return result
+
+    def _merge(self, new: dict[str, Any], known: dict[str, Any], keys: Keys, path: Path, raw: Any) -> None:
+        """Merges mappings and concatenates lists; a value that is already set is a problem."""
         for key, item in new.items():
             here = (*keys, key)
             if key not in known:
                 known[key] = item
             elif isinstance(item, dict) and isinstance(known[key], dict):
-                self._join(item, known[key], here, path, raw.get(key))
+                self._merge(item, known[key], here, path, raw.get(key))
             elif isinstance(item, list) and isinstance(known[key], list):
                 for number in range(len(item)):
-                    place = self._at(path, raw.get(key) if isinstance(raw, dict) else None, number)
-                    self._tree.places[(*here, len(known[key]) + number)] = place
+                    location = self._location(path, raw.get(key) if isinstance(raw, dict) else None, number)
+                    self._tree.locations[(*here, len(known[key]) + number)] = location
                 known[key].extend(item)
             else:
-                before = self._tree.place(here)
-                self._wrong(self._at(path, raw, key), f"it is there already, at {before}", named(here))
+                before = self._tree.location(here)
+                self._add_problem(
+                    self._location(path, raw, key), f"it is there already, at {before}", format_keys(here)
+                )
