--- a/troutdock/cli/app.py
+++ b/troutdock/cli/app.py
@@ -1,4 +1,4 @@
-"""All commands: exit 0 for done, 1 for a fault that was found, 2 for bad input, in one plain line."""
+"""All commands. Exit codes: 0 for success, 1 for a negative result, 2 for bad input (one-line error)."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 @app.callback()
 def root(
     version: bool = typer.Option(
-        False, "--version", callback=_version, is_eager=True, help="Say which version this is."
+        False, "--version", callback=_version, is_eager=True, help="Print the version."
     ),
 ) -> None:
     """Every command has --help."""
--- a/troutdock/cli/demo.py
+++ b/troutdock/cli/demo.py
@@ -1,4 +1,4 @@
-"""troutdock demo: stand-in servers, an ingress and some clients on loopback, and what becomes of it all."""
+"""troutdock demo: runs stand-in servers, an ingress and clients on loopback, and shows the results."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 import typer
 
-WORK_S = 0.02  # of a server for one request
+SERVICE_TIME_S = 0.02  # of a server, per request
 KINDS = ("served", "refused", "failed")
-MOST_AT_ONCE = 8  # that a server works on; what comes beyond waits
+MAX_CONCURRENT = 8  # per server; further requests wait
 
-FILE = """\
+DEPLOYMENT_YAML = """\
 version: 1
 name: demo
 listen: {listen}
@@ -41,32 +41,34 @@
 
 @dataclass
 class Customer:
-    """A client: so many requests a second, of a plan. told: answers by kind."""
+    """A client with a plan and a request rate. results: number of answers by kind."""
 
     name: str
     plan: str
-    per_s: float
+    rate_per_s: float
     pays: bool = False
-    told: Counter[str] = field(default_factory=Counter)
-    times: list[float] = field(default_factory=list)
+    results: Counter[str] = field(default_factory=Counter)
+    latencies_ms: list[float] = field(default_factory=list)
 
     def summary(self) -> dict[str, Any]:
-        """What became of its requests."""
-        median = round(sorted(self.times)[len(self.times) // 2], 1) if self.times else None
-        told = {kind: self.told[kind] for kind in KINDS}
-        return {"plan": self.plan, "asked_per_s": self.per_s, **told, "median_ms": median}
+        """Returns the results of its requests."""
+        median = (
+            round(sorted(self.latencies_ms)[len(self.latencies_ms) // 2], 1) if self.latencies_ms else None
+        )
+        results = {kind: self.results[kind] for kind in KINDS}
+        return {"plan": self.plan, "asked_per_s": self.rate_per_s, **results, "median_ms": median}
 
 
-class Node:
-    """A stand-in server: each request takes its time, so many at once."""
+class StandInServer:
+    """A stand-in server with a fixed service time and limited concurrency."""
 
     def __init__(self, name: str) -> None:
         self.name, self.served, self.killed = name, 0, False
-        self._places = asyncio.Semaphore(MOST_AT_ONCE)
+        self._slots = asyncio.Semaphore(MAX_CONCURRENT)
         self._writers: dict[asyncio.StreamWriter, None] = {}
 
     async def start(self) -> None:
-        """Listen on loopback."""
+        """Listens on loopback."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.port = self._server.sockets[0].getsockname()[1]
 
@@ -78,8 +80,8 @@
                 at = head.find(b"content-length: ")
                 if at >= 0:
                     await reader.readexactly(int(head[at + 16 :].split(b"\r\n", 1)[0]))
-                async with self._places:
-                    await asyncio.sleep(WORK_S)
+                async with self._slots:
+                    await asyncio.sleep(SERVICE_TIME_S)
                 self.served += 1
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok\n")
         except (asyncio.IncompleteReadError, ConnectionError):
@@ -89,15 +91,15 @@
             writer.close()
 
     def kill(self) -> None:
-        """As a process that dies: its connections are reset, and nobody listens."""
+        """Simulates a crash: resets all connections and stops listening."""
         self.killed = True
         self._server.close()
         for writer in list(self._writers):
             writer.transport.abort()
 
 
-async def _ask(address: tuple[str, int], customer: Customer, number: int) -> None:
-    began = time.monotonic()
+async def _send_request(address: tuple[str, int], customer: Customer, number: int) -> None:
+    started_at = time.monotonic()
     method, path = ("POST", "/payments/7") if customer.pays else ("GET", "/accounts/7")
     head = [
         f"{method} {path} HTTP/1.1",
@@ -117,31 +119,31 @@
         writer.close()
     except (OSError, IndexError):
         status = 0
-    customer.told["served" if status == 200 else "refused" if status == 429 else "failed"] += 1
+    customer.results["served" if status == 200 else "refused" if status == 429 else "failed"] += 1
     if status == 200:
-        customer.times.append((time.monotonic() - began) * 1000)
+        customer.latencies_ms.append((time.monotonic() - started_at) * 1000)
 
 
-async def _client(address: tuple[str, int], customer: Customer, until: float, random: Random) -> None:
-    """Open loop: it asks on whether answers come or not."""
-    asked: dict[asyncio.Task[None], None] = {}
+async def _run_client(address: tuple[str, int], customer: Customer, until: float, random: Random) -> None:
+    """Sends requests in an open loop: new ones don't wait for earlier answers."""
+    pending: dict[asyncio.Task[None], None] = {}
     number = 0
     while time.monotonic() < until:
-        await asyncio.sleep(random.expovariate(customer.per_s))
+        await asyncio.sleep(random.expovariate(customer.rate_per_s))
         number += 1
-        task = asyncio.create_task(_ask(address, customer, number))
-        asked[task] = None
-        task.add_done_callback(lambda done: asked.pop(done, None))
-    await asyncio.gather(*asked)
+        task = asyncio.create_task(_send_request(address, customer, number))
+        pending[task] = None
+        task.add_done_callback(lambda done: pending.pop(done, None))
+    await asyncio.gather(*pending)
 
 
-async def play(seconds: float, show: Any) -> dict[str, Any]:
-    """All of it; show is given customers, nodes and the seconds gone by, four times a second."""
+async def run_demo(seconds: float, show: Any) -> dict[str, Any]:
+    """Runs the demo; calls show(customers, nodes, elapsed_s) four times per second."""
     from troutdock.daemon import Service, serve
     from troutdock.operator.compiled import Compiled, read_deployment
     from troutdock.routing_service.service import Routed
 
-    nodes = [Node(f"server {n}") for n in (1, 2, 3)]
+    nodes = [StandInServer(f"server {n}") for n in (1, 2, 3)]
     for node in nodes:
         await node.start()
     with socket.create_server(("127.0.0.1", 0)) as free:
@@ -149,7 +151,7 @@
     servers = ", ".join(f'"127.0.0.1:{node.port}"' for node in nodes)
     with tempfile.TemporaryDirectory() as folder:
         file = Path(folder) / "demo.yaml"
-        file.write_text(FILE.format(listen=f"127.0.0.1:{port}", servers=servers))
+        file.write_text(DEPLOYMENT_YAML.format(listen=f"127.0.0.1:{port}", servers=servers))
         found = read_deployment(file)
     assert isinstance(found, Compiled), found
     stop, serving = asyncio.Event(), asyncio.get_running_loop().create_future()
@@ -163,15 +165,16 @@
         Customer("pays", "plus", 30, True),
         Customer("greedy", "basis", 60),
     ]
-    began = time.monotonic()
-    until = began + seconds
+    started_at = time.monotonic()
+    until = started_at + seconds
     clients = [
-        asyncio.create_task(_client(service.address, c, until, Random(n))) for n, c in enumerate(customers)
+        asyncio.create_task(_run_client(service.address, c, until, Random(n)))
+        for n, c in enumerate(customers)
     ]
     while (now := time.monotonic()) < until:
-        if now - began > seconds / 2 and not nodes[0].killed:
+        if now - started_at > seconds / 2 and not nodes[0].killed:
             nodes[0].kill()
-        show(customers, nodes, now - began)
+        show(customers, nodes, now - started_at)
         await asyncio.sleep(0.25)
     await asyncio.gather(*clients)
     stop.set()
@@ -185,14 +188,14 @@
     }
 
 
-def _table(customers: list[Customer], nodes: list[Node], gone_s: float) -> Any:
+def _table(customers: list[Customer], nodes: list[StandInServer], elapsed_s: float) -> Any:
     from rich.table import Table
 
-    table = Table(title=f"troutdock demo, second {gone_s:.0f}")
+    table = Table(title=f"troutdock demo, second {elapsed_s:.0f}")
     for column in ("", "plan", "asks a second", "served", "refused", "failed"):
         table.add_column(column, justify="left" if not column or column == "plan" else "right")
     for c in customers:
-        table.add_row(c.name, c.plan, f"{c.per_s:g}", *(str(c.told[kind]) for kind in KINDS))
+        table.add_row(c.name, c.plan, f"{c.rate_per_s:g}", *(str(c.results[kind]) for kind in KINDS))
     table.add_section()
     for n in nodes:
         table.add_row(n.name, "killed" if n.killed else "", "", str(n.served), "", "")
@@ -200,27 +203,27 @@
 
 
 def demo(
-    seconds: float = typer.Option(10.0, min=1.0, max=25.0, help="How long the clients ask."),
-    as_json: bool = typer.Option(False, "--json", help="The summary as JSON, and no table."),
+    seconds: float = typer.Option(10.0, min=1.0, max=25.0, help="How long the clients send requests."),
+    as_json: bool = typer.Option(False, "--json", help="Print the summary as JSON, without a table."),
 ) -> None:
-    """Three servers, an ingress and three customers on loopback; one server is killed half way."""
+    """Run three servers, an ingress and three customers on loopback; one server is killed half-way."""
     log = logging.getLogger("troutdock")
     before = log.level
-    log.setLevel(logging.CRITICAL)  # what it would say of the killed server is in the table
+    log.setLevel(logging.CRITICAL)  # the table already shows the killed server
     try:
         if as_json:
-            typer.echo(json.dumps(asyncio.run(play(seconds, lambda *now: None))))
+            typer.echo(json.dumps(asyncio.run(run_demo(seconds, lambda *now: None))))
             return
         from rich.live import Live
 
         with Live(refresh_per_second=8) as live:
-            summary = asyncio.run(play(seconds, lambda *now: live.update(_table(*now))))
+            summary = asyncio.run(run_demo(seconds, lambda *now: live.update(_table(*now))))
     finally:
         log.setLevel(before)
-    told = summary["customers"]
-    failed = sum(c["failed"] for c in told.values())
-    greedy = told["greedy"]
-    others = told["calm"]["refused"] + told["pays"]["refused"]
+    results = summary["customers"]
+    failed = sum(c["failed"] for c in results.values())
+    greedy = results["greedy"]
+    others = results["calm"]["refused"] + results["pays"]["refused"]
     typer.echo(
         f"`greedy` asked for three times its quota: {greedy['served']} served, {greedy['refused']} "
         f"refused at once. `calm` and `pays` were within theirs: {others} refused. "
--- a/troutdock/cli/plans.py
+++ b/troutdock/cli/plans.py
@@ -1,4 +1,4 @@
-"""troutdock plans: assignments of plans to customers, in a history's file or at running ingresses."""
+"""troutdock plans: assigns plans to customers, in a history file or at running ingresses."""
 
 from __future__ import annotations
 
@@ -7,11 +7,20 @@
 
 import typer
 
-from troutdock.cli.common import call, either, moment, number, plain_errors, said, spread, stop
-
-plans = typer.Typer(no_args_is_help=True, help="Which customer has which plan, and from when on.")
-_FILE = typer.Option(None, "--file", help="The history: JSON lines.")
-_DOORS = typer.Option([], "--door", help="The operators' door of an ingress, host:port; once for each.")
+from troutdock.cli.common import (
+    send_request,
+    require_file_or_doors,
+    parse_time_ms,
+    parse_account,
+    plain_errors,
+    format_time,
+    send_to_all,
+    exit_with_error,
+)
+
+plans = typer.Typer(no_args_is_help=True, help="Assign plans to customers, with a start time.")
+_FILE = typer.Option(None, "--file", help="The history file: JSON lines.")
+_DOORS = typer.Option([], "--door", help="Management address of an ingress, host:port; repeatable.")
 _CUSTOMER = typer.Argument(help="The account: 16 hex digits.")
 _PATH = "/control/plans"
 
@@ -19,38 +28,38 @@
 @plans.command()
 def assign(
     account: str = _CUSTOMER,
-    plan: str = typer.Argument(help="By name."),
+    plan: str = typer.Argument(help="Name of the plan."),
     file: Path | None = _FILE,
     doors: list[str] = _DOORS,
-    start: str = typer.Option("now", "--from", help="A time in ISO form, or now."),
-    who: str = typer.Option("", help="Who says so."),
-    why: str = typer.Option("", help="And why."),
-    identity: str = typer.Option("", "--id", help="Its own; the same again changes nothing."),
+    start: str = typer.Option("now", "--from", help="ISO 8601 time, or now."),
+    who: str = typer.Option("", help="Author of the change."),
+    why: str = typer.Option("", help="Reason for the change."),
+    identity: str = typer.Option("", "--id", help="Identity of the entry; sending it again changes nothing."),
 ) -> None:
-    """From a moment on the customer has this plan."""
+    """Assign a plan to a customer from a given time on."""
     from troutdock import jsonlines
     from troutdock.plans.files import join
     from troutdock.plans.history import Assignment, checked
 
     with plain_errors():
-        either(file, doors)
+        require_file_or_doors(file, doors)
         id = identity or secrets.token_hex(8)
-        made = checked(Assignment(moment(start), id, number(account), plan, who, why))
+        assignment = checked(Assignment(parse_time_ms(start), id, parse_account(account), plan, who, why))
         if file is not None:
-            join(file, [made])
-        for line in _reserved(doors, made.customer, plan, made.valid_from_ms):
+            join(file, [assignment])
+        for line in _reservation_warnings(doors, assignment.customer, plan, assignment.valid_from_ms):
             typer.echo(line)
-    typer.echo(f"{account}: {plan} from {said(made.valid_from_ms)} on, as {made.id}")
-    spread(
+    typer.echo(f"{account}: {plan} from {format_time(assignment.valid_from_ms)} on, as {assignment.id}")
+    send_to_all(
         doors,
         _PATH,
-        jsonlines.encode([made]),
-        f"the same with --id {id} --from {said(made.valid_from_ms)} is harmless",
+        jsonlines.encode([assignment]),
+        f"the same with --id {id} --from {format_time(assignment.valid_from_ms)} is harmless",
     )
 
 
-def _reserved(doors: list[str], customer: int, plan: str, from_ms: float) -> list[str]:
-    """What the customer has reserved beyond what the plan bears, as the first door knows it."""
+def _reservation_warnings(doors: list[str], customer: int, plan: str, from_ms: float) -> list[str]:
+    """Returns a warning if the customer has reserved more than the plan allows; asks the first door."""
     if not doors:
         return []
     import msgspec
@@ -59,23 +68,23 @@
     from troutdock.reservations.commitment_limit import most_of, peak
 
     try:
-        found = msgspec.json.decode(call(doors[0], "GET", "/control/reservations"))
+        found = msgspec.json.decode(send_request(doors[0], "GET", "/control/reservations"))
     except ValueError:
-        return []  # it has none
+        return []  # the ingress has no reservations
     if plan not in found["plans"]:
         raise ValueError(f"{doors[0]}: {plan!r} is no plan there: {', '.join(found['plans'])}")
-    held = [
+    reserved = [
         r
         for r in Entries().add(msgspec.convert(found["entries"], list[Entry])).reservations()
         if r.customer == customer and r.ends_ms > from_ms
     ]
-    bears = most_of(found["plans"][plan]["rate"], found["plans"][plan]["ceiling"])
-    most = peak(held, from_ms, float("inf"))
-    if most <= bears:
+    allowed = most_of(found["plans"][plan]["rate"], found["plans"][plan]["ceiling"])
+    reserved_peak = peak(reserved, from_ms, float("inf"))
+    if reserved_peak <= allowed:
         return []
     return [
-        f"beware: it has reserved {most:g} units a second at their highest, and {plan} bears {bears:g}: "
-        f"reservations stay, and are refused where the plan's ceiling is reached"
+        f"beware: it has reserved {reserved_peak:g} units a second at their highest, and "
+        f"{plan} bears {allowed:g}: reservations stay, and are refused where the plan's ceiling is reached"
     ]
 
 
@@ -84,42 +93,44 @@
     account: str = _CUSTOMER,
     file: Path | None = _FILE,
     doors: list[str] = _DOORS,
-    at: str = typer.Option("now", help="A time in ISO form, or now."),
+    at: str = typer.Option("now", help="ISO 8601 time, or now."),
 ) -> None:
-    """The plan that the customer has, and the next change; of several doors those that differ are named."""
+    """Show the customer's plan and its next change; differences between doors are reported."""
     from troutdock.plans.files import parse, read
 
     with plain_errors():
-        either(file, doors)
-        customer, time_ms, lines = number(account), moment(at), dict[str, str]()
+        require_file_or_doors(file, doors)
+        customer, time_ms, lines = parse_account(account), parse_time_ms(at), dict[str, str]()
         known = (
             {str(file): read(file)}
             if file is not None
-            else {door: parse(call(door, "GET", _PATH), door) for door in doors}
+            else {door: parse(send_request(door, "GET", _PATH), door) for door in doors}
         )
     for name, history in known.items():
-        held, after = history.at(customer, time_ms), history.next_after(customer, time_ms)
-        lines[name] = f"{account}: {held.plan if held else 'as its requests say'}" + (
-            f", {after.plan} from {said(after.valid_from_ms)} on" if after else ""
+        current, following = history.at(customer, time_ms), history.next_after(customer, time_ms)
+        lines[name] = f"{account}: {current.plan if current else 'as its requests say'}" + (
+            f", {following.plan} from {format_time(following.valid_from_ms)} on" if following else ""
         )
     for line in dict.fromkeys(lines.values()):
         names = [name for name, its in lines.items() if its == line]
         typer.echo(line if len(names) == len(lines) else f"{', '.join(names)}: {line}")
     if len(dict.fromkeys(lines.values())) > 1:
-        stop("ingresses differ: assign the same again with its --id where it is missing", 1)
+        exit_with_error("ingresses differ: assign the same again with its --id where it is missing", 1)
 
 
 @plans.command()
 def history(account: str = _CUSTOMER, file: Path | None = _FILE, doors: list[str] = _DOORS) -> None:
-    """All assignments of a customer, the first valid first; of several doors all together."""
+    """List all assignments of a customer by start time, merged over all doors."""
     from troutdock.plans.files import parse, read
     from troutdock.plans.history import Histories
 
     with plain_errors():
-        either(file, doors)
-        whole = read(file) if file is not None else Histories()
+        require_file_or_doors(file, doors)
+        merged = read(file) if file is not None else Histories()
         for door in doors:
-            whole = whole.merge(parse(call(door, "GET", _PATH), door))
-        rows = whole.of(number(account))
+            merged = merged.merge(parse(send_request(door, "GET", _PATH), door))
+        rows = merged.of(parse_account(account))
     for row in rows:
-        typer.echo(f"{said(row.valid_from_ms)}  {row.plan:<12} {row.id}  {row.who}  {row.why}".rstrip())
+        typer.echo(
+            f"{format_time(row.valid_from_ms)}  {row.plan:<12} {row.id}  {row.who}  {row.why}".rstrip()
+        )
--- a/troutdock/cli/reservations.py
+++ b/troutdock/cli/reservations.py
@@ -1,4 +1,4 @@
-"""troutdock reserve, extend, release, reservations: allowance kept ahead, in a file or at doors."""
+"""troutdock reserve, extend, release, reservations: reserved quota, in a file or at running ingresses."""
 
 from __future__ import annotations
 
@@ -10,60 +10,76 @@
 import typer
 
 from troutdock import jsonlines
-from troutdock.cli.common import call, either, moment, number, plain_errors, said, spread, stop
+from troutdock.cli.common import (
+    send_request,
+    require_file_or_doors,
+    parse_time_ms,
+    parse_account,
+    plain_errors,
+    format_time,
+    send_to_all,
+    exit_with_error,
+)
 from troutdock.reservations.entries import Entries, Entry, Kind, Reservation, checked
 from troutdock.reservations.files import join, promise, prune, read
 from troutdock.reservations.commitment_limit import Terms, Verdict
 
-_FILE = typer.Option(None, "--file", help="The entries: JSON lines.")
-_DOORS = typer.Option([], "--door", help="The operators' door of an ingress, host:port; once for each.")
-_PLAN = typer.Option("", help="The customer's plan, where none is assigned. With --door.")
-_FLEET = typer.Option(0.0, help="Units a second that the fleet bears. With --file.")
-_RATE = typer.Option(0.0, help="The plan's units a second. With --file.")
-_CEILING = typer.Option(0.0, help="The plan's ceiling in units a second, 0 for none. With --file.")
-_WHO, _WHY = typer.Option("", help="Who says so."), typer.Option("", help="And why.")
-_ID = typer.Option("", "--id", help="Its own; the same again changes nothing.")
+_FILE = typer.Option(None, "--file", help="The entries file: JSON lines.")
+_DOORS = typer.Option([], "--door", help="Management address of an ingress, host:port; repeatable.")
+_PLAN = typer.Option("", help="The customer's plan, if none is assigned. With --door.")
+_FLEET = typer.Option(0.0, help="Capacity of the fleet in units per second. With --file.")
+_RATE = typer.Option(0.0, help="The plan's rate in units per second. With --file.")
+_CEILING = typer.Option(0.0, help="The plan's ceiling in units per second, 0 for none. With --file.")
+_WHO, _WHY = typer.Option("", help="Author of the change."), typer.Option("", help="Reason for the change.")
+_ID = typer.Option("", "--id", help="Identity of the entry; sending it again changes nothing.")
 _PATH = "/control/reservations"
 
 
-def _shown(door: str) -> Any:
-    return msgspec.json.decode(call(door, "GET", _PATH))
+def _fetch(door: str) -> Any:
+    return msgspec.json.decode(send_request(door, "GET", _PATH))
 
 
 def _entries(file: Path | None, doors: list[str]) -> Entries:
-    """All that any of them knows."""
-    whole = read(file) if file is not None else Entries()
+    """Returns all entries of the file and the doors, merged."""
+    merged = read(file) if file is not None else Entries()
     for door in doors:
-        whole = whole.add(msgspec.convert(_shown(door)["entries"], list[Entry]))
-    return whole
+        merged = merged.add(msgspec.convert(_fetch(door)["entries"], list[Entry]))
+    return merged
 
 
-def _promised(entry: Entry, file: Path | None, doors: list[str], plan: str, terms: Terms) -> None:
-    """Ask for it, at the first door or by the file; exit 1 tells why not, and what would be promised."""
+def _request_reservation(entry: Entry, file: Path | None, doors: list[str], plan: str, terms: Terms) -> None:
+    """Requests the reservation at the first door or in the file.
+
+    If it is rejected, prints the reason and what could be reserved, and exits with 1.
+    """
     if file is not None:
         if terms.fleet <= 0 or terms.rate <= 0:
-            raise ValueError("with --file, --fleet and --rate are needed to tell what may be promised")
+            raise ValueError("with --file, --fleet and --rate are needed to compute what may be reserved")
         _, verdict = promise(file, entry, terms)
     else:
         body = msgspec.json.encode({"entry": list(entry), "plan": plan})
-        raw = msgspec.json.decode(call(doors[0], "POST", _PATH + "/promise", body))
+        raw = msgspec.json.decode(send_request(doors[0], "POST", _PATH + "/promise", body))
         from_ms = float("inf") if raw["from_ms"] is None else raw["from_ms"]
         verdict = Verdict(raw["granted"], raw["why"], raw["units"], from_ms)
     if not verdict.granted:
         ever = verdict.from_ms < float("inf")
-        when = f"all of it from {said(verdict.from_ms)} on" if ever else "all of it at no later time"
-        stop(f"not promised: {verdict.why}; {verdict.units:g} units would be in that window, {when}", 1)
+        when = f"all of it from {format_time(verdict.from_ms)} on" if ever else "all of it at no later time"
+        exit_with_error(
+            f"not promised: {verdict.why}; {verdict.units:g} units would be in that window, {when}", 1
+        )
 
 
 def reserve(
     account: str = typer.Argument(help="16 hex digits."),
-    units: float = typer.Argument(help="To be kept ahead."),
-    until: str = typer.Option(help="A time in ISO form."),
-    start: str = typer.Option("now", "--from", help="A time in ISO form, or now."),
-    classes: list[str] = typer.Option([], "--class", help="That may use it; all if none is named."),
-    first: int = typer.Option(0, help="The first gateway of the customer's set."),
-    width: int = typer.Option(0, help="How many gateways its set has; 0: all."),
-    gateways: int = typer.Option(0, help="Of the fleet. With --file."),
+    units: float = typer.Argument(help="Units to reserve."),
+    until: str = typer.Option(help="ISO 8601 time."),
+    start: str = typer.Option("now", "--from", help="ISO 8601 time, or now."),
+    classes: list[str] = typer.Option(
+        [], "--class", help="Class that may use it, repeatable; all if none is given."
+    ),
+    first: int = typer.Option(0, help="First gateway of the customer's set."),
+    width: int = typer.Option(0, help="Number of gateways in the set; 0: all."),
+    gateways: int = typer.Option(0, help="Number of gateways in the fleet. With --file."),
     file: Path | None = _FILE,
     doors: list[str] = _DOORS,
     plan: str = _PLAN,
@@ -74,42 +90,45 @@
     why: str = _WHY,
     identity: str = _ID,
 ) -> None:
-    """Keep units ahead for a window."""
+    """Reserve units for a time window."""
     with plain_errors():
-        either(file, doors)
+        require_file_or_doors(file, doors)
         id = identity or secrets.token_hex(8)
-        whole = _shown(doors[0])["gateways"] if doors else gateways or 1
-        made = checked(
+        total_gateways = _fetch(doors[0])["gateways"] if doors else gateways or 1
+        entry = checked(
             Entry(
                 id,
                 Kind.RESERVE,
                 id,
-                number(account),
+                parse_account(account),
                 units,
-                moment(start),
-                moment(until),
+                parse_time_ms(start),
+                parse_time_ms(until),
                 tuple(classes),
                 first,
-                width or whole,
-                whole,
+                width or total_gateways,
+                total_gateways,
                 who,
                 why,
             )
         )
-        _promised(made, file, doors, plan, Terms(fleet, rate, ceiling))
-    typer.echo(f"{account}: {units:g} units from {said(made.from_ms)} to {said(made.until_ms)}, as {id}")
-    spread(
+        _request_reservation(entry, file, doors, plan, Terms(fleet, rate, ceiling))
+    typer.echo(
+        f"{account}: {units:g} units "
+        f"from {format_time(entry.from_ms)} to {format_time(entry.until_ms)}, as {id}"
+    )
+    send_to_all(
         doors[1:],
         _PATH,
-        jsonlines.encode([made]),
-        f"the same with --id {id} --from {said(made.from_ms)} is harmless",
+        jsonlines.encode([entry]),
+        f"the same with --id {id} --from {format_time(entry.from_ms)} is harmless",
     )
 
 
 def extend(
     reservation: str = typer.Argument(help="Its identity."),
-    units: float = typer.Option(0.0, help="More of them."),
-    until: str = typer.Option("", help="A later end, in ISO form."),
+    units: float = typer.Option(0.0, help="Units to add."),
+    until: str = typer.Option("", help="A later end, ISO 8601."),
     file: Path | None = _FILE,
     doors: list[str] = _DOORS,
     plan: str = _PLAN,
@@ -120,18 +139,22 @@
     why: str = _WHY,
     identity: str = _ID,
 ) -> None:
-    """More units, a later end, or both."""
+    """Add units to a reservation, move its end, or both."""
     with plain_errors():
-        either(file, doors)
+        require_file_or_doors(file, doors)
         known = _entries(file, doors[:1]).get(reservation)
         if known is None:
             raise ValueError(f"no reservation is known as {reservation!r}")
         id = identity or secrets.token_hex(8)
-        end = moment(until) if until else known.until_ms
-        made = checked(Entry(id, Kind.EXTEND, reservation, known.customer, units, 0.0, end, who=who, why=why))
-        _promised(made, file, doors, plan, Terms(fleet, rate, ceiling))
-    typer.echo(f"{reservation}: {known.units + units:g} units to {said(max(end, known.until_ms))}, as {id}")
-    spread(doors[1:], _PATH, jsonlines.encode([made]), f"the same with --id {id} is harmless")
+        end = parse_time_ms(until) if until else known.until_ms
+        entry = checked(
+            Entry(id, Kind.EXTEND, reservation, known.customer, units, 0.0, end, who=who, why=why)
+        )
+        _request_reservation(entry, file, doors, plan, Terms(fleet, rate, ceiling))
+    typer.echo(
+        f"{reservation}: {known.units + units:g} units to {format_time(max(end, known.until_ms))}, as {id}"
+    )
+    send_to_all(doors[1:], _PATH, jsonlines.encode([entry]), f"the same with --id {id} is harmless")
 
 
 def release(
@@ -142,60 +165,62 @@
     why: str = _WHY,
     identity: str = _ID,
 ) -> None:
-    """End it now; what is not used is promised to others again."""
+    """End a reservation now; unused units become available to others."""
     with plain_errors():
-        either(file, doors)
+        require_file_or_doors(file, doors)
         known = _entries(file, doors[:1]).get(reservation)
         if known is None:
             raise ValueError(f"no reservation is known as {reservation!r}")
         id = identity or secrets.token_hex(8)
-        now = moment("now")
-        made = checked(Entry(id, Kind.RELEASE, reservation, known.customer, 0.0, now, who=who, why=why))
+        now = parse_time_ms("now")
+        entry = checked(Entry(id, Kind.RELEASE, reservation, known.customer, 0.0, now, who=who, why=why))
         if file is not None:
-            join(file, [made])
-    spread(doors, _PATH, jsonlines.encode([made]), "the same again is harmless")
+            join(file, [entry])
+    send_to_all(doors, _PATH, jsonlines.encode([entry]), "the same again is harmless")
     typer.echo(f"{reservation}: released, as {id}")
 
 
 def reservations(
-    account: str = typer.Argument("", help="Only this customer's."),
+    account: str = typer.Argument("", help="Only this customer."),
     file: Path | None = _FILE,
     doors: list[str] = _DOORS,
-    every: bool = typer.Option(False, "--all", help="Also those that are over."),
-    prune_before: str = typer.Option("", help="Take out those that ended before this time. With --file."),
+    every: bool = typer.Option(False, "--all", help="Include reservations that have ended."),
+    prune_before: str = typer.Option(
+        "", help="Remove reservations that ended before this time. With --file."
+    ),
 ) -> None:
-    """What is reserved; at doors also what is left of it, and which ingresses have not heard."""
+    """List reservations; with --door also show the units left, and send missing entries."""
     with plain_errors():
-        either(file, doors)
+        require_file_or_doors(file, doors)
         if prune_before:
             if file is None:
                 raise ValueError("--prune-before needs --file")
-            typer.echo(f"{len(prune(file, moment(prune_before)))} reservations are taken out")
-        shown = {door: _shown(door) for door in doors}
-        whole = _entries(file, [])
+            typer.echo(f"{len(prune(file, parse_time_ms(prune_before)))} reservations are taken out")
+        shown = {door: _fetch(door) for door in doors}
+        merged = _entries(file, [])
         for found in shown.values():
-            whole = whole.add(msgspec.convert(found["entries"], list[Entry]))
-        wanted, now = number(account) if account else None, moment("now")
-    for r in whole.reservations():
+            merged = merged.add(msgspec.convert(found["entries"], list[Entry]))
+        wanted, now = parse_account(account) if account else None, parse_time_ms("now")
+    for r in merged.reservations():
         if (wanted is None or r.customer == wanted) and (every or r.ends_ms > now):
-            typer.echo(_line(r, now) + "".join(_left(r, shown)))
-    missing = [door for door, found in shown.items() if len(found["entries"]) < len(whole)]
-    if missing:
-        spread(missing, _PATH, jsonlines.encode(whole), "the same again is harmless")
-        typer.echo(f"told to those that had not heard of all: {', '.join(missing)}")
+            typer.echo(_format_row(r, now) + "".join(_format_usage(r, shown)))
+    outdated = [door for door, found in shown.items() if len(found["entries"]) < len(merged)]
+    if outdated:
+        send_to_all(outdated, _PATH, jsonlines.encode(merged), "the same again is harmless")
+        typer.echo(f"told to those that had not heard of all: {', '.join(outdated)}")
 
 
-def _line(r: Reservation, now: float) -> str:
+def _format_row(r: Reservation, now: float) -> str:
     state = "holds" if r.from_ms <= now else "ahead"
     if r.ends_ms <= now:
         state = "released" if r.over_ms <= now else "over"
     classes = f" for {', '.join(r.classes)}" if r.classes else ""
-    window = f"{said(r.from_ms)} to {said(r.ends_ms)}"
+    window = f"{format_time(r.from_ms)} to {format_time(r.ends_ms)}"
     return f"{r.id}  {r.customer:016x}  {r.units:g} units{classes}  {window}  {state}"
 
 
-def _left(r: Reservation, shown: dict[str, Any]) -> list[str]:
-    """Of the gateways whose doors were asked."""
+def _format_usage(r: Reservation, shown: dict[str, Any]) -> list[str]:
+    """Returns the units left and used, summed over the queried gateways."""
     found = [its["parts"].get(r.id, {"left": 0, "used": 0}) for its in shown.values()]
     parts = [part for part in found if part["left"] + part["used"] > 0]
     if not parts:
--- a/troutdock/cli/system.py
+++ b/troutdock/cli/system.py
@@ -1,4 +1,4 @@
-"""troutdock system: what the whole gateway is at, by a running registry or a store's folder at rest."""
+"""troutdock system: inspects the whole gateway through a running registry or a store's data folder."""
 
 from __future__ import annotations
 
@@ -23,28 +23,28 @@
 from troutdock.rpc.event_trace import TraceError, replay_events, read_trace
 from troutdock.config_store.replica import EVENTS, again
 from troutdock.config_store.replica_state import InForce, Log, Send
-from troutdock.cli.common import call, plain_errors
+from troutdock.cli.common import send_request, plain_errors
 
 system = typer.Typer(no_args_is_help=True, help="The whole gateway: registries, stores, ingresses.")
 _AT = typer.Option(..., "--at", help="A registry's control-plane address, host:port.")
 _DATA = typer.Option(..., "--data", help="A store's data folder; nothing in it is changed.")
-_JSON = typer.Option(False, "--json", help="As JSON.")
+_JSON = typer.Option(False, "--json", help="Print JSON.")
 _FILE = "rootstock.db"
-BOOT_MEMORY_MB = 296  # of the operators' core machines: what bounds a configuration
+BOOT_MEMORY_MB = 296  # memory of a core machine; bounds the size of a configuration
 
 
-def _told(at: str) -> dict[str, Any]:
-    found = json.loads(call(at, "GET", "/system/status"))
+def _fetch_status(at: str) -> dict[str, Any]:
+    found = json.loads(send_request(at, "GET", "/system/status"))
     if not isinstance(found, dict):
-        raise ValueError(f"{at}: no registry of this system")
+        raise ValueError(f"{at}: not a registry of this system")
     return found
 
 
 @system.command()
 def status(at: str = _AT, as_json: bool = _JSON) -> None:
-    """What one registry knows: the primary, the version in force, the others, backends by service."""
+    """Show a registry's view: the primary, the active version, other registries, backends by service."""
     with plain_errors():
-        found = _told(at)
+        found = _fetch_status(at)
     if as_json:
         typer.echo(json.dumps(found))
         return
@@ -59,9 +59,9 @@
 
 @system.command()
 def members(at: str = _AT, as_json: bool = _JSON) -> None:
-    """The ingresses that are linked to any registry."""
+    """List the ingresses that are connected to any registry."""
     with plain_errors():
-        found = _told(at)["members"]
+        found = _fetch_status(at)["members"]
     if as_json:
         typer.echo(json.dumps(found))
         return
@@ -78,7 +78,7 @@
 
 @system.command()
 def settings(as_json: bool = _JSON) -> None:
-    """The fields of the settings file that the programs read: default, and what each is for."""
+    """List the fields of the settings file with their defaults and descriptions."""
     rows = [
         {"name": s.name, "required": s.default is REQUIRED, "default": s.default, "about": s.about}
         for s in BOOT_SETTINGS.settings
@@ -96,7 +96,7 @@
 
 @system.command()
 def check(file: Path = typer.Argument(..., help="A configuration, or a settings file (.yaml).")) -> None:
-    """Read a configuration or a settings file as the programs do; what is wrong is named with its place."""
+    """Validate a configuration or a settings file; errors name their position."""
     with plain_errors():
         if file.suffix in (".yaml", ".yml"):
             boot = load_boot(str(file))
@@ -115,21 +115,21 @@
 @system.command()
 def explain(
     file: Path = typer.Argument(..., help="A configuration."),
-    url: str = typer.Argument(..., help="host/path of a request."),
-    key: str = typer.Option("", "--key", help="The key it carries."),
+    url: str = typer.Argument(..., help="host/path of the request."),
+    key: str = typer.Option("", "--key", help="API key of the request."),
     as_json: bool = _JSON,
 ) -> None:
-    """Which route, services and tenant a request takes under a configuration; exit 1 where it takes none."""
+    """Show the route, services and tenant of a request under a configuration; exit 1 if it is rejected."""
     with plain_errors():
         table = Table(_configuration(file), {})
     host, slash, path = url.removeprefix("http://").partition("/")
     path = (slash + path or "/").partition("?")[0]
     found = table.find(host.partition(":")[0].lower().encode(), path.encode())
     holder = table.holder(key.encode())
-    told: dict[str, Any] = {"status": 404, "why": "no route"}
+    result: dict[str, Any] = {"status": 404, "why": "no route"}
     if found is not None:
         route = found.route
-        told = {
+        result = {
             "status": 0,
             "route": route.name,
             "prefix": route.prefix,
@@ -144,32 +144,32 @@
         }
         if table.needs_key and not route.public:
             if holder is None:
-                told = {**told, "status": 401, "why": "the key is nobody's"}
+                result = {**result, "status": 401, "why": "the key is nobody's"}
             else:
                 tenant = holder.tenant
-                told.update(tenant=tenant.name, rate=tenant.rate, burst=tenant.burst)
-                told["priority"] = route.priority if tenant.priority is None else tenant.priority
+                result.update(tenant=tenant.name, rate=tenant.rate, burst=tenant.burst)
+                result["priority"] = route.priority if tenant.priority is None else tenant.priority
     if as_json:
-        typer.echo(json.dumps(told))
+        typer.echo(json.dumps(result))
     else:
-        for name, value in told.items():
+        for name, value in result.items():
             if name != "status" or value:
                 typer.echo(f"{name:<11} {value}")
-    if told["status"]:
+    if result["status"]:
         raise typer.Exit(1)
 
 
 @system.command()
 def put(
     file: Path = typer.Argument(..., help="A configuration."),
-    at: list[str] = typer.Option(..., "--at", help="A control-plane address; several are tried in turn."),
+    at: list[str] = typer.Option(..., "--at", help="Control-plane address, repeatable; tried in order."),
 ) -> None:
-    """Send a configuration, until one core machine says that two disks have it."""
+    """Send a configuration to the core machines in turn until one confirms that it is stored on two disks."""
     with plain_errors():
         found, why = _configuration(file), ""
         for address in at:
             try:
-                call(address, "POST", "/configuration/replace", file.read_bytes())
+                send_request(address, "POST", "/configuration/replace", file.read_bytes())
             except (OSError, ValueError) as error:
                 why = str(error)
                 continue
@@ -178,17 +178,17 @@
         raise ValueError(why)
 
 
-def _base(data: Path) -> sqlite3.Connection:
+def _open_store(data: Path) -> sqlite3.Connection:
     path = data / _FILE
     if not path.exists():
-        raise ValueError(f"{path}: no store lies here")
+        raise ValueError(f"{path}: no store in this folder")
     return sqlite3.connect(f"file:{path}?mode=ro", uri=True)
 
 
 @system.command()
 def history(data: Path = _DATA, as_json: bool = _JSON) -> None:
-    """The versions that a store has kept, the newest last, and the epoch it has promised."""
-    with plain_errors(sqlite3.Error), closing(_base(data)) as base:
+    """List the stored versions, newest last, and the promised epoch."""
+    with plain_errors(sqlite3.Error), closing(_open_store(data)) as base:
         row = base.execute("SELECT promised, record, version FROM state").fetchone()
         rows = base.execute(
             "SELECT version, epoch, length(body) FROM configurations ORDER BY version"
@@ -219,31 +219,31 @@
 
 @system.command()
 def replay(
-    trace: Path = typer.Argument(..., help="A store's trace: the settings field traceFile begins one."),
+    trace: Path = typer.Argument(..., help="Trace of a store; enabled by the settings field traceFile."),
     as_json: bool = _JSON,
 ) -> None:
-    """Play a store's recorded events against its state machine again: what it did, and when."""
+    """Replay a store's recorded events against its state machine; list its actions and their times."""
     found: list[dict[str, Any]] = []
     with plain_errors(KeyError):
-        made, events = read_trace(trace)
-        if made.get("machine") != "rootstock":
+        header, events = read_trace(trace)
+        if header.get("machine") != "rootstock":
             raise TraceError(f"{trace.name}, line 1: not a store's trace")
-        replica, now = again(made), float(made["now"])
+        replica, now = again(header), float(header["now"])
         count = 0
         for (_, args), actions in replay_events(replica, events, EVENTS):
             now = next((arg for arg in args if isinstance(arg, float)), now)
-            found += _seen(now, actions)
+            found += _visible_actions(now, actions)
             count += 1
     if as_json:
         typer.echo(json.dumps({"events": count, "seen": found}))
         return
     for line in found:
-        typer.echo(f"{line['at'] - float(made['now']):9.3f}  {line['what']}")
+        typer.echo(f"{line['at'] - float(header['now']):9.3f}  {line['what']}")
     typer.echo(f"{count} events")
 
 
-def _seen(now: float, actions: list[Any] | None) -> list[dict[str, Any]]:
-    """What operators look for among a replica's actions."""
+def _visible_actions(now: float, actions: list[Any] | None) -> list[dict[str, Any]]:
+    """Selects the actions of a replica that matter to operators."""
     found = []
     for action in actions or ():
         match action:
@@ -259,10 +259,10 @@
 @system.command()
 def export(
     data: Path = _DATA,
-    version: int = typer.Option(0, "--version", help="Which one; the newest where it is left out."),
+    version: int = typer.Option(0, "--version", help="Version to print; default: the newest."),
 ) -> None:
-    """A configuration as its operator sent it, to standard output."""
-    with plain_errors(sqlite3.Error), closing(_base(data)) as base:
+    """Print a configuration to standard output as it was sent."""
+    with plain_errors(sqlite3.Error), closing(_open_store(data)) as base:
         wanted = version or (base.execute("SELECT version FROM state").fetchone() or (0,))[0]
         row = base.execute("SELECT body FROM configurations WHERE version = ?", (wanted,)).fetchone()
         if row is None:
--- a/troutdock/cli/usage.py
+++ b/troutdock/cli/usage.py
@@ -1,4 +1,4 @@
-"""troutdock usage: exports made, proved, compared and summed up, from their folder."""
+"""troutdock usage: creates, verifies, reconciles and summarises the exports in a folder."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from troutdock.cli.common import plain_errors
 from troutdock.usage.store import StoreError
 
-usage = typer.Typer(no_args_is_help=True, help="The ledger of use and its exports.")
-_FOLDER = typer.Argument(help="The folder of the exports, or the ledger's above it.")
-_JSON = typer.Option(False, "--json", help="One JSON object in place of lines.")
+usage = typer.Typer(no_args_is_help=True, help="The usage ledger and its exports.")
+_FOLDER = typer.Argument(help="The folder of the exports, or the ledger's folder that contains it.")
+_JSON = typer.Option(False, "--json", help="Print one JSON object instead of lines.")
 
 
 def _exports(folder: Path) -> Path:
@@ -25,10 +25,10 @@
 @usage.command()
 def export(
     folder: Path = typer.Argument(help="The ledger's folder."),
-    ingress: str = typer.Option(help="Its ingress's name."),
-    rows: int = typer.Option(100_000, min=1, help="Of one file at most."),
+    ingress: str = typer.Option(help="Name of the ingress that owns the ledger."),
+    rows: int = typer.Option(100_000, min=1, help="Maximum number of records per file."),
 ) -> None:
-    """Export now what is in no export yet, also of an ingress that runs."""
+    """Export the records that are in no export yet; the ingress may be running."""
     from troutdock.usage.exporter import Exporter
     from troutdock.usage.files import Files
     from troutdock.usage.sqlite import SqliteStore
@@ -46,12 +46,12 @@
 
 @usage.command()
 def verify(folder: Path = _FOLDER, as_json: bool = _JSON) -> None:
-    """Prove that nothing is exported twice and nothing is missing; the first hole is named first."""
+    """Verify that no record is exported twice and none is missing; faults are listed in order."""
     from troutdock.usage.files import Files
-    from troutdock.usage.verify import verify as prove
+    from troutdock.usage.verify import verify as verify_exports
 
     with plain_errors(StoreError):
-        verdict = prove(Files(_exports(folder)))
+        verdict = verify_exports(Files(_exports(folder)))
     if as_json:
         typer.echo(
             json.dumps(
@@ -81,13 +81,13 @@
     folder: Path = _FOLDER,
     received: Path = typer.Option(help="The consumer's list: JSON lines of manifest and units."),
 ) -> None:
-    """Compare the exports with what their consumer has booked."""
+    """Compare the exports with the records of their consumer."""
     from troutdock.usage.files import Files
     from troutdock.usage.verify import reconcile as compare
-    from troutdock.usage.verify import verify as prove
+    from troutdock.usage.verify import verify as verify_exports
 
     with plain_errors(StoreError):
-        verdict = prove(Files(_exports(folder)))
+        verdict = verify_exports(Files(_exports(folder)))
         found = [*verdict.faults, *compare(verdict, received.read_bytes().splitlines())]
     for line in found:
         typer.echo(line)
@@ -97,12 +97,12 @@
 
 
 @usage.command()
-def top(folder: Path = _FOLDER, most: int = typer.Option(10, min=1, help="So many customers.")) -> None:
-    """The customers with the most units."""
+def top(folder: Path = _FOLDER, most: int = typer.Option(10, min=1, help="Number of customers.")) -> None:
+    """List the customers with the most units."""
     from troutdock.usage.files import Files
-    from troutdock.usage.verify import verify as prove
+    from troutdock.usage.verify import verify as verify_exports
 
     with plain_errors(StoreError):
-        verdict = prove(Files(_exports(folder)))
+        verdict = verify_exports(Files(_exports(folder)))
     for customer, units in sorted(verdict.customers.items(), key=lambda row: (-row[1], row[0]))[:most]:
         typer.echo(f"{customer:016x} {units:12.3f}")
