--- a/tests/asgi/test_lifespan.py
+++ b/tests/asgi/test_lifespan.py
@@ -141,7 +141,7 @@
             outer = GuardMiddleware(inner, deployment=made, paths=["/vat-filing"])
             _, end, _ = await lifespan(outer)
             (entry,) = shared._entries.values()
-            assert entry.holders == 2
+            assert entry.users == 2
             exchange = Exchange()
             out = asyncio.create_task(
                 outer(scope(units=0.1, timeout="0.300"), exchange.receive, exchange.send)
--- a/troutdock/asgi/base.py
+++ b/troutdock/asgi/base.py
@@ -191,7 +191,7 @@
         """The ingress and its engine, if a request may be taken here and now; else IngressClosed."""
         if self._ingress is None or self.closing:
             raise IngressClosed("the ingress is being closed")
-        return self._ingress, self._ingress.check_taking().engine
+        return self._ingress, self._ingress.require_open().engine
 
     @staticmethod
     def first_time(scope: Scope, name: str) -> bool:
--- a/troutdock/asgi/forward.py
+++ b/troutdock/asgi/forward.py
@@ -14,7 +14,7 @@
 from troutdock.http.response import MAX_BODY
 from troutdock.http.status import FAILURE_STATUS, FORWARDED_HEADERS
 from troutdock.library.deployment import Deployment
-from troutdock.library.local import IngressClosed, Refused, Served, Waiting, compose
+from troutdock.library.local import IngressClosed, Refused, Served, PendingExchange, build_request
 from troutdock.platform.config import ConfigError
 
 
@@ -78,9 +78,9 @@
             request: HttpRequest = (
                 self._reader.read(method, target, headers, body)
                 if facts is None
-                else compose(ingress.facts, method, target, headers, body, facts)
+                else build_request(ingress.facts, method, target, headers, body, facts)
             )
-            exchange = Waiting(asyncio.get_running_loop(), engine.clock.now())
+            exchange = PendingExchange(asyncio.get_running_loop(), engine.clock.now())
             call = engine.arrive(request, exchange)
             self.calls.add(call)
         except BadRequest as error:
@@ -133,9 +133,9 @@
         return b"".join(parts)
 
 
-async def _until_left(receive: Receive, exchange: Waiting) -> None:
+async def _until_left(receive: Receive, exchange: PendingExchange) -> None:
     """Behind a whole request the next message says that the client has left; so does a receive that fails."""
     with suppress(Exception):
         while (await receive())["type"] != "http.disconnect":
             pass
-    exchange.leave()
+    exchange.client_left()
--- a/troutdock/library/__init__.py
+++ b/troutdock/library/__init__.py
@@ -1,7 +1,7 @@
-"""troutdock inside a program's own process: `async with Ingress(deployment)`, then `await ingress.call(...)`.
+"""An ingress inside the program's own process: `async with Ingress(deployment)`, `await ingress.call(...)`.
 
-It runs in the program's own event loop, sets no signal handler, configures no logging, and needs nothing
-beyond what the daemon needs.
+It runs in the program's event loop, installs no signal handlers, doesn't configure logging, and has no
+dependencies beyond those of the daemon.
 """
 
 from troutdock.engine import BadRequest, Failure, Tally
--- a/troutdock/library/deployment.py
+++ b/troutdock/library/deployment.py
@@ -1,4 +1,4 @@
-"""What a program tells the library: which nodes, plans and classes there are. Checked when it is made."""
+"""The settings of an in-process ingress: nodes, plans and classes. Validated when they are created."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
         raise ConfigError(f"{what}: {error}") from error
 
 
-def _named(what: str, names: Sequence[str]) -> None:
+def _check_names(what: str, names: Sequence[str]) -> None:
     for number, name in enumerate(names):
         if not name or not name.isascii() or "/" in name or any(c.isspace() for c in name):
-            raise ConfigError(f"{what} {number}: {name!r} is no name in ASCII without '/' and spaces")
+            raise ConfigError(f"{what} {number}: {name!r} is not an ASCII name without '/' and spaces")
         if name in names[:number]:
             raise ConfigError(f"{what} {name!r} is there twice")
 
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """A named deployment; whoever opens the same name in one process shares its quota counts.
+    """A named deployment. All users of the same name in one process share its quota counts.
 
-    name: any text of the program's choice. config: made by `of` or `from_file`, never by hand.
+    name: any non-empty text. config: created by `of` or `from_file`, never directly.
     """
 
     name: str
@@ -45,9 +45,14 @@
 
     @classmethod
     def from_file(cls, path: str, name: str = "") -> Deployment:
-        """What the platform tells an ingress, from the file that RELAY_CONFIG would name.
+        """Reads the platform's configuration file, the one that RELAY_CONFIG names for a daemon.
 
-        name: the name in the file unless given. ConfigError, on one line, if it can't be used.
+        Args:
+            path: the file.
+            name: replaces the name in the file.
+
+        Raises:
+            ConfigError: the file can't be used; the message is one line.
         """
         config = load_config(path)
         return cls(name or config.name or "troutdock", config)
@@ -80,28 +85,29 @@
         overload_s: float = 3.0,
         drain_grace_s: float = 0.5,
     ) -> Deployment:
-        """A deployment in the program's own words; ConfigError names the first setting that can't be used.
-
-        classes, plans: see admission.interface; each needs a name. A class's name is the first part of
-            the paths of its requests; its times are milliseconds, a plan's rate is units per second.
-        nodes: "host:port" of ledger nodes, where the list never changes. discovery: "host:port" of the
-            agent that knows the list; with it, nodes are those known at the start.
-        counter: "host:port" of the shared counter. Without one this process counts by itself, and
-            `ingresses` must be 1: quotas would be split evenly, and use at one would not count at the others.
-        counter_timeout_s: a call of the counter is given up after it, and the try goes by what is known.
-        ingresses, index: how many share the quotas, over all processes, and which of them this is, from 0.
-        most_units: the largest request. max_attempts: for one request, the first among them.
-        second_copies: a second copy may go out while the first runs, where the class allows a repeat.
-        marks_retry: clients mark their retries. max_retry_after_s: the longest time that is worth telling.
-        sockets: connections to nodes are bounded by half of it. max_answer_bytes: of a node's answer.
-        connect_timeout_s, idle_s: a connection to a node comes up within the first, and nodes close one
-            that has stood idle for the second.
-        start_capacity, cold_s, fall_multiple, overload_s: a node that has just started does this part of
-            its work, is warm after cold_s, and falls over with fall_multiple times that for overload_s.
-        drain_grace_s: the longest time until a node that leaves gets nothing new.
+        """Creates a deployment from keyword arguments; ConfigError names the first invalid setting.
+
+        classes, plans: see admission.interface; each needs a name. A class's name is the first segment of
+            its requests' paths; its times are in milliseconds, a plan's rate is in units per second.
+        nodes: "host:port" of each ledger node, if the list is fixed. discovery: "host:port" of the
+            discovery agent; with it, `nodes` is only the initial list.
+        counter: "host:port" of the shared counter. Without one this process counts locally, and `ingresses`
+            must be 1: quotas would be split evenly, and use at one ingress would not count at the others.
+        counter_timeout_s: time-out of a call to the counter; after it the attempt uses the local estimate.
+        ingresses, index: number of ingresses that share the quotas, over all processes, and the index of
+            this one, from 0.
+        most_units: maximum units per request. max_attempts: per request, including the first.
+        second_copies: a second attempt may start while the first runs, if the class allows repeats.
+        marks_retry: clients mark their retries. max_retry_after_s: the longest Retry-After that is sent.
+        sockets: connections to nodes may use half of it. max_answer_bytes: limit of a node's response.
+        connect_timeout_s, idle_s: connect time-out, and the idle time after which nodes close a connection.
+        start_capacity, cold_s, fall_multiple, overload_s: a node that has just started has start_capacity
+            of its full capacity and is warm after cold_s; it fails if its load stays at fall_multiple times
+            its capacity for overload_s.
+        drain_grace_s: the longest time until a draining node receives no new requests.
         """
-        _named("class", [c.name for c in classes])
-        _named("plan", [p.name for p in plans])
+        _check_names("class", [c.name for c in classes])
+        _check_names("plan", [p.name for p in plans])
         if ingresses > 1 and not counter:
             raise ConfigError("ingresses: more than one needs a counter, through which they share the quotas")
         if sockets < MIN_SOCKETS:
--- a/troutdock/library/local.py
+++ b/troutdock/library/local.py
@@ -1,4 +1,4 @@
-"""An ingress in the program's own process: one typed call for one request."""
+"""An ingress in the program's own process: one typed call per request."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 from troutdock.http.response import MAX_BODY, Response
 from troutdock.ingress import Ingress as Core
 from troutdock.library.deployment import Deployment
-from troutdock.library.facts import Facts, FactsReader
+from troutdock.library.facts import Facts, FactsValidator
 
-IDLE_POLL_S = 0.005  # how often a drain looks whether all calls have their answers
-_ID_BYTES = 128  # the longest id and key
+IDLE_POLL_S = 0.005  # how often a drain checks whether all calls are answered
+_MAX_ID_BYTES = 128  # maximum length of the request id and of the idempotency key
 
 
 class IngressClosed(RuntimeError):
-    """The ingress is not open, closes, or belongs to another event loop; the request was not taken."""
+    """The ingress is not open, is closing, or belongs to another event loop; the request was not accepted."""
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
     """One request for a ledger node.
 
-    target: path and query, its first part the class's name. facts: see Facts; facts.cls must be that name.
-    headers: further ones, passed on, names in any case. body: nothing where the class is safe.
+    target: path and query; the first path segment is the class's name. facts: see Facts; facts.cls must be
+    that name. headers: further headers to forward, names in any case. body: empty if the class is safe.
     """
 
     target: str
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Served:
-    """A node's good answer. headers: names in lower case. true_units: 0 where the node told none."""
+    """A node's successful response. headers: names in lower case. true_units: 0 if the node reported none."""
 
     body: bytes
     headers: dict[bytes, bytes]
@@ -50,14 +50,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """Trying again is harmless; not before retry_after_s seconds, where that is more than 0."""
+    """The request was rejected and a retry is safe, not before retry_after_s seconds if that is above 0."""
 
     retry_after_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """Nothing is promised: the request may have run."""
+    """The outcome is unknown: the request may have run."""
 
     why: Failure
 
@@ -65,49 +65,49 @@
 Result = Served | Refused | Failed
 
 
-class Waiting:
-    """An exchange whose one final answer a coroutine waits for."""
+class PendingExchange:
+    """An exchange whose single final result is awaited by a coroutine."""
 
     __slots__ = ("arrived", "future")
     streams = False
 
     def __init__(self, loop: asyncio.AbstractEventLoop, arrived: float) -> None:
         self.arrived = arrived
-        self.future: asyncio.Future[Result | None] = loop.create_future()  # None: the client has left
+        self.future: asyncio.Future[Result | None] = loop.create_future()  # None: the client has disconnected
 
-    def _tell(self, result: Result) -> None:
-        if not self.future.done():  # else the waiting coroutine is being cancelled
+    def _resolve(self, result: Result) -> None:
+        if not self.future.done():  # otherwise the waiting coroutine is being cancelled
             self.future.set_result(result)
 
-    def leave(self) -> None:
-        """The client has left: nobody is told anything any more."""
+    def client_left(self) -> None:
+        """The client has disconnected: no result is reported any more."""
         if not self.future.done():
             self.future.set_result(None)
 
     def served(self, answer: Response) -> None:
-        self._tell(Served(answer.body, answer.headers, answer.true_units))
+        self._resolve(Served(answer.body, answer.headers, answer.true_units))
 
     def refused(self, retry_after_ms: float) -> None:
-        self._tell(Refused(retry_after_ms / 1000))
+        self._resolve(Refused(retry_after_ms / 1000))
 
     def failed(self, why: Failure) -> None:
-        self._tell(Failed(why))
+        self._resolve(Failed(why))
 
     def broken(self) -> None:
-        self._tell(Failed(Failure.ATTEMPT))
+        self._resolve(Failed(Failure.ATTEMPT))
 
 
-def compose(
-    reader: FactsReader,
+def build_request(
+    reader: FactsValidator,
     method: bytes,
     target: bytes,
     headers: Sequence[tuple[bytes, bytes]],
     body: bytes,
     facts: Facts,
 ) -> HttpRequest:
-    """A request for a node from its facts; BadRequest if any part makes no sense.
+    """Builds the request to a node from its facts; raises BadRequest if any part is invalid.
 
-    headers: names in lower case; those that the protocol gives a meaning are worded anew from the facts.
+    headers: names in lower case; headers that the protocol interprets are generated from the facts.
     """
     arrival = reader.arrival(facts)
     _, cls = reader.request_class(facts.cls)
@@ -130,7 +130,7 @@
     for text in (target, *(part for pair in (*named, *kept) for part in pair)):
         if any(byte < 32 or byte == 127 for byte in text):
             raise BadRequest(400, "a control character in the head")
-    if b" " in target or any(not value or len(value) > _ID_BYTES for _, value in named):
+    if b" " in target or any(not value or len(value) > _MAX_ID_BYTES for _, value in named):
         raise BadRequest(400, "the target, the id or the key can't be sent")
     head = forwarded_head(method, target, [*named, *kept], len(body))
     return HttpRequest(id, head, body, arrival, cls.effect is not Effect.UNSAFE)
@@ -139,16 +139,16 @@
 class Ingress:
     """An in-process ingress: `async with Ingress(deployment) as ingress: await ingress.call(request)`.
 
-    Everything happens in the event loop that opens it. Leaving the block drains: what was taken gets its
-    answer, which its deadline bounds.
+    It runs in the event loop that opens it. Leaving the block drains it: accepted requests get their answers,
+    bounded by their deadlines.
     """
 
     def __init__(self, deployment: Deployment) -> None:
         self.deployment = deployment
-        self.facts = FactsReader(deployment.config.settings)
+        self.facts = FactsValidator(deployment.config.settings)
         self._core: Core | None = None
         self._loop: asyncio.AbstractEventLoop | None = None
-        self._taking = False
+        self._accepting = False
 
     async def __aenter__(self) -> Self:
         await self.open()
@@ -160,7 +160,7 @@
         await self.close()
 
     async def open(self) -> None:
-        """Connect to what the deployment names; IngressClosed if it is open already."""
+        """Connects to the nodes and services of the deployment; IngressClosed if it is open already."""
         if self._core is not None:
             raise IngressClosed("the ingress is open already")
         self._loop = asyncio.get_running_loop()
@@ -170,17 +170,17 @@
         except BaseException:
             await self._end()
             raise
-        self._taking = True
+        self._accepting = True
 
     async def close(self, grace_s: float | None = None) -> None:
-        """Take nothing more, let what was taken end, and close all connections.
+        """Stops accepting requests, waits for accepted ones to end, and closes all connections.
 
-        grace_s: what has no answer after so many seconds is failed; None: each has until its deadline.
-        Harmless on an ingress that is closed.
+        grace_s: requests without an answer after this time fail; None: each has until its deadline.
+        Does nothing if the ingress is closed.
         """
         if self._core is None:
             return
-        self._taking = False
+        self._accepting = False
         until = None if grace_s is None else asyncio.get_running_loop().time() + grace_s
         try:
             while self._core.engine.open and (until is None or asyncio.get_running_loop().time() < until):
@@ -196,39 +196,42 @@
 
     @property
     def tally(self) -> Tally:
-        """Final answers since it was opened."""
+        """Counts of final answers since the ingress was opened."""
         return self.core.engine.tally
 
     @property
     def ready(self) -> bool:
-        """There is a node to send to, and requests are taken."""
-        return self._taking and self.core.engine.ready
+        """Whether requests are accepted and a node is available."""
+        return self._accepting and self.core.engine.ready
 
     @property
     def core(self) -> Core:
-        """The parts; IngressClosed if it is not open."""
+        """The running ingress; raises IngressClosed if it is not open."""
         if self._core is None:
             raise IngressClosed("the ingress is not open")
         return self._core
 
-    def check_taking(self) -> Core:
-        """The parts, if a request may be taken here and now; else IngressClosed."""
-        if not self._taking or self._core is None:
+    def require_open(self) -> Core:
+        """Returns the running ingress; IngressClosed if it can't accept a request in this event loop."""
+        if not self._accepting or self._core is None:
             raise IngressClosed("the ingress is not open, or it is being closed")
         if asyncio.get_running_loop() is not self._loop:
             raise IngressClosed("the ingress belongs to another event loop")
         return self._core
 
     async def call(self, request: Request) -> Result:
-        """One request, and its one final answer before its time is over.
+        """Sends one request and returns its single final result before its deadline.
 
-        BadRequest: it makes no sense, or one of its id is open. IngressClosed: it was not taken. If the
-        caller is cancelled the request is withdrawn: its attempts are given up and nothing is repeated.
+        If the caller is cancelled, the request is withdrawn: its attempts are abandoned and not repeated.
+
+        Raises:
+            BadRequest: the request is invalid, or a request with its id is in progress.
+            IngressClosed: the request was not accepted.
         """
-        engine = self.check_taking().engine
+        engine = self.require_open().engine
         effect = self.facts.request_class(request.facts.cls)[1].effect
         headers = [(name.lower().encode(), value.encode()) for name, value in request.headers]
-        composed = compose(
+        composed = build_request(
             self.facts,
             b"GET" if effect is Effect.SAFE else b"POST",
             request.target.encode(),
@@ -236,11 +239,11 @@
             request.body,
             request.facts,
         )
-        exchange = Waiting(asyncio.get_running_loop(), engine.clock.now())
+        exchange = PendingExchange(asyncio.get_running_loop(), engine.clock.now())
         call: Call = engine.arrive(composed, exchange)
         try:
             result = await exchange.future
-            assert result is not None  # nobody but the host's own cancelling makes a caller leave
+            assert result is not None  # only client_left() gives None, and it is not called here
             return result
         finally:
             engine.withdraw(call)
--- a/troutdock/library/shared.py
+++ b/troutdock/library/shared.py
@@ -1,12 +1,12 @@
-"""Ingresses of one name that are open in this process, so that all who open a deployment share its quotas.
+"""The open ingresses of this process by deployment name, so that all users of a deployment share its quotas.
 
-Theory of operation. The first holder of a name opens the ingress, further ones in the same event loop get
-that one, and the last to leave closes it. Another loop (in another thread) is refused: the engine and the
-decision module are meant for one thread, every event would need a lock, and a timer or a connection of one
-loop can't be used from the other; two ingresses would each let in the whole quota. Programs with several
-loops or worker processes give each an index of its own and share through the counter.
+Theory of operation. The first user of a name opens the ingress, further users in the same event loop share
+it, and the last one to leave closes it. Another loop (in another thread) is rejected: the engine and the
+decision module are single-threaded, sharing them would need a lock for every event, and a timer or a
+connection of one loop can't be used from another; two ingresses would each admit the whole quota. Programs
+with several loops or worker processes give each its own index and share the quotas through the counter.
 
-The table holds an entry only while somebody has it open. Its lock is held for no longer than a look-up.
+The table has an entry only while the ingress is in use. Its lock is held only for a look-up.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
 
 
 class _Entry:
-    """One open deployment."""
+    """An open deployment and its reference count."""
 
     def __init__(self, deployment: Deployment) -> None:
         self.ingress = Ingress(deployment)
         self.loop = asyncio.get_running_loop()
-        self.holders = 0
+        self.users = 0
         self.opened: asyncio.Task[None] = self.loop.create_task(self.ingress.open())
 
 
@@ -38,14 +38,16 @@
 
 
 async def join(deployment: Deployment) -> Ingress:
-    """The open ingress of this deployment.
+    """Returns the open ingress of this deployment; opens it for the first user.
 
-    DeploymentInUse: another loop has it. ConfigError: it is open here with other settings.
+    Raises:
+        DeploymentInUse: it is open in another event loop.
+        ConfigError: it is open in this loop with other settings.
     """
     with _lock:
         entry = _entries.get(deployment.name)
         if entry is not None and entry.loop.is_closed():
-            entry = None  # its host ended without a word
+            entry = None  # its event loop ended without leave()
         if entry is None:
             entry = _entries[deployment.name] = _Entry(deployment)
         elif entry.loop is not asyncio.get_running_loop():
@@ -55,7 +57,7 @@
             )
         elif entry.ingress.deployment != deployment:
             raise ConfigError(f"deployment {deployment.name!r} is open in this process with other settings")
-        entry.holders += 1
+        entry.users += 1
     try:
         await asyncio.shield(entry.opened)
     except BaseException:
@@ -65,13 +67,13 @@
 
 
 async def leave(ingress: Ingress, grace_s: float | None = None) -> None:
-    """The holder needs it no more; the last one drains and closes it, as Ingress.close does."""
+    """Releases the ingress; the last user drains and closes it, as Ingress.close does."""
     with _lock:
         entry = _entries.get(ingress.deployment.name)
         if entry is None or entry.ingress is not ingress:
             return
-        entry.holders -= 1
-        if entry.holders:
+        entry.users -= 1
+        if entry.users:
             return
         del _entries[ingress.deployment.name]
     if not entry.opened.done():
