--- a/examples/__init__.py
+++ b/examples/__init__.py
@@ -1,1 +1,1 @@
-"""Small applications that use troutdock."""
+"""Example applications that use troutdock."""
--- a/examples/forward_app.py
+++ b/examples/forward_app.py
@@ -1,4 +1,4 @@
-"""A FastAPI application that sends the ledger's requests on to its nodes, and answers all others itself.
+"""A FastAPI application that forwards the ledger's requests to its nodes and handles all others itself.
 
 RELAY_CONFIG=config.json uvicorn --factory examples.forward_app:from_environment
 """
@@ -14,7 +14,7 @@
 
 
 def make_app(deployment: Deployment) -> FastAPI:
-    """The application over a deployment: each class of it is the first part of a path."""
+    """Creates the application; the name of each class of the deployment is the first segment of a path."""
     app = FastAPI()
 
     @app.get("/healthz")
@@ -27,5 +27,5 @@
 
 
 def from_environment() -> FastAPI:
-    """As the platform tells an ingress: by the file that RELAY_CONFIG names."""
+    """Creates the application from the platform's configuration file, named by RELAY_CONFIG."""
     return make_app(Deployment.from_file(os.environ["RELAY_CONFIG"]))
--- a/examples/guard_app.py
+++ b/examples/guard_app.py
@@ -1,4 +1,4 @@
-"""A FastAPI application that is itself the node: troutdock admits or refuses what reaches it.
+"""A FastAPI application in guard mode: troutdock admits or refuses its requests.
 
 uvicorn examples.guard_app:app
 curl -i localhost:8000/ledger-read/7 -H 'X-Customer: acme' -H 'X-Plan: basis'
@@ -24,7 +24,7 @@
 
 
 def facts(scope: Scope) -> Facts | None:
-    """Who asks for what: this application's own headers; what names no customer is not counted."""
+    """Returns the facts from this application's own headers; requests without a customer are not counted."""
     headers = dict(scope["headers"])
     customer = headers.get(b"x-customer", b"").decode("latin-1")
     if not customer:
@@ -45,5 +45,7 @@
 @app.post("/vat-filing/{quarter}")
 async def file(quarter: int, request: Request) -> dict[str, int]:
     body = await request.body()
-    request.scope["troutdock"].units = 1 + len(body) / 4096  # the true units, known only now
+    request.scope["troutdock"].units = (
+        1 + len(body) / 4096
+    )  # the true units, known only after reading the body
     return {"quarter": quarter}
--- a/troutdock/asgi/__init__.py
+++ b/troutdock/asgi/__init__.py
@@ -1,4 +1,4 @@
-"""ASGI 3 middleware: Forward sends requests on to ledger nodes, Guard admits them to the host's handlers."""
+"""ASGI 3 middleware: ForwardMiddleware proxies requests to nodes, GuardMiddleware admits them to handlers."""
 
 from troutdock.asgi.forward import ForwardMiddleware
 from troutdock.asgi.guard import Admission, GuardMiddleware
--- a/troutdock/asgi/base.py
+++ b/troutdock/asgi/base.py
@@ -1,4 +1,4 @@
-"""What both modes share: their settings, the lifespan, and which requests are theirs."""
+"""Common parts of both modes: settings, lifespan, and the selection of requests by path."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 log = logging.getLogger("troutdock")
 
 FactsOf = Callable[[Scope], Facts | Awaitable[Facts | None] | None]
-ADMITTED = "troutdock.admitted"  # in the scope: names of the deployments that have counted this request
-_DEPTH = 100  # how many applications that wrap one another are looked at
+ADMITTED = "troutdock.admitted"  # scope key: names of the deployments that have counted this request
+_MAX_DEPTH = 100  # nested applications that are searched for a duplicate
 
 
 class Middleware:
@@ -35,9 +35,9 @@
         shutdown_grace_s: float | None,
     ) -> None:
         if not isinstance(deployment, Deployment):
-            raise ConfigError(f"deployment: {deployment!r} is no Deployment")
+            raise ConfigError(f"deployment: {deployment!r} is not a Deployment")
         if not callable(app):
-            raise ConfigError(f"app: {app!r} is no ASGI application")
+            raise ConfigError(f"app: {app!r} is not an ASGI application")
         if (
             isinstance(paths, str)
             or not paths
@@ -45,22 +45,22 @@
         ):
             raise ConfigError(f"paths: {paths!r} is not a list of paths that begin with '/'")
         if facts is not None and not callable(facts):
-            raise ConfigError(f"facts: {facts!r} can't be called")
+            raise ConfigError(f"facts: {facts!r} is not callable")
         if shutdown_grace_s is not None and not 0 <= shutdown_grace_s < 3600:
             raise ConfigError(f"shutdown_grace_s: {shutdown_grace_s!r} is not from 0 to 3,600 seconds")
         self.app, self.deployment = app, deployment
         self._paths = tuple(path.rstrip("/") for path in paths)
         self._facts, self._grace_s = facts, shutdown_grace_s
-        self._refuse_twin()
+        self._reject_duplicate()
         self._ingress: Ingress | None = None
         self._starting: asyncio.Task[None] | None = None
         self.closing = False
-        self.calls: set[Call] = set()  # taken here, and not returned to the host's server yet
+        self.calls: set[Call] = set()  # accepted here, and not yet returned to the host's server
 
-    def _refuse_twin(self) -> None:
-        """Guards against one middleware put into an application twice: each request would count twice."""
+    def _reject_duplicate(self) -> None:
+        """Rejects a middleware that is in an application twice: each request would be counted twice."""
         inner = self.app
-        for _ in range(_DEPTH):
+        for _ in range(_MAX_DEPTH):
             if (
                 type(inner) is type(self)
                 and inner.deployment == self.deployment
@@ -77,29 +77,31 @@
     # ---- lifespan
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """One connection's scope, as ASGI says."""
+        """Handles one ASGI scope."""
         if scope["type"] == "lifespan":
             await self._lifespan(scope, receive, send)
-        elif scope["type"] != "http" or not self._mine(scope):
+        elif scope["type"] != "http" or not self._is_mounted(scope):
             await self.app(scope, receive, send)
         else:
-            if self._ingress is None:  # the host's server told of no start
+            if self._ingress is None:  # the host's server runs no lifespan
                 await self.start()
             await self.handle(scope, receive, send)
 
     async def handle(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """One request of the mounted paths."""
+        """Handles one request of the mounted paths."""
         raise NotImplementedError
 
-    def _mine(self, scope: Scope) -> bool:
+    def _is_mounted(self, scope: Scope) -> bool:
         path = below_root(scope)
         return any(path == own or path.startswith(own + "/") for own in self._paths)
 
     async def start(self) -> None:
-        """Open the deployment, or share it; the lifespan does it, or else the first request.
+        """Opens or joins the deployment; called by the lifespan, or else by the first request.
 
-        ConfigError, DeploymentInUse: see library.shared. Only a program that runs the middleware without
-        lifespan needs to call it, to have such errors at its start.
+        Only a program that runs the middleware without lifespan needs to call it, to get errors at its start.
+
+        Raises:
+            ConfigError, DeploymentInUse: see library.shared.
         """
         if self._starting is None or (self._starting.done() and self._ingress is None):
             self._starting = asyncio.get_running_loop().create_task(self._open())
@@ -111,7 +113,7 @@
         self.opened(self._ingress)
 
     async def close(self) -> None:
-        """Take nothing more, let what was taken end within shutdown_grace_s, and leave the deployment."""
+        """Stops accepting requests, waits up to shutdown_grace_s for open ones, and leaves the deployment."""
         ingress, self.closing = self._ingress, True
         if ingress is None:
             return
@@ -126,58 +128,58 @@
         await shared.leave(ingress, self._grace_s)
 
     def opened(self, ingress: Ingress) -> None:
-        """The ingress is there."""
+        """Called when the ingress is open."""
 
     def closed(self, ingress: Ingress) -> None:
-        """The ingress is about to be left."""
+        """Called before the middleware leaves the ingress."""
 
     async def _lifespan(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Open before the application starts, drain before it ends, and say so if that fails."""
+        """Opens before the application starts, drains before it ends, and reports a failed start."""
         first = await receive()
         try:
             await self.start()
         except Exception as error:
             await send({"type": "lifespan.startup.failed", "message": f"troutdock: {error}"})
             return
-        started = ended = False
-        handed = False
+        started = startup_failed = False
+        first_delivered = False
 
-        async def receive_after() -> Message:
-            nonlocal handed
-            if not handed:
-                handed = True
+        async def receive_with_first() -> Message:
+            nonlocal first_delivered
+            if not first_delivered:
+                first_delivered = True
                 return first
             message = await receive()
             if message["type"] == "lifespan.shutdown":
                 await self.close()
             return message
 
-        async def send_noted(message: Message) -> None:
-            nonlocal started, ended
+        async def send_tracked(message: Message) -> None:
+            nonlocal started, startup_failed
             started = started or message["type"].startswith("lifespan.startup")
-            ended = ended or message["type"] == "lifespan.startup.failed"
+            startup_failed = startup_failed or message["type"] == "lifespan.startup.failed"
             await send(message)
 
         try:
-            await self.app(scope, receive_after, send_noted)
+            await self.app(scope, receive_with_first, send_tracked)
         except Exception:
-            if started or handed:
+            if started or first_delivered:
                 await self.close()
                 raise
-            log.debug("the application has no lifespan of its own", exc_info=True)
-        if ended:
+            log.debug("the application does not support lifespan", exc_info=True)
+        if startup_failed:
             await self.close()
-        elif not started:  # the application knows no lifespan: the middleware has one all the same
+        elif not started:  # the application does not support lifespan: the middleware answers for it
             await send({"type": "lifespan.startup.complete"})
             while (await receive())["type"] != "lifespan.shutdown":
                 pass
             await self.close()
             await send({"type": "lifespan.shutdown.complete"})
 
-    # ---- for the modes
+    # ---- used by the subclasses
 
     async def facts_of(self, scope: Scope, default: Callable[[Scope], Facts]) -> Facts | None:
-        """What the host's function says of a request, or the default; None: it is not to be counted."""
+        """Returns the facts from the host's function, or the default; None: the request is not counted."""
         if self._facts is None:
             return default(scope)
         found = self._facts(scope)
@@ -187,24 +189,24 @@
             raise TypeError(f"the facts function returned {found!r}, which is neither Facts nor None")
         return found
 
-    def taking(self) -> tuple[Ingress, Engine]:
-        """The ingress and its engine, if a request may be taken here and now; else IngressClosed."""
+    def open_engine(self) -> tuple[Ingress, Engine]:
+        """Returns the ingress and its engine; raises IngressClosed if a request can't be accepted now."""
         if self._ingress is None or self.closing:
             raise IngressClosed("the ingress is being closed")
         return self._ingress, self._ingress.require_open().engine
 
     @staticmethod
-    def first_time(scope: Scope, name: str) -> bool:
-        """Mark a request as counted for a deployment; false if it was."""
+    def mark_counted(scope: Scope, name: str) -> bool:
+        """Marks a request as counted for a deployment; returns False if it was marked already."""
         seen: frozenset[str] = scope.get(ADMITTED, frozenset())
         scope[ADMITTED] = seen | {name}
         return name not in seen
 
 
-async def answer(
+async def send_response(
     send: Send, status: int, body: bytes = b"", headers: Sequence[tuple[bytes, bytes]] = ()
 ) -> None:
-    """A whole answer."""
+    """Sends a complete response."""
     await send(
         {
             "type": "http.response.start",
@@ -215,12 +217,12 @@
     await send({"type": "http.response.body", "body": body})
 
 
-async def answer_bad(send: Send, error: BadRequest) -> None:
-    """What the client sent makes no sense."""
-    await answer(send, error.status, error.reason.encode(), ((b"content-type", b"text/plain"),))
+async def send_bad_request(send: Send, error: BadRequest) -> None:
+    """Sends the status and reason of a bad request."""
+    await send_response(send, error.status, error.reason.encode(), ((b"content-type", b"text/plain"),))
 
 
-async def answer_refused(send: Send, retry_after_s: float) -> None:
-    """429, with the time to come back."""
+async def send_refused(send: Send, retry_after_s: float) -> None:
+    """Sends 429, with Retry-After if the time is known."""
     headers = ((b"retry-after", b"%.3f" % retry_after_s),) if retry_after_s > 0 else ()
-    await answer(send, 429, b"", headers)
+    await send_response(send, 429, b"", headers)
--- a/troutdock/asgi/forward.py
+++ b/troutdock/asgi/forward.py
@@ -1,4 +1,4 @@
-"""Forward mode: requests of the mounted paths go to ledger nodes, as the daemon sends them."""
+"""Forward mode: sends requests of the mounted paths to ledger nodes, as the daemon does."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 from contextlib import suppress
 
-from troutdock.asgi.base import FactsOf, Middleware, answer, answer_bad, answer_refused
+from troutdock.asgi.base import FactsOf, Middleware, send_response, send_bad_request, send_refused
 from troutdock.asgi.scope import facts_from_headers, target_of
 from troutdock.asgi.types import App, Receive, Scope, Send
 from troutdock.engine import BadRequest
@@ -19,9 +19,9 @@
 
 
 async def no_app(scope: Scope, receive: Receive, send: Send) -> None:
-    """What is behind a forwarding application that stands alone: nothing."""
+    """The inner application of a stand-alone ForwardMiddleware: answers 404 to every request."""
     if scope["type"] == "http":
-        await answer(send, 404)
+        await send_response(send, 404)
     elif scope["type"] == "websocket":
         await send({"type": "websocket.close", "code": 1000})
     else:
@@ -31,16 +31,18 @@
 class ForwardMiddleware(Middleware):
     """Sends requests of the mounted paths to ledger nodes through the engine; all others reach the app.
 
-    app: the application behind; with none it stands alone, for a mount.
-    deployment: which nodes, plans and classes; instances of one name in a process share the quota counts.
-    paths: prefixes of paths, below the application's root, by whole parts; the first part below the root
-        must be the class's name. Default: every path.
-    facts: what a request is admitted on, sync or async; None from it lets the request reach the app.
-        Default: the protocol's headers, checked as the daemon does.
-    body_timeout_s: a request's body must be there so many seconds after its head. max_body: its bytes.
-    shutdown_grace_s: at the end, what has no answer after so long is failed; None: until its deadline.
+    Args:
+        app: the inner application; without one the middleware can be mounted by itself.
+        deployment: nodes, plans and classes; instances of one name in a process share the quota counts.
+        paths: path prefixes below the application's root, in whole segments; the first segment below the
+            root must be the class's name. Default: every path.
+        facts: function, sync or async, that returns the facts of a request, or None to pass it to the app.
+            Default: the protocol's headers, validated as by the daemon.
+        body_timeout_s: time-out of a request's body, from the end of its head. max_body: limit in bytes.
+        shutdown_grace_s: at shutdown, requests without an answer fail after it; None: at their deadlines.
 
-    ConfigError, when it is built, for a setting that can't be used.
+    Raises:
+        ConfigError: a setting is invalid.
     """
 
     def __init__(
@@ -63,16 +65,16 @@
         self._reader = Reader(deployment.config.settings)
 
     async def handle(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Read the body, give the request to the engine, and pass its one answer on."""
+        """Reads the body, passes the request to the engine, and sends the single answer."""
         try:
             facts = await self.facts_of(scope, facts_from_headers) if self._facts is not None else None
             if self._facts is not None and facts is None:
                 await self.app(scope, receive, send)
                 return
-            body = await self._body(scope, receive)
+            body = await self._read_body(scope, receive)
             if body is None:
-                return  # the client has left before its request was there
-            ingress, engine = self.taking()
+                return  # the client disconnected before its request was complete
+            ingress, engine = self.open_engine()
             method, target = scope["method"].encode(), target_of(scope)
             headers = [(name.lower(), value) for name, value in scope["headers"]]
             request: HttpRequest = (
@@ -84,18 +86,18 @@
             call = engine.arrive(request, exchange)
             self.calls.add(call)
         except BadRequest as error:
-            await answer_bad(send, error)
+            await send_bad_request(send, error)
             return
         except IngressClosed as error:
-            await answer(send, 503, str(error).encode(), ((b"content-type", b"text/plain"),))
+            await send_response(send, 503, str(error).encode(), ((b"content-type", b"text/plain"),))
             return
         watcher: asyncio.Task[None] | None = None
         try:
             if not exchange.future.done():
-                watcher = asyncio.get_running_loop().create_task(_until_left(receive, exchange))
+                watcher = asyncio.get_running_loop().create_task(_wait_for_disconnect(receive, exchange))
             result = await exchange.future
             if result is None:
-                return  # the client has left; the request is withdrawn below
+                return  # the client disconnected; the request is withdrawn below
         finally:
             engine.withdraw(call)
             self.calls.discard(call)
@@ -103,14 +105,14 @@
                 watcher.cancel()
         match result:
             case Served(body, found, _):
-                await answer(send, 200, body, [(n, found[n]) for n in FORWARDED_HEADERS if n in found])
+                await send_response(send, 200, body, [(n, found[n]) for n in FORWARDED_HEADERS if n in found])
             case Refused(retry_after_s):
-                await answer_refused(send, retry_after_s)
+                await send_refused(send, retry_after_s)
             case _:
-                await answer(send, FAILURE_STATUS[result.why])
+                await send_response(send, FAILURE_STATUS[result.why])
 
-    async def _body(self, scope: Scope, receive: Receive) -> bytes | None:
-        """The whole body; None if the client leaves before, BadRequest if it is too long or too late."""
+    async def _read_body(self, scope: Scope, receive: Receive) -> bytes | None:
+        """Returns the body, or None if the client disconnects; BadRequest if it is too long or late."""
         for name, value in scope["headers"]:
             if name.lower() == b"content-length" and value.isdigit() and int(value) > self._max_body:
                 raise BadRequest(413, "the body is too long")
@@ -133,8 +135,8 @@
         return b"".join(parts)
 
 
-async def _until_left(receive: Receive, exchange: PendingExchange) -> None:
-    """Behind a whole request the next message says that the client has left; so does a receive that fails."""
+async def _wait_for_disconnect(receive: Receive, exchange: PendingExchange) -> None:
+    """Waits until the client disconnects: after a complete request, the next message or a receive error."""
     with suppress(Exception):
         while (await receive())["type"] != "http.disconnect":
             pass
--- a/troutdock/asgi/scope.py
+++ b/troutdock/asgi/scope.py
@@ -1,4 +1,4 @@
-"""What a request's scope says: its target as nodes know it, and the facts from the protocol's headers."""
+"""Reads a request's scope: the target to send to nodes, and the facts from the protocol's headers."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def target_of(scope: Scope) -> bytes:
-    """Path and query below the application's root, as they came on the wire as far as the server tells."""
+    """Returns path and query below the application's root, in raw form if the server provides it."""
     raw: bytes | None = scope.get("raw_path")
     path = raw.partition(b"?")[0] if raw else quote(scope["path"], safe=_SAFE_IN_PATH).encode()
     root = quote(scope.get("root_path", ""), safe=_SAFE_IN_PATH).rstrip("/").encode()
@@ -24,13 +24,13 @@
 
 
 def below_root(scope: Scope) -> str:
-    """The path below the application's root."""
+    """Returns the path below the application's root."""
     path, root = str(scope["path"]), str(scope.get("root_path", "")).rstrip("/")
     return path[len(root) :] or "/" if root and (path == root or path.startswith(root + "/")) else path
 
 
 def single_headers(scope: Scope) -> dict[bytes, bytes]:
-    """The headers by name; BadRequest if one that the protocol gives a meaning comes twice."""
+    """Returns the headers by name; raises BadRequest if a header that the protocol interprets is repeated."""
     found: dict[bytes, bytes] = {}
     for name, value in scope["headers"]:
         if name in found and name in INTERPRETED_HEADERS:
@@ -44,10 +44,10 @@
 
 
 def facts_from_headers(scope: Scope) -> Facts:
-    """The default of guard mode: class from the path's first part, the rest from the protocol's headers.
+    """Default facts of guard mode: class from the first path segment, the rest from the protocol's headers.
 
-    Plan and Account must be there. Without Request-Timeout the class's deadline holds, without Quota-Info
-    the request counts one unit and its customer comes through every ingress. BadRequest for nonsense.
+    Plan and Account are required. Without Request-Timeout the class's deadline applies; without Quota-Info
+    the request counts one unit and its customer uses every ingress. Raises BadRequest for invalid headers.
     """
     headers = single_headers(scope)
     for name, pattern in ((b"account", ACCOUNT), (b"request-timeout", SECONDS), (b"quota-info", QUOTA)):
--- a/troutdock/asgi/types.py
+++ b/troutdock/asgi/types.py
@@ -1,4 +1,4 @@
-"""ASGI 3 as the specification names it."""
+"""Types of the ASGI 3 specification."""
 
 from __future__ import annotations
 
