--- a/benchmarks/reserved_calls.py
+++ b/benchmarks/reserved_calls.py
@@ -14,7 +14,7 @@
 from random import Random
 
 from troutdock.reservations.entries import Entry, Kind
-from troutdock.reservations.escrow import MILLI, Ask, Escrow, Give
+from troutdock.reservations.escrow import MILLIUNITS_PER_UNIT, TransferRequest, Escrow, Transfer
 
 WAY_MS = 12.0  # of a datagram
 SAVE_MS, SAVED_MS = 250.0, 15.0  # a service's tick, and what a save takes
@@ -31,45 +31,45 @@
     entry = Entry("r", Kind.RESERVE, "r", 9, units, 0.0, 1e12, (), 0, width, width)
     fleet = [Escrow(n, n) for n in range(width)]
     for escrow in fleet:
-        escrow.learn([entry])
+        escrow.add_entries([entry])
     weights = [skew**n for n in range(width)]
-    under_way: list[tuple[float, int, int, int, Ask | Give]] = []  # when, order, from, to
+    under_way: list[tuple[float, int, int, int, TransferRequest | Transfer]] = []  # when, order, from, to
     saving = [SAVED_MS] * width
     for escrow in fleet:
-        escrow.draw(0.0)
+        escrow.begin_save(0.0)
     told = wrong = rightly = order = 0
     now = 0.0
     for _ in range(round(requests * 1.05)):
         now += EVERY_MS
         while under_way and under_way[0][0] <= now:
             _, _, sender, to, what = heappop(under_way)
-            if isinstance(what, Give):
-                fleet[to].given(sender, what)
-            elif (give := fleet[to].asked(sender, what, now)) is not None:
+            if isinstance(what, Transfer):
+                fleet[to].accept_transfer(sender, what)
+            elif (give := fleet[to].handle_request(sender, what, now)) is not None:
                 told, order = told + 1, order + 1
                 if random.random() >= loss:
                     heappush(under_way, (now + WAY_MS, order, to, sender, give))
         for n, escrow in enumerate(fleet):
             if saving[n] <= now and saving[n] > 0:
-                escrow.drawn(True)
+                escrow.finish_save(True)
                 saving[n] = -now
-            if saving[n] < 0 and escrow.due(now) and now + saving[n] > SAVE_MS / 10:
-                escrow.draw(now)
+            if saving[n] < 0 and escrow.save_due(now) and now + saving[n] > SAVE_MS / 10:
+                escrow.begin_save(now)
                 saving[n] = now + SAVED_MS
         (at,) = random.choices(range(width), weights)
         here = fleet[at]
-        found = here.use(9, "x", 2.0, now)
-        if (ask := here.ask(9, "x", 2.0, now)) is not None:
+        found = here.consume(9, "x", 2.0, now)
+        if (ask := here.request_transfer(9, "x", 2.0, now)) is not None:
             told, order = told + 1, order + 1
             if random.random() >= loss:
                 heappush(under_way, (now + WAY_MS, order, at, ask.to, ask))
         if found is None:
-            if max(e.parts["r"].left for e in fleet) >= 2 * MILLI:
+            if max(e.parts["r"].remaining for e in fleet) >= 2 * MILLIUNITS_PER_UNIT:
                 wrong += 1
             else:
                 rightly += 1
-    unused = sum(e.parts["r"].left for e in fleet) / MILLI / units
-    used = sum(e.parts["r"].used for e in fleet) / MILLI / units
+    unused = sum(e.parts["r"].remaining for e in fleet) / MILLIUNITS_PER_UNIT / units
+    used = sum(e.parts["r"].used for e in fleet) / MILLIUNITS_PER_UNIT / units
     return told / requests, wrong / requests, rightly / requests, unused, 1 - unused - used
 
 
--- a/benchmarks/usage_cost.py
+++ b/benchmarks/usage_cost.py
@@ -21,7 +21,7 @@
 from benchmarks.library_cpu import compare
 from benchmarks.processes import daemon, free_port, load, memory_mb, node
 from troutdock.usage import columns
-from troutdock.usage.ledger import RESERVE
+from troutdock.usage.ledger import SEQUENCE_RESERVE
 from troutdock.usage.record import Record, State, Use
 
 
@@ -62,7 +62,7 @@
             found = json.load(answer)
     print(
         f"  {found['records']} records, {found['most_units_at_risk']:.0f} units at risk at the most; "
-        f"stated: those of {RESERVE} answers, {RESERVE * UNITS} here"
+        f"stated: those of {SEQUENCE_RESERVE} answers, {SEQUENCE_RESERVE * UNITS} here"
     )
 
 
--- a/tests/compatibility/test_data_of_before.py
+++ b/tests/compatibility/test_data_of_before.py
@@ -120,7 +120,7 @@
     plan_files.write(plans, plan_files.read(DATA / "plans.jsonl"))
     assert plans.read_bytes() == (DATA / "plans.jsonl").read_bytes()
     before = (DATA / "reservations.jsonl").read_bytes()
-    reservation_files.join(reservations, reservation_files.parse(before))
+    reservation_files.append(reservations, reservation_files.parse(before))
     assert reservations.read_bytes() == before
 
 
--- a/tests/plans/test_history.py
+++ b/tests/plans/test_history.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from troutdock.plans.history import Assignment, Conflict, Histories
+from troutdock.plans.history import Assignment, ConflictError, AssignmentHistory
 
 ASSIGNMENTS = st.lists(
     st.builds(
@@ -30,7 +30,7 @@
     news: list[Assignment], dice: Any, customer: int, time: int
 ) -> None:
     """Two gateways that hear it in orders of their own, some of it twice, and tell each other; the model is a sort."""
-    first, second = Histories(), Histories()
+    first, second = AssignmentHistory(), AssignmentHistory()
     for gateway in range(2):
         heard = [*news, *dice.sample(news, len(news) // 2)]
         dice.shuffle(heard)
@@ -41,7 +41,7 @@
                 first = first.assign([assignment])
     before = list(first)
     merged = first.merge(second)
-    assert merged == second.merge(first) == Histories().assign(news) and list(first) == before
+    assert merged == second.merge(first) == AssignmentHistory().assign(news) and list(first) == before
     assert len(merged) == len(news) and merged.merge(merged) == merged
     valid = sorted(a for a in news if a.customer == customer and a.valid_from_ms <= time)
     assert merged.at(customer, time) == (valid[-1] if valid else None)
@@ -54,12 +54,12 @@
 def test_folding_changes_nothing_from_its_time_on_and_comes_to_the_same_in_any_order(
     news: list[Assignment], before: int, ask: int, customer: int
 ) -> None:
-    whole = Histories().assign(news)
-    folded = whole.fold(before)
+    whole = AssignmentHistory().assign(news)
+    folded = whole.compact(before)
     time = float(max(before, ask))
     assert folded.at(customer, time) == whole.at(customer, time)
     assert folded.next_after(customer, time) == whole.next_after(customer, time)
-    assert folded.merge(whole).fold(before) == folded and len(list(folded)) == len(folded)
+    assert folded.merge(whole).compact(before) == folded and len(list(folded)) == len(folded)
 
 
 GOOD = Assignment(1000.0, "a-1", 7, "plus", "back office", "ticket 12")
@@ -85,15 +85,15 @@
 def test_what_makes_no_sense_is_named_and_nothing_of_its_batch_is_taken(
     change: dict[str, Any], named: str
 ) -> None:
-    known = Histories().assign([GOOD])
+    known = AssignmentHistory().assign([GOOD])
     with pytest.raises(ValueError, match=named) as raised:
         known.assign([GOOD._replace(id="c", customer=8), GOOD._replace(**change)])
-    assert isinstance(raised.value, Conflict) == (named == "a-1")
+    assert isinstance(raised.value, ConflictError) == (named == "a-1")
     assert list(known) == [GOOD]
 
 
 def test_a_reader_keeps_the_version_it_has_and_a_large_history_shares_the_rest() -> None:
-    whole = Histories().assign(Assignment(float(n), f"a-{n}", n, "basis") for n in range(20_000))
+    whole = AssignmentHistory().assign(Assignment(float(n), f"a-{n}", n, "basis") for n in range(20_000))
     reader = whole
     for n in range(100):
         whole = whole.assign([Assignment(1e6, f"b-{n}", n, "plus")])
--- a/tests/reservations/test_reservations.py
+++ b/tests/reservations/test_reservations.py
@@ -12,21 +12,28 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from troutdock.reservations import messages
-from troutdock.reservations.entries import Conflict, Entries, Entry, Kind, Reservation, checked
+from troutdock.reservations.entries import ConflictError, Entries, Entry, Kind, Reservation, validate
 from troutdock.reservations.escrow import (
-    AHEAD,
-    ASK_MS,
-    DRAWN,
-    LEAST,
-    MILLI,
-    SOON_MS,
-    Ask,
+    PREFETCH_REQUESTS,
+    MIN_REQUEST_INTERVAL_MS,
+    FREE_DIVISOR,
+    MIN_FREE_MILLIUNITS,
+    MILLIUNITS_PER_UNIT,
+    PREPARE_AHEAD_MS,
+    TransferRequest,
     Escrow,
-    Give,
-    Saved,
+    Transfer,
+    SavedParts,
     even_part,
 )
-from troutdock.reservations.commitment_limit import PROMISED, TIMES_RATE, Terms, may, pace, peak
+from troutdock.reservations.commitment_limit import (
+    MAX_COMMITTED_FRACTION,
+    MAX_PLAN_RATE_MULTIPLE,
+    CommitmentBounds,
+    decide,
+    reserved_rate,
+    peak_rate,
+)
 
 
 def made(
@@ -38,9 +45,9 @@
 def ready(index: int = 0, *entries: Entry, now: float = 0.0, **how: Any) -> Escrow:
     """A gateway that knows these, and whose parts are saved."""
     escrow = Escrow(index, **how)
-    escrow.learn(entries)
-    escrow.draw(now)
-    escrow.drawn(True)
+    escrow.add_entries(entries)
+    escrow.begin_save(now)
+    escrow.finish_save(True)
     return escrow
 
 
@@ -55,13 +62,13 @@
     @initialize(width=st.integers(1, 4), first=st.integers(0, 3))
     def start(self, width: int, first: int) -> None:
         self.now, self.set, self.lives = 1000.0, (first, width), 0
-        self.disks: list[Saved] = [{} for _ in range(self.GATEWAYS)]
-        self.writing: list[Saved | None] = [None] * self.GATEWAYS
+        self.disks: list[SavedParts] = [{} for _ in range(self.GATEWAYS)]
+        self.writing: list[SavedParts | None] = [None] * self.GATEWAYS
         self.fleet = [self.born(n) for n in range(self.GATEWAYS)]
         self.made: dict[str, float] = {}
         self.entries: list[Entry] = []
         self.used: dict[str, int] = {}
-        self.under_way: list[tuple[int, int, Ask | Give]] = []  # from, to, what
+        self.under_way: list[tuple[int, int, TransferRequest | Transfer]] = []  # from, to, what
 
     def born(self, gateway: int) -> Escrow:
         self.lives += 1
@@ -83,7 +90,7 @@
     @rule(data=st.data(), units=st.floats(0, 20), release=st.booleans())
     def change(self, data: st.DataObject, units: float, release: bool) -> None:
         if self.made:
-            of = data.draw(st.sampled_from(sorted(self.made)))
+            of = data.begin_save(st.sampled_from(sorted(self.made)))
             kind = Kind.RELEASE if release else Kind.EXTEND
             self.entries.append(
                 Entry(
@@ -95,15 +102,17 @@
     @rule(gateway=st.integers(0, 3), data=st.data())
     def hear(self, gateway: int, data: st.DataObject) -> None:
         if self.entries:
-            self.fleet[gateway].learn(data.draw(st.lists(st.sampled_from(self.entries), max_size=4)))
+            self.fleet[gateway].add_entries(
+                data.begin_save(st.lists(st.sampled_from(self.entries), max_size=4))
+            )
 
     @rule(gateway=st.integers(0, 3), units=st.floats(0.1, 40), times=st.integers(1, 4))
     def use(self, gateway: int, units: float, times: int) -> None:
         escrow = self.fleet[gateway]
         for _ in range(times):
             before = sum(p.used for p in escrow.parts.values())
-            found = escrow.use(9, "ledger-read", units, self.now)
-            if (ask := escrow.ask(9, "ledger-read", units, self.now)) is not None:
+            found = escrow.consume(9, "ledger-read", units, self.now)
+            if (ask := escrow.request_transfer(9, "ledger-read", units, self.now)) is not None:
                 assert ask.to != gateway
                 self.under_way.append((gateway, ask.to, ask))
             if found is None:
@@ -116,31 +125,31 @@
     def settle(self, gateway: int, units: float, data: st.DataObject) -> None:
         known = sorted(self.fleet[gateway].parts)
         if known:
-            id = data.draw(st.sampled_from(known))
+            id = data.begin_save(st.sampled_from(known))
             part = self.fleet[gateway].parts[id]
             before = part.used
             self.fleet[gateway].settle(id, units)
-            assert part.left >= 0 and part.used >= 0 and (not part.owed or part.free == 0)
+            assert part.remaining >= 0 and part.used >= 0 and (not part.debt or part.free == 0)
             self.used[id] = self.used.get(id, 0) + part.used - before
 
     @rule(data=st.data(), again=st.booleans())
     def arrive(self, data: st.DataObject, again: bool) -> None:
         if self.under_way:
-            message = data.draw(st.sampled_from(self.under_way))
+            message = data.begin_save(st.sampled_from(self.under_way))
             sender, to, what = message
             if not again:
                 self.under_way.remove(message)
-            if isinstance(what, Give):
+            if isinstance(what, Transfer):
                 give = what
-                self.paying(to, lambda: self.fleet[to].given(sender, give))
-            elif (give := self.fleet[to].asked(sender, what, self.now)) is not None:
-                assert give.parts >= what.missing
+                self.paying(to, lambda: self.fleet[to].accept_transfer(sender, give))
+            elif (give := self.fleet[to].handle_request(sender, what, self.now)) is not None:
+                assert give.milliunits >= what.missing
                 self.under_way.append((to, sender, give))
 
     @rule(data=st.data())
     def lose(self, data: st.DataObject) -> None:
         if self.under_way:
-            self.under_way.remove(data.draw(st.sampled_from(self.under_way)))
+            self.under_way.remove(data.begin_save(st.sampled_from(self.under_way)))
 
     @rule(ms=st.floats(1, 1500))
     def time(self, ms: float) -> None:
@@ -156,8 +165,8 @@
     @rule(gateway=st.integers(0, 3))
     def save(self, gateway: int) -> None:
         if self.writing[gateway] is None:
-            self.fleet[gateway].due(self.now)
-            self.writing[gateway] = self.fleet[gateway].draw(self.now)
+            self.fleet[gateway].save_due(self.now)
+            self.writing[gateway] = self.fleet[gateway].begin_save(self.now)
 
     @rule(gateway=st.integers(0, 3), good=st.booleans(), written=st.booleans())
     def saved(self, gateway: int, good: bool, written: bool) -> None:
@@ -165,7 +174,7 @@
         if rows is not None:
             if good or written:
                 self.disks[gateway] = rows
-            self.paying(gateway, lambda: self.fleet[gateway].drawn(good))
+            self.paying(gateway, lambda: self.fleet[gateway].finish_save(good))
 
     @rule(gateway=st.integers(0, 3), written=st.booleans(), data=st.data())
     def restart(self, gateway: int, written: bool, data: st.DataObject) -> None:
@@ -175,30 +184,30 @@
             self.disks[gateway] = rows
         self.fleet[gateway] = self.born(gateway)
         if self.entries:
-            self.fleet[gateway].learn(data.draw(st.lists(st.sampled_from(self.entries))))
+            self.fleet[gateway].add_entries(data.begin_save(st.lists(st.sampled_from(self.entries))))
 
     @rule(gateway=st.integers(0, 3))
     def end(self, gateway: int) -> None:
         """In order: nothing is lost by it."""
         if self.writing[gateway] is None:
             ended = self.fleet[gateway]
-            self.disks[gateway] = ended.draw(self.now, close=True)
-            self.paying(gateway, lambda: ended.drawn(True))
+            self.disks[gateway] = ended.begin_save(self.now, close=True)
+            self.paying(gateway, lambda: ended.finish_save(True))
             self.fleet[gateway] = self.born(gateway)
-            self.fleet[gateway].learn(ended.entries)
-            assert {k: p.left for k, p in self.fleet[gateway].parts.items()} == {
-                k: p.left for k, p in ended.parts.items()
+            self.fleet[gateway].add_entries(ended.entries)
+            assert {k: p.remaining for k, p in self.fleet[gateway].parts.items()} == {
+                k: p.remaining for k, p in ended.parts.items()
             }
 
     @invariant()
     def nothing_is_honoured_twice(self) -> None:
         for id, units in self.made.items():
-            whole = round(units * MILLI) + len(self.entries)
-            parts = sum(e.parts[id].left for e in self.fleet if id in e.parts)
+            whole = round(units * MILLIUNITS_PER_UNIT) + len(self.entries)
+            parts = sum(e.parts[id].remaining for e in self.fleet if id in e.parts)
             assert self.used.get(id, 0) <= whole
             assert self.used.get(id, 0) + parts <= whole  # the sum only falls
         for escrow in self.fleet:
-            assert all(0 <= p.free <= p.left for p in escrow.parts.values())
+            assert all(0 <= p.free <= p.remaining for p in escrow.parts.values())
 
 
 Fleet.TestCase.settings = examples(max_examples=80, stateful_step_count=50)
@@ -208,19 +217,19 @@
 class Trusting(Escrow):
     """A gateway that takes a gift in as often as it comes."""
 
-    def given(self, sender: int, give: Give) -> bool:
-        self.parts[give.reservation].left += give.parts
+    def accept_transfer(self, sender: int, give: Transfer) -> bool:
+        self.parts[give.reservation].remaining += give.milliunits
         return True
 
 
 def test_the_invariant_can_fail() -> None:
     fleet = [ready(0, made(width=2, gateways=2)), Trusting(1)]
-    fleet[1].learn([made(width=2, gateways=2)])
-    give = fleet[0].asked(1, Ask(0, "r", 2000), 0.0)
+    fleet[1].add_entries([made(width=2, gateways=2)])
+    give = fleet[0].handle_request(1, TransferRequest(0, "r", 2000), 0.0)
     assert give is not None
     for _ in range(3):
-        fleet[1].given(0, give)
-    assert sum(e.parts["r"].left for e in fleet) > 10 * MILLI
+        fleet[1].accept_transfer(0, give)
+    assert sum(e.parts["r"].remaining for e in fleet) > 10 * MILLIUNITS_PER_UNIT
 
 
 @given(st.floats(0.001, 1e6), st.integers(1, 50), st.integers(0, 60), st.integers(1, 60))
@@ -230,7 +239,7 @@
     width, first = min(width, gateways), first % gateways
     entry = made(units=units, first=first, width=width, gateways=gateways)
     parts = [even_part(entry, n) for n in range(gateways + 3)]  # also of gateways that came later
-    assert sum(parts) == int(units * MILLI) and sum(p > 0 for p in parts) <= width
+    assert sum(parts) == int(units * MILLIUNITS_PER_UNIT) and sum(p > 0 for p in parts) <= width
     held = [parts[(first + n) % gateways] for n in range(width)]
     assert max(held) - min(held) <= 1
 
@@ -242,25 +251,32 @@
         made("soon", 2.0, ends=500.0),
         made("reads", 9.0, ends=100.0, classes=("ledger-read",)),
     )
-    assert [escrow.use(9, "vat-filing", 2.0, 50.0) for _ in range(4)] == ["soon", "late", "late", None]
+    assert [escrow.consume(9, "vat-filing", 2.0, 50.0) for _ in range(4)] == ["soon", "late", "late", None]
+    assert (
+        escrow.consume(9, "ledger-read", 9.0, 99.0) == "reads"
+        and escrow.consume(9, "ledger-read", 1.0, 101.0) == "late"
+    )
     assert (
-        escrow.use(9, "ledger-read", 9.0, 99.0) == "reads"
-        and escrow.use(9, "ledger-read", 1.0, 101.0) == "late"
+        escrow.consume(8, "ledger-read", 1.0, 50.0) is None
+        and escrow.consume(9, "vat-filing", 0.5, 950.0) is None
     )
-    assert escrow.use(8, "ledger-read", 1.0, 50.0) is None and escrow.use(9, "vat-filing", 0.5, 950.0) is None
-    assert not escrow.concerns(9)  # all are over
-    escrow.learn([Entry("more", Kind.EXTEND, "late", 9, 3.0, 0.0, 2000.0)])
-    assert escrow.concerns(9) and escrow.use(9, "vat-filing", 1.0, 950.0) is None  # until it is saved
-    escrow.draw(950.0)
-    escrow.drawn(True)
-    assert escrow.use(9, "vat-filing", 3.0, 950.0) == "late"
+    assert not escrow.has_reservation(9)  # all are over
+    escrow.add_entries([Entry("more", Kind.EXTEND, "late", 9, 3.0, 0.0, 2000.0)])
+    assert (
+        escrow.has_reservation(9) and escrow.consume(9, "vat-filing", 1.0, 950.0) is None
+    )  # until it is saved
+    escrow.begin_save(950.0)
+    escrow.finish_save(True)
+    assert escrow.consume(9, "vat-filing", 3.0, 950.0) == "late"
 
 
 def test_a_gateway_that_runs_short_asks_the_others_in_turn_and_ever_more_seldom() -> None:
     of = made(units=4.0, first=2, width=3, gateways=4)  # 2, 3 and 0
-    escrow = ready(3, of, life=5)
-    asks = [escrow.ask(9, "x", 3.0, at * ASK_MS) for at in (0, 0.5, 1, 2, 3, 4, 6)]
-    assert [a and (a.to, a.missing, a.life) for a in asks] == [
+    escrow = ready(3, of, incarnation=5)
+    asks = [
+        escrow.request_transfer(9, "x", 3.0, at * MIN_REQUEST_INTERVAL_MS) for at in (0, 0.5, 1, 2, 3, 4, 6)
+    ]
+    assert [a and (a.to, a.missing, a.incarnation) for a in asks] == [
         (0, 1667, 5),
         None,
         (2, 1667, 5),
@@ -270,64 +286,82 @@
         (0, 1667, 5),
     ]
     other = ready(0, of)
-    assert other.asked(3, Ask(0, "r", 9000, 5), 0.0) is None  # it has not so much: it keeps what it has
-    give = other.asked(3, Ask(0, "r", 500, 5), 0.0)
-    assert give is not None and (give.parts, other.parts["r"].left) == (666, 667)
-    assert other.asked(3, Ask(0, "r", 1, 5), 200_000.0) is None  # it is over
-    assert escrow.given(0, give) and not escrow.given(0, give)
-    assert not ready(3, of, life=6).given(0, give)  # who asked has died
-    assert escrow.ask(9, "x", 1.99 / AHEAD, 7 * ASK_MS) is None  # it has enough for some requests
-    assert escrow.ask(9, "x", 2.01 / AHEAD, 7 * ASK_MS) == Ask(2, "r", 503, 5)  # soon not
+    assert (
+        other.handle_request(3, TransferRequest(0, "r", 9000, 5), 0.0) is None
+    )  # it has not so much: it keeps what it has
+    give = other.handle_request(3, TransferRequest(0, "r", 500, 5), 0.0)
+    assert give is not None and (give.milliunits, other.parts["r"].remaining) == (666, 667)
+    assert other.handle_request(3, TransferRequest(0, "r", 1, 5), 200_000.0) is None  # it is over
+    assert escrow.accept_transfer(0, give) and not escrow.accept_transfer(0, give)
+    assert not ready(3, of, incarnation=6).accept_transfer(0, give)  # who asked has died
+    assert (
+        escrow.request_transfer(9, "x", 1.99 / PREFETCH_REQUESTS, 7 * MIN_REQUEST_INTERVAL_MS) is None
+    )  # it has enough for some requests
+    assert escrow.request_transfer(
+        9, "x", 2.01 / PREFETCH_REQUESTS, 7 * MIN_REQUEST_INTERVAL_MS
+    ) == TransferRequest(2, "r", 503, 5)  # soon not
 
 
 def test_a_gift_that_was_lost_is_sent_again_and_not_another_one() -> None:
-    giver, taker = ready(0, made(width=2, gateways=2)), ready(1, made(width=2, gateways=2), life=4)
-    asks = [taker.ask(9, "x", 6.0, at) for at in (0.0, 1000.0)]
-    gives = [giver.asked(1, ask, 0.0) for ask in asks if ask is not None]
-    assert len(gives) == 2 and gives[0] is gives[1] is not None and giver.parts["r"].left == 2500
-    assert taker.given(0, gives[0]) and not taker.given(0, gives[0]) and taker.parts["r"].left == 7500
-    more = taker.ask(9, "x", 8.0, 2000.0)
-    assert more is not None and more.got == gives[0].number
-    other = giver.asked(1, more, 0.0)
-    assert other is not None and other.number > gives[0].number and taker.given(0, other)
-    assert giver.asked(1, Ask(0, "r", 100, 5), 0.0) is not other  # who asked has started anew
-    assert not taker.given(0, gives[0])
+    giver, taker = ready(0, made(width=2, gateways=2)), ready(1, made(width=2, gateways=2), incarnation=4)
+    asks = [taker.request_transfer(9, "x", 6.0, at) for at in (0.0, 1000.0)]
+    gives = [giver.handle_request(1, ask, 0.0) for ask in asks if ask is not None]
+    assert len(gives) == 2 and gives[0] is gives[1] is not None and giver.parts["r"].remaining == 2500
+    assert (
+        taker.accept_transfer(0, gives[0])
+        and not taker.accept_transfer(0, gives[0])
+        and taker.parts["r"].remaining == 7500
+    )
+    more = taker.request_transfer(9, "x", 8.0, 2000.0)
+    assert more is not None and more.last_received == gives[0].number
+    other = giver.handle_request(1, more, 0.0)
+    assert other is not None and other.number > gives[0].number and taker.accept_transfer(0, other)
+    assert (
+        giver.handle_request(1, TransferRequest(0, "r", 100, 5), 0.0) is not other
+    )  # who asked has started anew
+    assert not taker.accept_transfer(0, gives[0])
 
 
 def test_a_death_loses_what_was_free_and_no_more_and_an_end_in_order_nothing() -> None:
     big, small = made("big", 1000.0), made("small", 5.0, begins=50_000.0)
     escrow = Escrow(0)
-    assert escrow.learn([big, small]) == ["big", "small"]
-    assert escrow.use(9, "x", 1.0, 0.0) is None and escrow.due(0.0)  # nothing is free before the first save
-    rows = escrow.draw(0.0)
-    assert escrow.use(9, "x", 1.0, 0.0) is None  # nobody knows whether it is on disk
-    escrow.drawn(True)
-    assert rows == {"big": (1_000_000 - 1_000_000 // DRAWN, ("big",)), "small": (5000, ("small",))}
-    escrow.draw(0.0)
-    escrow.drawn(True)
-    assert not escrow.due(50_000.0 - SOON_MS - 1) and escrow.due(50_000.0 - SOON_MS)
-    assert [escrow.use(9, "x", 25.0, 1.0) for _ in range(6)] == ["big"] * 5 + [None] and escrow.short
+    assert escrow.add_entries([big, small]) == ["big", "small"]
+    assert escrow.consume(9, "x", 1.0, 0.0) is None and escrow.save_due(
+        0.0
+    )  # nothing is free before the first save
+    rows = escrow.begin_save(0.0)
+    assert escrow.consume(9, "x", 1.0, 0.0) is None  # nobody knows whether it is on disk
+    escrow.finish_save(True)
+    assert rows == {"big": (1_000_000 - 1_000_000 // FREE_DIVISOR, ("big",)), "small": (5000, ("small",))}
+    escrow.begin_save(0.0)
+    escrow.finish_save(True)
+    assert not escrow.save_due(50_000.0 - PREPARE_AHEAD_MS - 1) and escrow.save_due(
+        50_000.0 - PREPARE_AHEAD_MS
+    )
+    assert [escrow.consume(9, "x", 25.0, 1.0) for _ in range(6)] == ["big"] * 5 + [
+        None
+    ] and escrow.save_needed
     again = Escrow(0, saved=rows)
-    again.learn([small, big])
-    assert {id: p.left for id, p in again.parts.items()} == {"big": 875_000, "small": 5000}
-    failed = escrow.draw(2.0)
-    escrow.drawn(False)  # perhaps it is there: what both leave is free
-    assert escrow.use(9, "x", 1.0, 2.0) is None and failed["big"][0] < 875_000
-    escrow.draw(3.0)
-    escrow.drawn(True)
-    assert escrow.use(9, "x", 100.0, 3.0) == "big"
-    closed = escrow.draw(4.0, close=True)
-    escrow.drawn(True)
-    assert closed["big"][0] == 775_000 and escrow.use(9, "x", 1.0, 4.0) is None
-    assert escrow.use(9, "x", 4.0, 0.0) is None
+    again.add_entries([small, big])
+    assert {id: p.remaining for id, p in again.parts.items()} == {"big": 875_000, "small": 5000}
+    failed = escrow.begin_save(2.0)
+    escrow.finish_save(False)  # perhaps it is there: what both leave is free
+    assert escrow.consume(9, "x", 1.0, 2.0) is None and failed["big"][0] < 875_000
+    escrow.begin_save(3.0)
+    escrow.finish_save(True)
+    assert escrow.consume(9, "x", 100.0, 3.0) == "big"
+    closed = escrow.begin_save(4.0, close=True)
+    escrow.finish_save(True)
+    assert closed["big"][0] == 775_000 and escrow.consume(9, "x", 1.0, 4.0) is None
+    assert escrow.consume(9, "x", 4.0, 0.0) is None
     more = ready(0, made("more", 300.0))
-    assert [more.use(9, "x", 10.0, 1.0) for _ in range(3)] == ["more"] * 3
+    assert [more.consume(9, "x", 10.0, 1.0) for _ in range(3)] == ["more"] * 3
     more.settle("more", 10.0)  # 7.5 are free
-    assert (more.parts["more"].used, more.parts["more"].owed, more.short) == (37_500, 2500, True)
-    more.draw(2.0)
-    more.drawn(True)
-    assert (more.parts["more"].used, more.parts["more"].owed, more.parts["more"].free) == (40_000, 0, 32_812)
-    assert LEAST // MILLI == 20  # smaller parts are free as a whole
+    assert (more.parts["more"].used, more.parts["more"].debt, more.save_needed) == (37_500, 2500, True)
+    more.begin_save(2.0)
+    more.finish_save(True)
+    assert (more.parts["more"].used, more.parts["more"].debt, more.parts["more"].free) == (40_000, 0, 32_812)
+    assert MIN_FREE_MILLIUNITS // MILLIUNITS_PER_UNIT == 20  # smaller parts are free as a whole
 
 
 def test_learning_many_customers_looks_at_each_reservation_a_few_times(
@@ -335,37 +369,37 @@
 ) -> None:
     looks, get = [], Entries.get
     monkeypatch.setattr(Entries, "get", lambda self, id: (looks.append(id), get(self, id))[1])
-    Escrow(0).learn([made(f"r{n}")._replace(customer=n) for n in range(500)])
+    Escrow(0).add_entries([made(f"r{n}")._replace(customer=n) for n in range(500)])
     assert len(looks) <= 4 * 500
 
 
 def test_what_is_over_and_in_no_file_is_forgotten() -> None:
     escrow = ready(0, made("a", ends=10.0), made("b"))
-    escrow.drop(["a"])
-    assert list(escrow.parts) == ["b"] and len(escrow.entries) == 1 and list(escrow.draw(0.0)) == ["b"]
-    assert not escrow.learn(
+    escrow.forget(["a"])
+    assert list(escrow.parts) == ["b"] and len(escrow.entries) == 1 and list(escrow.begin_save(0.0)) == ["b"]
+    assert not escrow.add_entries(
         [Entry("x", Kind.EXTEND, "a", 9, 2.0, 0.0, 200_000.0)]
     )  # nothing comes back by it
-    assert escrow.use(9, "x", 1.0, 20.0) == "b"
+    assert escrow.consume(9, "x", 1.0, 20.0) == "b"
 
 
 @pytest.mark.parametrize("bad", [b"", b"\x28", b"\x29" + b"x" * 20, b"\x01" + b"x" * 16, b"\x28" + b"x" * 25])
 def test_what_is_no_word_on_a_reservation_is_an_error(bad: bytes) -> None:
     with pytest.raises(ValueError, match="no word"):
-        messages.read(bad)
+        messages.decode(bad)
 
 
 def test_messages_are_read_as_they_were_written() -> None:
-    assert messages.read(messages.ask("r", 7, 1 << 40, 1 << 50)) == (
-        messages.ASK,
-        messages.key_of("r"),
+    assert messages.decode(messages.encode_request("r", 7, 1 << 40, 1 << 50)) == (
+        messages.REQUEST,
+        messages.reservation_key("r"),
         7,
         0xFFFFFFFF,
         1 << 50,
     )
-    assert messages.read(messages.give("r", 7, 12, 1 << 50)) == (
-        messages.GIVE,
-        messages.key_of("r"),
+    assert messages.decode(messages.encode_transfer("r", 7, 12, 1 << 50)) == (
+        messages.TRANSFER,
+        messages.reservation_key("r"),
         7,
         12,
         1 << 50,
@@ -409,15 +443,15 @@
 )
 def test_a_bad_entry_names_its_field_and_changes_nothing(bad: Entry, field: str) -> None:
     with pytest.raises(ValueError, match=field):
-        checked(bad)
+        validate(bad)
     escrow = Escrow(0)
     with pytest.raises(ValueError, match=field):
-        escrow.learn([made("good"), bad])
+        escrow.add_entries([made("good"), bad])
     assert not escrow.parts and len(escrow.entries) == 0
 
 
 def test_one_identity_says_one_thing() -> None:
-    with pytest.raises(Conflict, match="is known as"):
+    with pytest.raises(ConflictError, match="is known as"):
         Entries().add([made(units=1.0), made(units=2.0)])
 
 
@@ -428,7 +462,9 @@
     return Reservation(id, customer, units, begins, ends, float("inf"), (), 0, 1, 1)
 
 
-FLEET = Terms(fleet=100.0, rate=5.0)  # 30 units a second may be promised, 20 of them to one customer
+FLEET = CommitmentBounds(
+    fleet=100.0, rate=5.0
+)  # 30 units a second may be promised, 20 of them to one customer
 
 
 @pytest.mark.parametrize(
@@ -462,14 +498,14 @@
 def test_what_may_be_promised_and_what_is_said_if_not(
     wanted: Reservation, others: list[Reservation], granted: bool, why: str, units: float, begins: float
 ) -> None:
-    verdict = may(wanted, others, FLEET)
+    verdict = decide(wanted, others, FLEET)
     assert (verdict.granted, verdict.from_ms) == (granted, begins) and why in verdict.why
     assert verdict.units == pytest.approx(units)
 
 
 def test_a_ceiling_is_never_promised_away() -> None:
-    assert not may(held("w", 160, 0, 10_000), [], Terms(100.0, 5.0, ceiling=15.0)).granted
-    assert may(held("w", 150, 0, 10_000), [], Terms(100.0, 5.0, ceiling=15.0)).granted
+    assert not decide(held("w", 160, 0, 10_000), [], CommitmentBounds(100.0, 5.0, ceiling=15.0)).granted
+    assert decide(held("w", 150, 0, 10_000), [], CommitmentBounds(100.0, 5.0, ceiling=15.0)).granted
 
 
 @given(
@@ -481,16 +517,16 @@
     given_out: list[Reservation] = []
     for n, (units, begins, lasts, customer) in enumerate(wanted):
         reservation = held(str(n), units, begins * 1000.0, (begins + lasts) * 1000.0, customer)
-        verdict = may(reservation, given_out, FLEET)
+        verdict = decide(reservation, given_out, FLEET)
         if verdict.granted:
             given_out.append(reservation)
         elif verdict.units > 0.01:  # what is offered in place of it would be granted
-            assert may(reservation._replace(units=verdict.units), given_out, FLEET).granted
+            assert decide(reservation._replace(units=verdict.units), given_out, FLEET).granted
     for at in range(90):
         now = [r for r in given_out if r.from_ms <= at * 1000 < r.ends_ms]
-        assert sum(map(pace, now)) <= PROMISED * FLEET.fleet + 1e-6
+        assert sum(map(reserved_rate, now)) <= MAX_COMMITTED_FRACTION * FLEET.fleet + 1e-6
         assert (
-            max([sum(pace(r) for r in now if r.customer == c) for c in (1, 2, 3)])
-            <= TIMES_RATE * FLEET.rate + 1e-6
+            max([sum(reserved_rate(r) for r in now if r.customer == c) for c in (1, 2, 3)])
+            <= MAX_PLAN_RATE_MULTIPLE * FLEET.rate + 1e-6
         )
-    assert peak(given_out, 0, 1e6) <= PROMISED * FLEET.fleet + 1e-6
+    assert peak_rate(given_out, 0, 1e6) <= MAX_COMMITTED_FRACTION * FLEET.fleet + 1e-6
--- a/tests/reservations/test_reserved_front.py
+++ b/tests/reservations/test_reserved_front.py
@@ -22,7 +22,7 @@
 from troutdock.operator.reader import OperatorError, read_operator
 from troutdock.reservations import files, messages
 from troutdock.reservations.entries import Entry, Kind
-from troutdock.reservations.service import Reservations, Terms
+from troutdock.reservations.service import Reservations, ReservationOptions
 
 COSTS = answer(head=b"Billed-Units: 3\r\n")
 
@@ -44,7 +44,7 @@
 @asynccontextmanager
 async def kept(w: Any, folder: Path, **changes: Any) -> AsyncIterator[Reservations]:
     """Reservations of folder/entries.jsonl are honoured from here on."""
-    service = Reservations(Terms(folder / "entries.jsonl", folder / "own", 0.05, **changes))
+    service = Reservations(ReservationOptions(folder / "entries.jsonl", folder / "own", 0.05, **changes))
     service.start(w.engine)
     try:
         yield service
@@ -61,7 +61,7 @@
 
 
 async def asks(w: Any, number: int, plan: str = "basis", **more: Any) -> int:
-    return int((await w.ask(request("ledger-read", number, Plan=plan, **more)))[0])
+    return int((await w.request_transfer(request("ledger-read", number, Plan=plan, **more)))[0])
 
 
 def test_what_is_reserved_goes_before_the_quota_and_takes_nothing_of_it(tmp_path: Path) -> None:
@@ -74,7 +74,7 @@
                 200
             ] * 6  # 8 units are a burst, 1 a second come
             part = service.escrow.parts["r"]
-            assert (part.used, part.left) == (18_000, 0)  # true units, not the two that were announced
+            assert (part.used, part.remaining) == (18_000, 0)  # true units, not the two that were announced
             assert w.gateway.customers[9].tokens == 4.0  # its share of the burst, untouched
             assert [await asks(w, n) for n in range(11, 15)].count(200) in (1, 2)  # then by its quota
             assert await asks(w, 20, Account="0000000000000008") == 200  # another one's is untouched
@@ -144,9 +144,9 @@
                 served += await asks(b, n) == 200
                 await asyncio.sleep(0.03)
             assert served >= 11 and second.escrow.parts["r"].used > 20_000  # more than its even part
-            assert first.gives >= 1 and second.asks <= 6
-            assert {messages.read(body)[0] for body in sent} == {messages.ASK, messages.GIVE}
-            total = sum(s.escrow.parts["r"].left + s.escrow.parts["r"].used for s in services)
+            assert first.transfers_sent >= 1 and second.requests_sent <= 6
+            assert {messages.decode(body)[0] for body in sent} == {messages.REQUEST, messages.TRANSFER}
+            total = sum(s.escrow.parts["r"].remaining + s.escrow.parts["r"].used for s in services)
             assert total <= 40_000
             assert not second.heard(0, b"\x01abc") and second.heard(
                 0, b"\x28bad"
@@ -163,13 +163,13 @@
             async with kept(w, tmp_path) as service:
                 await free(service)
                 assert await asks(w, 1) == 200
-                second = Reservations(Terms(tmp_path / "entries.jsonl", tmp_path / "own", 0.05))
+                second = Reservations(ReservationOptions(tmp_path / "entries.jsonl", tmp_path / "own", 0.05))
                 second.start(w.engine)  # an upgrade: the newer process has no parts yet
                 await asyncio.sleep(0.02)
                 assert second.escrow is None and second.take(9, "ledger-read", 2.0) is None
-                assert second.heard(1, messages.ask("r", 1, 5, 0))
+                assert second.heard(1, messages.encode_request("r", 1, 5, 0))
             await until(lambda: second.escrow is not None)  # once the older one has ended
-            assert second.escrow.parts["r"].left == 7_997_000
+            assert second.escrow.parts["r"].remaining == 7_997_000
             await free(second)
             saved = files.PartsFolder(tmp_path / "own").load(0)
             assert saved["r"][0] == 7_997_000 - 7_997_000 // 8
@@ -199,7 +199,7 @@
             await free(service)
             (tmp_path / "entries.jsonl").write_bytes(b"[1]\n")
             await until(lambda: "entries.jsonl:1" in caplog.text)
-            assert service.escrow.parts["r"].left == 30_000
+            assert service.escrow.parts["r"].remaining == 30_000
             lines(tmp_path / "entries.jsonl", made("other", 5.0))
             await free(service, "other")
             assert "r" in service.escrow.parts  # it holds: only what is over may vanish
@@ -292,7 +292,7 @@
             assert got[0] == 0 and "500 units" in got[1]
             for w in (a, b):
                 assert w.parts[1].escrow.entries.get("r1").units == 500
-                assert files.read(w.parts[1]._terms.file).get("r1") is not None
+                assert files.read(w.parts[1]._options.file).get("r1") is not None
             await free(a.parts[1], "r1")
             assert [await asks(a, n) for n in range(1, 8)] == [200] * 7
             code, out = await said("reservations", "0000000000000009")
@@ -385,7 +385,7 @@
             assert "p1" in (await said("plans", "history", "0000000000000009"))[1]
             # released: the ordinary quota counts from now on
             code, out = await said("release", "r1")
-            assert code == 0 and not a.parts[1].escrow.use(9, "ledger-read", 1.0, time.time() * 1000 + 1)
+            assert code == 0 and not a.parts[1].escrow.consume(9, "ledger-read", 1.0, time.time() * 1000 + 1)
             assert "released" in (await said("reservations", "--all"))[1]
             assert (await said("release", "nothing"))[0] == 2
             gone = b.door
@@ -414,9 +414,9 @@
     async def test() -> None:
         async with doors(tmp_path, 1) as (w,):
             reader, writer = await asyncio.open_connection(*w.service.management)
-            assert (await Client(reader, writer).ask(call.encode()))[0] == status
+            assert (await Client(reader, writer).request_transfer(call.encode()))[0] == status
             writer.close()
-            assert len(w.parts[0].book.history) == 0 and len(w.parts[1].escrow.entries) == 0
+            assert len(w.parts[0].schedule.history) == 0 and len(w.parts[1].escrow.entries) == 0
 
     run(test())
 
@@ -527,15 +527,15 @@
 def test_promises_of_two_doors_on_one_file_stay_within_the_bound(tmp_path: Path) -> None:
     from concurrent.futures import ThreadPoolExecutor
 
-    from troutdock.reservations.commitment_limit import Terms as Bounds
+    from troutdock.reservations.commitment_limit import CommitmentBounds
 
     file = tmp_path / "entries.jsonl"
 
     def one(n: int) -> bool:
         entry = made(f"r{n}", 600.0, 1000.0, 60.0)._replace(customer=n)  # 10 units a second, of 30
-        return files.promise(file, entry._replace(from_ms=1e12, until_ms=1e12 + 60_000), Bounds(100.0, 10.0))[
-            1
-        ].granted
+        return files.promise(
+            file, entry._replace(from_ms=1e12, until_ms=1e12 + 60_000), CommitmentBounds(100.0, 10.0)
+        )[1].granted
 
     with ThreadPoolExecutor(8) as pool:
         assert sum(pool.map(one, range(12))) == 3
--- a/tests/usage/test_book.py
+++ b/tests/usage/test_book.py
@@ -9,10 +9,17 @@
 from hypothesis import settings as examples
 from hypothesis import strategies as st
 
-from troutdock.usage.ledger import MARK_MS, MOST_WAITING, RESERVE, RETRY_MS, Book, Promise
+from troutdock.usage.ledger import (
+    UPDATE_DELAY_MS,
+    MAX_WAITING_RECORDS,
+    SEQUENCE_RESERVE,
+    COMMIT_RETRY_MS,
+    LedgerState,
+    Promise,
+)
 from troutdock.usage.memory import MemoryStore
-from troutdock.usage.store import Noted, Store, StoreError
-from troutdock.usage.record import Batch, Record, State, Unknown, Use
+from troutdock.usage.store import ExportInfo, Store, StoreError
+from troutdock.usage.record import Batch, Record, State, UnknownRange, Use
 from troutdock.usage.sqlite import SqliteStore
 
 
@@ -25,7 +32,7 @@
 
     def __init__(self, promise: Promise, at_risk_ms: float = 50.0) -> None:
         self.store, self.now = MemoryStore(), 0.0
-        self.book = Book(self.store.begin(0.0), promise, at_risk_ms)
+        self.ledger = LedgerState(self.store.begin(0.0), promise, at_risk_ms)
         self.running: Batch | None = None
         self.left: list[tuple[float, float]] = []  # answers that have: when, units
         self.not_given = 0.0
@@ -39,13 +46,13 @@
             self.not_given += units
             return False
 
-        self.book.book(self.now, use(units), told)
+        self.ledger.add(self.now, use(units), told)
 
     def go_on(self, ms: float) -> None:
         """Time passes, and commits begin when they are due."""
         self.now += ms
-        if self.running is None and self.book.due(self.now) <= 0:
-            self.running = self.book.batch()
+        if self.running is None and self.ledger.commit_delay_ms(self.now) <= 0:
+            self.running = self.ledger.begin_commit()
 
     def end(self, good: bool, written: bool) -> None:
         """The commit ends; a bad one may have been written all the same."""
@@ -53,7 +60,7 @@
             if good or written:
                 self.store.commit(self.running)
             self.running = None
-            self.book.committed(self.now) if good else self.book.failed(self.now)
+            self.ledger.commit_succeeded(self.now) if good else self.ledger.commit_failed(self.now)
 
 
 OPS = st.one_of(
@@ -71,7 +78,7 @@
 ) -> None:
     c = Course(promise)
     for name, value in ops:
-        if name == "answer" and not c.book.admits(c.now):
+        if name == "answer" and not c.ledger.admits(c.now):
             c.answer(value)  # type: ignore[arg-type]
         elif name == "time":
             c.go_on(value)  # type: ignore[arg-type]
@@ -80,7 +87,7 @@
         elif name == "leaves":
             c.leaves = bool(value)
         c.go_on(0)
-    at_risk = c.book.at_risk
+    at_risk = c.ledger.units_at_risk
     c.store.crash(1)
     c.store.recover()
     selection = c.store.select(10_000)
@@ -94,8 +101,8 @@
     else:
         lost = left - units[State.GIVEN] - units[State.UNCERTAIN]
         assert lost <= at_risk + 1e-6
-        assert sum(u.last - u.first + 1 for u in selection.unknown) <= RESERVE
-        unknown = sum(u.last - u.first + 1 for u in selection.unknown)
+        assert sum(u.last_sequence - u.first + 1 for u in selection.unknown) <= SEQUENCE_RESERVE
+        unknown = sum(u.last_sequence - u.first + 1 for u in selection.unknown)
         assert len(selection.records) + unknown >= len(c.left)  # each has a number that is told
         late = [at for at, _ in c.left if lost > 1e-6 and at < c.now - 10_000]
         assert len(late) < len(c.left) or not c.left or lost <= at_risk + 1e-6
@@ -119,14 +126,14 @@
         c.go_on(60)
         c.end(False, False)
     if commits:  # one runs as it is closed, and reserves numbers that nobody will give out
-        c.go_on(RETRY_MS)
-    c.book.closing = True
+        c.go_on(COMMIT_RETRY_MS)
+    c.ledger.closing = True
     for _ in range(6):
-        if c.book.finished:
+        if c.ledger.finished:
             break
-        c.go_on(RETRY_MS)
+        c.go_on(COMMIT_RETRY_MS)
         c.end(True, True)
-    assert c.book.finished and not c.book.waiting
+    assert c.ledger.finished and not c.ledger.waiting
     c.store.end(1)
     selection = c.store.select(1000)
     assert len(selection.records) == len(uses) and not selection.unknown
@@ -139,14 +146,14 @@
 def test_with_sync_an_answer_leaves_with_its_commit_and_marks_wait_for_company() -> None:
     c = Course(Promise.SYNC)
     c.answer(2.0)
-    assert not c.left and c.book.due(0.0) == 0
+    assert not c.left and c.ledger.commit_delay_ms(0.0) == 0
     c.go_on(0)
     c.answer(3.0)  # while the commit runs: it goes into the next
     c.end(True, True)
-    assert [u for _, u in c.left] == [2.0] and c.book.due(0.0) == 0
+    assert [u for _, u in c.left] == [2.0] and c.ledger.commit_delay_ms(0.0) == 0
     c.go_on(0)
     c.end(True, True)
-    assert len(c.left) == 2 and c.book.due(c.now) == pytest.approx(MARK_MS)
+    assert len(c.left) == 2 and c.ledger.commit_delay_ms(c.now) == pytest.approx(UPDATE_DELAY_MS)
 
 
 def test_with_bounded_answers_wait_once_the_disk_is_later_than_stated() -> None:
@@ -154,19 +161,23 @@
     c.go_on(0)
     c.end(True, True)  # the first mark
     c.answer(1.0)
-    assert len(c.left) == 1 and c.book.at_risk == 1.0 and c.book.due(c.now) == pytest.approx(25.0)
+    assert (
+        len(c.left) == 1
+        and c.ledger.units_at_risk == 1.0
+        and c.ledger.commit_delay_ms(c.now) == pytest.approx(25.0)
+    )
     c.go_on(25.0)
     c.now += 26.0
     c.answer(1.0)
     assert len(c.left) == 1  # the oldest is 51 ms old
     c.end(True, True)
-    assert c.book.at_risk == 0.0 and c.book.due(c.now) == 0
+    assert c.ledger.units_at_risk == 0.0 and c.ledger.commit_delay_ms(c.now) == 0
     c.go_on(0)
     c.end(True, True)
     assert len(c.left) == 2
-    for _ in range(RESERVE + 5):
+    for _ in range(SEQUENCE_RESERVE + 5):
         c.answer(1.0)
-    assert len(c.left) <= 2 + RESERVE  # numbers beyond the mark on disk wait
+    assert len(c.left) <= 2 + SEQUENCE_RESERVE  # numbers beyond the mark on disk wait
 
 
 def test_a_full_disk_refuses_until_a_trial_succeeds() -> None:
@@ -174,21 +185,21 @@
     c.answer(2.0)
     c.go_on(0)
     c.end(False, False)
-    assert c.book.stuck and 0 < c.book.admits(c.now) <= RETRY_MS and c.not_given == 2.0
-    c.go_on(RETRY_MS / 2)
+    assert c.ledger.stuck and 0 < c.ledger.admits(c.now) <= COMMIT_RETRY_MS and c.not_given == 2.0
+    c.go_on(COMMIT_RETRY_MS / 2)
     assert c.running is None
-    c.go_on(RETRY_MS / 2)
+    c.go_on(COMMIT_RETRY_MS / 2)
     c.end(True, True)
-    assert not c.book.admits(c.now)
+    assert not c.ledger.admits(c.now)
     assert c.store.select(9).records[0].state is State.VOID
 
 
 def test_no_more_waits_than_memory_is_there_for() -> None:
     c = Course(Promise.SYNC)
     c.go_on(0)
-    for _ in range(MOST_WAITING):
+    for _ in range(MAX_WAITING_RECORDS):
         c.answer(1.0)
-    assert c.book.admits(c.now) == RETRY_MS
+    assert c.ledger.admits(c.now) == COMMIT_RETRY_MS
 
 
 # ---- both stores alike
@@ -217,15 +228,15 @@
         (3, State.GIVEN),
     ]
     assert [r.sequence for r in store.select(2).records] == [1, 2]
-    store.note(Noted(1, "a", "x", 2, 10, False), {one: (1, 2)}, ())
-    store.note(Noted(1, "a", "x", 2, 10, False), {one: (1, 2)}, ())
+    store.record_export(ExportInfo(1, "a", "x", 2, 10, False), {one: (1, 2)}, ())
+    store.record_export(ExportInfo(1, "a", "x", 2, 10, False), {one: (1, 2)}, ())
     assert [r.sequence for r in store.select(99).records] == [3]
     store.commit(Batch(one, (), ((4, State.GIVEN), (5, State.GIVEN)), 5))
     store.end(one)
     two = store.begin(1.0)
     store.commit(Batch(two, records(two, 1, 1), (), 4))
     assert store.select(99) == ((*records(one, 3, 5), *records(two, 1, 1)), ())
-    store.note(Noted(2, "b", "y", 4, 10, False), {one: (3, 5), two: (1, 1)}, ())
+    store.record_export(ExportInfo(2, "b", "y", 4, 10, False), {one: (3, 5), two: (1, 1)}, ())
     with pytest.raises(StoreError, match="not acknowledged"):
         store.forget(2)
     for number in (1, 2):
@@ -246,7 +257,7 @@
     assert other.recover() == [number] and other.recover() == []
     selection = other.select(9)
     assert [r.state for r in selection.records] == [State.GIVEN, State.GIVEN, State.UNCERTAIN]
-    assert selection.unknown == (Unknown(number, 4, 8),)
+    assert selection.unknown == (UnknownRange(number, 4, 8),)
     assert other.begin(1.0) == number + 1
     other.close()
 
--- a/tests/usage/test_exports.py
+++ b/tests/usage/test_exports.py
@@ -18,7 +18,13 @@
 
 from troutdock.cli.app import app
 from troutdock.usage.consumer import Consumer, Deliveries
-from troutdock.usage.delivery import HELD_MS, MOST_MS, Course, Verdict, verdict_of
+from troutdock.usage.delivery import (
+    REJECTED_RETRY_MS,
+    MAX_RETRY_MS,
+    RetrySchedule,
+    DeliveryResult,
+    classify_response,
+)
 from troutdock.usage.exporter import Exporter
 from troutdock.usage.files import Files
 from troutdock.usage.memory import MemoryStore
@@ -113,13 +119,13 @@
                 raise Died
 
         died = False
-        mortal = Mortal(store, ("select", "note", "recover", "exports"), left, before)
+        mortal = Mortal(store, ("select", "record_export", "recover", "exports"), left, before)
         exporter = Exporter("n0", mortal, MortalFiles(folder / "exports", take))  # type: ignore[arg-type]
         try:
-            exporter.run(5.0, most_rows=5)
+            exporter.run(5.0, max_rows=5)
         except Died:
             died = True
-        Exporter("n0", store, Files(folder / "exports")).run(6.0, most_rows=5)
+        Exporter("n0", store, Files(folder / "exports")).run(6.0, max_rows=5)
         verdict = verify(Files(folder / "exports"))
         assert not verdict.faults, (step, verdict.faults)
         assert verdict.units == {"GIVEN": total} and verdict.rows == 17 and verdict.unknown == 5
@@ -184,7 +190,7 @@
     tmp_path: Path, harm: Callable[[Path], object], said: str
 ) -> None:
     store, _ = ledger(tmp_path)
-    Exporter("n0", store, Files(tmp_path / "exports")).run(1.0, most_rows=5)
+    Exporter("n0", store, Files(tmp_path / "exports")).run(1.0, max_rows=5)
     assert not verify(Files(tmp_path / "exports")).faults
     harm(tmp_path / "exports")
     assert any(said in fault for fault in verify(Files(tmp_path / "exports")).faults)
@@ -194,7 +200,7 @@
 def test_only_one_exports_and_what_is_not_its_own_stops_it(tmp_path: Path) -> None:
     store, _ = ledger(tmp_path)
     exporter = Exporter("n0", store, Files(tmp_path / "exports"))
-    with exporter.only_one(), pytest.raises(StoreError, match="another process exports"):
+    with exporter.exclusive(), pytest.raises(StoreError, match="another process exports"):
         exporter.run(1.0)
     (tmp_path / "exports" / "usage-n0-00000001.json").write_bytes(b"{}")
     with pytest.raises(StoreError, match=r"usage-n0-00000001.json: no manifest"):
@@ -240,7 +246,7 @@
     store, total = ledger(tmp_path)
     files = Files(tmp_path / "exports")
     exporter = Exporter("n0", store, files)
-    exporter.run(1.0, most_rows=6)
+    exporter.run(1.0, max_rows=6)
     booked: dict[str, float] = {}
     order: list[str] = []
     trouble = iter(
@@ -264,10 +270,10 @@
     said: list[str] = []
     now = [0.0]
     with consumer(book) as url:
-        deliveries = Deliveries(store, files, Consumer(url, answer_ms=2000), Random(1), said.append)
+        deliveries = Deliveries(store, files, Consumer(url, response_timeout_ms=2000), Random(1), said.append)
         for _ in range(20):
             deliveries.run(lambda: now[0])
-            now[0] = max(now[0], deliveries.course.due_at)
+            now[0] = max(now[0], deliveries.schedule.due_at)
     assert all(e.acknowledged for e in store.exports()) and len(booked) == 3
     assert sum(booked.values()) == total and order == sorted(order)
     assert any("acknowledges 'somebody el" in line for line in said)
@@ -288,31 +294,35 @@
 @pytest.mark.parametrize(
     ("status", "body", "verdict"),
     [
-        (200, b'{"acknowledged":"d"}', Verdict.DELIVERED),
-        (409, b'{"acknowledged":"d"}', Verdict.DELIVERED),
-        (200, b"", Verdict.AGAIN),
-        (409, b"{}", Verdict.AGAIN),
-        (200, b'{"acknowledged":"x"}', Verdict.WRONG),
-        (0, b"", Verdict.AGAIN),
-        (429, b"", Verdict.AGAIN),
-        (500, b"", Verdict.AGAIN),
-        (400, b"", Verdict.WRONG),
-        (302, b"", Verdict.AGAIN),
+        (200, b'{"acknowledged":"d"}', DeliveryResult.DELIVERED),
+        (409, b'{"acknowledged":"d"}', DeliveryResult.DELIVERED),
+        (200, b"", DeliveryResult.RETRY),
+        (409, b"{}", DeliveryResult.RETRY),
+        (200, b'{"acknowledged":"x"}', DeliveryResult.REJECTED),
+        (0, b"", DeliveryResult.RETRY),
+        (429, b"", DeliveryResult.RETRY),
+        (500, b"", DeliveryResult.RETRY),
+        (400, b"", DeliveryResult.REJECTED),
+        (302, b"", DeliveryResult.RETRY),
     ],
 )
 def test_only_an_answer_that_names_the_export_acknowledges_it(
-    status: int, body: bytes, verdict: Verdict
+    status: int, body: bytes, verdict: DeliveryResult
 ) -> None:
-    assert verdict_of(status, body, "d")[0] is verdict
+    assert classify_response(status, body, "d")[0] is verdict
 
 
-@given(st.lists(st.sampled_from(list(Verdict)), max_size=40), st.integers(0, 99))
-def test_tries_come_in_bounded_pauses_and_at_once_after_a_delivery(course: list[Verdict], seed: int) -> None:
-    c, now = Course(Random(seed)), 0.0
+@given(st.lists(st.sampled_from(list(DeliveryResult)), max_size=40), st.integers(0, 99))
+def test_tries_come_in_bounded_pauses_and_at_once_after_a_delivery(
+    course: list[DeliveryResult], seed: int
+) -> None:
+    c, now = RetrySchedule(Random(seed)), 0.0
     for verdict in course:
-        c.told(now, 1, verdict, 100.0)
-        assert now <= c.due_at <= now + max(HELD_MS, MOST_MS + 100)
-        assert (c.due_at == now) == (verdict is Verdict.DELIVERED) and c.held == (verdict is Verdict.WRONG)
+        c.record_result(now, 1, verdict, 100.0)
+        assert now <= c.due_at <= now + max(REJECTED_RETRY_MS, MAX_RETRY_MS + 100)
+        assert (c.due_at == now) == (verdict is DeliveryResult.DELIVERED) and c.held == (
+            verdict is DeliveryResult.REJECTED
+        )
         now = c.due_at
 
 
--- a/tests/usage/test_kills.py
+++ b/tests/usage/test_kills.py
@@ -12,7 +12,7 @@
 from loopback import run
 from upgrade import Upgrade
 
-from troutdock.usage.ledger import RESERVE
+from troutdock.usage.ledger import SEQUENCE_RESERVE
 
 
 @pytest.mark.parametrize("promise", ["sync", "bounded"])
@@ -25,7 +25,7 @@
         assert not result.missing  # every answer that a client has
         assert result.unknown == 0
     else:
-        assert result.missing <= result.unknown <= kills * RESERVE
+        assert result.missing <= result.unknown <= kills * SEQUENCE_RESERVE
     assert (
         result.unseen <= result.uncertain + kills * result.clients
     )  # exported, and the client has no answer
--- a/tests/usage/test_ledger_front.py
+++ b/tests/usage/test_ledger_front.py
@@ -19,7 +19,7 @@
 from troutdock.usage.memory import MemoryStore
 from troutdock.usage.store import StoreError
 from troutdock.usage.record import Batch, State
-from troutdock.usage.service import Terms, Usage
+from troutdock.usage.service import UsageOptions, Usage
 
 BILLED = answer(head=b"Billed-Units: 3\r\n")
 
@@ -49,7 +49,7 @@
 async def ledger(w: World, promise: Promise = Promise.SYNC, at_risk_ms: float = 50.0) -> AsyncIterator[Any]:
     """Use is written down from here on; ends with all of it on disk."""
     disk = Disk()
-    usage = Usage("n0", Terms(promise, at_risk_ms=at_risk_ms), disk)
+    usage = Usage("n0", UsageOptions(promise, at_risk_ms=at_risk_ms), disk)
     usage.start(w.engine)
     try:
         yield disk, usage
@@ -78,7 +78,7 @@
         disk.free.clear()
         client = await w.client()
         asking = asyncio.create_task(client.ask(request("ledger-read")))
-        await until(lambda: len(w.backends[0].requests) == 1 and usage.book.waiting == 1)
+        await until(lambda: len(w.backends[0].requests) == 1 and usage.ledger.waiting == 1)
         await asyncio.sleep(0.05)
         assert not asking.done() and w.engine.open == 1
         disk.free.set()
@@ -91,12 +91,12 @@
 def test_with_bounded_answers_leave_at_once_and_records_follow() -> None:
     @plays(BILLED, promise=Promise.BOUNDED)
     async def _(w: World, disk: Disk, usage: Usage) -> None:
-        await until(lambda: usage.book.reserved > 0)
+        await until(lambda: usage.ledger.reserved > 0)
         disk.free.clear()
         assert (await w.ask(request("ledger-read")))[0] == 200
-        assert not disk.states() and usage.book.at_risk == 3.0
+        assert not disk.states() and usage.ledger.units_at_risk == 3.0
         disk.free.set()
-        await until(lambda: disk.states() == [State.GIVEN] and usage.book.at_risk == 0)
+        await until(lambda: disk.states() == [State.GIVEN] and usage.ledger.units_at_risk == 0)
 
 
 def test_a_full_disk_lets_nothing_in_and_comes_back_by_itself() -> None:
@@ -111,7 +111,7 @@
             assert status == 429 and b"Retry-After" in head
         assert len(w.backends[0].requests) == sent == 1  # nothing that could not be billed was sent
         disk.full = False
-        await until(lambda: not usage.book.stuck)
+        await until(lambda: not usage.ledger.stuck)
         assert (await w.ask(request("vat-filing", 4)))[0] == 200
         await until(lambda: disk.states() == [State.VOID, State.GIVEN])
 
@@ -146,26 +146,26 @@
         async with world(BILLED) as w:
             usage = Usage(
                 "n0",
-                Terms(
+                UsageOptions(
                     Promise.SYNC,
                     tmp_path,
-                    export_s=0.05,
-                    consumer=f"http://{taker.address}/use",
-                    most_bytes=10_000,
+                    export_interval_s=0.05,
+                    consumer_url=f"http://{taker.address}/use",
+                    max_unacknowledged_bytes=10_000,
                 ),
             )
             usage.start(w.engine)
             number = 0
-            while not usage.book.full:  # each export is some kilobytes
+            while not usage.ledger.full:  # each export is some kilobytes
                 number += 1
                 assert (await w.ask(request("ledger-read", number)))[0] in (200, 429)
                 await asyncio.sleep(0.02)
             kept = sum(f.stat().st_size for f in (tmp_path / "exports").iterdir())
             assert 10_000 < kept < 40_000
             status, head, _ = await w.ask(request("ledger-read", 1000))
-            assert status == 429 and b"Retry-After" in head and usage.book.last <= number
+            assert status == 429 and b"Retry-After" in head and usage.ledger.last_sequence <= number
             there = True
-            await until(lambda: not usage.book.full)
+            await until(lambda: not usage.ledger.full)
             assert (await w.ask(request("ledger-read", 1001)))[0] == 200
             await usage.close()
         taker.stop()
@@ -191,7 +191,7 @@
         disk.free.clear()
         client = await w.client()
         client.writer.write(request("ledger-read"))
-        await until(lambda: usage.book.waiting == 1)
+        await until(lambda: usage.ledger.waiting == 1)
         client.writer.close()
         await until(lambda: w.engine.open == 0)
         disk.free.set()
@@ -207,7 +207,7 @@
         for n in range(1, 13):  # one after the other, as a fresh ingress lets in few at once
             client = await w.client()
             asking.append(asyncio.create_task(client.ask(request("ledger-read", n, Account=f"{n:016x}"))))
-            await until(lambda n=n: usage.book.waiting >= n)
+            await until(lambda n=n: usage.ledger.waiting >= n)
         disk.free.set()
         assert [status for status, _, _ in await asyncio.gather(*asking)] == [200] * 12
         await until(lambda: disk.states() == [State.GIVEN] * 12)
@@ -218,7 +218,7 @@
     async def test() -> None:
         async with world(BILLED) as w:
             async with ledger(w, Promise.BOUNDED, at_risk_ms=5000.0) as (disk, usage):
-                await until(lambda: usage.book.reserved > 0)
+                await until(lambda: usage.ledger.reserved > 0)
                 assert (await w.ask(request("ledger-read")))[0] == 200
                 assert not disk.states()
             assert disk.states() == [State.GIVEN] and disk.select(9).unknown == ()
@@ -258,6 +258,10 @@
     section = read_operator(Path(__file__).parent.parent.parent / "deploy" / "operator.example.yaml").usage
     assert section is not None
     terms = terms_of(section)
-    assert terms.promise is Promise.SYNC and terms.most_bytes == 1 << 30 and terms.keep_s == 7 * 86_400
+    assert (
+        terms.promise is Promise.SYNC
+        and terms.max_unacknowledged_bytes == 1 << 30
+        and terms.retention_s == 7 * 86_400
+    )
     with pytest.raises(OperatorError, match="No such file"):
         read_operator(Path("nowhere.yaml"))
--- a/troutdock/cli/plans.py
+++ b/troutdock/cli/plans.py
@@ -29,15 +29,15 @@
 ) -> None:
     """From a moment on the customer has this plan."""
     from troutdock import jsonlines
-    from troutdock.plans.files import join
-    from troutdock.plans.history import Assignment, checked
+    from troutdock.plans.files import append
+    from troutdock.plans.history import Assignment, validate
 
     with plain_errors():
         either(file, doors)
         id = identity or secrets.token_hex(8)
-        made = checked(Assignment(moment(start), id, number(account), plan, who, why))
+        made = validate(Assignment(moment(start), id, number(account), plan, who, why))
         if file is not None:
-            join(file, [made])
+            append(file, [made])
         for line in _reserved(doors, made.customer, plan, made.valid_from_ms):
             typer.echo(line)
     typer.echo(f"{account}: {plan} from {said(made.valid_from_ms)} on, as {made.id}")
@@ -56,7 +56,7 @@
     import msgspec
 
     from troutdock.reservations.entries import Entries, Entry
-    from troutdock.reservations.commitment_limit import most_of, peak
+    from troutdock.reservations.commitment_limit import max_reserved_rate, peak_rate
 
     try:
         found = msgspec.json.decode(call(doors[0], "GET", "/control/reservations"))
@@ -69,8 +69,8 @@
         for r in Entries().add(msgspec.convert(found["entries"], list[Entry])).reservations()
         if r.customer == customer and r.ends_ms > from_ms
     ]
-    bears = most_of(found["plans"][plan]["rate"], found["plans"][plan]["ceiling"])
-    most = peak(held, from_ms, float("inf"))
+    bears = max_reserved_rate(found["plans"][plan]["rate"], found["plans"][plan]["ceiling"])
+    most = peak_rate(held, from_ms, float("inf"))
     if most <= bears:
         return []
     return [
@@ -113,13 +113,13 @@
 def history(account: str = _CUSTOMER, file: Path | None = _FILE, doors: list[str] = _DOORS) -> None:
     """All assignments of a customer, the first valid first; of several doors all together."""
     from troutdock.plans.files import parse, read
-    from troutdock.plans.history import Histories
+    from troutdock.plans.history import AssignmentHistory
 
     with plain_errors():
         either(file, doors)
-        whole = read(file) if file is not None else Histories()
+        whole = read(file) if file is not None else AssignmentHistory()
         for door in doors:
             whole = whole.merge(parse(call(door, "GET", _PATH), door))
-        rows = whole.of(number(account))
+        rows = whole.for_customer(number(account))
     for row in rows:
         typer.echo(f"{said(row.valid_from_ms)}  {row.plan:<12} {row.id}  {row.who}  {row.why}".rstrip())
--- a/troutdock/cli/reservations.py
+++ b/troutdock/cli/reservations.py
@@ -11,9 +11,9 @@
 
 from troutdock import jsonlines
 from troutdock.cli.common import call, either, moment, number, plain_errors, said, spread, stop
-from troutdock.reservations.entries import Entries, Entry, Kind, Reservation, checked
-from troutdock.reservations.files import join, promise, prune, read
-from troutdock.reservations.commitment_limit import Terms, Verdict
+from troutdock.reservations.entries import Entries, Entry, Kind, Reservation, validate
+from troutdock.reservations.files import append, promise, prune, read
+from troutdock.reservations.commitment_limit import CommitmentBounds, CommitmentDecision
 
 _FILE = typer.Option(None, "--file", help="The entries: JSON lines.")
 _DOORS = typer.Option([], "--door", help="The operators' door of an ingress, host:port; once for each.")
@@ -38,7 +38,7 @@
     return whole
 
 
-def _promised(entry: Entry, file: Path | None, doors: list[str], plan: str, terms: Terms) -> None:
+def _promised(entry: Entry, file: Path | None, doors: list[str], plan: str, terms: CommitmentBounds) -> None:
     """Ask for it, at the first door or by the file; exit 1 tells why not, and what would be promised."""
     if file is not None:
         if terms.fleet <= 0 or terms.rate <= 0:
@@ -48,7 +48,7 @@
         body = msgspec.json.encode({"entry": list(entry), "plan": plan})
         raw = msgspec.json.decode(call(doors[0], "POST", _PATH + "/promise", body))
         from_ms = float("inf") if raw["from_ms"] is None else raw["from_ms"]
-        verdict = Verdict(raw["granted"], raw["why"], raw["units"], from_ms)
+        verdict = CommitmentDecision(raw["granted"], raw["why"], raw["units"], from_ms)
     if not verdict.granted:
         ever = verdict.from_ms < float("inf")
         when = f"all of it from {said(verdict.from_ms)} on" if ever else "all of it at no later time"
@@ -79,7 +79,7 @@
         either(file, doors)
         id = identity or secrets.token_hex(8)
         whole = _shown(doors[0])["gateways"] if doors else gateways or 1
-        made = checked(
+        made = validate(
             Entry(
                 id,
                 Kind.RESERVE,
@@ -96,7 +96,7 @@
                 why,
             )
         )
-        _promised(made, file, doors, plan, Terms(fleet, rate, ceiling))
+        _promised(made, file, doors, plan, CommitmentBounds(fleet, rate, ceiling))
     typer.echo(f"{account}: {units:g} units from {said(made.from_ms)} to {said(made.until_ms)}, as {id}")
     spread(
         doors[1:],
@@ -128,8 +128,10 @@
             raise ValueError(f"no reservation is known as {reservation!r}")
         id = identity or secrets.token_hex(8)
         end = moment(until) if until else known.until_ms
-        made = checked(Entry(id, Kind.EXTEND, reservation, known.customer, units, 0.0, end, who=who, why=why))
-        _promised(made, file, doors, plan, Terms(fleet, rate, ceiling))
+        made = validate(
+            Entry(id, Kind.EXTEND, reservation, known.customer, units, 0.0, end, who=who, why=why)
+        )
+        _promised(made, file, doors, plan, CommitmentBounds(fleet, rate, ceiling))
     typer.echo(f"{reservation}: {known.units + units:g} units to {said(max(end, known.until_ms))}, as {id}")
     spread(doors[1:], _PATH, jsonlines.encode([made]), f"the same with --id {id} is harmless")
 
@@ -150,9 +152,9 @@
             raise ValueError(f"no reservation is known as {reservation!r}")
         id = identity or secrets.token_hex(8)
         now = moment("now")
-        made = checked(Entry(id, Kind.RELEASE, reservation, known.customer, 0.0, now, who=who, why=why))
+        made = validate(Entry(id, Kind.RELEASE, reservation, known.customer, 0.0, now, who=who, why=why))
         if file is not None:
-            join(file, [made])
+            append(file, [made])
     spread(doors, _PATH, jsonlines.encode([made]), "the same again is harmless")
     typer.echo(f"{reservation}: released, as {id}")
 
@@ -188,7 +190,7 @@
 def _line(r: Reservation, now: float) -> str:
     state = "holds" if r.from_ms <= now else "ahead"
     if r.ends_ms <= now:
-        state = "released" if r.over_ms <= now else "over"
+        state = "released" if r.released_ms <= now else "over"
     classes = f" for {', '.join(r.classes)}" if r.classes else ""
     window = f"{said(r.from_ms)} to {said(r.ends_ms)}"
     return f"{r.id}  {r.customer:016x}  {r.units:g} units{classes}  {window}  {state}"
--- a/troutdock/operator/components.py
+++ b/troutdock/operator/components.py
@@ -23,9 +23,13 @@
 
             parts.append(Plans(file.plans.file, file.plans.reread_s))
         if (kept := file.reservations) is not None:
-            from troutdock.reservations.service import Reservations, Terms
+            from troutdock.reservations.service import ReservationOptions, Reservations
 
-            parts.append(Reservations(Terms(kept.file, kept.folder, kept.reread_s, kept.fleet_units_per_s)))
+            parts.append(
+                Reservations(
+                    ReservationOptions(kept.file, kept.folder, kept.reread_s, kept.fleet_units_per_s)
+                )
+            )
         if file.grpc is not None:
             from troutdock.grpc.service import GrpcComponent
             from troutdock.operator.grpc import terms_of as grpc_terms_of
--- a/troutdock/operator/usage.py
+++ b/troutdock/operator/usage.py
@@ -4,13 +4,13 @@
 
 from troutdock.operator.model import UsageSection
 from troutdock.usage.ledger import Promise
-from troutdock.usage.service import Terms
+from troutdock.usage.service import UsageOptions
 
 
-def terms_of(section: UsageSection) -> Terms:
+def terms_of(section: UsageSection) -> UsageOptions:
     """In the ledger's units."""
     exports = section.exports
-    return Terms(
+    return UsageOptions(
         Promise(section.promise),
         section.folder,
         section.at_risk_ms,
--- a/troutdock/plans/files.py
+++ b/troutdock/plans/files.py
@@ -6,25 +6,25 @@
 from pathlib import Path
 
 from troutdock import jsonlines
-from troutdock.plans.history import Assignment, Histories
+from troutdock.plans.history import Assignment, AssignmentHistory
 
 
-def parse(data: bytes, place: object = "line") -> Histories:
+def parse(data: bytes, source: object = "line") -> AssignmentHistory:
     """A history from its lines; ValueError names the place and the line that is wrong."""
-    return jsonlines.gathered(data, Assignment, Histories(), Histories.assign, place)
+    return jsonlines.gathered(data, Assignment, AssignmentHistory(), AssignmentHistory.assign, source)
 
 
-def read(path: Path) -> Histories:
+def read(path: Path) -> AssignmentHistory:
     """The file's history, an empty one if there is no file; ValueError names the line that is wrong."""
     return parse(jsonlines.content(path), path)
 
 
-def write(path: Path, history: Histories) -> None:
+def write(path: Path, history: AssignmentHistory) -> None:
     """Put it in the file's place in one step; OSError leaves the old one."""
     jsonlines.replace(path, jsonlines.encode(history))
 
 
-def join(path: Path, assignments: Iterable[Assignment]) -> Histories:
+def append(path: Path, assignments: Iterable[Assignment]) -> AssignmentHistory:
     """Add these to the file, and give what it holds then; ValueError or OSError leave it as it was."""
     with jsonlines.locked(path):
         known = read(path)
--- a/troutdock/plans/history.py
+++ b/troutdock/plans/history.py
@@ -20,10 +20,10 @@
 
 from immutables import Map
 
-MOST_TEXT = 200  # characters of who and why: they are for people, and every gateway keeps them
+MAX_TEXT_CHARS = 200  # characters of who and why: they are for people, and every gateway keeps them
 
 
-class Conflict(ValueError):
+class ConflictError(ValueError):
     """Two assignments of one identity say different things."""
 
 
@@ -42,7 +42,7 @@
     why: str = ""
 
 
-def checked(assignment: Assignment) -> Assignment:
+def validate(assignment: Assignment) -> Assignment:
     """The assignment, if it makes sense; ValueError that names the field if not."""
     if not 0 <= assignment.valid_from_ms < float("inf"):
         raise ValueError(f"valid_from_ms: {assignment.valid_from_ms!r} is no time")
@@ -52,87 +52,89 @@
         if not getattr(assignment, field):
             raise ValueError(f"{field} is missing")
     for field in ("id", "plan", "who", "why"):
-        if len(getattr(assignment, field)) > MOST_TEXT:
-            raise ValueError(f"{field}: longer than {MOST_TEXT} characters")
+        if len(getattr(assignment, field)) > MAX_TEXT_CHARS:
+            raise ValueError(f"{field}: longer than {MAX_TEXT_CHARS} characters")
     return assignment
 
 
-class Histories:
+class AssignmentHistory:
     """Every customer's assignments, in the order of their validity; make one with Histories()."""
 
-    __slots__ = ("_of", "_seen")
+    __slots__ = ("_by_customer", "_by_id")
 
     def __init__(
-        self, of: Map[int, tuple[Assignment, ...]] | None = None, seen: Map[str, Assignment] | None = None
+        self, of: Map[int, tuple[Assignment, ...]] | None = None, by_id: Map[str, Assignment] | None = None
     ) -> None:
-        self._of: Map[int, tuple[Assignment, ...]] = Map() if of is None else of
-        self._seen: Map[str, Assignment] = Map() if seen is None else seen
+        self._by_customer: Map[int, tuple[Assignment, ...]] = Map() if of is None else of
+        self._by_id: Map[str, Assignment] = Map() if by_id is None else by_id
 
     def __eq__(self, other: object) -> bool:
-        return isinstance(other, Histories) and self._of == other._of
+        return isinstance(other, AssignmentHistory) and self._by_customer == other._by_customer
 
     def __hash__(self) -> int:
-        return hash(self._of)
+        return hash(self._by_customer)
 
     def __len__(self) -> int:
-        return len(self._seen)
+        return len(self._by_id)
 
     def __iter__(self) -> Iterator[Assignment]:
-        for customer in sorted(self._of):
-            yield from self._of[customer]
+        for customer in sorted(self._by_customer):
+            yield from self._by_customer[customer]
 
-    def assign(self, assignments: Iterable[Assignment]) -> Histories:
+    def assign(self, assignments: Iterable[Assignment]) -> AssignmentHistory:
         """The history with these as well, all or none; Conflict or ValueError names the first bad one."""
-        of, seen = self._of.mutate(), self._seen.mutate()
+        of, by_id = self._by_customer.mutate(), self._by_id.mutate()
         for assignment in assignments:
-            known = seen.get(assignment.id)
+            known = by_id.get(assignment.id)
             if known == assignment:
                 continue
             if known is not None:
-                raise Conflict(f"assignment {assignment.id!r} is known as {known}, and now as {assignment}")
-            seen[checked(assignment).id] = assignment
+                raise ConflictError(
+                    f"assignment {assignment.id!r} is known as {known}, and now as {assignment}"
+                )
+            by_id[validate(assignment).id] = assignment
             row = list(of.get(assignment.customer, ()))
             insort(row, assignment)
             of[assignment.customer] = tuple(row)
-        return Histories(of.finish(), seen.finish())
+        return AssignmentHistory(of.finish(), by_id.finish())
 
-    def knows(self, assignment: Assignment) -> bool:
+    def contains(self, assignment: Assignment) -> bool:
         """It is in there, just so."""
-        return self._seen.get(assignment.id) == assignment
+        return self._by_id.get(assignment.id) == assignment
 
-    def merge(self, other: Histories) -> Histories:
+    def merge(self, other: AssignmentHistory) -> AssignmentHistory:
         """What either knows; Conflict if they contradict each other."""
         return self.assign(other)
 
-    def of(self, customer: int) -> tuple[Assignment, ...]:
+    def for_customer(self, customer: int) -> tuple[Assignment, ...]:
         """A customer's assignments, the first valid first."""
-        return self._of.get(customer, ())
+        return self._by_customer.get(customer, ())
 
     def at(self, customer: int, time_ms: float) -> Assignment | None:
         """The one that holds then; None: no assignment is valid yet, and the request's own word counts."""
-        row = self.of(customer)
-        place = bisect_right(row, time_ms, key=_valid_from)
-        return row[place - 1] if place else None
+        row = self.for_customer(customer)
+        index = bisect_right(row, time_ms, key=_valid_from)
+        return row[index - 1] if index else None
 
     def next_after(self, customer: int, time_ms: float) -> Assignment | None:
         """The next change after that time; of several at one moment the one that will hold."""
-        row = self.of(customer)
-        place = bisect_right(row, time_ms, key=_valid_from)
-        return self.at(customer, row[place].valid_from_ms) if place < len(row) else None
+        row = self.for_customer(customer)
+        index = bisect_right(row, time_ms, key=_valid_from)
+        return self.at(customer, row[index].valid_from_ms) if index < len(row) else None
 
-    def fold(self, before_ms: float) -> Histories:
+    def compact(self, before_ms: float) -> AssignmentHistory:
         """Without what no longer matters: of those valid before then, only each customer's last is kept.
 
         One that was folded away is no longer known: should it come again, it is taken and folded anew.
         """
-        of, seen = self._of.mutate(), self._seen.mutate()
-        for customer, row in self._of.items():
-            place = bisect_right(row, before_ms, key=_valid_from) - 1
-            if place > 0:
-                of[customer] = row[place:]
-                for gone in row[:place]:
-                    del seen[gone.id]
-        return Histories(of.finish(), seen.finish())
+        of, by_id = self._by_customer.mutate(), self._by_id.mutate()
+        for customer, row in self._by_customer.items():
+            index = bisect_right(row, before_ms, key=_valid_from) - 1
+            if index > 0:
+                of[customer] = row[index:]
+                for removed in row[:index]:
+                    del by_id[removed.id]
+        return AssignmentHistory(of.finish(), by_id.finish())
 
 
 def _valid_from(assignment: Assignment) -> float:
--- a/troutdock/plans/schedule.py
+++ b/troutdock/plans/schedule.py
@@ -17,56 +17,56 @@
 from collections.abc import Iterable
 from math import inf
 
-from troutdock.plans.history import Assignment, Histories
+from troutdock.plans.history import Assignment, AssignmentHistory
 
-FOLD_MS = 3_600_000.0  # assignments that were followed by another one so long ago are forgotten
+COMPACT_AFTER_MS = 3_600_000.0  # assignments that were followed by another one so long ago are forgotten
 
 
-class PlanBook:
+class PlanSchedule:
     """What one ingress knows."""
 
     def __init__(self) -> None:
-        self.history = Histories()
-        self._changes: list[tuple[float, int]] = []  # when, whose: a heap
-        self._told: dict[int, str] = {}  # the plan that was told last, by customer
+        self.history = AssignmentHistory()
+        self._upcoming: list[tuple[float, int]] = []  # when, whose: a heap
+        self._reported: dict[int, str] = {}  # the plan that was told last, by customer
 
     def plan_of(self, customer: int, now: float) -> str | None:
         """By name; None: no assignment is valid yet, and the request's own word counts."""
-        held = self.history.at(customer, now)
-        return None if held is None else held.plan
+        assignment = self.history.at(customer, now)
+        return None if assignment is None else assignment.plan
 
-    def learn(self, now: float, assignments: Iterable[Assignment]) -> list[tuple[int, str]]:
+    def add(self, now: float, assignments: Iterable[Assignment]) -> list[tuple[int, str]]:
         """Customers whose plan is another one by these. Conflict or ValueError names the first bad one.
 
         Then nothing of them is taken.
         """
-        news = [a for a in assignments if not self.history.knows(a)]
-        self.history = self.history.assign(news)
-        for assignment in news:
+        new_assignments = [a for a in assignments if not self.history.contains(a)]
+        self.history = self.history.assign(new_assignments)
+        for assignment in new_assignments:
             if assignment.valid_from_ms > now:
-                heapq.heappush(self._changes, (assignment.valid_from_ms, assignment.customer))
-        return self._differ(now, dict.fromkeys(a.customer for a in news))
+                heapq.heappush(self._upcoming, (assignment.valid_from_ms, assignment.customer))
+        return self._take_changed(now, dict.fromkeys(a.customer for a in new_assignments))
 
     @property
-    def next_at(self) -> float:
+    def next_change_at(self) -> float:
         """When the next change is due; infinite where none is known."""
-        return self._changes[0][0] if self._changes else inf
+        return self._upcoming[0][0] if self._upcoming else inf
 
-    def due(self, now: float) -> list[tuple[int, str]]:
+    def take_due(self, now: float) -> list[tuple[int, str]]:
         """Customers whose plan has become another one by now."""
-        whose: dict[int, None] = {}
-        while self._changes and self._changes[0][0] <= now:
-            whose[heapq.heappop(self._changes)[1]] = None
-        changed = self._differ(now, whose)
+        customers: dict[int, None] = {}
+        while self._upcoming and self._upcoming[0][0] <= now:
+            customers[heapq.heappop(self._upcoming)[1]] = None
+        changed = self._take_changed(now, customers)
         if changed:
-            self.history = self.history.fold(now - FOLD_MS)
+            self.history = self.history.compact(now - COMPACT_AFTER_MS)
         return changed
 
-    def _differ(self, now: float, customers: Iterable[int]) -> list[tuple[int, str]]:
-        found = []
+    def _take_changed(self, now: float, customers: Iterable[int]) -> list[tuple[int, str]]:
+        changed = []
         for customer in customers:
             plan = self.plan_of(customer, now)
-            if plan is not None and self._told.get(customer) != plan:
-                self._told[customer] = plan
-                found.append((customer, plan))
-        return found
+            if plan is not None and self._reported.get(customer) != plan:
+                self._reported[customer] = plan
+                changed.append((customer, plan))
+        return changed
--- a/troutdock/plans/service.py
+++ b/troutdock/plans/service.py
@@ -11,9 +11,9 @@
 from typing import Protocol
 
 from troutdock import jsonlines
-from troutdock.plans.schedule import PlanBook
-from troutdock.plans.files import join, parse, read
-from troutdock.plans.history import Conflict
+from troutdock.plans.schedule import PlanSchedule
+from troutdock.plans.files import append, parse, read
+from troutdock.plans.history import ConflictError
 
 log = logging.getLogger("troutdock")
 
@@ -23,7 +23,7 @@
 class Engine(Protocol):
     """Who wants to know."""
 
-    def set_plan_book(self, plans: PlanBook) -> None:
+    def set_plan_book(self, plans: PlanSchedule) -> None:
         """Ask there for each request's plan."""
 
     def assign_plan(self, customer: int, plan: str) -> bool:
@@ -36,29 +36,29 @@
     def __init__(self, file: Path, reread_s: float) -> None:
         """The file is read here for the first time; ValueError or OSError if it can't be."""
         self._file, self._reread_s = file, reread_s
-        self.book = PlanBook()
-        self._seen = jsonlines.mark(self._file)
-        self.book.learn(_now(), read(file))
-        self._bad: object = None
-        self._named: set[str] = set()  # plans that the settings don't have
+        self.schedule = PlanSchedule()
+        self._file_mark = jsonlines.mark(self._file)
+        self.schedule.add(_now(), read(file))
+        self._failed_mark: object = None
+        self._logged_plans: set[str] = set()  # plans that the settings don't have
         self._engine: Engine | None = None
-        self._due: asyncio.TimerHandle | None = None
-        self._reading: asyncio.Task[None] | None = None
+        self._timer: asyncio.TimerHandle | None = None
+        self._reread_task: asyncio.Task[None] | None = None
 
     def start(self, engine: Engine) -> None:
         """Tell what holds, and from now on what changes."""
         self._engine = engine
-        engine.set_plan_book(self.book)
-        self._reading = asyncio.create_task(self._reread())
-        self._wait()
+        engine.set_plan_book(self.schedule)
+        self._reread_task = asyncio.create_task(self._reread())
+        self._schedule_timer()
 
     async def close(self) -> None:
         """Nothing is read or told any more."""
-        if self._due is not None:
-            self._due.cancel()
-        if self._reading is not None:
-            self._reading.cancel()
-            await asyncio.wait({self._reading})
+        if self._timer is not None:
+            self._timer.cancel()
+        if self._reread_task is not None:
+            self._reread_task.cancel()
+            await asyncio.wait({self._reread_task})
 
     # ---- the operators' door
 
@@ -68,42 +68,42 @@
         return {(b"GET", path): self._show, (b"POST", path): self._add}
 
     async def _show(self, body: bytes) -> tuple[int, bytes]:
-        return 200, jsonlines.encode(self.book.history)
+        return 200, jsonlines.encode(self.schedule.history)
 
     async def _add(self, body: bytes) -> tuple[int, bytes]:
         """On disk first, then told. The file's other news are told when it is read again."""
         if self._engine is None:
             return 503, b"not started\n"
         try:
-            news = parse(body)
-            await asyncio.to_thread(join, self._file, news)
-            self._tell(self.book.learn(_now(), news))
-        except Conflict as error:
+            assignments = parse(body)
+            await asyncio.to_thread(append, self._file, assignments)
+            self._apply(self.schedule.add(_now(), assignments))
+        except ConflictError as error:
             return 409, f"{error}\n".encode()
         except ValueError as error:
             return 400, f"{error}\n".encode()
         except OSError as error:
             return 503, f"{error}\n".encode()
-        self._wait()
-        return 200, b'{"assignments":%d}' % len(self.book.history)
-
-    def _wait(self) -> None:
-        if self._due is not None:
-            self._due.cancel()
-            self._due = None
-        if (at := self.book.next_at) < inf:
+        self._schedule_timer()
+        return 200, b'{"assignments":%d}' % len(self.schedule.history)
+
+    def _schedule_timer(self) -> None:
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
+        if (at := self.schedule.next_change_at) < inf:
             wait_s = min(3600.0, max(0.0, (at - _now()) / 1000) + 0.001)
-            self._due = asyncio.get_running_loop().call_later(wait_s, self._changes)
+            self._timer = asyncio.get_running_loop().call_later(wait_s, self._apply_due)
 
-    def _changes(self) -> None:
-        self._tell(self.book.due(_now()))
-        self._wait()
+    def _apply_due(self) -> None:
+        self._apply(self.schedule.take_due(_now()))
+        self._schedule_timer()
 
-    def _tell(self, changes: list[tuple[int, str]]) -> None:
+    def _apply(self, changes: list[tuple[int, str]]) -> None:
         assert self._engine is not None
         for customer, plan in changes:
-            if not self._engine.assign_plan(customer, plan) and plan not in self._named:
-                self._named.add(plan)
+            if not self._engine.assign_plan(customer, plan) and plan not in self._logged_plans:
+                self._logged_plans.add(plan)
                 log.error("plans: the settings have no %r: its customers keep what requests say", plan)
 
     async def _reread(self) -> None:
@@ -111,24 +111,24 @@
         while True:
             await asyncio.sleep(self._reread_s)
             mark = jsonlines.mark(self._file)
-            if mark == self._seen:
+            if mark == self._file_mark:
                 continue
             try:
                 history = await asyncio.to_thread(read, self._file)
-                changes = self.book.learn(_now(), history)
+                changes = self.schedule.add(_now(), history)
             except (ValueError, OSError) as error:
-                if self._bad != mark:
+                if self._failed_mark != mark:
                     log.error("plans: the history stays as it was: %s", error)
-                self._bad = mark
+                self._failed_mark = mark
                 continue
-            self._seen = mark
+            self._file_mark = mark
             log.info(
                 "plans: %d assignments, %d customers have another plan now",
-                len(self.book.history),
+                len(self.schedule.history),
                 len(changes),
             )
-            self._tell(changes)
-            self._wait()
+            self._apply(changes)
+            self._schedule_timer()
 
 
 def _now() -> float:
--- a/troutdock/reservations/entries.py
+++ b/troutdock/reservations/entries.py
@@ -20,8 +20,8 @@
 
 from immutables import Map
 
-MOST_UNITS = 1e9
-MOST_TEXT = 200  # characters of who and why
+MAX_UNITS = 1e9
+MAX_TEXT_CHARS = 200  # characters of who and why
 
 
 class Kind(Enum):
@@ -32,7 +32,7 @@
     RELEASE = "release"
 
 
-class Conflict(ValueError):
+class ConflictError(ValueError):
     """Two entries of one identity say different things."""
 
 
@@ -60,11 +60,11 @@
     why: str = ""
 
 
-def checked(entry: Entry) -> Entry:
+def validate(entry: Entry) -> Entry:
     """The entry, if it makes sense; ValueError that names the field if not."""
     if not entry.id or not entry.of or (entry.kind is Kind.RESERVE) != (entry.id == entry.of):
         raise ValueError("id: an entry and its reservation need one each, the same where it is made")
-    if not 0 <= entry.units <= MOST_UNITS or (entry.kind is Kind.RESERVE and not entry.units):
+    if not 0 <= entry.units <= MAX_UNITS or (entry.kind is Kind.RESERVE and not entry.units):
         raise ValueError(f"units: {entry.units!r} is nothing that can be reserved")
     if not 0 <= entry.from_ms < float("inf") or not 0 <= entry.until_ms < float("inf"):
         raise ValueError("from_ms, until_ms: no times")
@@ -75,8 +75,8 @@
     if not (1 <= entry.width <= entry.gateways and 0 <= entry.first < entry.gateways):
         raise ValueError("first, width: no set of so many gateways")
     for field in ("id", "of", "who", "why"):
-        if len(getattr(entry, field)) > MOST_TEXT:
-            raise ValueError(f"{field}: longer than {MOST_TEXT} characters")
+        if len(getattr(entry, field)) > MAX_TEXT_CHARS:
+            raise ValueError(f"{field}: longer than {MAX_TEXT_CHARS} characters")
     return entry
 
 
@@ -88,7 +88,7 @@
     units: float
     from_ms: float
     until_ms: float
-    over_ms: float  # when it was released; infinite if it was not
+    released_ms: float  # when it was released; infinite if it was not
     classes: tuple[str, ...]
     first: int
     width: int
@@ -97,9 +97,9 @@
     @property
     def ends_ms(self) -> float:
         """Nothing of it is honoured from then on."""
-        return min(self.until_ms, self.over_ms)
+        return min(self.until_ms, self.released_ms)
 
-    def serves(self, cls: str, now: float) -> bool:
+    def is_usable_by(self, cls: str, now: float) -> bool:
         """A request of this class may use it now."""
         return self.from_ms <= now < self.ends_ms and (not self.classes or cls in self.classes)
 
@@ -128,11 +128,11 @@
         for id in sorted(self._by_id):
             yield self._by_id[id]
 
-    def knows(self, entry: Entry) -> bool:
+    def contains(self, entry: Entry) -> bool:
         """It is in there, just so."""
         return self._by_id.get(entry.id) == entry
 
-    def of(self, id: str) -> tuple[Entry, ...]:
+    def for_reservation(self, id: str) -> tuple[Entry, ...]:
         """All entries of a reservation, by identity, also where it has not been heard of itself."""
         return self._of.get(id, ())
 
@@ -152,8 +152,8 @@
             if known == entry:
                 continue
             if known is not None:
-                raise Conflict(f"entry {entry.id!r} is known as {known}, and now as {entry}")
-            by_id[checked(entry).id] = entry
+                raise ConflictError(f"entry {entry.id!r} is known as {known}, and now as {entry}")
+            by_id[validate(entry).id] = entry
             of[entry.of] = tuple(sorted((*of.get(entry.of, ()), entry), key=lambda e: e.id))
         return Entries(by_id.finish(), of.finish())
 
@@ -166,14 +166,14 @@
         more = [e for e in rows if e.kind is Kind.EXTEND]
         released = [e.from_ms for e in rows if e.kind is Kind.RELEASE]
         until_ms = max([made.until_ms, *(e.until_ms for e in more)])
-        over_ms = min(released, default=float("inf"))
+        released_ms = min(released, default=float("inf"))
         return Reservation(
             id,
             made.customer,
             made.units + sum(e.units for e in more),
             made.from_ms,
             until_ms,
-            over_ms,
+            released_ms,
             made.classes,
             made.first,
             made.width,
--- a/troutdock/reservations/files.py
+++ b/troutdock/reservations/files.py
@@ -11,17 +11,17 @@
 
 from troutdock import jsonlines
 from troutdock.reservations.entries import Entries, Entry
-from troutdock.reservations.escrow import Saved
-from troutdock.reservations.commitment_limit import Terms, Verdict, may
+from troutdock.reservations.escrow import SavedParts
+from troutdock.reservations.commitment_limit import CommitmentBounds, CommitmentDecision, decide
 
-MOST_ENTRIES = 100_000  # in a file: some 100 MB of memory; those that are over are taken out by `prune`
+MAX_ENTRIES = 100_000  # in a file: some 100 MB of memory; those that are over are taken out by `prune`
 
 
-def parse(data: bytes, place: object = "line") -> Entries:
+def parse(data: bytes, source: object = "line") -> Entries:
     """Entries from their lines; ValueError names the place and the line that is wrong."""
-    entries = jsonlines.gathered(data, Entry, Entries(), Entries.add, place)
-    if len(entries) > MOST_ENTRIES:
-        raise ValueError(f"{place}: {len(entries)} entries, and {MOST_ENTRIES} are the most")
+    entries = jsonlines.gathered(data, Entry, Entries(), Entries.add, source)
+    if len(entries) > MAX_ENTRIES:
+        raise ValueError(f"{source}: {len(entries)} entries, and {MAX_ENTRIES} are the most")
     return entries
 
 
@@ -30,42 +30,42 @@
     return parse(jsonlines.content(path), path)
 
 
-def join(path: Path, entries: Iterable[Entry]) -> Entries:
+def append(path: Path, entries: Iterable[Entry]) -> Entries:
     """Add these to the file, and give what it holds then; ValueError or OSError leave it as it was."""
     with jsonlines.locked(path):
-        known = read(path)
-        joined = known.add(entries)
-        if len(joined) > MOST_ENTRIES:
-            raise ValueError(f"{path}: {MOST_ENTRIES} entries are the most; prune those that are over")
-        if len(joined) != len(known):
-            jsonlines.replace(path, jsonlines.encode(joined))
-        return joined
+        existing = read(path)
+        updated = existing.add(entries)
+        if len(updated) > MAX_ENTRIES:
+            raise ValueError(f"{path}: {MAX_ENTRIES} entries are the most; prune those that are over")
+        if len(updated) != len(existing):
+            jsonlines.replace(path, jsonlines.encode(updated))
+        return updated
 
 
-def promise(path: Path, entry: Entry, terms: Terms) -> tuple[Entries, Verdict]:
+def promise(path: Path, entry: Entry, terms: CommitmentBounds) -> tuple[Entries, CommitmentDecision]:
     """Add it to the file if it may be promised beside what that holds; ValueError or OSError: it is not."""
     with jsonlines.locked(path):
-        known = read(path)
-        if known.knows(entry):
-            return known, Verdict(True, units=entry.units)  # asked again: it was promised
-        joined = known.add([entry])
-        wanted = joined.get(entry.of)
-        if wanted is None:
+        existing = read(path)
+        if existing.contains(entry):
+            return existing, CommitmentDecision(True, units=entry.units)  # asked again: it was promised
+        updated = existing.add([entry])
+        reservation = updated.get(entry.of)
+        if reservation is None:
             raise ValueError(f"no reservation is known as {entry.of!r}")
-        verdict = may(wanted, known.reservations(), terms)
-        if verdict.granted:
-            jsonlines.replace(path, jsonlines.encode(joined))
-        return (joined if verdict.granted else known), verdict
+        decision = decide(reservation, existing.reservations(), terms)
+        if decision.granted:
+            jsonlines.replace(path, jsonlines.encode(updated))
+        return (updated if decision.granted else existing), decision
 
 
 def prune(path: Path, before_ms: float) -> list[str]:
     """Take out all entries of reservations that ended before that time: their identities."""
     with jsonlines.locked(path):
-        known = read(path)
-        gone = [r.id for r in known.reservations() if r.ends_ms < before_ms]
-        if gone:
-            jsonlines.replace(path, jsonlines.encode(known.without(gone)))
-        return gone
+        existing = read(path)
+        pruned = [r.id for r in existing.reservations() if r.ends_ms < before_ms]
+        if pruned:
+            jsonlines.replace(path, jsonlines.encode(existing.without(pruned)))
+        return pruned
 
 
 class _Parts(msgspec.Struct, forbid_unknown_fields=True):
@@ -73,7 +73,7 @@
 
     version: int
     index: int
-    parts: Saved
+    parts: SavedParts
 
 
 class PartsFolder:
@@ -85,7 +85,7 @@
         self._path, self._folder = folder / "parts.json", folder
         self._lock: BinaryIO = (folder / "lock").open("ab")
 
-    def own(self) -> bool:
+    def acquire(self) -> bool:
         """It is this process's from now on; false while another one has it."""
         try:
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -93,7 +93,7 @@
             return False
         return True
 
-    def load(self, index: int) -> Saved:
+    def load(self, index: int) -> SavedParts:
         """What the last save says, nothing if there is none; ValueError if it is none of this gateway's."""
         data = jsonlines.content(self._path)
         if not data:
@@ -107,7 +107,7 @@
             raise ValueError(f"{self._path}: {whose}; this is {index}")
         return found.parts
 
-    def save(self, index: int, parts: Saved) -> None:
+    def save(self, index: int, parts: SavedParts) -> None:
         """All of it is on disk when this returns; OSError: nobody knows."""
         jsonlines.replace(self._path, msgspec.json.encode(_Parts(1, index, parts)))
 
--- a/troutdock/reservations/messages.py
+++ b/troutdock/reservations/messages.py
@@ -12,34 +12,40 @@
 from hashlib import blake2b
 from struct import Struct
 
-from troutdock.reservations.escrow import MOST_GIFT
+from troutdock.reservations.escrow import MAX_TRANSFER_MILLIUNITS
 
-ASK, GIVE = 40, 41
-KINDS = (bytes([ASK]), bytes([GIVE]))
-_WORD = Struct("<B8sIIQ")
+REQUEST, TRANSFER = 40, 41
+KINDS = (bytes([REQUEST]), bytes([TRANSFER]))
+_MESSAGE = Struct("<B8sIIQ")
 
 
-def key_of(reservation: str) -> bytes:
+def reservation_key(reservation: str) -> bytes:
     """Eight bytes for an identity: two of a million share them with a chance of 3 in 100 million."""
     return blake2b(reservation.encode(), digest_size=8).digest()
 
 
-def ask(reservation: str, life: int, missing: int, got: int) -> bytes:
+def encode_request(reservation: str, incarnation: int, missing: int, last_received: int) -> bytes:
     """A question."""
-    return _WORD.pack(ASK, key_of(reservation), life, min(missing, MOST_GIFT), got)
+    return _MESSAGE.pack(
+        REQUEST,
+        reservation_key(reservation),
+        incarnation,
+        min(missing, MAX_TRANSFER_MILLIUNITS),
+        last_received,
+    )
 
 
-def give(reservation: str, life: int, parts: int, number: int) -> bytes:
+def encode_transfer(reservation: str, incarnation: int, milliunits: int, number: int) -> bytes:
     """A gift, of MOST_GIFT parts at most."""
-    return _WORD.pack(GIVE, key_of(reservation), life, parts, number)
+    return _MESSAGE.pack(TRANSFER, reservation_key(reservation), incarnation, milliunits, number)
 
 
-def read(body: bytes) -> tuple[int, bytes, int, int, int]:
+def decode(body: bytes) -> tuple[int, bytes, int, int, int]:
     """Kind, reservation's key, life, missing or parts, and the gift's number.
 
     ValueError if it is none.
     """
-    if body[:1] not in KINDS or len(body) != _WORD.size:
+    if body[:1] not in KINDS or len(body) != _MESSAGE.size:
         raise ValueError(f"{len(body)} bytes are no word on a reservation")
-    kind, key, life, parts, number = _WORD.unpack(body)
-    return kind, key, life, parts, number
+    kind, key, incarnation, milliunits, number = _MESSAGE.unpack(body)
+    return kind, key, incarnation, milliunits, number
--- a/troutdock/usage/consumer.py
+++ b/troutdock/usage/consumer.py
@@ -7,37 +7,37 @@
 from random import Random
 from urllib.parse import urlsplit
 
-from troutdock.usage.delivery import ANSWER_MS, Course, Verdict, verdict_of
+from troutdock.usage.delivery import RESPONSE_TIMEOUT_MS, RetrySchedule, DeliveryResult, classify_response
 from troutdock.usage.files import Files
 from troutdock.usage.manifest import decode, digest_of
 from troutdock.usage.store import Store
 
-MOST_ANSWER = 64 * 1024  # bytes of an acknowledgement
+MAX_RESPONSE_BYTES = 64 * 1024  # bytes of an acknowledgement
 
 
 class Consumer:
     """Where exports go."""
 
-    def __init__(self, url: str, answer_ms: float = ANSWER_MS) -> None:
+    def __init__(self, url: str, response_timeout_ms: float = RESPONSE_TIMEOUT_MS) -> None:
         """url: http://host:port/path, the names of files are put behind it. ValueError if it is none."""
         parts = urlsplit(url)
         if parts.scheme != "http" or not parts.hostname or parts.query or parts.fragment:
             raise ValueError(f"{url!r} is no http URL of a folder")
         self._host, self._port, self._path = parts.hostname, parts.port or 80, parts.path.rstrip("/")
-        self._answer_s = answer_ms / 1000
+        self._response_timeout_s = response_timeout_ms / 1000
 
     def put(self, name: str, body: bytes, digest: str, kind: str) -> tuple[int, bytes, float]:
         """Status, body and Retry-After in milliseconds of the answer; status 0 where none came."""
-        connection = http.client.HTTPConnection(self._host, self._port, timeout=self._answer_s)
+        connection = http.client.HTTPConnection(self._host, self._port, timeout=self._response_timeout_s)
         try:
             connection.request(
                 "PUT", f"{self._path}/{name}", body, {"Content-Type": kind, "Idempotency-Key": digest}
             )
-            answer = connection.getresponse()
-            wait = answer.getheader("Retry-After", "0")
+            response = connection.getresponse()
+            wait = response.getheader("Retry-After", "0")
             return (
-                answer.status,
-                answer.read(MOST_ANSWER),
+                response.status,
+                response.read(MAX_RESPONSE_BYTES),
                 1000 * float(wait) if wait.replace(".", "", 1).isdigit() else 0.0,
             )
         except (OSError, http.client.HTTPException):
@@ -45,18 +45,18 @@
         finally:
             connection.close()
 
-    def deliver(self, files: Files, stem: str) -> tuple[Verdict, str, float]:
+    def deliver(self, files: Files, stem: str) -> tuple[DeliveryResult, str, float]:
         """One try with an export: what it came to, why, and how long the consumer wants to be left alone."""
         data = files.read(f"{stem}.json")
         digest = digest_of(data)
         body = files.read(decode(data, f"{stem}.json").file)
         status, _, wait_ms = self.put(f"{stem}.parquet", body, digest, "application/vnd.apache.parquet")
         if status not in (200, 201, 202, 204, 409):
-            verdict, why = verdict_of(status, b"", digest)
-            return verdict, f"the file: {why}", wait_ms
-        status, answer, wait_ms = self.put(f"{stem}.json", data, digest, "application/json")
-        verdict, why = verdict_of(status, answer, digest)
-        return verdict, why, wait_ms
+            result, why = classify_response(status, b"", digest)
+            return result, f"the file: {why}", wait_ms
+        status, response, wait_ms = self.put(f"{stem}.json", data, digest, "application/json")
+        result, why = classify_response(status, response, digest)
+        return result, why, wait_ms
 
 
 class Deliveries:
@@ -66,7 +66,7 @@
         self, store: Store, files: Files, consumer: Consumer, random: Random, log: Callable[[str], object]
     ) -> None:
         self._store, self._files, self._consumer, self._log = store, files, consumer, log
-        self.course = Course(random)
+        self.schedule = RetrySchedule(random)
 
     def run(self, now: Callable[[], float]) -> int:
         """Deliver what is due, to the first failure: how many were acknowledged. now: milliseconds."""
@@ -74,13 +74,13 @@
         for export in self._store.exports():
             if export.acknowledged:
                 continue
-            if now() < self.course.due_at:
+            if now() < self.schedule.due_at:
                 break
-            verdict, why, wait_ms = self._consumer.deliver(self._files, export.stem)
-            if verdict is Verdict.DELIVERED:
+            result, why, wait_ms = self._consumer.deliver(self._files, export.stem)
+            if result is DeliveryResult.DELIVERED:
                 self._store.acknowledge(export.number)
                 count += 1
-            elif self.course.failures == 0 or verdict is Verdict.WRONG:
+            elif self.schedule.failures == 0 or result is DeliveryResult.REJECTED:
                 self._log(f"usage: {export.stem} is not acknowledged: {why}")
-            self.course.told(now(), export.number, verdict, wait_ms)
+            self.schedule.record_result(now(), export.number, result, wait_ms)
         return count
--- a/troutdock/usage/delivery.py
+++ b/troutdock/usage/delivery.py
@@ -21,42 +21,45 @@
 
 import msgspec
 
-FIRST_MS, MOST_MS = 1000.0, 300_000.0  # bounds of the first and of the longest pause
-HELD_MS = 3_600_000.0
-ANSWER_MS = 30_000.0  # for one message; a consumer may be slow, and nobody waits here
+FIRST_RETRY_MS, MAX_RETRY_MS = 1000.0, 300_000.0  # bounds of the first and of the longest pause
+REJECTED_RETRY_MS = 3_600_000.0
+RESPONSE_TIMEOUT_MS = 30_000.0  # for one message; a consumer may be slow, and nobody waits here
 
 
-class Verdict(Enum):
+class DeliveryResult(Enum):
     """What an answer means."""
 
     DELIVERED = "delivered"
-    AGAIN = "again"
-    WRONG = "wrong"
+    RETRY = "again"
+    REJECTED = "wrong"
 
 
 class _Acknowledgement(msgspec.Struct):
     acknowledged: str
 
 
-def verdict_of(status: int, body: bytes, digest: str) -> tuple[Verdict, str]:
+def classify_response(status: int, body: bytes, digest: str) -> tuple[DeliveryResult, str]:
     """What the answer to a manifest means, and why; status 0: no answer came."""
     if status == 0:
-        return Verdict.AGAIN, "no answer"
+        return DeliveryResult.RETRY, "no answer"
     if status in (200, 201, 202, 409):
         try:
-            named = msgspec.json.decode(body, type=_Acknowledgement).acknowledged
+            acknowledged_digest = msgspec.json.decode(body, type=_Acknowledgement).acknowledged
         except msgspec.MsgspecError:
-            return Verdict.AGAIN, f"answered {status} and acknowledges nothing"
-        if named == digest:
-            return Verdict.DELIVERED, "already had it" if status == 409 else "acknowledged"
-        return Verdict.WRONG, f"acknowledges {named[:12]!r} in place of {digest[:12]!r}"
+            return DeliveryResult.RETRY, f"answered {status} and acknowledges nothing"
+        if acknowledged_digest == digest:
+            return DeliveryResult.DELIVERED, "already had it" if status == 409 else "acknowledged"
+        return (
+            DeliveryResult.REJECTED,
+            f"acknowledges {acknowledged_digest[:12]!r} in place of {digest[:12]!r}",
+        )
     if 400 <= status < 500 and status not in (408, 425, 429):
-        return Verdict.WRONG, f"answered {status}"
-    return Verdict.AGAIN, f"answered {status}"
+        return DeliveryResult.REJECTED, f"answered {status}"
+    return DeliveryResult.RETRY, f"answered {status}"
 
 
 @dataclass(slots=True)
-class Course:
+class RetrySchedule:
     """When the next try is made. All times are milliseconds."""
 
     random: Random
@@ -65,14 +68,20 @@
     held: bool = False
     delivered: list[int] = field(default_factory=list)
 
-    def told(self, now: float, number: int, verdict: Verdict, retry_after_ms: float = 0.0) -> None:
+    def record_result(
+        self, now: float, number: int, result: DeliveryResult, retry_after_ms: float = 0.0
+    ) -> None:
         """What became of a try with an export."""
-        if verdict is Verdict.DELIVERED:
+        if result is DeliveryResult.DELIVERED:
             self.failures, self.held, self.due_at = 0, False, now
             self.delivered.append(number)
             return
         self.failures += 1
-        self.held = verdict is Verdict.WRONG
-        bound = min(MOST_MS, FIRST_MS * 2 ** min(30, self.failures - 1))
-        pause = HELD_MS if self.held else self.random.uniform(0, bound) + min(MOST_MS, retry_after_ms)
+        self.held = result is DeliveryResult.REJECTED
+        bound = min(MAX_RETRY_MS, FIRST_RETRY_MS * 2 ** min(30, self.failures - 1))
+        pause = (
+            REJECTED_RETRY_MS
+            if self.held
+            else self.random.uniform(0, bound) + min(MAX_RETRY_MS, retry_after_ms)
+        )
         self.due_at = now + pause
--- a/troutdock/usage/exporter.py
+++ b/troutdock/usage/exporter.py
@@ -20,12 +20,12 @@
 from pathlib import Path
 
 from troutdock.usage import columns
-from troutdock.usage.files import PART, Files
+from troutdock.usage.files import PARTIAL_SUFFIX, Files
 from troutdock.usage.manifest import Manifest, decode, differences, digest_of, encode, manifest_of, stem_of
-from troutdock.usage.store import Noted, Store, StoreError
-from troutdock.usage.record import Unknown
+from troutdock.usage.store import ExportInfo, Store, StoreError
+from troutdock.usage.record import UnknownRange
 
-MOST_ROWS = 100_000  # of one export: some 1 MB, and 60 MB of memory while it is made
+MAX_ROWS = 100_000  # of one export: some 1 MB, and 60 MB of memory while it is made
 
 
 class Exporter:
@@ -35,7 +35,7 @@
         self._ingress, self._store, self._files = ingress, store, files
 
     @contextmanager
-    def only_one(self) -> Iterator[None]:
+    def exclusive(self) -> Iterator[None]:
         """StoreError if another process exports just now."""
         path = self._files.folder / "exports.lock"
         descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o644)
@@ -49,40 +49,40 @@
         finally:
             os.close(descriptor)
 
-    def run(self, now_ms: float, most_rows: int = MOST_ROWS) -> list[Manifest]:
+    def run(self, now_ms: float, max_rows: int = MAX_ROWS) -> list[Manifest]:
         """Export all that can be, in as many files as it takes; StoreError leaves what is whole as it is."""
         made: list[Manifest] = []
-        with self.only_one():
+        with self.exclusive():
             self._store.recover()
-            self.settle()
-            while (manifest := self._one(now_ms, most_rows)) is not None:
+            self.recover_folder()
+            while (manifest := self._export_next(now_ms, max_rows)) is not None:
                 made.append(manifest)
         return made
 
-    def settle(self) -> None:
+    def recover_folder(self) -> None:
         """Bring ledger and folder together after an end at any point."""
         known = self._store.exports()
         last = known[-1].number if known else 0
         stem = stem_of(self._ingress, last + 1)
         names = self._files.names()
         for name in names:
-            if name.endswith(PART):
+            if name.endswith(PARTIAL_SUFFIX):
                 self._files.remove(name)
         if f"{stem}.json" in names:
             data = self._files.read(f"{stem}.json")
             manifest = decode(data, f"{stem}.json")
             body = self._files.read(manifest.file)
-            wrong = differences(manifest, columns.read(body, manifest.file), body)
-            if wrong or manifest.before != (known[-1].digest if known else ""):
+            mismatches = differences(manifest, columns.read(body, manifest.file), body)
+            if mismatches or manifest.before != (known[-1].digest if known else ""):
                 raise StoreError(
-                    f"{stem}.json: {'; '.join(wrong) or 'it does not follow the export before it'}"
+                    f"{stem}.json: {'; '.join(mismatches) or 'it does not follow the export before it'}"
                 )
-            self._note(manifest, data, len(body))
+            self._record(manifest, data, len(body))
         elif f"{stem}.parquet" in names:
             self._files.remove(f"{stem}.parquet")
 
-    def _one(self, now_ms: float, most_rows: int) -> Manifest | None:
-        selection = self._store.select(most_rows)
+    def _export_next(self, now_ms: float, max_rows: int) -> Manifest | None:
+        selection = self._store.select(max_rows)
         if not selection.records and not selection.unknown:
             return None
         known = self._store.exports()
@@ -92,15 +92,15 @@
         body = self._files.read(f"{stem}.parquet")
         manifest = manifest_of(self._ingress, number, before, selection, digest_of(body), now_ms)
         data = encode(manifest)
-        self._files.write(f"{stem}.json", lambda path: _put(path, data))
-        self._note(manifest, data, len(body))
+        self._files.write(f"{stem}.json", lambda path: _write_bytes(path, data))
+        self._record(manifest, data, len(body))
         return manifest
 
-    def _note(self, manifest: Manifest, data: bytes, size: int) -> None:
+    def _record(self, manifest: Manifest, data: bytes, size: int) -> None:
         selected = {r.incarnation: (r.first, r.last) for r in manifest.ranges}
-        unknown = tuple(Unknown(r.incarnation, r.first, r.last) for r in manifest.unknown)
-        self._store.note(
-            Noted(
+        unknown = tuple(UnknownRange(r.incarnation, r.first, r.last) for r in manifest.unknown)
+        self._store.record_export(
+            ExportInfo(
                 manifest.number,
                 stem_of(manifest.ingress, manifest.number),
                 digest_of(data),
@@ -114,8 +114,8 @@
 
     def retain(self, now_ms: float, keep_ms: float) -> list[str]:
         """Delete what is acknowledged and older than that, the oldest first: the stems that are gone."""
-        gone = []
-        with self.only_one():
+        deleted = []
+        with self.exclusive():
             for export in self._store.exports():
                 name = f"{export.stem}.json"
                 if not export.acknowledged:
@@ -127,9 +127,9 @@
                 self._store.forget(export.number)
                 self._files.remove(f"{export.stem}.parquet")
                 self._files.remove(name)
-                gone.append(export.stem)
-        return gone
+                deleted.append(export.stem)
+        return deleted
 
 
-def _put(path: Path, data: bytes) -> None:
+def _write_bytes(path: Path, data: bytes) -> None:
     path.write_bytes(data)
--- a/troutdock/usage/files.py
+++ b/troutdock/usage/files.py
@@ -8,7 +8,7 @@
 
 from troutdock.usage.store import StoreError
 
-PART = ".part"  # behind the name of a file that is not whole yet
+PARTIAL_SUFFIX = ".part"  # behind the name of a file that is not whole yet
 
 
 class Files:
@@ -24,14 +24,14 @@
 
     def write(self, name: str, make: Callable[[Path], None]) -> None:
         """A file, made under another name, on disk before it has its own. StoreError if that can't be."""
-        part = self.folder / (name + PART)
+        partial = self.folder / (name + PARTIAL_SUFFIX)
         try:
-            make(part)
-            self.sync(part)
-            self.rename(part, self.folder / name)
+            make(partial)
+            self.sync(partial)
+            self.rename(partial, self.folder / name)
             self.sync(self.folder)
         except OSError as error:
-            raise StoreError(f"{part}: {error.strerror or error}") from error
+            raise StoreError(f"{partial}: {error.strerror or error}") from error
 
     def sync(self, path: Path) -> None:
         """It is on disk when this returns."""
--- a/troutdock/usage/memory.py
+++ b/troutdock/usage/memory.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass, field
 
-from troutdock.usage.store import Noted, Selection, StoreError
-from troutdock.usage.record import Batch, Record, State, Unknown
+from troutdock.usage.store import ExportInfo, Selection, StoreError
+from troutdock.usage.record import Batch, Record, State, UnknownRange
 
 
 @dataclass(slots=True)
@@ -14,7 +14,7 @@
     reserved: int = 0
     exported: int = 0
     ended: bool = False
-    lives: bool = True
+    alive: bool = True
 
 
 class MemoryStore:
@@ -22,12 +22,12 @@
 
     def __init__(self) -> None:
         self._of: dict[int, _Incarnation] = {}
-        self._exports: dict[int, Noted] = {}
+        self._exports: dict[int, ExportInfo] = {}
         self._ranges: dict[int, list[tuple[int, int]]] = {}
 
     def crash(self, incarnation: int) -> None:
         """Its process is gone."""
-        self._of[incarnation].lives = False
+        self._of[incarnation].alive = False
 
     def begin(self, now_ms: float) -> int:
         number = max(self._of, default=0) + 1
@@ -35,44 +35,51 @@
         return number
 
     def commit(self, batch: Batch) -> None:
-        mine = self._of[batch.incarnation]
+        incarnation_state = self._of[batch.incarnation]
         for record in batch.records:
-            mine.records[record.sequence] = record
+            incarnation_state.records[record.sequence] = record
         for sequence, state in batch.states:
-            if sequence in mine.records:
-                mine.records[sequence] = mine.records[sequence]._replace(state=state)
-        mine.reserved = batch.reserved
+            if sequence in incarnation_state.records:
+                incarnation_state.records[sequence] = incarnation_state.records[sequence]._replace(
+                    state=state
+                )
+        incarnation_state.reserved = batch.reserved
 
     def end(self, incarnation: int) -> None:
         self._of[incarnation].ended = True
 
     def recover(self) -> list[int]:
-        found = [n for n, i in self._of.items() if not i.ended and not i.lives]
+        found = [n for n, i in self._of.items() if not i.ended and not i.alive]
         for number in found:
-            mine = self._of[number]
-            mine.ended = True
-            for sequence, record in mine.records.items():
+            incarnation_state = self._of[number]
+            incarnation_state.ended = True
+            for sequence, record in incarnation_state.records.items():
                 if record.state is State.WRITTEN:
-                    mine.records[sequence] = record._replace(state=State.UNCERTAIN)
+                    incarnation_state.records[sequence] = record._replace(state=State.UNCERTAIN)
         return found
 
-    def select(self, most: int) -> Selection:
+    def select(self, max_records: int) -> Selection:
         records: list[Record] = []
-        unknown: list[Unknown] = []
-        for number, mine in sorted(self._of.items()):
-            after = mine.exported
-            while len(records) < most and (record := mine.records.get(after + 1)) is not None:
-                if record.state is State.WRITTEN and not mine.ended:
+        unknown: list[UnknownRange] = []
+        for number, incarnation_state in sorted(self._of.items()):
+            after = incarnation_state.exported
+            while (
+                len(records) < max_records
+                and (record := incarnation_state.records.get(after + 1)) is not None
+            ):
+                if record.state is State.WRITTEN and not incarnation_state.ended:
                     break
                 records.append(record)
                 after += 1
-            if len(records) >= most:
+            if len(records) >= max_records:
                 break
-            if mine.ended and after < mine.reserved:
-                unknown.append(Unknown(number, after + 1, mine.reserved))
+            if incarnation_state.ended and after < incarnation_state.reserved:
+                unknown.append(UnknownRange(number, after + 1, incarnation_state.reserved))
         return Selection(tuple(records), tuple(unknown))
 
-    def note(self, export: Noted, selected: dict[int, tuple[int, int]], unknown: tuple[Unknown, ...]) -> None:
+    def record_export(
+        self, export: ExportInfo, selected: dict[int, tuple[int, int]], unknown: tuple[UnknownRange, ...]
+    ) -> None:
         if export.number in self._exports:
             return
         self._exports[export.number] = export
@@ -81,7 +88,7 @@
         for number, last in lasts:
             self._of[number].exported = max(self._of[number].exported, last)
 
-    def exports(self) -> list[Noted]:
+    def exports(self) -> list[ExportInfo]:
         return [self._exports[n] for n in sorted(self._exports)]
 
     def acknowledge(self, number: int) -> None:
--- a/troutdock/usage/record.py
+++ b/troutdock/usage/record.py
@@ -34,7 +34,7 @@
     state: State
 
 
-class Unknown(NamedTuple):
+class UnknownRange(NamedTuple):
     """Sequence numbers of an ended incarnation that may have been given out: first to last, units unknown."""
 
     incarnation: int
--- a/troutdock/usage/service.py
+++ b/troutdock/usage/service.py
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from troutdock.usage.ledger import Book, Promise, Told
+from troutdock.usage.ledger import LedgerState, Promise, OnRecorded
 from troutdock.usage.memory import MemoryStore
 from troutdock.usage.store import Store, StoreError
 from troutdock.usage.record import Batch, Use
@@ -28,7 +28,7 @@
 
 log = logging.getLogger("troutdock")
 
-END_S = 5.0  # for what is not on disk when the ingress ends
+CLOSE_TIMEOUT_S = 5.0  # for what is not on disk when the ingress ends
 
 
 class Engine(Protocol):
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class UsageOptions:
     """What the operator asks for. export_s: how often exports are made, 0 for never. most_bytes.
 
     Of unacknowledged exports.
@@ -48,47 +48,47 @@
     promise: Promise
     folder: Path | None = None
     at_risk_ms: float = 50.0
-    export_s: float = 60.0
-    most_rows: int = 100_000
-    consumer: str = ""
-    keep_s: float = 7 * 86_400.0
-    most_bytes: int = 1 << 30
+    export_interval_s: float = 60.0
+    max_rows: int = 100_000
+    consumer_url: str = ""
+    retention_s: float = 7 * 86_400.0
+    max_unacknowledged_bytes: int = 1 << 30
 
 
 class Usage:
     """It belongs to the event loop that is running when it is started; engine.Ledger."""
 
-    def __init__(self, ingress: str, terms: Terms, store: Store | None = None) -> None:
+    def __init__(self, ingress: str, options: UsageOptions, store: Store | None = None) -> None:
         """store: in place of the one that the terms name. StoreError if that can't be had."""
-        self._ingress, self._terms = ingress, terms
-        self._store = store or self._make_store()
-        self.book = Book(self._store.begin(_now()), terms.promise, terms.at_risk_ms)
+        self._ingress, self._options = ingress, options
+        self._store = store or self._open_store()
+        self.ledger = LedgerState(self._store.begin(_now()), options.promise, options.at_risk_ms)
         self._batches: queue.SimpleQueue[Batch | None] = queue.SimpleQueue()
         self._timer: asyncio.TimerHandle | None = None
-        self._ended = threading.Event()
+        self._stopping = threading.Event()
         self._threads: list[threading.Thread] = []
-        self._idle: asyncio.Event | None = None
+        self._all_committed: asyncio.Event | None = None
 
-    def _make_store(self) -> Store:
-        if self._terms.promise is Promise.MEMORY or self._terms.folder is None:
+    def _open_store(self) -> Store:
+        if self._options.promise is Promise.MEMORY or self._options.folder is None:
             return MemoryStore()
-        return SqliteStore(self._terms.folder)
+        return SqliteStore(self._options.folder)
 
     def start(self, engine: Engine) -> None:
         """Begin to write, and to export where the terms say so."""
         engine.set_ledger(self)
         self._loop = asyncio.get_running_loop()
-        self._idle = asyncio.Event()
-        self._thread("usage-writer", self._write)
+        self._all_committed = asyncio.Event()
+        self._start_thread("usage-writer", self._run_writer)
         if (
-            self._terms.folder is not None
-            and self._terms.export_s > 0
-            and self._terms.promise is not Promise.MEMORY
+            self._options.folder is not None
+            and self._options.export_interval_s > 0
+            and self._options.promise is not Promise.MEMORY
         ):
-            self._thread("usage-exporter", self._export)
-        self._look()
+            self._start_thread("usage-exporter", self._run_exporter)
+        self._schedule_commit()
 
-    def _thread(self, name: str, work: Callable[[], None]) -> None:
+    def _start_thread(self, name: str, work: Callable[[], None]) -> None:
         thread = threading.Thread(target=work, name=name, daemon=True)
         thread.start()
         self._threads.append(thread)
@@ -97,13 +97,13 @@
 
     def admits(self) -> float:
         """0, or how long a client is to stay away, in milliseconds."""
-        return self.book.admits(_now())
+        return self.ledger.admits(_now())
 
-    def record(self, customer: int, plan: str, cls: str, units: float, told: Told) -> None:
+    def record(self, customer: int, plan: str, cls: str, units: float, on_recorded: OnRecorded) -> None:
         """Use of an answer that is there; told is called once it may leave, perhaps in here."""
         now = _now()
-        self.book.book(now, Use(customer, plan, cls, units, now), told)
-        self._look()
+        self.ledger.add(now, Use(customer, plan, cls, units, now), on_recorded)
+        self._schedule_commit()
 
     # ---- the operators' door
 
@@ -112,76 +112,76 @@
         return {(b"GET", b"/control/usage"): self._show}
 
     async def _show(self, body: bytes) -> tuple[int, bytes]:
-        book = self.book
+        ledger = self.ledger
         return 200, msgspec.json.encode(
             {
-                "promise": book.promise.value,
-                "incarnation": book.incarnation,
-                "records": book.last,
-                "waiting": book.waiting,
-                "units_at_risk": book.at_risk,
-                "most_units_at_risk": book.most_at_risk,
-                "stuck": book.stuck,
-                "full": book.full,
+                "promise": ledger.promise.value,
+                "incarnation": ledger.incarnation,
+                "records": ledger.last_sequence,
+                "waiting": ledger.waiting,
+                "units_at_risk": ledger.units_at_risk,
+                "most_units_at_risk": ledger.max_units_at_risk,
+                "stuck": ledger.stuck,
+                "full": ledger.full,
             }
         )
 
     # ---- the loop's side of the writer
 
-    def _look(self) -> None:
+    def _schedule_commit(self) -> None:
         """Begin the next commit, or look again when it is due."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        wait_ms = self.book.due(_now())
+        wait_ms = self.ledger.commit_delay_ms(_now())
         if wait_ms <= 0:
-            self._batches.put(self.book.batch())
+            self._batches.put(self.ledger.begin_commit())
         elif wait_ms < inf:
-            self._timer = self._loop.call_later(wait_ms / 1000, self._look)
+            self._timer = self._loop.call_later(wait_ms / 1000, self._schedule_commit)
 
-    def _committed(self, error: StoreError | None) -> None:
+    def _commit_done(self, error: StoreError | None) -> None:
         if error is None:
-            if self.book.stuck:
+            if self.ledger.stuck:
                 log.warning("usage: records are on disk again")
-            self.book.committed(_now())
+            self.ledger.commit_succeeded(_now())
         else:
-            if not self.book.stuck:
+            if not self.ledger.stuck:
                 log.error("usage: %s; nothing is let in until it is", error)
-            self.book.failed(_now())
-        if self.book.finished and self._idle is not None:
-            self._idle.set()
+            self.ledger.commit_failed(_now())
+        if self.ledger.finished and self._all_committed is not None:
+            self._all_committed.set()
             return
-        self._look()
+        self._schedule_commit()
 
     async def close(self) -> None:
         """Put on disk what is not; what can't be is told in the log. Nothing is booked after this."""
         if not self._threads:
             self._store.close()
             return
-        self.book.closing = True
-        self._look()
-        assert self._idle is not None
+        self.ledger.closing = True
+        self._schedule_commit()
+        assert self._all_committed is not None
         try:
-            async with asyncio.timeout(END_S):
-                await self._idle.wait()
+            async with asyncio.timeout(CLOSE_TIMEOUT_S):
+                await self._all_committed.wait()
         except TimeoutError:
-            log.error("usage: %d records and marks are not on disk", self.book.waiting)
+            log.error("usage: %d records and marks are not on disk", self.ledger.waiting)
         if self._timer is not None:
             self._timer.cancel()
-        self._ended.set()
+        self._stopping.set()
         self._batches.put(None)
         for thread in self._threads:
-            await asyncio.to_thread(thread.join, END_S)
-        if self._idle.is_set():
+            await asyncio.to_thread(thread.join, CLOSE_TIMEOUT_S)
+        if self._all_committed.is_set():
             try:
-                self._store.end(self.book.incarnation)
+                self._store.end(self.ledger.incarnation)
             except StoreError as error:
                 log.error("usage: %s", error)
         self._store.close()
 
     # ---- threads
 
-    def _write(self) -> None:
+    def _run_writer(self) -> None:
         while (batch := self._batches.get()) is not None:
             error = None
             try:
@@ -191,48 +191,48 @@
             except Exception as failed:  # whatever it was, it is not on disk for certain
                 error = StoreError(repr(failed))
             try:
-                self._loop.call_soon_threadsafe(self._committed, error)
+                self._loop.call_soon_threadsafe(self._commit_done, error)
             except RuntimeError:
                 return  # the loop has ended without close()
 
-    def _export(self) -> None:
+    def _run_exporter(self) -> None:
         """pyarrow is loaded here, beside the service and not before it."""
         from troutdock.usage.consumer import Consumer, Deliveries
         from troutdock.usage.exporter import Exporter
         from troutdock.usage.files import Files
 
-        terms = self._terms
-        assert terms.folder is not None
-        troubled = False
+        options = self._options
+        assert options.folder is not None
+        failing = False
         store: Store | None = None
-        while not self._ended.wait(terms.export_s):
+        while not self._stopping.wait(options.export_interval_s):
             try:
                 if store is None:
-                    store = SqliteStore(terms.folder)
-                    files = Files(terms.folder / "exports")
+                    store = SqliteStore(options.folder)
+                    files = Files(options.folder / "exports")
                     exporter = Exporter(self._ingress, store, files)
                     deliveries = (
-                        Deliveries(store, files, Consumer(terms.consumer), Random(), log.warning)
-                        if terms.consumer
+                        Deliveries(store, files, Consumer(options.consumer_url), Random(), log.warning)
+                        if options.consumer_url
                         else None
                     )
-                exporter.run(_now(), terms.most_rows)
+                exporter.run(_now(), options.max_rows)
                 if deliveries is not None:
                     deliveries.run(_now)
-                exporter.retain(_now(), 1000 * terms.keep_s)
+                exporter.retain(_now(), 1000 * options.retention_s)
                 waiting = sum(e.bytes for e in store.exports() if not e.acknowledged)
-                full = waiting > terms.most_bytes
-                if full and not self.book.full:
+                full = waiting > options.max_unacknowledged_bytes
+                if full and not self.ledger.full:
                     log.error(
                         "usage: %d bytes of exports are not acknowledged; nothing is let in until they are",
                         waiting,
                     )
-                self.book.full = full
-                troubled = False
+                self.ledger.full = full
+                failing = False
             except (StoreError, OSError) as error:
-                if not troubled:
+                if not failing:
                     log.error("usage: exports: %s", error)
-                troubled = True
+                failing = True
         if store is not None:
             store.close()
 
--- a/troutdock/usage/sqlite.py
+++ b/troutdock/usage/sqlite.py
@@ -13,8 +13,8 @@
 from contextlib import contextmanager, suppress
 from pathlib import Path
 
-from troutdock.usage.store import Noted, Selection, StoreError
-from troutdock.usage.record import Batch, Record, State, Unknown, Use
+from troutdock.usage.store import ExportInfo, Selection, StoreError
+from troutdock.usage.record import Batch, Record, State, UnknownRange, Use
 
 FORMAT = 1
 BUSY_MS = 2000  # another process's commit is waited for so long
@@ -169,9 +169,9 @@
             found.append(number)
         return found
 
-    def select(self, most: int) -> Selection:
+    def select(self, max_records: int) -> Selection:
         records: list[Record] = []
-        unknown: list[Unknown] = []
+        unknown: list[UnknownRange] = []
         with self._errors("select"):
             rows = self._db.execute(
                 "SELECT number, reserved, ended, exported FROM incarnations WHERE ended = 0 OR exported < "
@@ -184,7 +184,7 @@
                 for sequence, at_ms, customer, plan, cls, units, state in self._db.execute(
                     "SELECT sequence, at_ms, customer, plan, class, units, state FROM records "
                     "WHERE incarnation = ? AND sequence > ? ORDER BY sequence LIMIT ?",
-                    (number, after, most - len(records)),
+                    (number, after, max_records - len(records)),
                 ):
                     if sequence != after + 1 or (state == State.WRITTEN and not ended):
                         break  # it is not known yet what became of it
@@ -192,14 +192,16 @@
                         Record(number, sequence, Use(customer, plan, cls, units, at_ms), State(state))
                     )
                     after = sequence
-                whole = len(records) < most
-                if ended and whole and after < reserved:
-                    unknown.append(Unknown(number, after + 1, int(reserved)))
-                if not whole:
+                has_room = len(records) < max_records
+                if ended and has_room and after < reserved:
+                    unknown.append(UnknownRange(number, after + 1, int(reserved)))
+                if not has_room:
                     break
         return Selection(tuple(records), tuple(unknown))
 
-    def note(self, export: Noted, selected: dict[int, tuple[int, int]], unknown: tuple[Unknown, ...]) -> None:
+    def record_export(
+        self, export: ExportInfo, selected: dict[int, tuple[int, int]], unknown: tuple[UnknownRange, ...]
+    ) -> None:
         ranges = [(n, first, last) for n, (first, last) in selected.items()] + [tuple(u) for u in unknown]
         with self._transaction("note an export") as db:
             db.execute(
@@ -222,10 +224,10 @@
                         "UPDATE incarnations SET exported = max(exported, ?) WHERE number = ?", (last, number)
                     )
 
-    def exports(self) -> list[Noted]:
+    def exports(self) -> list[ExportInfo]:
         with self._errors("read the exports"):
             return [
-                Noted(n, stem, digest, rows, size, bool(acknowledged))
+                ExportInfo(n, stem, digest, rows, size, bool(acknowledged))
                 for n, stem, digest, rows, size, acknowledged in self._db.execute(
                     "SELECT * FROM exports ORDER BY number"
                 )
--- a/troutdock/usage/store.py
+++ b/troutdock/usage/store.py
@@ -7,14 +7,14 @@
 
 from typing import NamedTuple, Protocol
 
-from troutdock.usage.record import Batch, Record, Unknown
+from troutdock.usage.record import Batch, Record, UnknownRange
 
 
 class StoreError(Exception):
     """The store can't take or give what it is asked for: a full disk, a file that is none, another's lock."""
 
 
-class Noted(NamedTuple):
+class ExportInfo(NamedTuple):
     """An export as the store knows it. digest: of its manifest, which the next one names."""
 
     number: int
@@ -29,7 +29,7 @@
     """What the next export holds: for each incarnation a run of sequence numbers with no hole."""
 
     records: tuple[Record, ...]
-    unknown: tuple[Unknown, ...]
+    unknown: tuple[UnknownRange, ...]
 
 
 class Store(Protocol):
@@ -53,13 +53,15 @@
     def recover(self) -> list[int]:
         """Incarnations whose process has ended without end(): what was WRITTEN of them is UNCERTAIN now."""
 
-    def select(self, most: int) -> Selection:
+    def select(self, max_records: int) -> Selection:
         """The next records that are in no export, at most so many."""
 
-    def note(self, export: Noted, selected: dict[int, tuple[int, int]], unknown: tuple[Unknown, ...]) -> None:
+    def record_export(
+        self, export: ExportInfo, selected: dict[int, tuple[int, int]], unknown: tuple[UnknownRange, ...]
+    ) -> None:
         """An export is there: first and last sequence by incarnation. Twice is harmless."""
 
-    def exports(self) -> list[Noted]:
+    def exports(self) -> list[ExportInfo]:
         """All that are noted and not forgotten, the first number first."""
 
     def acknowledge(self, number: int) -> None:
--- a/troutdock/usage/verify.py
+++ b/troutdock/usage/verify.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(slots=True)
-class Verdict:
+class VerificationResult:
     """faults: the first hole or duplicate first, in the order of the exports; sums over all whole exports."""
 
     faults: list[str] = field(default_factory=list)
@@ -28,12 +28,12 @@
     digests: dict[str, Manifest] = field(default_factory=dict)  # of the manifests
 
 
-def verify(files: Files) -> Verdict:
+def verify(files: Files) -> VerificationResult:
     """Read every export of a folder. What retention has deleted is told by the first manifest's number."""
-    verdict = Verdict()
+    result = VerificationResult()
     last: dict[str, tuple[int, str]] = {}  # by ingress: the number and the digest of its last manifest
-    follows: dict[tuple[str, int], int] = {}  # by ingress and incarnation: the next sequence number
-    cut: dict[str, bool] = {}  # by ingress: retention has deleted its first exports
+    next_sequence: dict[tuple[str, int], int] = {}  # by ingress and incarnation: the next sequence number
+    truncated: dict[str, bool] = {}  # by ingress: retention has deleted its first exports
     for name in [n for n in files.names() if n.endswith(".json")]:
         try:
             data = files.read(name)
@@ -41,41 +41,46 @@
             body = files.read(manifest.file)
             records = columns.read(body, manifest.file)
         except StoreError as error:
-            verdict.faults.append(str(error))
+            result.faults.append(str(error))
             continue
-        verdict.faults += [f"{name}: {what}" for what in differences(manifest, records, body)]
+        result.faults += [f"{name}: {what}" for what in differences(manifest, records, body)]
         before = last.get(manifest.ingress)
         if before is not None and manifest.number != before[0] + 1:
-            verdict.faults.append(f"{name}: export {before[0] + 1} of {manifest.ingress} is missing")
+            result.faults.append(f"{name}: export {before[0] + 1} of {manifest.ingress} is missing")
         elif before is not None and manifest.before != before[1]:
-            verdict.faults.append(f"{name}: the export before it is another one than it was made after")
-        cut.setdefault(manifest.ingress, manifest.number > 1)
+            result.faults.append(f"{name}: the export before it is another one than it was made after")
+        truncated.setdefault(manifest.ingress, manifest.number > 1)
         digest = digest_of(data)
         last[manifest.ingress] = manifest.number, digest
-        verdict.digests[digest] = manifest
+        result.digests[digest] = manifest
         for part in sorted([*manifest.ranges, *manifest.unknown]):
-            _follow(verdict, follows, name, manifest.ingress, part, cut[manifest.ingress])
-        verdict.exports += 1
-        verdict.rows += len(records)
-        verdict.unknown += sum(part.last - part.first + 1 for part in manifest.unknown)
+            _check_range(result, next_sequence, name, manifest.ingress, part, truncated[manifest.ingress])
+        result.exports += 1
+        result.rows += len(records)
+        result.unknown += sum(part.last - part.first + 1 for part in manifest.unknown)
         for total in manifest.sums:
-            verdict.units[total.state] = verdict.units.get(total.state, 0.0) + total.units
+            result.units[total.state] = result.units.get(total.state, 0.0) + total.units
             if total.state != "VOID":
-                verdict.customers[total.customer] = verdict.customers.get(total.customer, 0.0) + total.units
-    return verdict
+                result.customers[total.customer] = result.customers.get(total.customer, 0.0) + total.units
+    return result
 
 
-def _follow(
-    verdict: Verdict, follows: dict[tuple[str, int], int], name: str, ingress: str, part: Range, cut: bool
+def _check_range(
+    result: VerificationResult,
+    next_sequence: dict[tuple[str, int], int],
+    name: str,
+    ingress: str,
+    part: Range,
+    truncated: bool,
 ) -> None:
     key = ingress, part.incarnation
-    expected = follows.get(key, part.first if cut else 1)
+    expected = next_sequence.get(key, part.first if truncated else 1)
     where = f"{name}: incarnation {part.incarnation} of {ingress}"
     if part.first > expected:
-        verdict.faults.append(f"{where}: {expected} to {part.first - 1} are in no export")
+        result.faults.append(f"{where}: {expected} to {part.first - 1} are in no export")
     elif part.first < expected:
-        verdict.faults.append(f"{where}: {part.first} to {min(part.last, expected - 1)} are exported twice")
-    follows[key] = max(expected, part.last + 1)
+        result.faults.append(f"{where}: {part.first} to {min(part.last, expected - 1)} are exported twice")
+    next_sequence[key] = max(expected, part.last + 1)
 
 
 class Received(msgspec.Struct, frozen=True):
@@ -85,7 +90,7 @@
     units: float
 
 
-def reconcile(verdict: Verdict, lines: list[bytes]) -> list[str]:
+def reconcile(result: VerificationResult, lines: list[bytes]) -> list[str]:
     """How a consumer's list (JSON lines) differs from what was exported.
 
     ValueError names a line that is none.
@@ -102,11 +107,11 @@
         if received.manifest in booked:
             found.append(f"line {number}: {received.manifest[:12]} is booked twice")
         booked[received.manifest] = received.units
-    for digest, manifest in verdict.digests.items():
+    for digest, manifest in result.digests.items():
         if digest not in booked:
             found.append(f"{manifest.file}: not booked")
         elif abs(booked[digest] - manifest.units) > 1e-6 * max(1.0, manifest.units):
             found.append(f"{manifest.file}: {manifest.units:g} units, and {booked[digest]:g} are booked")
     return found + [
-        f"{digest[:12]}: booked, and no export here" for digest in booked if digest not in verdict.digests
+        f"{digest[:12]}: booked, and no export here" for digest in booked if digest not in result.digests
     ]
