--- a/tests/plans/test_plan_book.py
+++ b/tests/plans/test_plan_book.py
@@ -122,7 +122,7 @@
             write(file, read(file).assign([Assignment(1.0, "b", 9, "plus")]))
             await until(lambda: spent(w, 9) == 1000.0)
             file.write_text(file.read_text() + "nonsense\n")
-            await until(lambda: "stays as it was" in caplog.text)
+            await until(lambda: "keeping the known history" in caplog.text)
             assert "plans.jsonl:3" in caplog.text and spent(w, 9) == 1000.0
             write(
                 file,
--- a/tests/reservations/test_reservations.py
+++ b/tests/reservations/test_reservations.py
@@ -385,7 +385,7 @@
 
 @pytest.mark.parametrize("bad", [b"", b"\x28", b"\x29" + b"x" * 20, b"\x01" + b"x" * 16, b"\x28" + b"x" * 25])
 def test_what_is_no_word_on_a_reservation_is_an_error(bad: bytes) -> None:
-    with pytest.raises(ValueError, match="no word"):
+    with pytest.raises(ValueError, match="not a reservation message"):
         messages.decode(bad)
 
 
--- a/tests/reservations/test_reserved_front.py
+++ b/tests/reservations/test_reserved_front.py
@@ -61,7 +61,7 @@
 
 
 async def asks(w: Any, number: int, plan: str = "basis", **more: Any) -> int:
-    return int((await w.request_transfer(request("ledger-read", number, Plan=plan, **more)))[0])
+    return int((await w.ask(request("ledger-read", number, Plan=plan, **more)))[0])
 
 
 def test_what_is_reserved_goes_before_the_quota_and_takes_nothing_of_it(tmp_path: Path) -> None:
@@ -209,7 +209,7 @@
 
 @pytest.mark.parametrize(
     ("content", "said"),
-    [(b"what\n", "parts.json: no parts"), (b'{"version":1,"index":3,"parts":{}}', "gateway 3's")],
+    [(b"what\n", "parts.json: not a parts file"), (b'{"version":1,"index":3,"parts":{}}', "gateway 3's")],
 )
 def test_a_folder_that_is_not_this_gateways_is_named_and_nothing_is_honoured(
     tmp_path: Path, content: bytes, said: str, caplog: pytest.LogCaptureFixture
@@ -414,7 +414,7 @@
     async def test() -> None:
         async with doors(tmp_path, 1) as (w,):
             reader, writer = await asyncio.open_connection(*w.service.management)
-            assert (await Client(reader, writer).request_transfer(call.encode()))[0] == status
+            assert (await Client(reader, writer).ask(call.encode()))[0] == status
             writer.close()
             assert len(w.parts[0].schedule.history) == 0 and len(w.parts[1].escrow.entries) == 0
 
--- a/tests/usage/test_book.py
+++ b/tests/usage/test_book.py
@@ -101,8 +101,8 @@
     else:
         lost = left - units[State.GIVEN] - units[State.UNCERTAIN]
         assert lost <= at_risk + 1e-6
-        assert sum(u.last_sequence - u.first + 1 for u in selection.unknown) <= SEQUENCE_RESERVE
-        unknown = sum(u.last_sequence - u.first + 1 for u in selection.unknown)
+        assert sum(u.last - u.first + 1 for u in selection.unknown) <= SEQUENCE_RESERVE
+        unknown = sum(u.last - u.first + 1 for u in selection.unknown)
         assert len(selection.records) + unknown >= len(c.left)  # each has a number that is told
         late = [at for at, _ in c.left if lost > 1e-6 and at < c.now - 10_000]
         assert len(late) < len(c.left) or not c.left or lost <= at_risk + 1e-6
--- a/tests/usage/test_exports.py
+++ b/tests/usage/test_exports.py
@@ -170,15 +170,15 @@
     [
         (lambda f: (f / "usage-n0-00000002.json").unlink(), "export 2 of n0 is missing"),
         (lambda f: (f / "usage-n0-00000002.parquet").unlink(), "No such file"),
-        (lambda f: (f / "usage-n0-00000002.parquet").write_bytes(b"PAR1"), "no export"),
-        (lambda f: (f / "usage-n0-00000002.json").write_bytes(b"{}"), "no manifest"),
+        (lambda f: (f / "usage-n0-00000002.parquet").write_bytes(b"PAR1"), "not a valid export"),
+        (lambda f: (f / "usage-n0-00000002.json").write_bytes(b"{}"), "not a manifest"),
         (
             lambda f: rewrite(f / "usage-n0-00000002.json", lambda m: m["sums"][0].update(units=1e6)),
-            "other sums",
+            "the sums differ",
         ),
         (
             lambda f: rewrite(f / "usage-n0-00000001.json", lambda m: m.update(closed_ms=0)),
-            "another one than it was made after",
+            "does not match the digest of the previous export",
         ),
         (
             lambda f: rewrite(f / "usage-n0-00000001.json", lambda m: m.update(format=9)),
@@ -203,7 +203,7 @@
     with exporter.exclusive(), pytest.raises(StoreError, match="another process exports"):
         exporter.run(1.0)
     (tmp_path / "exports" / "usage-n0-00000001.json").write_bytes(b"{}")
-    with pytest.raises(StoreError, match=r"usage-n0-00000001.json: no manifest"):
+    with pytest.raises(StoreError, match=r"usage-n0-00000001.json: not a manifest"):
         exporter.run(1.0)
     store.close()
 
@@ -328,7 +328,7 @@
 
 @pytest.mark.parametrize("url", ["", "ftp://x/y", "http://", "http://h/x?y"])
 def test_what_is_no_folder_of_http_is_named(url: str) -> None:
-    with pytest.raises(ValueError, match="no http URL"):
+    with pytest.raises(ValueError, match="not an http URL"):
         Consumer(url)
 
 
--- a/troutdock/plans/__init__.py
+++ b/troutdock/plans/__init__.py
@@ -1,1 +1,1 @@
-"""Which customer has which plan, from when on (no I/O)."""
+"""Plans assigned to customers, with the time from which each assignment is valid."""
--- a/troutdock/plans/files.py
+++ b/troutdock/plans/files.py
@@ -1,4 +1,4 @@
-"""A history of assignments in a file: JSON lines, one assignment each; written whole or not at all."""
+"""A history of assignments as a file of JSON lines, one per assignment; replaced atomically."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 
 
 def parse(data: bytes, source: object = "line") -> AssignmentHistory:
-    """A history from its lines; ValueError names the place and the line that is wrong."""
+    """Parses a history from JSON lines; ValueError names the source and the invalid line."""
     return jsonlines.gathered(data, Assignment, AssignmentHistory(), AssignmentHistory.assign, source)
 
 
 def read(path: Path) -> AssignmentHistory:
-    """The file's history, an empty one if there is no file; ValueError names the line that is wrong."""
+    """Reads the file's history, empty if it does not exist; ValueError names the invalid line."""
     return parse(jsonlines.content(path), path)
 
 
 def write(path: Path, history: AssignmentHistory) -> None:
-    """Put it in the file's place in one step; OSError leaves the old one."""
+    """Replaces the file atomically; on OSError the old one remains."""
     jsonlines.replace(path, jsonlines.encode(history))
 
 
 def append(path: Path, assignments: Iterable[Assignment]) -> AssignmentHistory:
-    """Add these to the file, and give what it holds then; ValueError or OSError leave it as it was."""
+    """Adds assignments to the file and returns its new content; on ValueError or OSError it is unchanged."""
     with jsonlines.locked(path):
-        known = read(path)
-        history = known.assign(assignments)
-        if len(history) != len(known):
+        existing = read(path)
+        history = existing.assign(assignments)
+        if len(history) != len(existing):
             write(path, history)
         return history
--- a/troutdock/plans/history.py
+++ b/troutdock/plans/history.py
@@ -1,15 +1,17 @@
-"""Assignments of plans to customers, as a history that every gateway ends with alike (no I/O).
+"""History of plan assignments that converges on all gateways (no I/O).
 
-Theory of operation. All that is known is a set of assignments. It only grows, and the union of two sets does
-not depend on their order (a state-based CRDT: Shapiro et al., "Conflict-free Replicated Data Types", 2011).
-What holds of a customer at a time is the latest assignment that is valid by then, ties broken by identity:
+Theory of operation. The state is a grow-only set of assignments, and the union of two sets does not depend on
+their order (a state-based CRDT: Shapiro et al., "Conflict-free Replicated Data Types", 2011). A customer's
+plan at a time is that of the latest assignment valid by then; ties are broken by id:
 
-    assign a            the set and a; nothing changes if it is there already
-    assign a'           Conflict, if a' has the identity of an a with other content: none ever changes
+    assign a            adds a; no effect if it is already known
+    assign a'           raises ConflictError if a' has the id of a known a with other content: assignments are
+                        immutable
     merge               the union
-    fold before t       of those valid before t only the last one is kept, as no reader asks further back
+    compact before t    keeps only the last of a customer's assignments valid before t, as no reader asks for
+                        earlier times
 
-A history is immutable, and versions share what they have in common: a reader keeps the one it has.
+A history is immutable, and versions share their common structure: a reader keeps its version.
 """
 
 from __future__ import annotations
@@ -20,18 +22,22 @@
 
 from immutables import Map
 
-MAX_TEXT_CHARS = 200  # characters of who and why: they are for people, and every gateway keeps them
+MAX_TEXT_CHARS = 200  # of each text field: every gateway stores them
 
 
 class ConflictError(ValueError):
-    """Two assignments of one identity say different things."""
+    """Two assignments have the same id and different content."""
 
 
 class Assignment(NamedTuple):
-    """From valid_from_ms on the customer has the plan; the order of fields is the order of validity.
-
-    valid_from_ms: Unix time in milliseconds. id: its own, given by who made it, never used again.
-    customer: the number that requests name. plan: by name. who, why: for people.
+    """Assigns a plan to a customer from valid_from_ms on. Field order makes assignments sort by validity.
+
+    Attributes:
+        valid_from_ms: Unix time in milliseconds.
+        id: chosen by the creator and never reused.
+        customer: the number that requests carry.
+        plan: name of the plan.
+        who, why: author and reason, for operators.
     """
 
     valid_from_ms: float
@@ -43,11 +49,11 @@
 
 
 def validate(assignment: Assignment) -> Assignment:
-    """The assignment, if it makes sense; ValueError that names the field if not."""
+    """Returns the assignment; raises ValueError that names the field if it is invalid."""
     if not 0 <= assignment.valid_from_ms < float("inf"):
-        raise ValueError(f"valid_from_ms: {assignment.valid_from_ms!r} is no time")
+        raise ValueError(f"valid_from_ms: {assignment.valid_from_ms!r} is not a valid time")
     if not 0 <= assignment.customer < 2**33:
-        raise ValueError(f"customer: {assignment.customer!r} is no customer's number")
+        raise ValueError(f"customer: {assignment.customer!r} is not a customer number")
     for field in ("id", "plan"):
         if not getattr(assignment, field):
             raise ValueError(f"{field} is missing")
@@ -58,7 +64,7 @@
 
 
 class AssignmentHistory:
-    """Every customer's assignments, in the order of their validity; make one with Histories()."""
+    """The assignments of all customers, ordered by validity; AssignmentHistory() is empty."""
 
     __slots__ = ("_by_customer", "_by_id")
 
@@ -82,7 +88,11 @@
             yield from self._by_customer[customer]
 
     def assign(self, assignments: Iterable[Assignment]) -> AssignmentHistory:
-        """The history with these as well, all or none; Conflict or ValueError names the first bad one."""
+        """Returns the history with these assignments added.
+
+        Raises:
+            ConflictError, ValueError: names the first invalid assignment; none is added.
+        """
         of, by_id = self._by_customer.mutate(), self._by_id.mutate()
         for assignment in assignments:
             known = by_id.get(assignment.id)
@@ -90,7 +100,7 @@
                 continue
             if known is not None:
                 raise ConflictError(
-                    f"assignment {assignment.id!r} is known as {known}, and now as {assignment}"
+                    f"assignment {assignment.id!r} is known as {known}; received {assignment}"
                 )
             by_id[validate(assignment).id] = assignment
             row = list(of.get(assignment.customer, ()))
@@ -99,33 +109,33 @@
         return AssignmentHistory(of.finish(), by_id.finish())
 
     def contains(self, assignment: Assignment) -> bool:
-        """It is in there, just so."""
+        """Returns whether the history has this assignment with the same content."""
         return self._by_id.get(assignment.id) == assignment
 
     def merge(self, other: AssignmentHistory) -> AssignmentHistory:
-        """What either knows; Conflict if they contradict each other."""
+        """Returns the union; raises ConflictError if the histories contradict each other."""
         return self.assign(other)
 
     def for_customer(self, customer: int) -> tuple[Assignment, ...]:
-        """A customer's assignments, the first valid first."""
+        """Returns a customer's assignments, ordered by validity."""
         return self._by_customer.get(customer, ())
 
     def at(self, customer: int, time_ms: float) -> Assignment | None:
-        """The one that holds then; None: no assignment is valid yet, and the request's own word counts."""
+        """Returns the assignment in effect at a time; None if there is none yet."""
         row = self.for_customer(customer)
         index = bisect_right(row, time_ms, key=_valid_from)
         return row[index - 1] if index else None
 
     def next_after(self, customer: int, time_ms: float) -> Assignment | None:
-        """The next change after that time; of several at one moment the one that will hold."""
+        """Returns the next assignment after a time; of several valid from one time, the one in effect."""
         row = self.for_customer(customer)
         index = bisect_right(row, time_ms, key=_valid_from)
         return self.at(customer, row[index].valid_from_ms) if index < len(row) else None
 
     def compact(self, before_ms: float) -> AssignmentHistory:
-        """Without what no longer matters: of those valid before then, only each customer's last is kept.
+        """Returns the history with only the last of each customer's assignments valid before a time.
 
-        One that was folded away is no longer known: should it come again, it is taken and folded anew.
+        A removed assignment is no longer known: if it is received again, it is added and removed again.
         """
         of, by_id = self._by_customer.mutate(), self._by_id.mutate()
         for customer, row in self._by_customer.items():
--- a/troutdock/plans/schedule.py
+++ b/troutdock/plans/schedule.py
@@ -1,12 +1,12 @@
-"""Which plan holds of a customer now, and which changes are due (no I/O, no clock).
+"""The plan of each customer now, and the changes that are due (no I/O, no clock).
 
-Theory of operation. What is known is a history (history.py), which only grows. What a file says or a peer is
-merged into it, in any order and as often as it comes. Of each customer the plan that was told last is
-remembered, so that a change is told once:
+Theory of operation. The state is a grow-only history (history.py). Assignments from a file or a management
+call are merged into it, in any order and with any number of duplicates. The plan reported last is kept for
+each customer, so that a change is reported once:
 
-    learn      merged; customers whose plan is another one by that are told at once, later changes wait
-    due        the changes whose time has come
-    plan_of    what holds now, for a request
+    add         merges; reports customers whose plan changes now, and keeps later changes for take_due
+    take_due    reports the changes whose time has come
+    plan_of     the plan in effect now, for a request
 
 All times are Unix time in milliseconds.
 """
@@ -19,26 +19,27 @@
 
 from troutdock.plans.history import Assignment, AssignmentHistory
 
-COMPACT_AFTER_MS = 3_600_000.0  # assignments that were followed by another one so long ago are forgotten
+COMPACT_AFTER_MS = 3_600_000.0  # superseded assignments are dropped after this time
 
 
 class PlanSchedule:
-    """What one ingress knows."""
+    """The assignments known to one ingress."""
 
     def __init__(self) -> None:
         self.history = AssignmentHistory()
-        self._upcoming: list[tuple[float, int]] = []  # when, whose: a heap
-        self._reported: dict[int, str] = {}  # the plan that was told last, by customer
+        self._upcoming: list[tuple[float, int]] = []  # heap of time and customer
+        self._reported: dict[int, str] = {}  # the plan reported last, by customer
 
     def plan_of(self, customer: int, now: float) -> str | None:
-        """By name; None: no assignment is valid yet, and the request's own word counts."""
+        """Returns the plan's name; None if no assignment is valid yet and the request names the plan."""
         assignment = self.history.at(customer, now)
         return None if assignment is None else assignment.plan
 
     def add(self, now: float, assignments: Iterable[Assignment]) -> list[tuple[int, str]]:
-        """Customers whose plan is another one by these. Conflict or ValueError names the first bad one.
+        """Adds assignments and returns the customers whose plan changes now, with the plan.
 
-        Then nothing of them is taken.
+        Raises:
+            ConflictError, ValueError: names the first invalid assignment; none is added.
         """
         new_assignments = [a for a in assignments if not self.history.contains(a)]
         self.history = self.history.assign(new_assignments)
@@ -49,11 +50,11 @@
 
     @property
     def next_change_at(self) -> float:
-        """When the next change is due; infinite where none is known."""
+        """Time of the next change; infinite if none is known."""
         return self._upcoming[0][0] if self._upcoming else inf
 
     def take_due(self, now: float) -> list[tuple[int, str]]:
-        """Customers whose plan has become another one by now."""
+        """Returns the customers whose plan has changed by now, with the plan."""
         customers: dict[int, None] = {}
         while self._upcoming and self._upcoming[0][0] <= now:
             customers[heapq.heappop(self._upcoming)[1]] = None
--- a/troutdock/plans/service.py
+++ b/troutdock/plans/service.py
@@ -1,4 +1,4 @@
-"""The plans' file at work in an ingress: read again when it changes, and each change told when it is due."""
+"""The plans file in an ingress: rereads it when it changes and applies each assignment when it is due."""
 
 from __future__ import annotations
 
@@ -17,53 +17,53 @@
 
 log = logging.getLogger("troutdock")
 
-Call = Callable[[bytes], Awaitable[tuple[int, bytes]]]  # of the door: a body to status and body
+Call = Callable[[bytes], Awaitable[tuple[int, bytes]]]  # request body to status and response body
 
 
 class Engine(Protocol):
-    """Who wants to know."""
+    """The engine that applies plans."""
 
     def set_plan_book(self, plans: PlanSchedule) -> None:
-        """Ask there for each request's plan."""
+        """Sets the schedule that is asked for the plan of each request."""
 
     def assign_plan(self, customer: int, plan: str) -> bool:
-        """A customer's plan is this one from now on; false if there is none of that name."""
+        """Changes a customer's plan now; returns false if there is no plan of that name."""
 
 
 class Plans:
-    """It belongs to the event loop that is running when it is started."""
+    """Plan assignments of an ingress; bound to the event loop that runs when it is started."""
 
     def __init__(self, file: Path, reread_s: float) -> None:
-        """The file is read here for the first time; ValueError or OSError if it can't be."""
+        """Reads the file for the first time; raises ValueError or OSError if that fails."""
         self._file, self._reread_s = file, reread_s
         self.schedule = PlanSchedule()
         self._file_mark = jsonlines.mark(self._file)
         self.schedule.add(_now(), read(file))
         self._failed_mark: object = None
-        self._logged_plans: set[str] = set()  # plans that the settings don't have
+        self._logged_plans: set[str] = set()  # unknown plans that have been logged
         self._engine: Engine | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._reread_task: asyncio.Task[None] | None = None
 
     def start(self, engine: Engine) -> None:
-        """Tell what holds, and from now on what changes."""
+        """Sets the engine's plans, and applies changes from now on."""
         self._engine = engine
         engine.set_plan_book(self.schedule)
         self._reread_task = asyncio.create_task(self._reread())
         self._schedule_timer()
 
     async def close(self) -> None:
-        """Nothing is read or told any more."""
+        """Stops reading the file and applying changes."""
         if self._timer is not None:
             self._timer.cancel()
         if self._reread_task is not None:
             self._reread_task.cancel()
             await asyncio.wait({self._reread_task})
 
-    # ---- the operators' door
+    # ---- management calls
 
     def books(self) -> dict[tuple[bytes, bytes], Call]:
-        """The history is shown and added to, as JSON lines."""
+        """Returns the management calls that show the history and add to it, as JSON lines."""
         path = b"/control/plans"
         return {(b"GET", path): self._show, (b"POST", path): self._add}
 
@@ -71,7 +71,7 @@
         return 200, jsonlines.encode(self.schedule.history)
 
     async def _add(self, body: bytes) -> tuple[int, bytes]:
-        """On disk first, then told. The file's other news are told when it is read again."""
+        """Adds assignments to the file, then applies them. Other new lines follow when it is reread."""
         if self._engine is None:
             return 503, b"not started\n"
         try:
@@ -104,10 +104,12 @@
         for customer, plan in changes:
             if not self._engine.assign_plan(customer, plan) and plan not in self._logged_plans:
                 self._logged_plans.add(plan)
-                log.error("plans: the settings have no %r: its customers keep what requests say", plan)
+                log.error(
+                    "plans: the settings have no %r: requests of its customers keep the plan they name", plan
+                )
 
     async def _reread(self) -> None:
-        """A file that can't be read changes nothing, and is named once."""
+        """Reads the file when it changes. An unreadable version changes nothing and is logged once."""
         while True:
             await asyncio.sleep(self._reread_s)
             mark = jsonlines.mark(self._file)
@@ -118,12 +120,12 @@
                 changes = self.schedule.add(_now(), history)
             except (ValueError, OSError) as error:
                 if self._failed_mark != mark:
-                    log.error("plans: the history stays as it was: %s", error)
+                    log.error("plans: file not applied, keeping the known history: %s", error)
                 self._failed_mark = mark
                 continue
             self._file_mark = mark
             log.info(
-                "plans: %d assignments, %d customers have another plan now",
+                "plans: %d assignments known, the plans of %d customers changed",
                 len(self.schedule.history),
                 len(changes),
             )
--- a/troutdock/reservations/__init__.py
+++ b/troutdock/reservations/__init__.py
@@ -1,4 +1,5 @@
-"""Allowance kept ahead.
+"""Reservations: units that are set aside for a customer ahead of time.
 
-What was reserved, what may be promised, and who may use which part of it (no I/O).
+Covers which reservations exist, how much may be committed in total, and which gateway may use which part. The
+decision modules perform no I/O.
 """
--- a/troutdock/reservations/commitment_limit.py
+++ b/troutdock/reservations/commitment_limit.py
@@ -1,9 +1,10 @@
-"""How much may be promised in all, and what is said where it is too much (no I/O).
+"""Limits on the units that may be reserved in total, and the counter-offer if a limit is exceeded (no I/O).
 
-A reservation is paced: its units over its window. The paces of all that hold at one moment together stay
-within a part of what the fleet can do, as measured, so that the rest is there for those who reserve
-nothing. A customer's own paces stay within a multiple of its plan's rate, and never pass its ceiling: a
-reservation lets a customer use more at once than its burst, but not more than was sold.
+The reserved rate of a reservation is its units divided by its window. The sum of the reserved rates at any
+moment stays within a fraction of the measured capacity of the fleet, which leaves the rest to customers
+without reservations. The sum for one customer stays within a multiple of its plan's rate and never exceeds
+the plan's ceiling: a reservation lets a customer use more at once than its burst, but not more than its plan
+allows.
 """
 
 from __future__ import annotations
@@ -13,16 +14,17 @@
 
 from troutdock.reservations.entries import Reservation
 
-MAX_COMMITTED_FRACTION = (
-    0.3  # of the fleet's units a second: on the worst days use inside quotas takes 83 to 100% of them
+# Of the fleet's units per second: usage within quotas takes 83 to 100% of them on the busiest days.
+MAX_COMMITTED_FRACTION = 0.3
+MAX_PLAN_RATE_MULTIPLE = 4.0  # limit of a customer's reserved rate, relative to its plan's rate
+MIN_WINDOW_MS = (
+    10_000.0  # the rate of a shorter window is computed over this time: its units are used at once
 )
-MAX_PLAN_RATE_MULTIPLE = 4.0  # a customer's reservations at one moment, against its plan's rate
-MIN_WINDOW_MS = 10_000.0  # a shorter window is paced as if it were this long: its units come at once anyway
 
 
 @dataclass(frozen=True, slots=True)
 class CommitmentBounds:
-    """What the fleet and the customer's plan can bear, in units a second; ceiling 0: the plan has none."""
+    """Capacity of the fleet, and rate and ceiling of the customer's plan, in units/s; ceiling 0: none."""
 
     fleet: float
     rate: float
@@ -31,9 +33,12 @@
 
 @dataclass(frozen=True, slots=True)
 class CommitmentDecision:
-    """Whether it may be promised. If not: why, the most units that may be, and when all of them could begin.
+    """Whether a reservation is granted; if not, the reason and two alternatives.
 
-    from_ms: the earliest moment, infinite if there is none: then fewer units or a longer window are needed.
+    Attributes:
+        units: the largest amount that would be granted in the requested window.
+        from_ms: the earliest start at which the full amount would be granted; infinite if there is none, so
+            that fewer units or a longer window are needed.
     """
 
     granted: bool
@@ -43,48 +48,57 @@
 
 
 def max_reserved_rate(rate: float, ceiling: float = 0.0) -> float:
-    """Units a second that a customer of a plan may have reserved at one moment."""
+    """Returns the maximum reserved rate of a customer with this plan, in units/s."""
     return min(MAX_PLAN_RATE_MULTIPLE * rate, ceiling) if ceiling else MAX_PLAN_RATE_MULTIPLE * rate
 
 
 def reserved_rate(reservation: Reservation) -> float:
-    """Units a second while it holds."""
+    """Returns the units per second during the reservation's window."""
     return reservation.units / max(MIN_WINDOW_MS, reservation.until_ms - reservation.from_ms) * 1000
 
 
-def peak_rate(held: Iterable[Reservation], from_ms: float, until_ms: float) -> float:
-    """The highest sum of paces at any moment of a window."""
+def peak_rate(reservations: Iterable[Reservation], from_ms: float, until_ms: float) -> float:
+    """Returns the highest sum of reserved rates at any moment of a window, in units/s."""
     steps: list[tuple[float, float]] = []
-    for reservation in held:
+    for reservation in reservations:
         begins, ends = max(from_ms, reservation.from_ms), min(until_ms, reservation.ends_ms)
         if begins < ends:
             steps += [(begins, reserved_rate(reservation)), (ends, -reserved_rate(reservation))]
-    most = now = 0.0
-    for _, change in sorted(steps):  # at one moment those that end go first
-        now += change
-        most = max(most, now)
-    return most
+    highest = current = 0.0
+    for _, change in sorted(steps):  # at equal times, ends sort before starts
+        current += change
+        highest = max(highest, current)
+    return highest
 
 
-def decide(wanted: Reservation, held: Iterable[Reservation], terms: CommitmentBounds) -> CommitmentDecision:
-    """Whether it may be promised beside what is held already.
+def decide(
+    wanted: Reservation, existing: Iterable[Reservation], bounds: CommitmentBounds
+) -> CommitmentDecision:
+    """Decides whether a reservation may be granted beside the existing ones.
 
-    Its own earlier form among that does not count.
+    An earlier version of the same reservation among them is not counted.
     """
-    others = [r for r in held if r.id != wanted.id]
+    others = [r for r in existing if r.id != wanted.id]
     own = [r for r in others if r.customer == wanted.customer]
-    most_own = max_reserved_rate(terms.rate, terms.ceiling)
-    room = _available_rate(others, own, wanted.from_ms, wanted.until_ms, terms.fleet, most_own)
-    if reserved_rate(wanted) <= room + 1e-9:
+    own_limit = max_reserved_rate(bounds.rate, bounds.ceiling)
+    available = _available_rate(others, own, wanted.from_ms, wanted.until_ms, bounds.fleet, own_limit)
+    if reserved_rate(wanted) <= available + 1e-9:
         return CommitmentDecision(True, units=wanted.units)
-    span = max(MIN_WINDOW_MS, wanted.until_ms - wanted.from_ms) / 1000
-    fleet_short = (
-        MAX_COMMITTED_FRACTION * terms.fleet - peak_rate(others, wanted.from_ms, wanted.until_ms)
-        <= room + 1e-9
+    window_s = max(MIN_WINDOW_MS, wanted.until_ms - wanted.from_ms) / 1000
+    fleet_limited = (
+        MAX_COMMITTED_FRACTION * bounds.fleet - peak_rate(others, wanted.from_ms, wanted.until_ms)
+        <= available + 1e-9
+    )
+    why = (
+        "reservations of the fleet have reached their limit"
+        if fleet_limited
+        else "the request exceeds the limit of the customer's plan"
     )
-    why = "the fleet has promised all that it may" if fleet_short else "more than the customer's plan bears"
     return CommitmentDecision(
-        False, why, max(0.0, room * span), _earliest_start(wanted, others, own, terms.fleet, most_own)
+        False,
+        why,
+        max(0.0, available * window_s),
+        _earliest_start(wanted, others, own, bounds.fleet, own_limit),
     )
 
 
@@ -94,23 +108,23 @@
     from_ms: float,
     until_ms: float,
     fleet: float,
-    most_own: float,
+    own_limit: float,
 ) -> float:
     return min(
         MAX_COMMITTED_FRACTION * fleet - peak_rate(others, from_ms, until_ms),
-        most_own - peak_rate(own, from_ms, until_ms),
+        own_limit - peak_rate(own, from_ms, until_ms),
     )
 
 
 def _earliest_start(
-    wanted: Reservation, others: list[Reservation], own: list[Reservation], fleet: float, most_own: float
+    wanted: Reservation, others: list[Reservation], own: list[Reservation], fleet: float, own_limit: float
 ) -> float:
-    """Room comes when one that is held ends: only then can a window of the same length begin to fit."""
+    """Returns the earliest start at which the window fits; only the end of a reservation frees capacity."""
     length = wanted.until_ms - wanted.from_ms
     for begins in sorted({r.ends_ms for r in others if r.ends_ms > wanted.from_ms}):
         if (
             reserved_rate(wanted)
-            <= _available_rate(others, own, begins, begins + length, fleet, most_own) + 1e-9
+            <= _available_rate(others, own, begins, begins + length, fleet, own_limit) + 1e-9
         ):
             return begins
     return float("inf")
--- a/troutdock/reservations/entries.py
+++ b/troutdock/reservations/entries.py
@@ -1,15 +1,15 @@
-"""What is known of reservations, as a set of entries that only grows (no I/O).
+"""Reservations as a grow-only set of entries (no I/O).
 
-Theory of operation. A reservation is made, and later extended or released; each of that is an entry with an
-identity of its own. All that is known is the union of the entries heard of, in any order and as often as they
-come (as with plans/history.py), and what a reservation is follows from it:
+Theory of operation. Each creation, extension and release of a reservation is an entry with its own id. The
+known state is the union of all received entries, in any order and with any number of duplicates (as in
+plans/history.py). The state of a reservation is derived from its entries:
 
-    units    those it was made with and those of its extensions
-    until    the latest of its own and its extensions'
-    over     released: from the earliest release on
+    units        the initial units plus those of its extensions
+    until_ms     the latest end among the creation and the extensions
+    released_ms  the time of the earliest release
 
-An extension or a release that is heard of before its reservation waits for it. The same identity with other
-content is a Conflict.
+An extension or release that arrives before its reservation has no effect until the reservation arrives. An
+entry with a known id and different content raises ConflictError.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 from immutables import Map
 
 MAX_UNITS = 1e9
-MAX_TEXT_CHARS = 200  # characters of who and why
+MAX_TEXT_CHARS = 200  # of each text field
 
 
 class Kind(Enum):
-    """What an entry does."""
+    """Effect of an entry."""
 
     RESERVE = "reserve"
     EXTEND = "extend"
@@ -33,16 +33,22 @@
 
 
 class ConflictError(ValueError):
-    """Two entries of one identity say different things."""
+    """Two entries have the same id and different content."""
 
 
 class Entry(NamedTuple):
-    """One word on a reservation; times are Unix time in milliseconds.
-
-    id: its own. of: the reservation's, the same as id where it is made. units: kept ahead, or more of them.
-    from_ms, until_ms: when they may be used; an extension only moves until, a release ends it at from_ms.
-    classes: that may use it, all if empty. first, width, gateways: the customer's set shares it, so many in a
-    row from the first, round a fleet that was so large when it was made.
+    """One change of a reservation; times are Unix time in milliseconds.
+
+    Attributes:
+        id: id of this entry.
+        of: id of the reservation; equal to id if the entry creates it.
+        units: reserved or additional units.
+        from_ms, until_ms: usage window; an extension only moves until_ms, a release ends the window at
+            from_ms.
+        classes: request classes that may use the reservation; all if empty.
+        first, width, gateways: the set of gateways that share the reservation: width consecutive gateways,
+            beginning with first and wrapping around at gateways, the size of the fleet at creation.
+        who, why: author and reason, for operators.
     """
 
     id: str
@@ -61,19 +67,21 @@
 
 
 def validate(entry: Entry) -> Entry:
-    """The entry, if it makes sense; ValueError that names the field if not."""
+    """Returns the entry; raises ValueError that names the field if it is invalid."""
     if not entry.id or not entry.of or (entry.kind is Kind.RESERVE) != (entry.id == entry.of):
-        raise ValueError("id: an entry and its reservation need one each, the same where it is made")
+        raise ValueError(
+            "id: an entry needs an id and that of its reservation; they are equal only in a creation"
+        )
     if not 0 <= entry.units <= MAX_UNITS or (entry.kind is Kind.RESERVE and not entry.units):
-        raise ValueError(f"units: {entry.units!r} is nothing that can be reserved")
+        raise ValueError(f"units: {entry.units!r} is not an amount that can be reserved")
     if not 0 <= entry.from_ms < float("inf") or not 0 <= entry.until_ms < float("inf"):
-        raise ValueError("from_ms, until_ms: no times")
+        raise ValueError("from_ms, until_ms: not finite times since 1970")
     if entry.kind is Kind.RESERVE and entry.until_ms <= entry.from_ms:
         raise ValueError("until_ms: the window ends before it begins")
     if not 0 <= entry.customer < 2**33:
-        raise ValueError(f"customer: {entry.customer!r} is no customer's number")
+        raise ValueError(f"customer: {entry.customer!r} is not a customer number")
     if not (1 <= entry.width <= entry.gateways and 0 <= entry.first < entry.gateways):
-        raise ValueError("first, width: no set of so many gateways")
+        raise ValueError("first, width: not a set within the number of gateways")
     for field in ("id", "of", "who", "why"):
         if len(getattr(entry, field)) > MAX_TEXT_CHARS:
             raise ValueError(f"{field}: longer than {MAX_TEXT_CHARS} characters")
@@ -81,14 +89,14 @@
 
 
 class Reservation(NamedTuple):
-    """What its entries come to."""
+    """State of a reservation, derived from its entries."""
 
     id: str
     customer: int
     units: float
     from_ms: float
     until_ms: float
-    released_ms: float  # when it was released; infinite if it was not
+    released_ms: float  # infinite if it was not released
     classes: tuple[str, ...]
     first: int
     width: int
@@ -96,16 +104,16 @@
 
     @property
     def ends_ms(self) -> float:
-        """Nothing of it is honoured from then on."""
+        """The time from which the reservation cannot be used any extensions."""
         return min(self.until_ms, self.released_ms)
 
     def is_usable_by(self, cls: str, now: float) -> bool:
-        """A request of this class may use it now."""
+        """Returns whether a request of this class may use it now."""
         return self.from_ms <= now < self.ends_ms and (not self.classes or cls in self.classes)
 
 
 class Entries:
-    """An immutable set of entries; make one with Entries()."""
+    """An immutable set of entries; Entries() is the empty set."""
 
     __slots__ = ("_by_id", "_of")
 
@@ -129,15 +137,15 @@
             yield self._by_id[id]
 
     def contains(self, entry: Entry) -> bool:
-        """It is in there, just so."""
+        """Returns whether the set has this entry with the same content."""
         return self._by_id.get(entry.id) == entry
 
     def for_reservation(self, id: str) -> tuple[Entry, ...]:
-        """All entries of a reservation, by identity, also where it has not been heard of itself."""
+        """Returns the entries of a reservation, ordered by id, also if its creation is not known."""
         return self._of.get(id, ())
 
     def without(self, ids: Iterable[str]) -> Entries:
-        """Without all entries of these reservations."""
+        """Returns the set without the entries of these reservations."""
         by_id, of = self._by_id.mutate(), self._of.mutate()
         for id in ids:
             for entry in of.pop(id, ()):
@@ -145,43 +153,47 @@
         return Entries(by_id.finish(), of.finish())
 
     def add(self, entries: Iterable[Entry]) -> Entries:
-        """With these as well, all or none; Conflict or ValueError names the first bad one."""
+        """Returns the set with these entries added.
+
+        Raises:
+            ConflictError, ValueError: names the first invalid entry; none is added.
+        """
         by_id, of = self._by_id.mutate(), self._of.mutate()
         for entry in entries:
             known = by_id.get(entry.id)
             if known == entry:
                 continue
             if known is not None:
-                raise ConflictError(f"entry {entry.id!r} is known as {known}, and now as {entry}")
+                raise ConflictError(f"entry {entry.id!r} is known as {known}; received {entry}")
             by_id[validate(entry).id] = entry
             of[entry.of] = tuple(sorted((*of.get(entry.of, ()), entry), key=lambda e: e.id))
         return Entries(by_id.finish(), of.finish())
 
     def get(self, id: str) -> Reservation | None:
-        """What the entries of a reservation come to; None: it has not been heard of itself."""
-        made = self._by_id.get(id)
-        if made is None or made.kind is not Kind.RESERVE:
+        """Returns the state of a reservation; None if its creation is not known."""
+        creation = self._by_id.get(id)
+        if creation is None or creation.kind is not Kind.RESERVE:
             return None
         rows = self._of[id]
-        more = [e for e in rows if e.kind is Kind.EXTEND]
+        extensions = [e for e in rows if e.kind is Kind.EXTEND]
         released = [e.from_ms for e in rows if e.kind is Kind.RELEASE]
-        until_ms = max([made.until_ms, *(e.until_ms for e in more)])
+        until_ms = max([creation.until_ms, *(e.until_ms for e in extensions)])
         released_ms = min(released, default=float("inf"))
         return Reservation(
             id,
-            made.customer,
-            made.units + sum(e.units for e in more),
-            made.from_ms,
+            creation.customer,
+            creation.units + sum(e.units for e in extensions),
+            creation.from_ms,
             until_ms,
             released_ms,
-            made.classes,
-            made.first,
-            made.width,
-            made.gateways,
+            creation.classes,
+            creation.first,
+            creation.width,
+            creation.gateways,
         )
 
     def reservations(self) -> Iterator[Reservation]:
-        """All that were made, by identity."""
+        """Returns all created reservations, ordered by id."""
         for entry in self:
             if entry.kind is Kind.RESERVE and (found := self.get(entry.id)) is not None:
                 yield found
--- a/troutdock/reservations/escrow.py
+++ b/troutdock/reservations/escrow.py
@@ -1,29 +1,33 @@
-"""Which part of a reservation a gateway may use: all together no more than was reserved (no I/O).
+"""The part of each reservation that a gateway may use; the parts never exceed the reserved units (no I/O).
 
-Theory of operation. The units of a reservation are cut evenly among the gateways of its customer's set,
-each of which may use its own part without asking (escrow: O'Neil, "The Escrow Transactional Method", 1986).
-A gateway that runs short asks another, which takes what it gives off its own part before it says so:
+Theory of operation. The units of a reservation are divided evenly among the gateways of its customer's set.
+Each gateway may use its own part without asking the others (escrow: O'Neil, "The Escrow Transactional
+Method", 1986). A gateway that runs short requests a transfer from another one, which deducts the units from
+its own part before it sends them:
 
-    own part   even, from the moment that the reservation is heard of; extensions add theirs
-    used       by requests, the reservation that ends first before the others
-    given      off the giver at once, on the taker's when the word arrives; one that comes twice counts once.
-               A question says which gift came last: one that did not arrive is sent again, not another one
+    initial part   the even share, from the time the reservation becomes known; extensions add theirs
+    used           consumed by requests; the reservation that ends first is used first
+    transferred    deducted at the sender at once and added at the receiver on arrival; a duplicate is
+                   ignored. A request names the last transfer received: a transfer that was lost is sent again
+                   instead of a new one
 
-So that a death doubles nothing and loses little, a part is in escrow with the gateway's own disk as well:
+So that a crash duplicates nothing and loses little, the part is also in escrow with the gateway's own disk:
 
-    safe       a restart finds so much of the part: what the last save says, and all that no save knows yet
-    free       left - safe: what may be used or given before the next save
-    writing    a save under way: as long as nobody knows whether it is on disk, both its word and the one
-               before it hold, so free is what both leave
+    persisted      what a restart restores of the part: the value of the last save, plus shares that no save
+                   covers
+    free           remaining - persisted: what may be used or transferred before the next save
+    being_saved    the value of a save in progress. Until its result is known, both this value and the
+                   previous one may be on disk, so free is computed with the larger of the two
 
-A save lowers safe, so that there is something free: a DRAWN-th of the part, or LEAST where that is more. A
-death loses what was free and not used. Nothing is free before a reservation's window is near.
+A save lowers the persisted value to make units free: 1/FREE_DIVISOR of the part, or MIN_FREE_MILLIUNITS if
+that is more. A crash loses the units that were free and unused. Nothing is free until shortly before the
+reservation's window.
 
-Rules. What is under way counts for nobody, so the sum over all gateways only falls: nothing is honoured
-twice, whatever is lost, late, doubled, cut off or killed. No clocks are compared: what was asked for after
-the end is not honoured by who thinks that it has ended, and units are used once all the same.
+Invariants. Units in transit count for no gateway, so the sum over all gateways only decreases: no unit is
+used twice under lost, late or duplicated messages, partitions or crashes. Clocks are not compared: a gateway
+rejects a request after the end by its own clock, and each unit is used at most once regardless.
 
-Parts are whole thousandths of a unit, so that sums are exact.
+Parts are whole thousandths of a unit (milliunits), so that sums are exact.
 """
 
 from __future__ import annotations
@@ -35,31 +39,29 @@
 
 from troutdock.reservations.entries import Entries, Entry, Kind, Reservation
 
-MILLIUNITS_PER_UNIT = 1000  # parts of a unit
-MIN_REQUEST_INTERVAL_MS, MAX_REQUEST_INTERVAL_MS = (
-    60.0,
-    3840.0,
-)  # between questions: a datagram's way twice; doubled after VAIN
-REQUESTS_BEFORE_BACKOFF = 3  # questions, or all others once: a third of the datagrams may be lost
-PREFETCH_REQUESTS = (
-    4  # requests' worth that a gateway likes to have, so that a gift is there before it is missing
-)
-TRANSFER_FRACTION = 0.5  # of what is free: the giver may need the rest
-FREE_DIVISOR, MIN_FREE_MILLIUNITS = (
-    8,
-    20 * MILLIUNITS_PER_UNIT,
-)  # how much of a part is free after a save: a death loses as much at most
-PREPARE_AHEAD_MS = (
-    5000.0  # a window so near has its part drawn: a save takes milliseconds, unless the disk is ill
-)
-MAX_TRANSFER_MILLIUNITS = 0xFFFFFFFF  # parts, as a message has room for: 4 million units
+MILLIUNITS_PER_UNIT = 1000
+# Between transfer requests: the round trip of a datagram; doubled after REQUESTS_BEFORE_BACKOFF requests.
+MIN_REQUEST_INTERVAL_MS, MAX_REQUEST_INTERVAL_MS = 60.0, 3840.0
+REQUESTS_BEFORE_BACKOFF = 3  # or one to each other gateway if that is more: a third of datagrams may be lost
+# A transfer is requested below the units of this many requests, so that it arrives before they are needed.
+PREFETCH_REQUESTS = 4
+TRANSFER_FRACTION = 0.5  # of the free units; the sender may needed the rest
+# Units free after a save: an eighth of the part, at least 20 units. A crash loses at most this much.
+FREE_DIVISOR, MIN_FREE_MILLIUNITS = 8, 20 * MILLIUNITS_PER_UNIT
+# Units become free this long before the window. A save takes milliseconds unless the disk has a fault.
+PREPARE_AHEAD_MS = 5000.0
+MAX_TRANSFER_MILLIUNITS = 0xFFFFFFFF  # limit of the message field (u32): 4 million units
 
 
 @dataclass(frozen=True, slots=True)
 class TransferRequest:
-    """To a gateway: so many thousandths of a unit are missing here.
+    """A request to another gateway for units.
 
-    life: of who asks. got: the number of the last gift that came from there, 0 for none.
+    Attributes:
+        to: index of the gateway that is asked.
+        missing: milliunits needed.
+        incarnation: incarnation of the requesting gateway.
+        last_received: number of the last transfer received from that gateway; 0: none.
     """
 
     to: int
@@ -71,9 +73,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Transfer:
-    """To a gateway: these are its own now.
+    """Units handed over to another gateway.
 
-    number: the giver's, a higher one for each gift. life: of who had asked; a later one does not take it.
+    Attributes:
+        to: index of the receiving gateway.
+        milliunits: amount.
+        number: increases with each transfer of the sender.
+        incarnation: incarnation of the gateway that requested it; a later one rejects the transfer.
     """
 
     to: int
@@ -85,46 +91,48 @@
 
 @dataclass(slots=True)
 class Part:
-    """A gateway's part of one reservation, in thousandths of a unit."""
+    """A gateway's part of one reservation, in milliunits."""
 
     remaining: int = 0
     used: int = 0
-    debt: int = 0  # of requests that cost more than was free: taken as soon as it is
+    debt: int = 0  # cost of requests beyond the free units; deducted once units become free
     persisted: int = 0
-    being_saved: int = -1  # what the save under way says; -1: none is
+    being_saved: int = -1  # value of the save in progress; -1: none
     last_request_at: float = -inf
     request_interval_ms: float = MIN_REQUEST_INTERVAL_MS
-    last_peer_offset: int = 0  # which of the others is asked next
-    unanswered_requests: int = 0  # questions since the last gift
-    counted_entries: dict[str, None] = field(default_factory=dict)  # entries whose units are in it
-    last_sent: dict[int, Transfer] = field(default_factory=dict)  # the last one to each gateway
-    last_received: dict[int, int] = field(default_factory=dict)  # by giver: the number of the last gift
+    last_peer_offset: int = 0  # offset in the set of the gateway asked last
+    unanswered_requests: int = 0  # requests since the last transfer received
+    counted_entries: dict[str, None] = field(default_factory=dict)  # entries whose units are included
+    last_sent: dict[int, Transfer] = field(default_factory=dict)  # last transfer, by receiving gateway
+    last_received: dict[int, int] = field(default_factory=dict)  # number of the last transfer, by sender
 
     @property
     def free(self) -> int:
-        """What may be used or given before the next save."""
+        """Milliunits that may be used or transferred before the next save."""
         return max(0, self.remaining - max(self.persisted, self.being_saved))
 
     @property
     def free_target(self) -> int:
-        """What is to be free after a save."""
+        """Milliunits that should be free after a save."""
         return min(self.remaining, max(MIN_FREE_MILLIUNITS, self.remaining // FREE_DIVISOR) + self.debt)
 
     def settle_debt(self) -> None:
-        """Take what is owed, as far as it is free."""
+        """Deducts the debt as far as units are free."""
         milliunits = min(self.debt, self.free)
         self.debt -= milliunits
         self.remaining -= milliunits
         self.used += milliunits
 
 
-SavedParts = dict[
-    str, tuple[int, tuple[str, ...]]
-]  # by reservation: what is safe, and entries that are counted
+# By reservation: persisted milliunits, and the ids of the entries that are included.
+SavedParts = dict[str, tuple[int, tuple[str, ...]]]
 
 
 def even_part(entry: Entry, index: int) -> int:
-    """What a gateway has of an entry's units: none outside the set, and the first ones have the rest."""
+    """Returns a gateway's even share of an entry's units in milliunits; 0 outside the set.
+
+    The first gateways of the set get the remainder.
+    """
     position = (index - entry.first) % entry.gateways
     if position >= entry.width or index >= entry.gateways:
         return 0
@@ -138,39 +146,49 @@
     def __init__(
         self, index: int, incarnation: int = 0, transfer_number_base: int = 0, saved: SavedParts | None = None
     ) -> None:
-        """life: this start's, another one each time. numbers: of gifts, beyond those of an earlier life.
+        """Initializes the parts of one gateway.
 
-        saved: what the last save of an earlier life says.
+        Args:
+            index: of this gateway.
+            incarnation: identifies this start of the process; unique for each start.
+            transfer_number_base: higher than the transfer numbers of earlier incarnations.
+            saved: the last save of an earlier incarnation.
         """
         self._index, self._incarnation = index, incarnation
         self.entries = Entries()
-        self._saved_rows: SavedParts = dict(saved or {})  # what a save says of parts that nothing has touched
+        self._saved_rows: SavedParts = dict(saved or {})  # last saved value of each part
         self.parts: dict[str, Part] = {
             id: Part(persisted, persisted=persisted, counted_entries=dict.fromkeys(counted))
             for id, (persisted, counted) in self._saved_rows.items()
         }
-        self._dirty: dict[str, None] = {}  # parts that a save is to look at
-        self._parts_being_saved: tuple[str, ...] = ()  # those that the save under way did
-        self._active: dict[int, list[Reservation]] = {}  # by customer, the one that ends first leads
-        self._upcoming: list[tuple[float, str]] = []  # windows that are to begin: a heap
+        self._dirty: dict[str, None] = {}  # reservations whose parts the next save updates
+        self._parts_being_saved: tuple[str, ...] = ()  # reservations whose parts the save in progress updates
+        self._active: dict[int, list[Reservation]] = {}  # by customer, ordered by end
+        self._upcoming: list[
+            tuple[float, str]
+        ] = []  # heap of times to prepare a window, with the reservation
         self._last_transfer_number = transfer_number_base
-        self.save_needed = False  # a save would free what is asked for
+        self.save_needed = False  # a save would free units that are wanted
 
     def add_entries(self, entries: Iterable[Entry]) -> list[str]:
-        """Entries that were heard of; all or none, ValueError names the first bad one.
+        """Adds entries and the shares that follow from them.
+
+        Returns:
+            The ids of reservations that were not known.
 
-        Gives the identities of reservations that were not known.
+        Raises:
+            ValueError: names the first invalid entry; none is added.
         """
         new_entries = [e for e in entries if not self.entries.contains(e)]
         self.entries = self.entries.add(new_entries)
-        found, updated = [], dict[int, dict[str, None]]()  # customers and their reservations that have news
+        found, updated = [], dict[int, dict[str, None]]()  # by customer: reservations with new entries
         for entry in new_entries:
             if entry.kind is Kind.RESERVE:
                 heappush(self._upcoming, (entry.from_ms - PREPARE_AHEAD_MS, entry.id))
                 found.append(entry.id)
             current = self.entries.get(entry.of)
             if current is None:
-                continue  # an extension that came before its reservation
+                continue  # an extension or release that arrived before its reservation
             updated.setdefault(current.customer, {})[current.id] = None
             part = self.parts.setdefault(entry.of, Part())
             self._dirty[entry.of] = None
@@ -182,7 +200,7 @@
                     )
                     share = even_part(placed, self._index)
                     part.remaining += share
-                    part.persisted += share  # no save knows of it: a restart would count it anew
+                    part.persisted += share  # no save includes it: a restart would add it again
                     part.being_saved += share if part.being_saved >= 0 else 0
         for customer, ids in updated.items():
             ids.update(dict.fromkeys(r.id for r in self._active.get(customer, ())))
@@ -191,21 +209,21 @@
         return found
 
     def forget(self, reservations: Iterable[str]) -> None:
-        """They are over and no file has them any more: forget all of them."""
-        gone = dict.fromkeys(reservations)
-        for id in gone:
+        """Removes reservations that have ended and are no longer in the file."""
+        removed = dict.fromkeys(reservations)
+        for id in removed:
             self.parts.pop(id, None)
             self._saved_rows.pop(id, None)
             self._dirty.pop(id, None)
-        self.entries = self.entries.without(gone)
-        self._active = {c: [r for r in rows if r.id not in gone] for c, rows in self._active.items()}
+        self.entries = self.entries.without(removed)
+        self._active = {c: [r for r in rows if r.id not in removed] for c, rows in self._active.items()}
 
     def has_reservation(self, customer: int) -> bool:
-        """It has a reservation that is not over, or was not when it was last asked for."""
+        """Returns whether the customer has a reservation; ended ones are removed at the next use."""
         return bool(self._active.get(customer))
 
     def usable_parts(self, customer: int, cls: str, now: float) -> Iterator[tuple[Reservation, Part]]:
-        """What a request may use now, the one that ends first before the others."""
+        """Yields the reservations that a request may use now, the one that ends first first."""
         rows = self._active.get(customer, [])
         if rows and rows[0].ends_ms <= now:
             rows = self._active[customer] = [r for r in rows if r.ends_ms > now]
@@ -214,14 +232,18 @@
                 yield reservation, self.parts[reservation.id]
 
     def consume(self, customer: int, cls: str, units: float, now: float) -> str | None:
-        """Take a request's units off one reservation: its identity, or None if none has them here."""
-        need = ceil(units * MILLIUNITS_PER_UNIT)
+        """Deducts a request's units from one reservation.
+
+        Returns:
+            The id of the reservation; None if none has enough free units on this gateway.
+        """
+        needed = ceil(units * MILLIUNITS_PER_UNIT)
         for reservation, part in self.usable_parts(customer, cls, now):
-            if part.free >= need:
-                self._deduct(reservation.id, part, need)
-                part.used += need
+            if part.free >= needed:
+                self._deduct(reservation.id, part, needed)
+                part.used += needed
                 return reservation.id
-            self.save_needed = self.save_needed or part.remaining >= need
+            self.save_needed = self.save_needed or part.remaining >= needed
         return None
 
     def _deduct(self, id: str, part: Part, milliunits: int) -> None:
@@ -231,9 +253,10 @@
             self.save_needed = True
 
     def settle(self, reservation: str, units: float) -> None:
-        """The true units of a request were so many more than its guess, below nought less.
+        """Corrects a reservation by a request's actual minus its estimated units (negative: a refund).
 
-        What is not free is owed; what is not there at all is never taken.
+        The amount beyond the free units becomes debt. Units that this gateway does not have are never
+        deducted.
         """
         part = self.parts.get(reservation)
         if part is not None:
@@ -244,15 +267,15 @@
             part.used -= refund
             self._deduct(reservation, part, -refund)
 
-    # ---- among gateways
+    # ---- transfers between gateways
 
     def request_transfer(self, customer: int, cls: str, units: float, now: float) -> TransferRequest | None:
-        """Whom to ask for units that are missing here, or will be soon; None: nobody, or it is too soon."""
-        need = ceil(units * MILLIUNITS_PER_UNIT)
+        """Returns a transfer request if units are or will soon be missing; else, or if too early, None."""
+        needed = ceil(units * MILLIUNITS_PER_UNIT)
         for reservation, part in self.usable_parts(customer, cls, now):
             if (
                 reservation.width > 1
-                and part.remaining < need * PREFETCH_REQUESTS
+                and part.remaining < needed * PREFETCH_REQUESTS
                 and now - part.last_request_at >= part.request_interval_ms
             ):
                 part.last_request_at, part.unanswered_requests = now, part.unanswered_requests + 1
@@ -263,46 +286,49 @@
                 to = (
                     reservation.first + (position + part.last_peer_offset) % reservation.width
                 ) % reservation.gateways
-                missing = need - part.remaining if part.remaining < need else need
+                missing = needed - part.remaining if part.remaining < needed else needed
                 return TransferRequest(
                     to, reservation.id, missing, self._incarnation, part.last_received.get(to, 0)
                 )
         return None
 
-    def handle_request(self, sender: int, ask: TransferRequest, now: float) -> Transfer | None:
-        """What is given: half of what is free, as much as is missing at least where that is less."""
-        part, current = self.parts.get(ask.reservation), self.entries.get(ask.reservation)
+    def handle_request(self, sender: int, request: TransferRequest, now: float) -> Transfer | None:
+        """Returns the transfer for a request, or None.
+
+        The amount is TRANSFER_FRACTION of the free units, or the missing amount if that is more and is free.
+        """
+        part, current = self.parts.get(request.reservation), self.entries.get(request.reservation)
         if part is None or current is None or not current.from_ms <= now < current.ends_ms:
             return None
         previous = part.last_sent.get(sender)
         if (
             previous is not None
-            and previous.incarnation == ask.incarnation
-            and previous.number > ask.last_received
+            and previous.incarnation == request.incarnation
+            and previous.number > request.last_received
         ):
             return previous
         milliunits = min(
-            part.free, MAX_TRANSFER_MILLIUNITS, max(ask.missing, floor(part.free * TRANSFER_FRACTION))
+            part.free, MAX_TRANSFER_MILLIUNITS, max(request.missing, floor(part.free * TRANSFER_FRACTION))
         )
-        if milliunits <= 0 or milliunits < ask.missing:
-            self.save_needed = self.save_needed or part.remaining >= ask.missing
+        if milliunits <= 0 or milliunits < request.missing:
+            self.save_needed = self.save_needed or part.remaining >= request.missing
             return None
-        self._deduct(ask.reservation, part, milliunits)
+        self._deduct(request.reservation, part, milliunits)
         self._last_transfer_number += 1
         part.last_sent[sender] = Transfer(
-            sender, ask.reservation, milliunits, self._last_transfer_number, ask.incarnation
+            sender, request.reservation, milliunits, self._last_transfer_number, request.incarnation
         )
         return part.last_sent[sender]
 
-    def accept_transfer(self, sender: int, give: Transfer) -> bool:
-        """Take a gift in, once; false if it was there already or means nothing here."""
-        part = self.parts.get(give.reservation)
-        if part is None or give.milliunits <= 0 or give.incarnation != self._incarnation:
+    def accept_transfer(self, sender: int, transfer: Transfer) -> bool:
+        """Adds a transfer to the part. Returns false if it is a duplicate or not for this incarnation."""
+        part = self.parts.get(transfer.reservation)
+        if part is None or transfer.milliunits <= 0 or transfer.incarnation != self._incarnation:
             return False
-        if give.number <= part.last_received.get(sender, 0):
+        if transfer.number <= part.last_received.get(sender, 0):
             return False
-        part.last_received[sender] = give.number
-        part.remaining += give.milliunits
+        part.last_received[sender] = transfer.number
+        part.remaining += transfer.milliunits
         part.settle_debt()
         part.last_request_at, part.request_interval_ms, part.unanswered_requests = (
             -inf,
@@ -311,10 +337,10 @@
         )
         return True
 
-    # ---- with its own disk
+    # ---- persistence
 
     def save_due(self, now: float) -> bool:
-        """A save would free something that is wanted now or soon."""
+        """Returns whether a save would free units that are wanted now or soon."""
         while self._upcoming and self._upcoming[0][0] <= now:
             _, id = heappop(self._upcoming)
             self._dirty[id] = None
@@ -322,7 +348,11 @@
         return self.save_needed
 
     def begin_save(self, now: float, close: bool = False) -> SavedParts:
-        """What a save is to say; drawn follows. close: nothing is used after this, so all is safe."""
+        """Returns the content of the next save; finish_save must follow.
+
+        Args:
+            close: nothing is used after this save, so the whole part is persisted.
+        """
         ids = tuple(id for id in (self.parts if close else self._dirty) if id in self.parts)
         for id in ids:
             part, current = self.parts[id], self.entries.get(id)
@@ -332,13 +362,13 @@
         self._parts_being_saved, self._dirty, self.save_needed = ids, {}, False
         return dict(self._saved_rows)
 
-    def finish_save(self, good: bool) -> None:
-        """The save has ended; one that failed may be on disk or not."""
+    def finish_save(self, succeeded: bool) -> None:
+        """Ends the save in progress; a failed one may or may not be on disk."""
         for id in self._parts_being_saved:
             if (part := self.parts.get(id)) is not None:
-                part.persisted = part.being_saved if good else max(part.persisted, part.being_saved)
+                part.persisted = part.being_saved if succeeded else max(part.persisted, part.being_saved)
                 part.being_saved = -1
                 part.settle_debt()
-                if not good:
+                if not succeeded:
                     self._dirty[id] = None
         self._parts_being_saved = ()
--- a/troutdock/reservations/files.py
+++ b/troutdock/reservations/files.py
@@ -1,4 +1,4 @@
-"""Entries of reservations in a file of JSON lines, and a gateway's parts of them in a folder of its own."""
+"""Files: the reservation entries as JSON lines, and the folder that holds a gateway's parts."""
 
 from __future__ import annotations
 
@@ -14,52 +14,57 @@
 from troutdock.reservations.escrow import SavedParts
 from troutdock.reservations.commitment_limit import CommitmentBounds, CommitmentDecision, decide
 
-MAX_ENTRIES = 100_000  # in a file: some 100 MB of memory; those that are over are taken out by `prune`
+MAX_ENTRIES = 100_000  # in a file: about 100 MB of memory; `prune` removes ended reservations
 
 
 def parse(data: bytes, source: object = "line") -> Entries:
-    """Entries from their lines; ValueError names the place and the line that is wrong."""
+    """Parses entries from JSON lines; ValueError names the source and the invalid line."""
     entries = jsonlines.gathered(data, Entry, Entries(), Entries.add, source)
     if len(entries) > MAX_ENTRIES:
-        raise ValueError(f"{source}: {len(entries)} entries, and {MAX_ENTRIES} are the most")
+        raise ValueError(f"{source}: {len(entries)} entries exceed the limit of {MAX_ENTRIES}")
     return entries
 
 
 def read(path: Path) -> Entries:
-    """The file's entries, none if there is no file; ValueError names the line that is wrong."""
+    """Reads the file's entries, none if it does not exist; ValueError names the invalid line."""
     return parse(jsonlines.content(path), path)
 
 
 def append(path: Path, entries: Iterable[Entry]) -> Entries:
-    """Add these to the file, and give what it holds then; ValueError or OSError leave it as it was."""
+    """Adds entries to the file and returns its new content; on ValueError or OSError it is unchanged."""
     with jsonlines.locked(path):
         existing = read(path)
         updated = existing.add(entries)
         if len(updated) > MAX_ENTRIES:
-            raise ValueError(f"{path}: {MAX_ENTRIES} entries are the most; prune those that are over")
+            raise ValueError(f"{path}: the limit is {MAX_ENTRIES} entries; prune ended reservations")
         if len(updated) != len(existing):
             jsonlines.replace(path, jsonlines.encode(updated))
         return updated
 
 
-def promise(path: Path, entry: Entry, terms: CommitmentBounds) -> tuple[Entries, CommitmentDecision]:
-    """Add it to the file if it may be promised beside what that holds; ValueError or OSError: it is not."""
+def promise(path: Path, entry: Entry, bounds: CommitmentBounds) -> tuple[Entries, CommitmentDecision]:
+    """Adds an entry to the file if the commitment limits allow it beside the existing reservations.
+
+    On ValueError or OSError the entry is not added.
+    """
     with jsonlines.locked(path):
         existing = read(path)
         if existing.contains(entry):
-            return existing, CommitmentDecision(True, units=entry.units)  # asked again: it was promised
+            return existing, CommitmentDecision(
+                True, units=entry.units
+            )  # a repeated request: it was granted before
         updated = existing.add([entry])
         reservation = updated.get(entry.of)
         if reservation is None:
             raise ValueError(f"no reservation is known as {entry.of!r}")
-        decision = decide(reservation, existing.reservations(), terms)
+        decision = decide(reservation, existing.reservations(), bounds)
         if decision.granted:
             jsonlines.replace(path, jsonlines.encode(updated))
         return (updated if decision.granted else existing), decision
 
 
 def prune(path: Path, before_ms: float) -> list[str]:
-    """Take out all entries of reservations that ended before that time: their identities."""
+    """Removes the entries of reservations that ended before a time and returns the reservations' ids."""
     with jsonlines.locked(path):
         existing = read(path)
         pruned = [r.id for r in existing.reservations() if r.ends_ms < before_ms]
@@ -69,7 +74,7 @@
 
 
 class _Parts(msgspec.Struct, forbid_unknown_fields=True):
-    """The file of parts. index: the gateway's, as another one's parts are nothing here."""
+    """Content of the parts file. index: the gateway that the parts belong to."""
 
     version: int
     index: int
@@ -77,16 +82,16 @@
 
 
 class PartsFolder:
-    """Where one gateway keeps its parts; one process at a time owns it."""
+    """Folder in which one gateway stores its parts; one process at a time owns it."""
 
     def __init__(self, folder: Path) -> None:
-        """OSError if the folder can't be made or written."""
+        """Creates the folder. Raises OSError if it cannot be created or written."""
         folder.mkdir(parents=True, exist_ok=True)
         self._path, self._folder = folder / "parts.json", folder
         self._lock: BinaryIO = (folder / "lock").open("ab")
 
     def acquire(self) -> bool:
-        """It is this process's from now on; false while another one has it."""
+        """Takes ownership of the folder; returns false while another process owns it."""
         try:
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
@@ -94,23 +99,23 @@
         return True
 
     def load(self, index: int) -> SavedParts:
-        """What the last save says, nothing if there is none; ValueError if it is none of this gateway's."""
+        """Returns the last save, empty if there is none; ValueError if it is not of this gateway."""
         data = jsonlines.content(self._path)
         if not data:
             return {}
         try:
             found = msgspec.json.decode(data, type=_Parts)
         except msgspec.MsgspecError as error:
-            raise ValueError(f"{self._path}: no parts of reservations: {error}") from error
+            raise ValueError(f"{self._path}: not a parts file: {error}") from error
         if found.version != 1 or found.index != index:
-            whose = f"gateway {found.index}'s, version {found.version}"
-            raise ValueError(f"{self._path}: {whose}; this is {index}")
+            owner = f"gateway {found.index}'s, version {found.version}"
+            raise ValueError(f"{self._path}: {owner}; this is {index}")
         return found.parts
 
     def save(self, index: int, parts: SavedParts) -> None:
-        """All of it is on disk when this returns; OSError: nobody knows."""
+        """Saves the parts durably; after OSError they may or may not be on disk."""
         jsonlines.replace(self._path, msgspec.json.encode(_Parts(1, index, parts)))
 
     def close(self) -> None:
-        """Another process may have it; harmless twice."""
+        """Releases the ownership; may be called twice."""
         self._lock.close()
--- a/troutdock/reservations/messages.py
+++ b/troutdock/reservations/messages.py
@@ -1,10 +1,10 @@
-"""The bytes by which gateways ask one another for parts of reservations, and give them (no I/O).
+"""Encoding of the datagrams that transfer units of reservations between gateways (no I/O).
 
-    kind (u8), reservation (8 bytes: BLAKE2b of its identity), life of who asks or has asked (u32), and of
-    ASK    missing (u32), number of the last gift that came (u64)
-    GIVE   parts (u32), number (u64)
+    kind (u8), reservation (8 bytes: BLAKE2b of its id), incarnation of the requesting gateway (u32), and then
+    REQUEST    missing milliunits (u32), number of the last transfer received (u64)
+    TRANSFER   milliunits (u32), number (u64)
 
-The kinds are none of the decision module's (troutdock.admission), whose datagrams go the same way.
+The kinds differ from those of troutdock.admission, whose datagrams use the same socket.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 
 
 def reservation_key(reservation: str) -> bytes:
-    """Eight bytes for an identity: two of a million share them with a chance of 3 in 100 million."""
+    """Returns an 8-byte key; a million ids have a collision with a probability of 3 in 100 million."""
     return blake2b(reservation.encode(), digest_size=8).digest()
 
 
 def encode_request(reservation: str, incarnation: int, missing: int, last_received: int) -> bytes:
-    """A question."""
+    """Encodes a transfer request."""
     return _MESSAGE.pack(
         REQUEST,
         reservation_key(reservation),
@@ -36,16 +36,20 @@
 
 
 def encode_transfer(reservation: str, incarnation: int, milliunits: int, number: int) -> bytes:
-    """A gift, of MOST_GIFT parts at most."""
+    """Encodes a transfer of at most MAX_TRANSFER_MILLIUNITS."""
     return _MESSAGE.pack(TRANSFER, reservation_key(reservation), incarnation, milliunits, number)
 
 
 def decode(body: bytes) -> tuple[int, bytes, int, int, int]:
-    """Kind, reservation's key, life, missing or parts, and the gift's number.
+    """Decodes a datagram.
 
-    ValueError if it is none.
+    Returns:
+        Kind, reservation key, incarnation, missing or transferred milliunits, and transfer number.
+
+    Raises:
+        ValueError: not a message about reservations.
     """
     if body[:1] not in KINDS or len(body) != _MESSAGE.size:
-        raise ValueError(f"{len(body)} bytes are no word on a reservation")
+        raise ValueError(f"{len(body)} bytes are not a reservation message")
     kind, key, incarnation, milliunits, number = _MESSAGE.unpack(body)
     return kind, key, incarnation, milliunits, number
--- a/troutdock/reservations/service.py
+++ b/troutdock/reservations/service.py
@@ -1,7 +1,7 @@
-"""Reservations at work in an ingress: its file, its own folder of parts, the others' datagrams, the door.
+"""Reservations in an ingress: entries file, parts folder, messages between gateways, management calls.
 
-Only the process that owns the folder has parts. During an upgrade that is the older one until it has ended;
-till then the newer one lets reserved requests go the ordinary way, by their customer's quota.
+Only the process that owns the folder has parts. During an upgrade the older process owns it until it ends;
+until then the newer process admits reserved requests by their customer's quota only.
 """
 
 from __future__ import annotations
@@ -28,18 +28,22 @@
 
 log = logging.getLogger("troutdock")
 
-Call = Callable[[bytes], Awaitable[tuple[int, bytes]]]  # of the door: a body to status and body
+Call = Callable[[bytes], Awaitable[tuple[int, bytes]]]  # request body to status and response body
 
-POLL_INTERVAL_S = 0.25  # between looks at the folder's owner, the file and what is due
-SAVE_RETRY_S = 1.0  # after a save that failed
-MEASUREMENT_S = 60.0  # over which the fleet's use is measured
+POLL_INTERVAL_S = 0.25  # between checks of folder ownership, the file and due saves
+SAVE_RETRY_S = 1.0  # after a failed save
+MEASUREMENT_S = 60.0  # period over which the fleet's usage is measured
 
 
 @dataclass(frozen=True, slots=True)
 class ReservationOptions:
-    """What the operator asks for. file: of entries. folder: of this gateway's parts, on a disk that lasts.
+    """Settings of reservations.
 
-    fleet_units_per_s: what the fleet is known to bear; what it is seen to serve counts where that is more.
+    Attributes:
+        file: the entries.
+        folder: this gateway's parts, on a persistent disk.
+        reread_s: interval at which the file is checked for changes.
+        fleet_units_per_s: known capacity of the fleet; a higher measured rate takes precedence.
     """
 
     file: Path
@@ -49,63 +53,60 @@
 
 
 class Engine(Protocol):
-    """Whose requests have reservations."""
+    """The engine that admits requests."""
 
     @property
     def settings(self) -> Settings:
-        """Those that hold now."""
+        """The current settings."""
 
     def set_allowance(self, allowance: Reservations) -> None:
-        """Ask there for each request's units."""
+        """Sets the allowance that is asked for the units of each request."""
 
     def send_to_peer(self, gateway: int, body: bytes) -> None:
-        """A datagram to another gateway."""
+        """Sends a datagram to another gateway."""
 
     def plan_of(self, customer: int) -> str | None:
-        """The plan that is assigned to a customer now."""
+        """Returns the plan that is assigned to a customer now."""
 
 
 class PromiseRequest(msgspec.Struct, forbid_unknown_fields=True):
-    """What the door is asked to promise. plan: the customer's, where none is assigned."""
+    """Body of a promise call. plan: used if none is assigned to the customer."""
 
     entry: Entry
     plan: str = ""
 
 
 class Reservations:
-    """It belongs to the event loop that is running when it is started; engine.Allowance."""
+    """Implements engine.Allowance; bound to the event loop that runs when it is started."""
 
     def __init__(self, options: ReservationOptions) -> None:
-        """The file is read here for the first time; ValueError or OSError if it can't be."""
+        """Reads the file for the first time; raises ValueError or OSError if that fails."""
         self._options = options
         self._file_mark = jsonlines.mark(self._options.file)
         self._entries = files.read(options.file)
         self._folder = files.PartsFolder(options.folder)
         self._engine: Engine | None = None
-        self.escrow: Escrow | None = None  # once the folder is this process's
-        self._reservation_of_key: dict[bytes, str] = {}  # reservations by the key that messages have
+        self.escrow: Escrow | None = None  # set once this process owns the folder
+        self._reservation_of_key: dict[bytes, str] = {}  # reservation ids by message key
         self._wake = asyncio.Event()
         self._task: asyncio.Task[None] | None = None
         self._save_task: asyncio.Task[None] | None = None
         self._next_save_at = 0.0
         self._save_failing = self._file_invalid = False
         self._last_read_at = 0.0
-        self._measured_units, self._measured_since, self.measured_units_per_s = (
-            0.0,
-            time.monotonic(),
-            0.0,
-        )  # of this minute; the most a second
-        self.requests_sent = self.transfers_sent = 0  # datagrams that were sent
+        # usage in the current period, its start, and the highest measured rate
+        self._measured_units, self._measured_since, self.measured_units_per_s = 0.0, time.monotonic(), 0.0
+        self.requests_sent = self.transfers_sent = 0  # datagrams
 
     def start(self, engine: Engine) -> None:
-        """Honour reservations from now on, or from the moment on that the folder is this process's."""
+        """Starts to apply reservations as soon as this process owns the folder."""
         self._engine = engine
         engine.set_allowance(self)
-        self._wake.set()  # the folder is looked at at once
+        self._wake.set()  # check the folder at once
         self._task = asyncio.create_task(self._run())
 
     async def close(self) -> None:
-        """The ingress has drained: what is left of the parts is on disk, for its next start."""
+        """Saves the remaining parts for the next start; called after the ingress has drained."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.wait({self._task})
@@ -116,14 +117,17 @@
             try:
                 await asyncio.to_thread(self._folder.save, self._engine.settings.index, rows)
             except OSError as error:
-                log.error("reservations: what was free and not used is lost: %s", error)
+                log.error(
+                    "reservations: saving at shutdown failed; free units that were not used are lost: %s",
+                    error,
+                )
             self.escrow = None
         self._folder.close()
 
     # ---- engine.Allowance
 
     def take(self, customer: int, cls: str, units: float) -> str | None:
-        """Units for a request, and off which reservation; None: none has them here."""
+        """Deducts units for a request; returns the reservation, or None if none has enough here."""
         escrow = self.escrow
         if escrow is None or not escrow.has_reservation(customer):
             return None
@@ -144,16 +148,16 @@
         return found
 
     def settle(self, reservation: str, more: float) -> None:
-        """A request of it has taken so many units more than its guess; below nought: less."""
+        """Corrects a reservation by a request's actual minus its estimated units."""
         if self.escrow is not None:
             self.escrow.settle(reservation, more)
 
     def served(self, units: float) -> None:
-        """A good answer, of whatever customer, has taken so many units."""
+        """Adds the units of a served request of any customer to the measured usage."""
         self._measured_units += units
 
     def heard(self, gateway: int, body: bytes) -> bool:
-        """Another gateway's word; false if it is about something else."""
+        """Handles a message of another gateway; returns false if it is not about reservations."""
         if body[:1] not in messages.KINDS:
             return False
         escrow = self.escrow
@@ -164,7 +168,7 @@
             return True
         reservation = self._reservation_of_key.get(key)
         if escrow is None or reservation is None or self._engine is None:
-            return True  # it is asked again, or the gift is lost
+            return True  # a request is repeated later; a transfer is lost
         if kind == messages.TRANSFER:
             escrow.accept_transfer(
                 gateway, Transfer(self._engine.settings.index, reservation, parts, number, incarnation)
@@ -183,10 +187,10 @@
             self._wake.set()
         return True
 
-    # ---- the file, and the folder of parts
+    # ---- entries file and parts folder
 
     def _acquire_parts(self) -> None:
-        """Have the parts, once nobody else has; ValueError if the folder's file is none of this gateway's."""
+        """Loads the parts once this process owns the folder; ValueError if they are not of this gateway."""
         assert self._engine is not None
         if self.escrow is not None or not self._folder.acquire():
             return
@@ -197,9 +201,9 @@
         self._add_entries(self._entries, list(self._entries))
 
     def _add_entries(self, entries: Entries, new_entries: list[Entry]) -> int:
-        """The file's entries, and those that were not known: how many reservations are new.
+        """Applies the file's entries and returns the number of new reservations.
 
-        Those that are over and in no file any more are forgotten.
+        Ended reservations that are no longer in the file are removed.
         """
         self._entries = entries
         if self.escrow is None:
@@ -220,12 +224,12 @@
         return len(found)
 
     def _new_entries(self, entries: Entries) -> list[Entry]:
-        """For any thread: a walk over a hundred thousand takes a tenth of a second."""
+        """Returns the entries that are not known. Runs in a worker thread: 100,000 entries take 0.1 s."""
         known = self._entries
         return [e for e in entries if not known.contains(e)]
 
     async def _update_entries(self, work: Callable[[], Entries]) -> int:
-        """Do this apart from the loop, and learn what it gives."""
+        """Runs work in a thread and applies its entries; returns the number of new reservations."""
 
         def found() -> tuple[Entries, list[Entry]]:
             entries = work()
@@ -242,7 +246,7 @@
             try:
                 self._acquire_parts()
             except (ValueError, OSError) as error:
-                log.error("reservations: none is honoured: %s", error)
+                log.error("reservations: disabled: %s", error)
                 return
             await self._reread()
             self._measure()
@@ -258,16 +262,16 @@
             await asyncio.to_thread(self._folder.save, self._engine.settings.index, rows)
         except OSError as error:
             if not self._save_failing:
-                log.error("reservations: parts can't be saved, and are not used up: %s", error)
+                log.error("reservations: parts can't be saved; no further units become free: %s", error)
             saved, self._next_save_at = False, time.monotonic() + SAVE_RETRY_S
         if saved and self._save_failing:
-            log.info("reservations: parts are saved again")
+            log.info("reservations: saving parts succeeds again")
         self._save_failing = not saved
         escrow.finish_save(saved)
         escrow.save_needed = escrow.save_needed or not saved
 
     async def _reread(self) -> None:
-        """A file that can't be read changes nothing, and is named once."""
+        """Reads the file if it changed. An unreadable file changes nothing and is logged once."""
         now = time.monotonic()
         if now - self._last_read_at < self._options.reread_s:
             return
@@ -279,14 +283,14 @@
             new = await self._update_entries(lambda: files.read(self._options.file))
         except (ValueError, OSError) as error:
             if not self._file_invalid:
-                log.error("reservations: they stay as they were: %s", error)
+                log.error("reservations: file not applied, keeping the known entries: %s", error)
             self._file_invalid = True
             return
         self._file_mark, self._file_invalid = mark, False
-        log.info("reservations: %d entries, %d reservations are new", len(self._entries), new)
+        log.info("reservations: read %d entries, %d new reservations", len(self._entries), new)
 
     def _measure(self) -> None:
-        """What the fleet is seen to serve: this gateway's best minute, times the gateways."""
+        """Measures the served rate of the fleet: the best period of this gateway times the gateways."""
         now = time.monotonic()
         if now - self._measured_since >= MEASUREMENT_S and self._engine is not None:
             self.measured_units_per_s = max(
@@ -295,10 +299,10 @@
             )
             self._measured_units, self._measured_since = 0.0, now
 
-    # ---- the operators' door
+    # ---- management calls
 
     def books(self) -> dict[tuple[bytes, bytes], Call]:
-        """Entries are shown and added to; a promise is added only if it may be given."""
+        """Returns the management calls: list entries, add entries, and add one if the limits allow it."""
         path = b"/control/reservations"
         return {
             (b"GET", path): self._show,
@@ -307,7 +311,7 @@
         }
 
     def _with_error_status(self, handler: Callable[[bytes], Awaitable[bytes]]) -> Call:
-        """Errors as answers."""
+        """Wraps a call so that its errors become response statuses."""
 
         async def call(body: bytes) -> tuple[int, bytes]:
             try:
@@ -322,7 +326,7 @@
         return call
 
     async def _show(self, body: bytes) -> tuple[int, bytes]:
-        """All entries, what of them is here, and what promises are measured by."""
+        """Returns all entries, this gateway's parts, and the values that limit commitments."""
         if self._engine is None:
             return 503, b"not started\n"
         settings, escrow = self._engine.settings, self.escrow
@@ -379,7 +383,7 @@
         )
 
     def _commitment_bounds(self, wanted: PromiseRequest) -> CommitmentBounds:
-        """By the customer's plan; ValueError if none is known, or a class is none."""
+        """Returns the limits for the customer's plan; ValueError for an unknown plan or class."""
         if self._engine is None:
             raise OSError("not started")
         settings, entry = self._engine.settings, wanted.entry
--- a/troutdock/usage/__init__.py
+++ b/troutdock/usage/__init__.py
@@ -1,1 +1,1 @@
-"""The ledger of use and its exports; loaded only where an operator's file asks for it."""
+"""The usage ledger and its exports; loaded only if the operator's file enables it."""
--- a/troutdock/usage/columns.py
+++ b/troutdock/usage/columns.py
@@ -1,4 +1,4 @@
-"""Records as a Parquet file, one row each; pyarrow is loaded with this module."""
+"""Usage records as a Parquet file, one row per record. Importing this module loads pyarrow."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def write(path: Path, records: Sequence[Record]) -> None:
-    """A file of these rows, in their order."""
+    """Writes the records to a file, in the given order."""
     columns = [
         [r.incarnation for r in records],
         [r.sequence for r in records],
@@ -48,12 +48,12 @@
 
 
 def read(data: bytes, name: str) -> list[Record]:
-    """The rows of a file; StoreError with its name if it is none."""
+    """Reads the records of a file; raises StoreError with its name if it is not a valid export."""
     try:
         table = pq.read_table(pa.BufferReader(data))
         if table.schema.names != SCHEMA.names:
             raise StoreError(
-                f"{name}: columns {', '.join(table.schema.names)}, and not {', '.join(SCHEMA.names)}"
+                f"{name}: columns {', '.join(table.schema.names)}, expected {', '.join(SCHEMA.names)}"
             )
         rows = zip(*(column.to_pylist() for column in table.cast(SCHEMA).columns), strict=True)
         return [
@@ -61,4 +61,4 @@
             for incarnation, sequence, at_ms, customer, plan, cls, units, state in rows
         ]
     except (pa.ArrowException, ValueError, OSError) as error:
-        raise StoreError(f"{name}: no export: {' '.join(str(error).split())}") from error
+        raise StoreError(f"{name}: not a valid export: {' '.join(str(error).split())}") from error
--- a/troutdock/usage/consumer.py
+++ b/troutdock/usage/consumer.py
@@ -1,4 +1,4 @@
-"""The two messages of a delivery, sent with the standard library's client; for the exporter's thread."""
+"""Sends the two requests of a delivery with http.client; blocking, for the exporter thread."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 from troutdock.usage.manifest import decode, digest_of
 from troutdock.usage.store import Store
 
-MAX_RESPONSE_BYTES = 64 * 1024  # bytes of an acknowledgement
+MAX_RESPONSE_BYTES = 64 * 1024  # of an acknowledgement
 
 
 class Consumer:
-    """Where exports go."""
+    """HTTP client of the service that receives exports."""
 
     def __init__(self, url: str, response_timeout_ms: float = RESPONSE_TIMEOUT_MS) -> None:
-        """url: http://host:port/path, the names of files are put behind it. ValueError if it is none."""
+        """url: http://host:port/path, to which file names are appended. ValueError for another form."""
         parts = urlsplit(url)
         if parts.scheme != "http" or not parts.hostname or parts.query or parts.fragment:
-            raise ValueError(f"{url!r} is no http URL of a folder")
+            raise ValueError(f"{url!r} is not an http URL of a folder")
         self._host, self._port, self._path = parts.hostname, parts.port or 80, parts.path.rstrip("/")
         self._response_timeout_s = response_timeout_ms / 1000
 
     def put(self, name: str, body: bytes, digest: str, kind: str) -> tuple[int, bytes, float]:
-        """Status, body and Retry-After in milliseconds of the answer; status 0 where none came."""
+        """Sends a file; returns status (0: no response), body and Retry-After in ms."""
         connection = http.client.HTTPConnection(self._host, self._port, timeout=self._response_timeout_s)
         try:
             connection.request(
@@ -46,21 +46,21 @@
             connection.close()
 
     def deliver(self, files: Files, stem: str) -> tuple[DeliveryResult, str, float]:
-        """One try with an export: what it came to, why, and how long the consumer wants to be left alone."""
+        """Attempts to deliver an export; returns result, reason and the requested retry delay in ms."""
         data = files.read(f"{stem}.json")
         digest = digest_of(data)
         body = files.read(decode(data, f"{stem}.json").file)
         status, _, wait_ms = self.put(f"{stem}.parquet", body, digest, "application/vnd.apache.parquet")
         if status not in (200, 201, 202, 204, 409):
             result, why = classify_response(status, b"", digest)
-            return result, f"the file: {why}", wait_ms
+            return result, f"file: {why}", wait_ms
         status, response, wait_ms = self.put(f"{stem}.json", data, digest, "application/json")
         result, why = classify_response(status, response, digest)
         return result, why, wait_ms
 
 
 class Deliveries:
-    """What is not acknowledged goes to the consumer, in its order."""
+    """Delivers unacknowledged exports to the consumer, in order."""
 
     def __init__(
         self, store: Store, files: Files, consumer: Consumer, random: Random, log: Callable[[str], object]
@@ -69,7 +69,7 @@
         self.schedule = RetrySchedule(random)
 
     def run(self, now: Callable[[], float]) -> int:
-        """Deliver what is due, to the first failure: how many were acknowledged. now: milliseconds."""
+        """Delivers due exports until the first failure; returns the number acknowledged. now: clock in ms."""
         count = 0
         for export in self._store.exports():
             if export.acknowledged:
@@ -81,6 +81,6 @@
                 self._store.acknowledge(export.number)
                 count += 1
             elif self.schedule.failures == 0 or result is DeliveryResult.REJECTED:
-                self._log(f"usage: {export.stem} is not acknowledged: {why}")
+                self._log(f"usage: export {export.stem} is not acknowledged: {why}")
             self.schedule.record_result(now(), export.number, result, wait_ms)
         return count
--- a/troutdock/usage/exporter.py
+++ b/troutdock/usage/exporter.py
@@ -1,14 +1,14 @@
-"""Exports: from the ledger's records to whole files with manifests.
+"""Writes the ledger's records to files with manifests.
 
-Theory of operation. An export is there from the moment that its manifest has its name; all else follows from
-that:
+Theory of operation. An export exists once its manifest has its final name. The states of an export, and how a
+start recovers from each of them:
 
-    selected   the next run of records, by their identities
-    filed      the Parquet file has its name                     a start removes it
-    there      the manifest has its name                         a start adopts it: notes it in the ledger
-    noted      the ledger knows; the next one may be selected
+    selected   the next range of records is selected
+    written    the Parquet file has its final name       recovery removes it
+    existing   the manifest has its final name           recovery adopts it and records it in the ledger
+    recorded   the ledger has recorded it; the next export may be selected
 
-One process exports at a time: the folder has a lock.
+A lock in the folder ensures that one process exports at a time.
 """
 
 from __future__ import annotations
@@ -25,18 +25,18 @@
 from troutdock.usage.store import ExportInfo, Store, StoreError
 from troutdock.usage.record import UnknownRange
 
-MAX_ROWS = 100_000  # of one export: some 1 MB, and 60 MB of memory while it is made
+MAX_ROWS = 100_000  # of one export: about 1 MB, and 60 MB of memory while it is written
 
 
 class Exporter:
-    """Makes the exports of one ingress's ledger; for one thread, which it blocks."""
+    """Exports the ledger of one ingress; blocking, for use by one thread."""
 
     def __init__(self, ingress: str, store: Store, files: Files) -> None:
         self._ingress, self._store, self._files = ingress, store, files
 
     @contextmanager
     def exclusive(self) -> Iterator[None]:
-        """StoreError if another process exports just now."""
+        """Holds the export lock; raises StoreError if another process holds it."""
         path = self._files.folder / "exports.lock"
         descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o644)
         try:
@@ -50,7 +50,7 @@
             os.close(descriptor)
 
     def run(self, now_ms: float, max_rows: int = MAX_ROWS) -> list[Manifest]:
-        """Export all that can be, in as many files as it takes; StoreError leaves what is whole as it is."""
+        """Exports all available records, in as many files as needed; StoreError keeps completed exports."""
         made: list[Manifest] = []
         with self.exclusive():
             self._store.recover()
@@ -60,7 +60,7 @@
         return made
 
     def recover_folder(self) -> None:
-        """Bring ledger and folder together after an end at any point."""
+        """Makes ledger and folder consistent after a crash at any point."""
         known = self._store.exports()
         last = known[-1].number if known else 0
         stem = stem_of(self._ingress, last + 1)
@@ -75,7 +75,7 @@
             mismatches = differences(manifest, columns.read(body, manifest.file), body)
             if mismatches or manifest.before != (known[-1].digest if known else ""):
                 raise StoreError(
-                    f"{stem}.json: {'; '.join(mismatches) or 'it does not follow the export before it'}"
+                    f"{stem}.json: {'; '.join(mismatches) or 'it does not follow the previous export'}"
                 )
             self._record(manifest, data, len(body))
         elif f"{stem}.parquet" in names:
@@ -113,7 +113,7 @@
         )
 
     def retain(self, now_ms: float, keep_ms: float) -> list[str]:
-        """Delete what is acknowledged and older than that, the oldest first: the stems that are gone."""
+        """Deletes acknowledged exports older than keep_ms, the oldest first; returns their stems."""
         deleted = []
         with self.exclusive():
             for export in self._store.exports():
@@ -121,7 +121,7 @@
                 if not export.acknowledged:
                     break
                 if name not in self._files.names():
-                    continue  # gone already; its row is kept as the last one
+                    continue  # deleted before; its row is kept as the last one
                 if now_ms - decode(self._files.read(name), name).closed_ms < keep_ms:
                     break
                 self._store.forget(export.number)
--- a/troutdock/usage/files.py
+++ b/troutdock/usage/files.py
@@ -1,4 +1,4 @@
-"""What exports need of a folder: whole files or none, on disk when a call returns."""
+"""Folder of exports: files are complete or absent, and durable when a call returns."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 from troutdock.usage.store import StoreError
 
-PARTIAL_SUFFIX = ".part"  # behind the name of a file that is not whole yet
+PARTIAL_SUFFIX = ".part"  # appended to the name of an incomplete file
 
 
 class Files:
-    """A folder of exports; tests put one in its place that fails or dies at each call in turn."""
+    """A folder of exports; tests replace it to inject a failure or crash at each call."""
 
     def __init__(self, folder: Path) -> None:
-        """The folder is made if it is not there. StoreError if it can't be."""
+        """Creates the folder if it does not exist; raises StoreError if that fails."""
         self.folder = folder
         try:
             folder.mkdir(parents=True, exist_ok=True)
@@ -23,7 +23,7 @@
             raise StoreError(f"{folder}: {error.strerror}") from error
 
     def write(self, name: str, make: Callable[[Path], None]) -> None:
-        """A file, made under another name, on disk before it has its own. StoreError if that can't be."""
+        """Writes a file under a temporary name, syncs and renames it; raises StoreError on failure."""
         partial = self.folder / (name + PARTIAL_SUFFIX)
         try:
             make(partial)
@@ -34,7 +34,7 @@
             raise StoreError(f"{partial}: {error.strerror or error}") from error
 
     def sync(self, path: Path) -> None:
-        """It is on disk when this returns."""
+        """Flushes a file or folder to disk."""
         descriptor = os.open(path, os.O_RDONLY)
         try:
             os.fsync(descriptor)
@@ -42,19 +42,19 @@
             os.close(descriptor)
 
     def rename(self, old: Path, new: Path) -> None:
-        """In one step."""
+        """Renames a file atomically."""
         old.rename(new)
 
     def remove(self, name: str) -> None:
-        """Harmless if it is not there."""
+        """Removes a file if it exists."""
         (self.folder / name).unlink(missing_ok=True)
 
     def names(self) -> list[str]:
-        """All that is there, in order."""
+        """Returns the sorted names of all files."""
         return sorted(entry.name for entry in self.folder.iterdir() if entry.is_file())
 
     def read(self, name: str) -> bytes:
-        """Its bytes; StoreError if it can't be read."""
+        """Reads a file; raises StoreError if that fails."""
         try:
             return (self.folder / name).read_bytes()
         except OSError as error:
--- a/troutdock/usage/ledger.py
+++ b/troutdock/usage/ledger.py
@@ -1,17 +1,18 @@
-"""What may be answered when, so that no use is lost or billed twice (no I/O, no clock).
+"""Decides when an answer may be given, so that no usage is lost or billed twice (no I/O, no clock).
 
-Theory of operation. Each good answer is booked: it gets the next sequence number and goes into the next
-commit. One commit runs at a time; what is booked meanwhile goes into the one after it.
+Theory of operation. The usage of each successful answer becomes a record with the next sequence number, and
+goes into the next commit. One commit runs at a time; records added meanwhile go into the following one.
 
-    open     `sync`: the answer waits until its record is on disk; that it was given goes into a later commit.
-             `bounded`: it leaves at once, as long as the oldest record not on disk is younger than
-             at_risk_ms, and its number is no higher than the mark on disk; else it waits as with `sync`
-    stuck    a commit failed: answers that wait are not given, nothing is let in, and after RETRY_MS a trial
-             is made with all that is not on disk yet
-    closing  the last commit: all records, all marks, and that no number was given out beyond them
+    open     `sync`: the answer waits until its record is on disk; the state GIVEN follows in a later commit.
+             `bounded`: the answer is given at once while the oldest record not on disk is younger than
+             at_risk_ms and its sequence number is within the reserved numbers on disk; otherwise it waits as
+             with `sync`
+    stuck    a commit failed: waiting answers are not given, no request is admitted, and everything that is
+             not on disk is committed again after COMMIT_RETRY_MS
+    closing  the last commit: all records, all state updates, and no reserved numbers beyond the last record
 
-Rules. Sequence numbers have no gaps: a record whose answer was not given stays, as VOID. And a failed commit
-is never taken for a good one later: what was in it is written again, by its identity.
+Invariants. Sequence numbers have no gaps: a record whose answer was not given stays, as VOID. A failed commit
+is never treated as successful later: its content is written again under the same ids.
 """
 
 from __future__ import annotations
@@ -23,32 +24,29 @@
 
 from troutdock.usage.record import Batch, Record, State, Use
 
-SEQUENCE_RESERVE = (
-    256  # numbers that may be given out beyond those on disk: two commits' at 10,000 answers a second
-)
-COMMIT_RETRY_MS = 1000.0  # between trials where the disk takes nothing; also what refused clients are told
-UPDATE_DELAY_MS = (
-    20.0  # a mark that waits alone waits so long for company: a crash leaves that many uncertain
-)
-MAX_WAITING_RECORDS = 20_000  # records that are not on disk, some 500 bytes each
+# Sequence numbers that may be used beyond the records on disk: those of two commits at 10,000 answers/s.
+SEQUENCE_RESERVE = 256
+COMMIT_RETRY_MS = 1000.0  # between attempts after a failed commit; also the retry delay for rejected clients
+# A state update waits this long to share a commit; a crash leaves the records of this period uncertain.
+UPDATE_DELAY_MS = 20.0
+MAX_WAITING_RECORDS = 20_000  # not on disk yet, about 500 bytes each
 
 
 class Promise(Enum):
-    """When an answer may leave."""
+    """When an answer may be given, relative to its record's commit."""
 
     SYNC = "sync"
     BOUNDED = "bounded"
     MEMORY = "memory"
 
 
-OnRecorded = Callable[
-    [bool], bool
-]  # its record is on disk, or can't be put there; gives whether the answer was given
+# Called with whether the answer may be given; returns whether it was given to the client.
+OnRecorded = Callable[[bool], bool]
 
 
 @dataclass(slots=True)
 class PendingRecord:
-    """A booked use; told is None once its answer has left or was given up."""
+    """A record that is not on disk; on_recorded is None once the answer was given or abandoned."""
 
     record: Record
     on_recorded: OnRecorded | None
@@ -57,29 +55,27 @@
 
 @dataclass(slots=True)
 class LedgerState:
-    """One incarnation's. All times are milliseconds."""
+    """Ledger state of one incarnation. All times are in milliseconds."""
 
     incarnation: int
     promise: Promise
     at_risk_ms: float = 50.0
-    reserved: int = 0  # on disk
+    reserved: int = 0  # highest reserved sequence number on disk
     _last_sequence: int = 0
-    _uncommitted: list[PendingRecord] = field(
-        default_factory=list
-    )  # not in a commit yet, the first booked first
-    _committing: list[PendingRecord] = field(default_factory=list)  # in the commit that runs
-    _state_updates: dict[int, State] = field(default_factory=dict)  # marks not in a commit yet
+    _uncommitted: list[PendingRecord] = field(default_factory=list)  # not in a commit yet, oldest first
+    _committing: list[PendingRecord] = field(default_factory=list)  # in the running commit
+    _state_updates: dict[int, State] = field(default_factory=dict)  # not in a commit yet, by sequence number
     _updates_since: float = inf
     _batch: Batch | None = None
     _retry_at: float = -inf
     stuck: bool = False
     closing: bool = False
-    units_at_risk: float = 0.0  # units whose answers have left and whose records are not on disk
-    max_units_at_risk: float = 0.0  # that at its highest
-    full: bool = False  # exports that nobody has taken stand at their bound
+    units_at_risk: float = 0.0  # units of given answers whose records are not on disk
+    max_units_at_risk: float = 0.0  # highest value of units_at_risk
+    full: bool = False  # unacknowledged exports have reached their size limit
 
     def admits(self, now: float) -> float:
-        """0, or how long a client is to stay away because its use could not be billed, in milliseconds."""
+        """Returns 0, or the retry delay in ms for a client whose usage could not be recorded."""
         if self.stuck:
             return max(1.0, self._retry_at - now)
         if self.full or len(self._uncommitted) + len(self._committing) >= MAX_WAITING_RECORDS:
@@ -87,9 +83,9 @@
         return 0.0
 
     def add(self, now: float, use: Use, on_recorded: OnRecorded) -> None:
-        """Use of an answer that is there and has not left.
+        """Adds the usage of an answer that has not been given yet.
 
-        Told is called in here where it may leave at once.
+        Calls on_recorded within this call if the answer may be given at once.
         """
         self._last_sequence += 1
         answer_now = self.promise is Promise.MEMORY or (
@@ -113,10 +109,7 @@
         return not (late or self.stuck) and self._last_sequence <= self.reserved
 
     def commit_delay_ms(self, now: float) -> float:
-        """How long until a commit is to begin, in milliseconds.
-
-        Infinite while one runs or nothing is there.
-        """
+        """Returns the delay until the next commit in ms; infinite if one is running or nothing is due."""
         if self._batch is not None:
             return inf
         if self.stuck:
@@ -124,7 +117,7 @@
         if any(entry.on_recorded for entry in self._uncommitted) or self.closing:
             return 0.0
         delays = [inf]
-        if self._uncommitted:  # half of the time for waiting, half for the commit
+        if self._uncommitted:  # half of at_risk_ms for waiting, half for the commit
             delays.append(self._uncommitted[0].added_at + self.at_risk_ms / 2 - now)
         if self._state_updates:
             delays.append(self._updates_since + UPDATE_DELAY_MS - now)
@@ -133,7 +126,7 @@
         return max(0.0, min(delays))
 
     def begin_commit(self) -> Batch:
-        """What the commit that begins now is to write; committed or failed follows."""
+        """Returns the batch of a new commit; commit_succeeded or commit_failed must follow."""
         assert self._batch is None, "one commit at a time"
         self._committing, self._uncommitted = self._uncommitted, []
         states, self._state_updates, self._updates_since = self._state_updates, {}, inf
@@ -148,12 +141,12 @@
         return self._batch
 
     def commit_succeeded(self, now: float) -> None:
-        """The commit is on disk: answers that waited for it may leave."""
+        """Ends a commit that is on disk; answers that waited for it may be given."""
         assert self._batch is not None
         self.reserved, self._batch, self.stuck = self._batch.reserved, None, False
         entries, self._committing = self._committing, []
         for entry in entries:
-            if entry.record.state is State.GIVEN:  # those that wait have no such state yet
+            if entry.record.state is State.GIVEN:  # answers that waited have another state
                 self.units_at_risk = max(0.0, self.units_at_risk - entry.record.use.units)
             if (on_recorded := entry.on_recorded) is not None:
                 entry.on_recorded = None
@@ -162,9 +155,9 @@
                 )
 
     def commit_failed(self, now: float) -> None:
-        """Nothing of the commit is on disk, or nobody knows.
+        """Ends a commit that failed and may or may not be on disk.
 
-        It is tried again later, its answers are not given.
+        It is repeated later; its answers are not given.
         """
         assert self._batch is not None
         self.stuck, self._retry_at = True, now + COMMIT_RETRY_MS
@@ -189,7 +182,7 @@
 
     @property
     def waiting(self) -> int:
-        """Records and marks that are not on disk."""
+        """Number of records and state updates that are not on disk."""
         return (
             len(self._uncommitted)
             + len(self._committing)
@@ -199,14 +192,14 @@
 
     @property
     def finished(self) -> bool:
-        """It is closing, and all is on disk: that no number was given out beyond them as well.
+        """Whether the ledger is closing, and all is on disk, without reserved numbers beyond the last.
 
-        A commit that began before closing has reserved numbers still.
+        A commit that began before closing still reserves numbers.
         """
         has_spare = self.promise is Promise.BOUNDED and self.reserved > self._last_sequence
         return self.closing and not self.waiting and self._batch is None and not has_spare
 
     @property
     def last_sequence(self) -> int:
-        """The number of the last record."""
+        """Sequence number of the last record."""
         return self._last_sequence
--- a/troutdock/usage/manifest.py
+++ b/troutdock/usage/manifest.py
@@ -1,7 +1,4 @@
-"""What an export says of itself.
-
-The identities in it, sums, its file's digest and the manifest before it (no I/O).
-"""
+"""Manifest of an export: record ids, sums, and digests of the file and the previous manifest (no I/O)."""
 
 from __future__ import annotations
 
@@ -17,7 +14,7 @@
 
 
 class Range(msgspec.Struct, frozen=True, order=True):
-    """Sequence numbers of one incarnation, first to last."""
+    """Sequence numbers of one incarnation, first to last inclusive."""
 
     incarnation: int
     first: int
@@ -25,7 +22,7 @@
 
 
 class Sum(msgspec.Struct, frozen=True, order=True):
-    """Units of a customer under a plan, in a class, by state's name; answers: how many."""
+    """Units of a customer by plan, class and state name; answers: number of records."""
 
     customer: int
     plan: str
@@ -36,7 +33,7 @@
 
 
 class Manifest(msgspec.Struct, frozen=True, kw_only=True):
-    """One export. before: the digest of the manifest before it, empty for the first; sha256: of the file."""
+    """One export. before: digest of the previous manifest, empty for the first; sha256: of the file."""
 
     format: int
     ingress: str
@@ -47,22 +44,22 @@
     closed_ms: float
     before: str
     ranges: list[Range]
-    unknown: list[Range]  # numbers that may have been given out, with no record of what
+    unknown: list[Range]  # numbers that may have been used, without records
     sums: list[Sum]
 
     @property
     def units(self) -> float:
-        """Units of answers that were given, and of those that may have been."""
+        """Units of answers that were given or may have been given."""
         return sum(s.units for s in self.sums if s.state != State.VOID.name)
 
 
 def stem_of(ingress: str, number: int) -> str:
-    """The name that the file and the manifest of an export share."""
+    """Returns the common stem of the names of an export's file and manifest."""
     return f"usage-{ingress}-{number:08d}"
 
 
 def ranges_of(records: Iterable[Record]) -> list[Range]:
-    """The runs of sequence numbers, in order; a number that comes twice is in two of them."""
+    """Returns the contiguous ranges of sequence numbers, sorted; a duplicate number is in two ranges."""
     found: list[Range] = []
     for record in sorted(records, key=lambda r: (r.incarnation, r.sequence)):
         last = found[-1] if found else None
@@ -74,7 +71,7 @@
 
 
 def sums_of(records: Iterable[Record]) -> list[Sum]:
-    """By customer, plan, class and state."""
+    """Returns the sums by customer, plan, class and state."""
     totals: dict[tuple[int, str, str, str], tuple[int, float]] = {}
     for record in records:
         key = record.use.customer, record.use.plan, record.use.cls, record.state.name
@@ -86,7 +83,7 @@
 def manifest_of(
     ingress: str, number: int, before: str, selection: Selection, digest: str, closed_ms: float
 ) -> Manifest:
-    """For a file with the selection's records."""
+    """Returns the manifest of a file with the selection's records."""
     return Manifest(
         format=FORMAT,
         ingress=ingress,
@@ -103,35 +100,35 @@
 
 
 def encode(manifest: Manifest) -> bytes:
-    """Its bytes, the same for the same manifest."""
+    """Encodes a manifest; equal manifests give equal bytes."""
     return msgspec.json.format(msgspec.json.encode(manifest, order="sorted"), indent=1) + b"\n"
 
 
 def decode(data: bytes, name: str) -> Manifest:
-    """StoreError with the name if it is no manifest of this format."""
+    """Decodes a manifest; raises StoreError with the name if it is not a manifest of this format."""
     try:
         manifest = msgspec.json.decode(data, type=Manifest)
     except msgspec.MsgspecError as error:
-        raise StoreError(f"{name}: no manifest: {error}") from error
+        raise StoreError(f"{name}: not a manifest: {error}") from error
     if manifest.format != FORMAT:
-        raise StoreError(f"{name}: a manifest of format {manifest.format}, and this program knows {FORMAT}")
+        raise StoreError(f"{name}: a manifest of format {manifest.format}; this version supports {FORMAT}")
     return manifest
 
 
 def digest_of(data: bytes) -> str:
-    """What names a file's bytes."""
+    """Returns the SHA-256 digest of a file, in hexadecimal."""
     return sha256(data).hexdigest()
 
 
 def differences(manifest: Manifest, records: Sequence[Record], data: bytes) -> list[str]:
-    """What a manifest says of its file that is not so."""
+    """Returns the differences between a manifest and its file."""
     found = []
     if digest_of(data) != manifest.sha256:
-        found.append("the file is not the one that it was made for")
+        found.append("the digest of the file differs")
     if len(records) != manifest.rows:
-        found.append(f"{len(records)} rows, and {manifest.rows} are named")
+        found.append(f"the file has {len(records)} rows, the manifest {manifest.rows}")
     if ranges_of(records) != manifest.ranges:
-        found.append("other identities than are named")
+        found.append("the sequence numbers differ")
     if sums_of(records) != manifest.sums:
-        found.append("other sums than are named")
+        found.append("the sums differ")
     return found
--- a/troutdock/usage/memory.py
+++ b/troutdock/usage/memory.py
@@ -1,4 +1,4 @@
-"""A ledger in memory: for tests, and to measure what the disk costs."""
+"""A ledger in memory: for tests, and to measure the cost of the disk."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class MemoryStore:
-    """As SqliteStore; its process never ends, so crash() says that an incarnation's has."""
+    """In-memory counterpart of SqliteStore; crash() simulates the end of an incarnation's process."""
 
     def __init__(self) -> None:
         self._of: dict[int, _Incarnation] = {}
@@ -26,7 +26,7 @@
         self._ranges: dict[int, list[tuple[int, int]]] = {}
 
     def crash(self, incarnation: int) -> None:
-        """Its process is gone."""
+        """Marks the incarnation's process as ended."""
         self._of[incarnation].alive = False
 
     def begin(self, now_ms: float) -> int:
@@ -96,7 +96,7 @@
 
     def forget(self, number: int) -> None:
         if not all(e.acknowledged for n, e in self._exports.items() if n <= number):
-            raise StoreError(f"export {number}: it or one before it is not acknowledged")
+            raise StoreError(f"export {number}: it or an earlier one is not acknowledged")
         for old in [n for n in self._ranges if n <= number]:
             for incarnation, last in self._ranges.pop(old):
                 records = self._of[incarnation].records
--- a/troutdock/usage/record.py
+++ b/troutdock/usage/record.py
@@ -1,4 +1,4 @@
-"""One good answer's use, and what is known of it."""
+"""Usage records of successful answers."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 
 class State(IntEnum):
-    """What is known of the answer that a record is for; the numbers stand in stores and exports."""
+    """State of a record's answer; the values are stored in ledgers and exports."""
 
-    WRITTEN = 0  # on disk, and its answer waits for that: as long as its process lives
+    WRITTEN = 0  # on disk; whether its answer was given is open while the process runs
     GIVEN = 1
-    UNCERTAIN = 2  # written, and the process ended before it could say whether the answer had left
-    VOID = 3  # the answer was not given: its time was over, or the client had left
+    UNCERTAIN = 2  # the process ended before it recorded whether the answer was given
+    VOID = 3  # not given, as its deadline had passed or the client had disconnected
 
 
 class Use(NamedTuple):
-    """What an answer has taken. plan, cls: by name. at_ms: Unix time in milliseconds."""
+    """Usage of one answer. plan, cls: names of plan and request class. at_ms: Unix time in milliseconds."""
 
     customer: int
     plan: str
@@ -26,7 +26,7 @@
 
 
 class Record(NamedTuple):
-    """A use with its identity: the incarnation and its sequence number, beside the ingress's name."""
+    """Usage with its id: incarnation and sequence number, unique within an ingress."""
 
     incarnation: int
     sequence: int
@@ -35,7 +35,7 @@
 
 
 class UnknownRange(NamedTuple):
-    """Sequence numbers of an ended incarnation that may have been given out: first to last, units unknown."""
+    """Sequence numbers (first to last) of an ended incarnation that may have been used; units unknown."""
 
     incarnation: int
     first: int
@@ -43,10 +43,12 @@
 
 
 class Batch(NamedTuple):
-    """What one commit puts on disk, all or nothing.
+    """Content of one atomic commit.
 
-    records: new ones. states: of records that are there, by sequence. reserved: numbers up to this one may be
-    given out before their records are on disk.
+    Attributes:
+        records: new records.
+        states: new states of existing records, by sequence number.
+        reserved: numbers up to this one may be used before their records are on disk.
     """
 
     incarnation: int
@@ -56,5 +58,5 @@
 
     @property
     def empty(self) -> bool:
-        """Nothing but the mark."""
+        """Whether the batch only changes the reserved number."""
         return not (self.records or self.states)
--- a/troutdock/usage/service.py
+++ b/troutdock/usage/service.py
@@ -1,7 +1,7 @@
-"""The ledger at work in an ingress: the book, its writer's thread, and the thread that exports and delivers.
+"""The ledger in an ingress: its state, the writer thread, and the thread that exports and delivers.
 
-The event loop is never blocked: commits run in a thread of their own, one at a time, and tell the loop when
-they are done. A store that fails makes the book stuck, which the engine sees through admits().
+The event loop is never blocked: commits run in their own thread, one at a time, which notifies the loop when
+they end. A failing store makes the ledger stuck, which the engine sees through admits().
 """
 
 from __future__ import annotations
@@ -28,21 +28,29 @@
 
 log = logging.getLogger("troutdock")
 
-CLOSE_TIMEOUT_S = 5.0  # for what is not on disk when the ingress ends
+CLOSE_TIMEOUT_S = 5.0  # for writing the remaining records at shutdown
 
 
 class Engine(Protocol):
-    """Whose answers are written down."""
+    """The engine whose usage is recorded."""
 
     def set_ledger(self, ledger: Usage) -> None:
-        """From now on."""
+        """Sets the ledger."""
 
 
 @dataclass(frozen=True, slots=True)
 class UsageOptions:
-    """What the operator asks for. export_s: how often exports are made, 0 for never. most_bytes.
-
-    Of unacknowledged exports.
+    """Settings of the ledger.
+
+    Attributes:
+        promise: when answers may be given.
+        folder: of the ledger and its exports.
+        at_risk_ms: age limit of records not on disk, with the promise `bounded`.
+        export_interval_s: 0: no exports.
+        max_rows: of one export.
+        consumer_url: empty: exports are not delivered.
+        retention_s: age after which acknowledged exports are deleted.
+        max_unacknowledged_bytes: size limit of unacknowledged exports; above it no request is admitted.
     """
 
     promise: Promise
@@ -56,10 +64,10 @@
 
 
 class Usage:
-    """It belongs to the event loop that is running when it is started; engine.Ledger."""
+    """Implements engine.Ledger; bound to the event loop that runs when it is started."""
 
     def __init__(self, ingress: str, options: UsageOptions, store: Store | None = None) -> None:
-        """store: in place of the one that the terms name. StoreError if that can't be had."""
+        """store: replaces the one of the options. Raises StoreError if the store cannot be opened."""
         self._ingress, self._options = ingress, options
         self._store = store or self._open_store()
         self.ledger = LedgerState(self._store.begin(_now()), options.promise, options.at_risk_ms)
@@ -75,7 +83,7 @@
         return SqliteStore(self._options.folder)
 
     def start(self, engine: Engine) -> None:
-        """Begin to write, and to export where the terms say so."""
+        """Starts the writer, and the exporter if enabled."""
         engine.set_ledger(self)
         self._loop = asyncio.get_running_loop()
         self._all_committed = asyncio.Event()
@@ -96,19 +104,19 @@
     # ---- engine.Ledger
 
     def admits(self) -> float:
-        """0, or how long a client is to stay away, in milliseconds."""
+        """Returns 0, or the retry delay for a client in milliseconds."""
         return self.ledger.admits(_now())
 
     def record(self, customer: int, plan: str, cls: str, units: float, on_recorded: OnRecorded) -> None:
-        """Use of an answer that is there; told is called once it may leave, perhaps in here."""
+        """Records the usage of an answer; calls on_recorded once it may be given, possibly at once."""
         now = _now()
         self.ledger.add(now, Use(customer, plan, cls, units, now), on_recorded)
         self._schedule_commit()
 
-    # ---- the operators' door
+    # ---- management calls
 
     def books(self) -> dict[tuple[bytes, bytes], Callable[[bytes], Awaitable[tuple[int, bytes]]]]:
-        """How the ledger stands."""
+        """Returns the management call that shows the state of the ledger."""
         return {(b"GET", b"/control/usage"): self._show}
 
     async def _show(self, body: bytes) -> tuple[int, bytes]:
@@ -126,10 +134,10 @@
             }
         )
 
-    # ---- the loop's side of the writer
+    # ---- writer: event loop side
 
     def _schedule_commit(self) -> None:
-        """Begin the next commit, or look again when it is due."""
+        """Begins the next commit, or sets a timer for it."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -142,11 +150,11 @@
     def _commit_done(self, error: StoreError | None) -> None:
         if error is None:
             if self.ledger.stuck:
-                log.warning("usage: records are on disk again")
+                log.warning("usage: commits succeed again")
             self.ledger.commit_succeeded(_now())
         else:
             if not self.ledger.stuck:
-                log.error("usage: %s; nothing is let in until it is", error)
+                log.error("usage: %s; no request is admitted until a commit succeeds", error)
             self.ledger.commit_failed(_now())
         if self.ledger.finished and self._all_committed is not None:
             self._all_committed.set()
@@ -154,7 +162,7 @@
         self._schedule_commit()
 
     async def close(self) -> None:
-        """Put on disk what is not; what can't be is told in the log. Nothing is booked after this."""
+        """Writes the remaining records and logs those that fail. No usage may be recorded afterwards."""
         if not self._threads:
             self._store.close()
             return
@@ -165,7 +173,7 @@
             async with asyncio.timeout(CLOSE_TIMEOUT_S):
                 await self._all_committed.wait()
         except TimeoutError:
-            log.error("usage: %d records and marks are not on disk", self.ledger.waiting)
+            log.error("usage: %d records and state updates are not on disk", self.ledger.waiting)
         if self._timer is not None:
             self._timer.cancel()
         self._stopping.set()
@@ -188,15 +196,15 @@
                 self._store.commit(batch)
             except StoreError as failed:
                 error = failed
-            except Exception as failed:  # whatever it was, it is not on disk for certain
+            except Exception as failed:  # after any other error the batch may not be on disk
                 error = StoreError(repr(failed))
             try:
                 self._loop.call_soon_threadsafe(self._commit_done, error)
             except RuntimeError:
-                return  # the loop has ended without close()
+                return  # the loop ended without close()
 
     def _run_exporter(self) -> None:
-        """pyarrow is loaded here, beside the service and not before it."""
+        """Runs the exporter thread. pyarrow is loaded here, so that it does not delay the start."""
         from troutdock.usage.consumer import Consumer, Deliveries
         from troutdock.usage.exporter import Exporter
         from troutdock.usage.files import Files
@@ -224,14 +232,14 @@
                 full = waiting > options.max_unacknowledged_bytes
                 if full and not self.ledger.full:
                     log.error(
-                        "usage: %d bytes of exports are not acknowledged; nothing is let in until they are",
+                        "usage: %d bytes of exports are unacknowledged; admitting no requests",
                         waiting,
                     )
                 self.ledger.full = full
                 failing = False
             except (StoreError, OSError) as error:
                 if not failing:
-                    log.error("usage: exports: %s", error)
+                    log.error("usage: exporting failed: %s", error)
                 failing = True
         if store is not None:
             store.close()
--- a/troutdock/usage/sqlite.py
+++ b/troutdock/usage/sqlite.py
@@ -1,7 +1,7 @@
-"""The ledger in SQLite: WAL, an fsync with each commit, a lock for each incarnation that lives.
+"""The ledger in SQLite: WAL, an fsync with each commit, and a lock for each running incarnation.
 
-A folder holds ledger.db and, for each incarnation, a file that its process keeps locked (flock): the lock
-dies with the process, so a new one can tell which of the earlier incarnations have ended.
+The folder contains ledger.db and, for each incarnation, a file that its process keeps locked (flock). The
+lock is released when the process ends, so a new process can detect which earlier incarnations have ended.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from troutdock.usage.record import Batch, Record, State, UnknownRange, Use
 
 FORMAT = 1
-BUSY_MS = 2000  # another process's commit is waited for so long
+BUSY_MS = 2000  # time to wait for the commit of another process
 _SCHEMA = """
 CREATE TABLE IF NOT EXISTS incarnations (
     number INTEGER PRIMARY KEY, began_ms REAL NOT NULL, reserved INTEGER NOT NULL DEFAULT 0,
@@ -36,10 +36,10 @@
 
 
 class SqliteStore:
-    """A ledger in a folder; each thread that uses it has an object of its own."""
+    """A ledger in a folder; each thread uses its own object."""
 
     def __init__(self, folder: Path) -> None:
-        """The folder is made if it is not there. StoreError if it can't be had or holds something else."""
+        """Opens the ledger and creates the folder if needed; StoreError if it fails or is not a ledger."""
         self._folder = folder
         self._locks: dict[int, int] = {}  # descriptors, by incarnation
         try:
@@ -51,7 +51,7 @@
                 (version,) = self._db.execute("PRAGMA user_version").fetchone()
                 if version not in (0, FORMAT):
                     raise StoreError(
-                        f"{folder}: a ledger of format {version}, and this program knows {FORMAT}"
+                        f"{folder}: a ledger of format {version}; this version supports {FORMAT}"
                     )
                 self._db.execute("PRAGMA journal_mode=WAL")
                 self._db.execute("PRAGMA synchronous=FULL")
@@ -77,7 +77,7 @@
                 yield self._db
                 self._db.execute("COMMIT")
             except BaseException:
-                with suppress(sqlite3.Error):  # a full disk may have rolled it back already
+                with suppress(sqlite3.Error):  # a full disk may already have caused the rollback
                     self._db.execute("ROLLBACK")
                 raise
 
@@ -88,13 +88,13 @@
         with self._transaction("begin") as db:
             (last,) = db.execute("SELECT coalesce(max(number), 0) FROM incarnations").fetchone()
             number = int(last) + 1
-            # before the row is there for others: they would take it for ended
+            # before other processes see the row: without a lock they would treat it as ended
             self._locks[number] = self._take_lock(number)
             db.execute("INSERT INTO incarnations (number, began_ms) VALUES (?, ?)", (number, now_ms))
         return number
 
     def _take_lock(self, number: int) -> int:
-        """StoreError if another process has it."""
+        """Locks the incarnation's file; raises StoreError if another process holds the lock."""
         try:
             descriptor = os.open(self._lock_of(number), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o644)
             try:
@@ -158,7 +158,7 @@
             try:
                 self._locks[number] = self._take_lock(number)
             except StoreError:
-                continue  # it lives
+                continue  # its process is running
             with self._transaction("recover") as db:
                 db.execute(
                     "UPDATE records SET state = ? WHERE incarnation = ? AND state = ?",
@@ -187,7 +187,7 @@
                     (number, after, max_records - len(records)),
                 ):
                     if sequence != after + 1 or (state == State.WRITTEN and not ended):
-                        break  # it is not known yet what became of it
+                        break  # its final state is not known yet
                     records.append(
                         Record(number, sequence, Use(customer, plan, cls, units, at_ms), State(state))
                     )
@@ -238,13 +238,13 @@
             db.execute("UPDATE exports SET acknowledged = 1 WHERE number = ?", (number,))
 
     def forget(self, number: int) -> None:
-        """Its row stays as the last one, so that the next number and what came before it are known."""
+        """Keeps the row of this export, so that the next number and the previous digest stay known."""
         with self._transaction("forget") as db:
             (unacknowledged,) = db.execute(
                 "SELECT count(*) FROM exports WHERE number <= ? AND acknowledged = 0", (number,)
             ).fetchone()
             if unacknowledged:
-                raise StoreError(f"export {number}: it or one before it is not acknowledged")
+                raise StoreError(f"export {number}: it or an earlier one is not acknowledged")
             for incarnation, last in db.execute(
                 "SELECT incarnation, max(last) FROM export_ranges WHERE export <= ? GROUP BY incarnation",
                 (number,),
--- a/troutdock/usage/store.py
+++ b/troutdock/usage/store.py
@@ -1,6 +1,6 @@
-"""What the ledger needs of a store; sqlite.py and memory.py are two.
+"""Interface of a ledger's store, implemented by sqlite.py and memory.py.
 
-Every call may block, none is a coroutine.
+Calls are synchronous and may block.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 
 
 class StoreError(Exception):
-    """The store can't take or give what it is asked for: a full disk, a file that is none, another's lock."""
+    """A store operation failed, e.g. because of a full disk, an invalid file or a held lock."""
 
 
 class ExportInfo(NamedTuple):
-    """An export as the store knows it. digest: of its manifest, which the next one names."""
+    """A recorded export. digest: of its manifest, which the next manifest refers to."""
 
     number: int
     stem: str
@@ -26,49 +26,46 @@
 
 
 class Selection(NamedTuple):
-    """What the next export holds: for each incarnation a run of sequence numbers with no hole."""
+    """Content of the next export: a contiguous range of sequence numbers per incarnation."""
 
     records: tuple[Record, ...]
     unknown: tuple[UnknownRange, ...]
 
 
 class Store(Protocol):
-    """One ledger's. Calls of one object come from one thread at a time.
-
-    Several objects may share a ledger.
-    """
+    """Access to one ledger. An object is used by one thread at a time; several may share a ledger."""
 
     def begin(self, now_ms: float) -> int:
-        """A new incarnation: its number. StoreError if the ledger can't be had."""
+        """Begins a new incarnation and returns its number; StoreError if the ledger is not available."""
 
     def commit(self, batch: Batch) -> None:
-        """All of it is on disk when this returns; StoreError: nothing is, or nobody knows.
+        """Writes a batch durably and atomically; idempotent.
 
-        Again is harmless.
+        After a StoreError the batch may or may not be on disk.
         """
 
     def end(self, incarnation: int) -> None:
-        """It has ended in order: nothing of it is uncertain."""
+        """Ends an incarnation after an orderly shutdown: none of its records is uncertain."""
 
     def recover(self) -> list[int]:
-        """Incarnations whose process has ended without end(): what was WRITTEN of them is UNCERTAIN now."""
+        """Ends incarnations whose process ended without end() and returns them; WRITTEN becomes UNCERTAIN."""
 
     def select(self, max_records: int) -> Selection:
-        """The next records that are in no export, at most so many."""
+        """Returns the next records that are not exported, at most max_records."""
 
     def record_export(
         self, export: ExportInfo, selected: dict[int, tuple[int, int]], unknown: tuple[UnknownRange, ...]
     ) -> None:
-        """An export is there: first and last sequence by incarnation. Twice is harmless."""
+        """Records an export; selected: first and last sequence number by incarnation. Idempotent."""
 
     def exports(self) -> list[ExportInfo]:
-        """All that are noted and not forgotten, the first number first."""
+        """Returns the recorded exports that are not forgotten, ordered by number."""
 
     def acknowledge(self, number: int) -> None:
-        """The consumer has it."""
+        """Marks an export as acknowledged by the consumer."""
 
     def forget(self, number: int) -> None:
-        """An acknowledged export, all before it being forgotten, with its records."""
+        """Deletes an acknowledged export, all exports before it, and their records."""
 
     def close(self) -> None:
-        """Give everything back; harmless twice."""
+        """Releases all resources; may be called twice."""
--- a/troutdock/usage/verify.py
+++ b/troutdock/usage/verify.py
@@ -1,7 +1,4 @@
-"""Proves of a folder of exports that nothing is in it twice and nothing is missing.
-
-Compares it with a consumer's list.
-"""
+"""Verifies that a folder of exports has no duplicates and no gaps, and compares it with a consumer's list."""
 
 from __future__ import annotations
 
@@ -17,19 +14,19 @@
 
 @dataclass(slots=True)
 class VerificationResult:
-    """faults: the first hole or duplicate first, in the order of the exports; sums over all whole exports."""
+    """Result of a verification. faults: in the order of the exports; sums: over all readable exports."""
 
     faults: list[str] = field(default_factory=list)
     exports: int = 0
     rows: int = 0
     unknown: int = 0  # sequence numbers
     units: dict[str, float] = field(default_factory=dict)  # by state
-    customers: dict[int, float] = field(default_factory=dict)  # units but those that were not given
+    customers: dict[int, float] = field(default_factory=dict)  # units of all states except VOID
     digests: dict[str, Manifest] = field(default_factory=dict)  # of the manifests
 
 
 def verify(files: Files) -> VerificationResult:
-    """Read every export of a folder. What retention has deleted is told by the first manifest's number."""
+    """Reads every export of a folder. A first manifest number above 1 means that retention deleted others."""
     result = VerificationResult()
     last: dict[str, tuple[int, str]] = {}  # by ingress: the number and the digest of its last manifest
     next_sequence: dict[tuple[str, int], int] = {}  # by ingress and incarnation: the next sequence number
@@ -48,7 +45,7 @@
         if before is not None and manifest.number != before[0] + 1:
             result.faults.append(f"{name}: export {before[0] + 1} of {manifest.ingress} is missing")
         elif before is not None and manifest.before != before[1]:
-            result.faults.append(f"{name}: the export before it is another one than it was made after")
+            result.faults.append(f"{name}: does not match the digest of the previous export")
         truncated.setdefault(manifest.ingress, manifest.number > 1)
         digest = digest_of(data)
         last[manifest.ingress] = manifest.number, digest
@@ -84,16 +81,16 @@
 
 
 class Received(msgspec.Struct, frozen=True):
-    """A line of a consumer's list: the manifest's digest, and the units that it booked for it."""
+    """A line of a consumer's list: digest of the manifest, and the units booked for it."""
 
     manifest: str
     units: float
 
 
 def reconcile(result: VerificationResult, lines: list[bytes]) -> list[str]:
-    """How a consumer's list (JSON lines) differs from what was exported.
+    """Returns the differences between a consumer's list (JSON lines) and the exports.
 
-    ValueError names a line that is none.
+    ValueError names an invalid line.
     """
     found: list[str] = []
     booked: dict[str, float] = {}
@@ -111,7 +108,9 @@
         if digest not in booked:
             found.append(f"{manifest.file}: not booked")
         elif abs(booked[digest] - manifest.units) > 1e-6 * max(1.0, manifest.units):
-            found.append(f"{manifest.file}: {manifest.units:g} units, and {booked[digest]:g} are booked")
+            found.append(f"{manifest.file}: {manifest.units:g} units exported, {booked[digest]:g} booked")
     return found + [
-        f"{digest[:12]}: booked, and no export here" for digest in booked if digest not in result.digests
+        f"{digest[:12]}: booked, but there is no such export"
+        for digest in booked
+        if digest not in result.digests
     ]
