--- a/benchmarks/usage_kills.py
+++ b/benchmarks/usage_kills.py
@@ -19,7 +19,7 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent / "tests" / "peers"))
 
-from kills import play
+from kills import run_kills
 
 
 def main() -> None:
@@ -31,7 +31,7 @@
     bad = False
     for promise in ("sync", "bounded"):
         with tempfile.TemporaryDirectory() as folder:
-            result = asyncio.run(play(Path(folder), promise, args.kills, Random(args.seed)))
+            result = asyncio.run(run_kills(Path(folder), promise, args.kills, Random(args.seed)))
         print(
             f"{promise:8} {args.kills} kills: {result.given} answers, {result.missing} not exported, "
             f"{result.uncertain} uncertain, {result.unknown} numbers unknown, "
--- a/tests/plans/test_change.py
+++ b/tests/plans/test_change.py
@@ -1,4 +1,4 @@
-"""What a change of plan does to a customer that is in service, at one gateway and over several."""
+"""Effect of a plan change on an active customer, at one gateway and across several."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 def changed(
     tokens: float, cap: float, plan: Plan, before: Plan = BASE, after_ms: float = 0.0
 ) -> tuple[float, float, float]:
-    """Bucket, ceiling's store and believed shared store, of a customer with the whole of a plan."""
+    """Returns tokens, ceiling tokens and estimated shared tokens of a customer with the whole plan."""
     customer = Customer(before, 1, START)
     customer.tokens, customer.cap_tokens, customer.store = tokens, cap, 10.0
     customer.change_plan(START + 1000, plan)
@@ -30,7 +30,7 @@
 @pytest.mark.parametrize(
     ("change", "after_ms", "left"),
     [
-        ({}, 0, (9, 22, 10)),  # a second at the old rates
+        ({}, 0, (9, 22, 10)),  # one second at the old rates
         ({"rate": 80}, 0, (9, 22, 10)),
         ({"rate": 80}, 50, (13, 23, 10)),
         ({"rate": 0.8}, 1000, (9.8, 40, 10)),
@@ -44,13 +44,13 @@
         ({"ceiling_rate": 0, "ceiling_burst": 0}, 0, (9, 0, 10)),
     ],
 )
-def test_each_figure_up_and_down(
+def test_increase_and_decrease_of_each_plan_value(
     change: dict[str, float], after_ms: float, left: tuple[float, float, float]
 ) -> None:
     assert changed(1.0, 2.0, replace(BASE, name="new", **change), after_ms=after_ms) == pytest.approx(left)
 
 
-def test_a_ceiling_where_there_was_none_starts_empty() -> None:
+def test_new_ceiling_starts_with_an_empty_bucket() -> None:
     assert changed(1.0, 0.0, BASE, before=Plan(8, 16, name="free"))[1] == pytest.approx(0.0)
 
 
@@ -60,10 +60,10 @@
         max_size=40,
     )
 )
-def test_no_ceiling_is_passed_though_gateways_hear_of_changes_at_their_own_times(
+def test_ceiling_holds_while_gateways_learn_of_changes_at_different_times(
     steps: list[tuple[str, int, int]],
 ) -> None:
-    """Three gateways with a third each; what they let in together stays under the higher ceiling's store throughout."""
+    """Three gateways with a third each never admit more in total than the bucket of the higher ceiling."""
     low = Plan(0, 0, ceiling_rate=3, ceiling_burst=12, name="low")
     high = Plan(0, 0, ceiling_rate=30, ceiling_burst=60, name="high")
     gateways = [
@@ -87,8 +87,8 @@
         assert store >= 0
 
 
-def test_a_downgrade_counts_anew_and_does_not_owe_what_the_old_plan_had_paid_for() -> None:
-    """Use at 40 a second, read with a rate of 3, is a debt of 158 units that the customer does not have."""
+def test_downgrade_starts_a_new_count_without_debt_from_the_old_plan() -> None:
+    """Usage at 40 units/s, evaluated with a rate of 3 units/s, would wrongly give a debt of 158 units."""
     rich, poor = Plan(40, 80, name="rich"), Plan(3, 16, name="poor")
     g = gateway(*range(1, 20), plans=(rich, poor), gateways=1, counter=True, counter_timeout_ms=50)
     names: dict[int, float] = {}
@@ -115,4 +115,6 @@
         assert g.customers[9].store > -16
     after = sum(plan == "poor" for _, plan in sent)
     assert sum(plan == "rich" for _, plan in sent) > 1000
-    assert 95 <= after <= 16 + 3 * 30 + 20  # lumps: a few units are let in before they count
+    assert (
+        95 <= after <= 16 + 3 * 30 + 20
+    )  # usage is counted in batches: a few units are admitted before that
--- a/tests/plans/test_history.py
+++ b/tests/plans/test_history.py
@@ -1,4 +1,4 @@
-"""Histories of assignments: any order of news, any repetition and any merge end alike."""
+"""Assignment histories converge for any order, repetition and merge of assignments."""
 
 from __future__ import annotations
 
@@ -26,40 +26,40 @@
 
 
 @given(ASSIGNMENTS, st.randoms(), st.integers(1, 3), st.integers(-1, 6))
-def test_any_order_of_news_ends_in_the_same_history(
-    news: list[Assignment], dice: Any, customer: int, time: int
+def test_order_of_assignments_does_not_matter(
+    assignments: list[Assignment], random: Any, customer: int, time: int
 ) -> None:
-    """Two gateways that hear it in orders of their own, some of it twice, and tell each other; the model is a sort."""
+    """Two gateways receive assignments in different orders, some twice, and merge; the model sorts them."""
     first, second = AssignmentHistory(), AssignmentHistory()
     for gateway in range(2):
-        heard = [*news, *dice.sample(news, len(news) // 2)]
-        dice.shuffle(heard)
-        for assignment in heard[: len(heard) if gateway else len(heard) // 2]:
+        received = [*assignments, *random.sample(assignments, len(assignments) // 2)]
+        random.shuffle(received)
+        for assignment in received[: len(received) if gateway else len(received) // 2]:
             if gateway:
                 second = second.assign([assignment])
             else:
                 first = first.assign([assignment])
     before = list(first)
     merged = first.merge(second)
-    assert merged == second.merge(first) == AssignmentHistory().assign(news) and list(first) == before
-    assert len(merged) == len(news) and merged.merge(merged) == merged
-    valid = sorted(a for a in news if a.customer == customer and a.valid_from_ms <= time)
+    assert merged == second.merge(first) == AssignmentHistory().assign(assignments) and list(first) == before
+    assert len(merged) == len(assignments) and merged.merge(merged) == merged
+    valid = sorted(a for a in assignments if a.customer == customer and a.valid_from_ms <= time)
     assert merged.at(customer, time) == (valid[-1] if valid else None)
-    later = sorted(a for a in news if a.customer == customer and a.valid_from_ms > time)
+    later = sorted(a for a in assignments if a.customer == customer and a.valid_from_ms > time)
     expected = [a for a in later if a.valid_from_ms == later[0].valid_from_ms][-1] if later else None
     assert merged.next_after(customer, time) == expected
 
 
 @given(ASSIGNMENTS, st.integers(0, 6), st.integers(0, 6), st.integers(1, 3))
-def test_folding_changes_nothing_from_its_time_on_and_comes_to_the_same_in_any_order(
-    news: list[Assignment], before: int, ask: int, customer: int
+def test_compaction_keeps_later_times_and_commutes_with_merge(
+    assignments: list[Assignment], before: int, asked_ms: int, customer: int
 ) -> None:
-    whole = AssignmentHistory().assign(news)
-    folded = whole.compact(before)
-    time = float(max(before, ask))
-    assert folded.at(customer, time) == whole.at(customer, time)
-    assert folded.next_after(customer, time) == whole.next_after(customer, time)
-    assert folded.merge(whole).compact(before) == folded and len(list(folded)) == len(folded)
+    history = AssignmentHistory().assign(assignments)
+    folded = history.compact(before)
+    time = float(max(before, asked_ms))
+    assert folded.at(customer, time) == history.at(customer, time)
+    assert folded.next_after(customer, time) == history.next_after(customer, time)
+    assert folded.merge(history).compact(before) == folded and len(list(folded)) == len(folded)
 
 
 GOOD = Assignment(1000.0, "a-1", 7, "plus", "back office", "ticket 12")
@@ -82,9 +82,7 @@
         ({"id": "b", "why": "x" * 201}, "why"),
     ],
 )
-def test_what_makes_no_sense_is_named_and_nothing_of_its_batch_is_taken(
-    change: dict[str, Any], named: str
-) -> None:
+def test_invalid_assignment_is_named_and_its_batch_is_rejected(change: dict[str, Any], named: str) -> None:
     known = AssignmentHistory().assign([GOOD])
     with pytest.raises(ValueError, match=named) as raised:
         known.assign([GOOD._replace(id="c", customer=8), GOOD._replace(**change)])
@@ -92,10 +90,10 @@
     assert list(known) == [GOOD]
 
 
-def test_a_reader_keeps_the_version_it_has_and_a_large_history_shares_the_rest() -> None:
-    whole = AssignmentHistory().assign(Assignment(float(n), f"a-{n}", n, "basis") for n in range(20_000))
-    reader = whole
+def test_readers_keep_their_version_of_a_large_history() -> None:
+    history = AssignmentHistory().assign(Assignment(float(n), f"a-{n}", n, "basis") for n in range(20_000))
+    reader = history
     for n in range(100):
-        whole = whole.assign([Assignment(1e6, f"b-{n}", n, "plus")])
-    assert reader.at(5, 2e6).plan == "basis" and whole.at(5, 2e6).plan == "plus"
-    assert len(reader) == 20_000 and len(whole) == 20_100
+        history = history.assign([Assignment(1e6, f"b-{n}", n, "plus")])
+    assert reader.at(5, 2e6).plan == "basis" and history.at(5, 2e6).plan == "plus"
+    assert len(reader) == 20_000 and len(history) == 20_100
--- a/tests/reservations/test_reservations.py
+++ b/tests/reservations/test_reservations.py
@@ -1,4 +1,4 @@
-"""Allowance kept ahead: never used twice, whatever is lost, doubled, late or restarted; and never promised twice."""
+"""Reservations: units are never used twice under message loss and restarts, nor committed beyond the limits."""
 
 from __future__ import annotations
 
@@ -36,14 +36,14 @@
 )
 
 
-def made(
+def reserve_entry(
     id: str = "r", units: float = 10.0, begins: float = 0.0, ends: float = 100_000.0, **changes: Any
 ) -> Entry:
     return Entry(id, Kind.RESERVE, id, 9, units, begins, ends, **changes)
 
 
-def ready(index: int = 0, *entries: Entry, now: float = 0.0, **how: Any) -> Escrow:
-    """A gateway that knows these, and whose parts are saved."""
+def saved_escrow(index: int = 0, *entries: Entry, now: float = 0.0, **how: Any) -> Escrow:
+    """Returns a gateway that knows the entries and has saved its parts."""
     escrow = Escrow(index, **how)
     escrow.add_entries(entries)
     escrow.begin_save(now)
@@ -51,28 +51,28 @@
     return escrow
 
 
-class Fleet(RuleBasedStateMachine):
-    """Gateways that share reservations, each with a disk, over a network that loses, doubles and delays.
+class FleetMachine(RuleBasedStateMachine):
+    """Gateways that share reservations, each with a disk, over a network that loses, duplicates and delays.
 
-    They die at any moment, also in the middle of a save that is or is not on disk then.
+    They crash at any moment, also during a save, which then may or may not be on disk.
     """
 
     GATEWAYS = 4
 
     @initialize(width=st.integers(1, 4), first=st.integers(0, 3))
     def start(self, width: int, first: int) -> None:
-        self.now, self.set, self.lives = 1000.0, (first, width), 0
+        self.now, self.set, self.incarnations = 1000.0, (first, width), 0
         self.disks: list[SavedParts] = [{} for _ in range(self.GATEWAYS)]
         self.writing: list[SavedParts | None] = [None] * self.GATEWAYS
-        self.fleet = [self.born(n) for n in range(self.GATEWAYS)]
+        self.fleet = [self.new_escrow(n) for n in range(self.GATEWAYS)]
         self.made: dict[str, float] = {}
         self.entries: list[Entry] = []
         self.used: dict[str, int] = {}
-        self.under_way: list[tuple[int, int, TransferRequest | Transfer]] = []  # from, to, what
+        self.in_transit: list[tuple[int, int, TransferRequest | Transfer]] = []  # sender, receiver, message
 
-    def born(self, gateway: int) -> Escrow:
-        self.lives += 1
-        return Escrow(gateway, self.lives, self.lives * 10_000, self.disks[gateway])
+    def new_escrow(self, gateway: int) -> Escrow:
+        self.incarnations += 1
+        return Escrow(gateway, self.incarnations, self.incarnations * 10_000, self.disks[gateway])
 
     @rule(
         units=st.floats(0.5, 400),
@@ -90,7 +90,7 @@
     @rule(data=st.data(), units=st.floats(0, 20), release=st.booleans())
     def change(self, data: st.DataObject, units: float, release: bool) -> None:
         if self.made:
-            of = data.begin_save(st.sampled_from(sorted(self.made)))
+            of = data.draw(st.sampled_from(sorted(self.made)))
             kind = Kind.RELEASE if release else Kind.EXTEND
             self.entries.append(
                 Entry(
@@ -100,11 +100,9 @@
             self.made[of] += 0.0 if release else units
 
     @rule(gateway=st.integers(0, 3), data=st.data())
-    def hear(self, gateway: int, data: st.DataObject) -> None:
+    def receive_entries(self, gateway: int, data: st.DataObject) -> None:
         if self.entries:
-            self.fleet[gateway].add_entries(
-                data.begin_save(st.lists(st.sampled_from(self.entries), max_size=4))
-            )
+            self.fleet[gateway].add_entries(data.draw(st.lists(st.sampled_from(self.entries), max_size=4)))
 
     @rule(gateway=st.integers(0, 3), units=st.floats(0.1, 40), times=st.integers(1, 4))
     def use(self, gateway: int, units: float, times: int) -> None:
@@ -114,7 +112,7 @@
             found = escrow.consume(9, "ledger-read", units, self.now)
             if (ask := escrow.request_transfer(9, "ledger-read", units, self.now)) is not None:
                 assert ask.to != gateway
-                self.under_way.append((gateway, ask.to, ask))
+                self.in_transit.append((gateway, ask.to, ask))
             if found is None:
                 return
             held = escrow.entries.get(found)
@@ -125,7 +123,7 @@
     def settle(self, gateway: int, units: float, data: st.DataObject) -> None:
         known = sorted(self.fleet[gateway].parts)
         if known:
-            id = data.begin_save(st.sampled_from(known))
+            id = data.draw(st.sampled_from(known))
             part = self.fleet[gateway].parts[id]
             before = part.used
             self.fleet[gateway].settle(id, units)
@@ -134,29 +132,29 @@
 
     @rule(data=st.data(), again=st.booleans())
     def arrive(self, data: st.DataObject, again: bool) -> None:
-        if self.under_way:
-            message = data.begin_save(st.sampled_from(self.under_way))
+        if self.in_transit:
+            message = data.draw(st.sampled_from(self.in_transit))
             sender, to, what = message
             if not again:
-                self.under_way.remove(message)
+                self.in_transit.remove(message)
             if isinstance(what, Transfer):
                 give = what
-                self.paying(to, lambda: self.fleet[to].accept_transfer(sender, give))
+                self.track_usage(to, lambda: self.fleet[to].accept_transfer(sender, give))
             elif (give := self.fleet[to].handle_request(sender, what, self.now)) is not None:
                 assert give.milliunits >= what.missing
-                self.under_way.append((to, sender, give))
+                self.in_transit.append((to, sender, give))
 
     @rule(data=st.data())
     def lose(self, data: st.DataObject) -> None:
-        if self.under_way:
-            self.under_way.remove(data.begin_save(st.sampled_from(self.under_way)))
+        if self.in_transit:
+            self.in_transit.remove(data.draw(st.sampled_from(self.in_transit)))
 
     @rule(ms=st.floats(1, 1500))
     def time(self, ms: float) -> None:
         self.now += ms
 
-    def paying(self, gateway: int, work: Callable[[], object]) -> None:
-        """What is owed may be taken by this."""
+    def track_usage(self, gateway: int, work: Callable[[], object]) -> None:
+        """Counts the debt that work settles as usage."""
         before = {id: p.used for id, p in self.fleet[gateway].parts.items()}
         work()
         for id, used in before.items():
@@ -174,57 +172,57 @@
         if rows is not None:
             if good or written:
                 self.disks[gateway] = rows
-            self.paying(gateway, lambda: self.fleet[gateway].finish_save(good))
+            self.track_usage(gateway, lambda: self.fleet[gateway].finish_save(good))
 
     @rule(gateway=st.integers(0, 3), written=st.booleans(), data=st.data())
     def restart(self, gateway: int, written: bool, data: st.DataObject) -> None:
-        """It knows what its disk says, and hears of the entries again, of some of them later."""
+        """Restarts from the saved parts; some of the entries are received again, others later."""
         rows, self.writing[gateway] = self.writing[gateway], None
         if rows is not None and written:
             self.disks[gateway] = rows
-        self.fleet[gateway] = self.born(gateway)
+        self.fleet[gateway] = self.new_escrow(gateway)
         if self.entries:
-            self.fleet[gateway].add_entries(data.begin_save(st.lists(st.sampled_from(self.entries))))
+            self.fleet[gateway].add_entries(data.draw(st.lists(st.sampled_from(self.entries))))
 
     @rule(gateway=st.integers(0, 3))
     def end(self, gateway: int) -> None:
-        """In order: nothing is lost by it."""
+        """An orderly shutdown, which loses nothing."""
         if self.writing[gateway] is None:
             ended = self.fleet[gateway]
             self.disks[gateway] = ended.begin_save(self.now, close=True)
-            self.paying(gateway, lambda: ended.finish_save(True))
-            self.fleet[gateway] = self.born(gateway)
+            self.track_usage(gateway, lambda: ended.finish_save(True))
+            self.fleet[gateway] = self.new_escrow(gateway)
             self.fleet[gateway].add_entries(ended.entries)
             assert {k: p.remaining for k, p in self.fleet[gateway].parts.items()} == {
                 k: p.remaining for k, p in ended.parts.items()
             }
 
     @invariant()
-    def nothing_is_honoured_twice(self) -> None:
+    def no_unit_is_used_twice(self) -> None:
         for id, units in self.made.items():
             whole = round(units * MILLIUNITS_PER_UNIT) + len(self.entries)
             parts = sum(e.parts[id].remaining for e in self.fleet if id in e.parts)
             assert self.used.get(id, 0) <= whole
-            assert self.used.get(id, 0) + parts <= whole  # the sum only falls
+            assert self.used.get(id, 0) + parts <= whole  # the sum only decreases
         for escrow in self.fleet:
             assert all(0 <= p.free <= p.remaining for p in escrow.parts.values())
 
 
-Fleet.TestCase.settings = examples(max_examples=80, stateful_step_count=50)
-TestFleet = Fleet.TestCase
+FleetMachine.TestCase.settings = examples(max_examples=80, stateful_step_count=50)
+TestFleetMachine = FleetMachine.TestCase
 
 
-class Trusting(Escrow):
-    """A gateway that takes a gift in as often as it comes."""
+class DuplicateAcceptingEscrow(Escrow):
+    """A gateway that accepts duplicate transfers."""
 
     def accept_transfer(self, sender: int, give: Transfer) -> bool:
         self.parts[give.reservation].remaining += give.milliunits
         return True
 
 
-def test_the_invariant_can_fail() -> None:
-    fleet = [ready(0, made(width=2, gateways=2)), Trusting(1)]
-    fleet[1].add_entries([made(width=2, gateways=2)])
+def test_invariant_detects_duplicate_transfers() -> None:
+    fleet = [saved_escrow(0, reserve_entry(width=2, gateways=2)), DuplicateAcceptingEscrow(1)]
+    fleet[1].add_entries([reserve_entry(width=2, gateways=2)])
     give = fleet[0].handle_request(1, TransferRequest(0, "r", 2000), 0.0)
     assert give is not None
     for _ in range(3):
@@ -233,23 +231,23 @@
 
 
 @given(st.floats(0.001, 1e6), st.integers(1, 50), st.integers(0, 60), st.integers(1, 60))
-def test_even_parts_are_all_of_it_and_within_a_thousandth_of_one_another(
+def test_even_parts_add_up_and_differ_by_at_most_one_milliunit(
     units: float, width: int, first: int, gateways: int
 ) -> None:
     width, first = min(width, gateways), first % gateways
-    entry = made(units=units, first=first, width=width, gateways=gateways)
-    parts = [even_part(entry, n) for n in range(gateways + 3)]  # also of gateways that came later
+    entry = reserve_entry(units=units, first=first, width=width, gateways=gateways)
+    parts = [even_part(entry, n) for n in range(gateways + 3)]  # also for gateways added later
     assert sum(parts) == int(units * MILLIUNITS_PER_UNIT) and sum(p > 0 for p in parts) <= width
     held = [parts[(first + n) % gateways] for n in range(width)]
     assert max(held) - min(held) <= 1
 
 
-def test_what_ends_first_is_used_first_and_only_by_its_classes() -> None:
-    escrow = ready(
+def test_reservation_that_ends_first_is_used_first_and_only_by_its_classes() -> None:
+    escrow = saved_escrow(
         0,
-        made("late", 5.0, ends=900.0),
-        made("soon", 2.0, ends=500.0),
-        made("reads", 9.0, ends=100.0, classes=("ledger-read",)),
+        reserve_entry("late", 5.0, ends=900.0),
+        reserve_entry("soon", 2.0, ends=500.0),
+        reserve_entry("reads", 9.0, ends=100.0, classes=("ledger-read",)),
     )
     assert [escrow.consume(9, "vat-filing", 2.0, 50.0) for _ in range(4)] == ["soon", "late", "late", None]
     assert (
@@ -260,19 +258,19 @@
         escrow.consume(8, "ledger-read", 1.0, 50.0) is None
         and escrow.consume(9, "vat-filing", 0.5, 950.0) is None
     )
-    assert not escrow.has_reservation(9)  # all are over
+    assert not escrow.has_reservation(9)  # all have ended
     escrow.add_entries([Entry("more", Kind.EXTEND, "late", 9, 3.0, 0.0, 2000.0)])
     assert (
         escrow.has_reservation(9) and escrow.consume(9, "vat-filing", 1.0, 950.0) is None
-    )  # until it is saved
+    )  # not free until saved
     escrow.begin_save(950.0)
     escrow.finish_save(True)
     assert escrow.consume(9, "vat-filing", 3.0, 950.0) == "late"
 
 
-def test_a_gateway_that_runs_short_asks_the_others_in_turn_and_ever_more_seldom() -> None:
-    of = made(units=4.0, first=2, width=3, gateways=4)  # 2, 3 and 0
-    escrow = ready(3, of, incarnation=5)
+def test_transfer_requests_go_to_the_other_gateways_in_turn_with_backoff() -> None:
+    of = reserve_entry(units=4.0, first=2, width=3, gateways=4)  # gateways 2, 3 and 0
+    escrow = saved_escrow(3, of, incarnation=5)
     asks = [
         escrow.request_transfer(9, "x", 3.0, at * MIN_REQUEST_INTERVAL_MS) for at in (0, 0.5, 1, 2, 3, 4, 6)
     ]
@@ -285,52 +283,57 @@
         (2, 1667, 5),
         (0, 1667, 5),
     ]
-    other = ready(0, of)
+    other = saved_escrow(0, of)
     assert (
         other.handle_request(3, TransferRequest(0, "r", 9000, 5), 0.0) is None
-    )  # it has not so much: it keeps what it has
+    )  # it has fewer units and keeps them
     give = other.handle_request(3, TransferRequest(0, "r", 500, 5), 0.0)
     assert give is not None and (give.milliunits, other.parts["r"].remaining) == (666, 667)
-    assert other.handle_request(3, TransferRequest(0, "r", 1, 5), 200_000.0) is None  # it is over
+    assert other.handle_request(3, TransferRequest(0, "r", 1, 5), 200_000.0) is None  # it has ended
     assert escrow.accept_transfer(0, give) and not escrow.accept_transfer(0, give)
-    assert not ready(3, of, incarnation=6).accept_transfer(0, give)  # who asked has died
+    assert not saved_escrow(3, of, incarnation=6).accept_transfer(
+        0, give
+    )  # the requesting incarnation has ended
     assert (
         escrow.request_transfer(9, "x", 1.99 / PREFETCH_REQUESTS, 7 * MIN_REQUEST_INTERVAL_MS) is None
-    )  # it has enough for some requests
+    )  # enough units for PREFETCH_REQUESTS requests
     assert escrow.request_transfer(
         9, "x", 2.01 / PREFETCH_REQUESTS, 7 * MIN_REQUEST_INTERVAL_MS
-    ) == TransferRequest(2, "r", 503, 5)  # soon not
+    ) == TransferRequest(2, "r", 503, 5)  # below that
 
 
-def test_a_gift_that_was_lost_is_sent_again_and_not_another_one() -> None:
-    giver, taker = ready(0, made(width=2, gateways=2)), ready(1, made(width=2, gateways=2), incarnation=4)
-    asks = [taker.request_transfer(9, "x", 6.0, at) for at in (0.0, 1000.0)]
-    gives = [giver.handle_request(1, ask, 0.0) for ask in asks if ask is not None]
-    assert len(gives) == 2 and gives[0] is gives[1] is not None and giver.parts["r"].remaining == 2500
+def test_lost_transfer_is_sent_again() -> None:
+    sender, receiver = (
+        saved_escrow(0, reserve_entry(width=2, gateways=2)),
+        saved_escrow(1, reserve_entry(width=2, gateways=2), incarnation=4),
+    )
+    asks = [receiver.request_transfer(9, "x", 6.0, at) for at in (0.0, 1000.0)]
+    gives = [sender.handle_request(1, ask, 0.0) for ask in asks if ask is not None]
+    assert len(gives) == 2 and gives[0] is gives[1] is not None and sender.parts["r"].remaining == 2500
     assert (
-        taker.accept_transfer(0, gives[0])
-        and not taker.accept_transfer(0, gives[0])
-        and taker.parts["r"].remaining == 7500
+        receiver.accept_transfer(0, gives[0])
+        and not receiver.accept_transfer(0, gives[0])
+        and receiver.parts["r"].remaining == 7500
     )
-    more = taker.request_transfer(9, "x", 8.0, 2000.0)
+    more = receiver.request_transfer(9, "x", 8.0, 2000.0)
     assert more is not None and more.last_received == gives[0].number
-    other = giver.handle_request(1, more, 0.0)
-    assert other is not None and other.number > gives[0].number and taker.accept_transfer(0, other)
+    other = sender.handle_request(1, more, 0.0)
+    assert other is not None and other.number > gives[0].number and receiver.accept_transfer(0, other)
     assert (
-        giver.handle_request(1, TransferRequest(0, "r", 100, 5), 0.0) is not other
-    )  # who asked has started anew
-    assert not taker.accept_transfer(0, gives[0])
+        sender.handle_request(1, TransferRequest(0, "r", 100, 5), 0.0) is not other
+    )  # the requesting gateway has restarted
+    assert not receiver.accept_transfer(0, gives[0])
 
 
-def test_a_death_loses_what_was_free_and_no_more_and_an_end_in_order_nothing() -> None:
-    big, small = made("big", 1000.0), made("small", 5.0, begins=50_000.0)
+def test_crash_loses_only_free_units_and_orderly_shutdown_none() -> None:
+    big, small = reserve_entry("big", 1000.0), reserve_entry("small", 5.0, begins=50_000.0)
     escrow = Escrow(0)
     assert escrow.add_entries([big, small]) == ["big", "small"]
     assert escrow.consume(9, "x", 1.0, 0.0) is None and escrow.save_due(
         0.0
     )  # nothing is free before the first save
     rows = escrow.begin_save(0.0)
-    assert escrow.consume(9, "x", 1.0, 0.0) is None  # nobody knows whether it is on disk
+    assert escrow.consume(9, "x", 1.0, 0.0) is None  # the save is in progress
     escrow.finish_save(True)
     assert rows == {"big": (1_000_000 - 1_000_000 // FREE_DIVISOR, ("big",)), "small": (5000, ("small",))}
     escrow.begin_save(0.0)
@@ -345,7 +348,7 @@
     again.add_entries([small, big])
     assert {id: p.remaining for id, p in again.parts.items()} == {"big": 875_000, "small": 5000}
     failed = escrow.begin_save(2.0)
-    escrow.finish_save(False)  # perhaps it is there: what both leave is free
+    escrow.finish_save(False)  # it may be on disk: only units free under both values are free
     assert escrow.consume(9, "x", 1.0, 2.0) is None and failed["big"][0] < 875_000
     escrow.begin_save(3.0)
     escrow.finish_save(True)
@@ -354,42 +357,42 @@
     escrow.finish_save(True)
     assert closed["big"][0] == 775_000 and escrow.consume(9, "x", 1.0, 4.0) is None
     assert escrow.consume(9, "x", 4.0, 0.0) is None
-    more = ready(0, made("more", 300.0))
+    more = saved_escrow(0, reserve_entry("more", 300.0))
     assert [more.consume(9, "x", 10.0, 1.0) for _ in range(3)] == ["more"] * 3
     more.settle("more", 10.0)  # 7.5 are free
     assert (more.parts["more"].used, more.parts["more"].debt, more.save_needed) == (37_500, 2500, True)
     more.begin_save(2.0)
     more.finish_save(True)
     assert (more.parts["more"].used, more.parts["more"].debt, more.parts["more"].free) == (40_000, 0, 32_812)
-    assert MIN_FREE_MILLIUNITS // MILLIUNITS_PER_UNIT == 20  # smaller parts are free as a whole
+    assert MIN_FREE_MILLIUNITS // MILLIUNITS_PER_UNIT == 20  # smaller parts are completely free
 
 
-def test_learning_many_customers_looks_at_each_reservation_a_few_times(
+def test_adding_entries_of_many_customers_is_linear(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     looks, get = [], Entries.get
     monkeypatch.setattr(Entries, "get", lambda self, id: (looks.append(id), get(self, id))[1])
-    Escrow(0).add_entries([made(f"r{n}")._replace(customer=n) for n in range(500)])
+    Escrow(0).add_entries([reserve_entry(f"r{n}")._replace(customer=n) for n in range(500)])
     assert len(looks) <= 4 * 500
 
 
-def test_what_is_over_and_in_no_file_is_forgotten() -> None:
-    escrow = ready(0, made("a", ends=10.0), made("b"))
+def test_ended_reservations_that_left_the_file_are_removed() -> None:
+    escrow = saved_escrow(0, reserve_entry("a", ends=10.0), reserve_entry("b"))
     escrow.forget(["a"])
     assert list(escrow.parts) == ["b"] and len(escrow.entries) == 1 and list(escrow.begin_save(0.0)) == ["b"]
     assert not escrow.add_entries(
         [Entry("x", Kind.EXTEND, "a", 9, 2.0, 0.0, 200_000.0)]
-    )  # nothing comes back by it
+    )  # the reservation is not restored
     assert escrow.consume(9, "x", 1.0, 20.0) == "b"
 
 
 @pytest.mark.parametrize("bad", [b"", b"\x28", b"\x29" + b"x" * 20, b"\x01" + b"x" * 16, b"\x28" + b"x" * 25])
-def test_what_is_no_word_on_a_reservation_is_an_error(bad: bytes) -> None:
+def test_invalid_messages_are_rejected(bad: bytes) -> None:
     with pytest.raises(ValueError, match="not a reservation message"):
         messages.decode(bad)
 
 
-def test_messages_are_read_as_they_were_written() -> None:
+def test_messages_round_trip() -> None:
     assert messages.decode(messages.encode_request("r", 7, 1 << 40, 1 << 50)) == (
         messages.REQUEST,
         messages.reservation_key("r"),
@@ -412,15 +415,15 @@
 @given(
     st.permutations(
         [
-            made("a"),
+            reserve_entry("a"),
             Entry("b", Kind.EXTEND, "a", 9, 5.0, 0.0, 200_000.0),
             Entry("c", Kind.RELEASE, "a", 9, 0.0, 700.0),
             Entry("d", Kind.RELEASE, "a", 9, 0.0, 600.0),
-            made("e", 3.0),
+            reserve_entry("e", 3.0),
         ]
     )
 )
-def test_any_order_of_entries_comes_to_the_same(order: list[Entry]) -> None:
+def test_order_of_entries_does_not_matter(order: list[Entry]) -> None:
     one, other = Entries().add(order), Entries().add(order[:2]).add(reversed(order))
     assert one == other and one.get("a") == Reservation("a", 9, 15.0, 0.0, 200_000.0, 600.0, (), 0, 1, 1)
     assert [r.id for r in one.reservations()] == ["a", "e"] and one.get("b") is None
@@ -429,83 +432,120 @@
 @pytest.mark.parametrize(
     ("bad", "field"),
     [
-        (made(units=0.0), "units"),
-        (made(units=float("nan")), "units"),
-        (made(ends=0.0), "until_ms"),
-        (made(id=""), "id"),
-        (made()._replace(of="x"), "id"),
-        (made(width=0), "width"),
-        (made()._replace(customer=2**33), "customer"),
-        (made(who="x" * 201), "who"),
+        (reserve_entry(units=0.0), "units"),
+        (reserve_entry(units=float("nan")), "units"),
+        (reserve_entry(ends=0.0), "until_ms"),
+        (reserve_entry(id=""), "id"),
+        (reserve_entry()._replace(of="x"), "id"),
+        (reserve_entry(width=0), "width"),
+        (reserve_entry()._replace(customer=2**33), "customer"),
+        (reserve_entry(who="x" * 201), "who"),
         (Entry("e", Kind.EXTEND, "e"), "id"),
-        (made(begins=float("inf"), ends=float("inf")), "from_ms"),
+        (reserve_entry(begins=float("inf"), ends=float("inf")), "from_ms"),
     ],
 )
-def test_a_bad_entry_names_its_field_and_changes_nothing(bad: Entry, field: str) -> None:
+def test_invalid_entry_names_its_field_and_changes_nothing(bad: Entry, field: str) -> None:
     with pytest.raises(ValueError, match=field):
         validate(bad)
     escrow = Escrow(0)
     with pytest.raises(ValueError, match=field):
-        escrow.add_entries([made("good"), bad])
+        escrow.add_entries([reserve_entry("good"), bad])
     assert not escrow.parts and len(escrow.entries) == 0
 
 
-def test_one_identity_says_one_thing() -> None:
+def test_same_id_with_different_content_is_a_conflict() -> None:
     with pytest.raises(ConflictError, match="is known as"):
-        Entries().add([made(units=1.0), made(units=2.0)])
+        Entries().add([reserve_entry(units=1.0), reserve_entry(units=2.0)])
 
 
-# ---- what may be promised
+# ---- commitment limits
 
 
-def held(id: str, units: float, begins: float, ends: float, customer: int = 9) -> Reservation:
+def make_reservation(id: str, units: float, begins: float, ends: float, customer: int = 9) -> Reservation:
     return Reservation(id, customer, units, begins, ends, float("inf"), (), 0, 1, 1)
 
 
-FLEET = CommitmentBounds(
-    fleet=100.0, rate=5.0
-)  # 30 units a second may be promised, 20 of them to one customer
+BOUNDS = CommitmentBounds(fleet=100.0, rate=5.0)  # limits: 30 units/s in total, 20 units/s per customer
 
 
 @pytest.mark.parametrize(
     ("wanted", "others", "granted", "why", "units", "begins"),
     [
-        (held("w", 200, 0, 10_000), [], True, "", 200.0, 0.0),
-        (held("w", 201, 0, 10_000), [], False, "plan", 200.0, float("inf")),
-        (held("w", 200, 0, 1), [], True, "", 200.0, 0.0),  # a short window is paced over ten seconds
-        (held("w", 100, 0, 10_000), [held("o", 250, 0, 10_000, 8)], False, "fleet", 50.0, 10_000.0),
-        (held("w", 50, 0, 10_000), [held("o", 250, 0, 10_000, 8)], True, "", 50.0, 0.0),
+        (make_reservation("w", 200, 0, 10_000), [], True, "", 200.0, 0.0),
+        (make_reservation("w", 201, 0, 10_000), [], False, "plan", 200.0, float("inf")),
+        (
+            make_reservation("w", 200, 0, 1),
+            [],
+            True,
+            "",
+            200.0,
+            0.0,
+        ),  # the rate of a short window is computed over 10 s
+        (
+            make_reservation("w", 100, 0, 10_000),
+            [make_reservation("o", 250, 0, 10_000, 8)],
+            False,
+            "fleet",
+            50.0,
+            10_000.0,
+        ),
+        (
+            make_reservation("w", 50, 0, 10_000),
+            [make_reservation("o", 250, 0, 10_000, 8)],
+            True,
+            "",
+            50.0,
+            0.0,
+        ),
         (
-            held("w", 100, 0, 10_000),
-            [held("o", 250, 10_000, 20_000, 8)],
+            make_reservation("w", 100, 0, 10_000),
+            [make_reservation("o", 250, 10_000, 20_000, 8)],
             True,
             "",
             100.0,
             0.0,
-        ),  # one after the other
+        ),  # consecutive windows
         (
-            held("w", 300, 0, 20_000),
-            [held("w", 100, 0, 20_000)],
+            make_reservation("w", 300, 0, 20_000),
+            [make_reservation("w", 100, 0, 20_000)],
             True,
             "",
             300.0,
             0.0,
-        ),  # its own earlier form
-        (held("w", 100, 0, 10_000), [held("o", 150, 0, 15_000)], True, "", 100.0, 0.0),
-        (held("w", 150, 0, 10_000), [held("o", 150, 0, 15_000)], False, "plan", 100.0, 15_000.0),
+        ),  # an earlier version of the same reservation
+        (
+            make_reservation("w", 100, 0, 10_000),
+            [make_reservation("o", 150, 0, 15_000)],
+            True,
+            "",
+            100.0,
+            0.0,
+        ),
+        (
+            make_reservation("w", 150, 0, 10_000),
+            [make_reservation("o", 150, 0, 15_000)],
+            False,
+            "plan",
+            100.0,
+            15_000.0,
+        ),
     ],
 )
-def test_what_may_be_promised_and_what_is_said_if_not(
+def test_decision_and_alternatives(
     wanted: Reservation, others: list[Reservation], granted: bool, why: str, units: float, begins: float
 ) -> None:
-    verdict = decide(wanted, others, FLEET)
+    verdict = decide(wanted, others, BOUNDS)
     assert (verdict.granted, verdict.from_ms) == (granted, begins) and why in verdict.why
     assert verdict.units == pytest.approx(units)
 
 
-def test_a_ceiling_is_never_promised_away() -> None:
-    assert not decide(held("w", 160, 0, 10_000), [], CommitmentBounds(100.0, 5.0, ceiling=15.0)).granted
-    assert decide(held("w", 150, 0, 10_000), [], CommitmentBounds(100.0, 5.0, ceiling=15.0)).granted
+def test_reservations_never_exceed_the_ceiling() -> None:
+    assert not decide(
+        make_reservation("w", 160, 0, 10_000), [], CommitmentBounds(100.0, 5.0, ceiling=15.0)
+    ).granted
+    assert decide(
+        make_reservation("w", 150, 0, 10_000), [], CommitmentBounds(100.0, 5.0, ceiling=15.0)
+    ).granted
 
 
 @given(
@@ -513,20 +553,20 @@
         st.tuples(st.floats(1, 400), st.integers(0, 50), st.integers(1, 30), st.integers(1, 3)), max_size=20
     )
 )
-def test_promises_never_add_up_to_more_than_may_be(wanted: list[tuple[float, int, int, int]]) -> None:
-    given_out: list[Reservation] = []
+def test_granted_reservations_stay_within_the_limits(wanted: list[tuple[float, int, int, int]]) -> None:
+    granted_reservations: list[Reservation] = []
     for n, (units, begins, lasts, customer) in enumerate(wanted):
-        reservation = held(str(n), units, begins * 1000.0, (begins + lasts) * 1000.0, customer)
-        verdict = decide(reservation, given_out, FLEET)
+        reservation = make_reservation(str(n), units, begins * 1000.0, (begins + lasts) * 1000.0, customer)
+        verdict = decide(reservation, granted_reservations, BOUNDS)
         if verdict.granted:
-            given_out.append(reservation)
-        elif verdict.units > 0.01:  # what is offered in place of it would be granted
-            assert decide(reservation._replace(units=verdict.units), given_out, FLEET).granted
+            granted_reservations.append(reservation)
+        elif verdict.units > 0.01:  # the alternative that is offered would be granted
+            assert decide(reservation._replace(units=verdict.units), granted_reservations, BOUNDS).granted
     for at in range(90):
-        now = [r for r in given_out if r.from_ms <= at * 1000 < r.ends_ms]
-        assert sum(map(reserved_rate, now)) <= MAX_COMMITTED_FRACTION * FLEET.fleet + 1e-6
+        now = [r for r in granted_reservations if r.from_ms <= at * 1000 < r.ends_ms]
+        assert sum(map(reserved_rate, now)) <= MAX_COMMITTED_FRACTION * BOUNDS.fleet + 1e-6
         assert (
             max([sum(reserved_rate(r) for r in now if r.customer == c) for c in (1, 2, 3)])
-            <= MAX_PLAN_RATE_MULTIPLE * FLEET.rate + 1e-6
+            <= MAX_PLAN_RATE_MULTIPLE * BOUNDS.rate + 1e-6
         )
-    assert peak_rate(given_out, 0, 1e6) <= MAX_COMMITTED_FRACTION * FLEET.fleet + 1e-6
+    assert peak_rate(granted_reservations, 0, 1e6) <= MAX_COMMITTED_FRACTION * BOUNDS.fleet + 1e-6
--- a/tests/reservations/test_reserved_front.py
+++ b/tests/reservations/test_reserved_front.py
@@ -1,4 +1,4 @@
-"""Reservations before a front: honoured ahead of the quota, within the ceiling, and over deaths and upgrades."""
+"""Reservations in an ingress: used before the quota, within the ceiling, across crashes and upgrades."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 COSTS = answer(head=b"Billed-Units: 3\r\n")
 
 
-def made(
+def reserve_entry(
     id: str = "r", units: float = 100.0, starts_s: float = 0.0, lasts_s: float = 600.0, **changes: Any
 ) -> Entry:
     now = time.time() * 1000
@@ -36,14 +36,14 @@
     )
 
 
-def lines(file: Path, *entries: Entry) -> Path:
+def write_entries(file: Path, *entries: Entry) -> Path:
     file.write_bytes(jsonlines.encode(entries))
     return file
 
 
 @asynccontextmanager
-async def kept(w: Any, folder: Path, **changes: Any) -> AsyncIterator[Reservations]:
-    """Reservations of folder/entries.jsonl are honoured from here on."""
+async def running_reservations(w: Any, folder: Path, **changes: Any) -> AsyncIterator[Reservations]:
+    """Runs the reservations of folder/entries.jsonl."""
     service = Reservations(ReservationOptions(folder / "entries.jsonl", folder / "own", 0.05, **changes))
     service.start(w.engine)
     try:
@@ -52,7 +52,7 @@
         await service.close()
 
 
-async def free(service: Reservations, id: str = "r") -> None:
+async def wait_until_free(service: Reservations, id: str = "r") -> None:
     await until(
         lambda: (
             service.escrow is not None and id in service.escrow.parts and service.escrow.parts[id].free > 0
@@ -60,72 +60,82 @@
     )
 
 
-async def asks(w: Any, number: int, plan: str = "basis", **more: Any) -> int:
+async def status_of(w: Any, number: int, plan: str = "basis", **more: Any) -> int:
     return int((await w.ask(request("ledger-read", number, Plan=plan, **more)))[0])
 
 
-def test_what_is_reserved_goes_before_the_quota_and_takes_nothing_of_it(tmp_path: Path) -> None:
-    lines(tmp_path / "entries.jsonl", made(units=18.0))
+def test_reserved_units_are_used_before_the_quota(tmp_path: Path) -> None:
+    write_entries(tmp_path / "entries.jsonl", reserve_entry(units=18.0))
 
     async def test() -> None:
-        async with world(COSTS) as w, kept(w, tmp_path) as service:
-            await free(service)
-            assert [await asks(w, n) for n in range(1, 7)] == [
+        async with world(COSTS) as w, running_reservations(w, tmp_path) as service:
+            await wait_until_free(service)
+            assert [await status_of(w, n) for n in range(1, 7)] == [
                 200
-            ] * 6  # 8 units are a burst, 1 a second come
+            ] * 6  # the quota has a burst of 8 units and 1 unit/s
             part = service.escrow.parts["r"]
-            assert (part.used, part.remaining) == (18_000, 0)  # true units, not the two that were announced
-            assert w.gateway.customers[9].tokens == 4.0  # its share of the burst, untouched
-            assert [await asks(w, n) for n in range(11, 15)].count(200) in (1, 2)  # then by its quota
-            assert await asks(w, 20, Account="0000000000000008") == 200  # another one's is untouched
-            assert [await asks(w, n, Account="0000000000000008") for n in range(21, 24)].count(200) <= 1
+            assert (part.used, part.remaining) == (18_000, 0)  # the actual units, not the estimate of 2
+            assert w.gateway.customers[9].tokens == 4.0  # the full share of the burst
+            assert [await status_of(w, n) for n in range(11, 15)].count(200) in (
+                1,
+                2,
+            )  # then admitted by its quota
+            assert (
+                await status_of(w, 20, Account="0000000000000008") == 200
+            )  # the quota of another customer is unaffected
+            assert [await status_of(w, n, Account="0000000000000008") for n in range(21, 24)].count(200) <= 1
 
     run(test())
 
 
-def test_a_ceiling_holds_over_what_is_reserved(tmp_path: Path) -> None:
+def test_ceiling_limits_reserved_requests(tmp_path: Path) -> None:
     settings = json.loads(json.dumps(SETTINGS))
     settings["balancers"] = 1
     settings["plans"][1] |= {"cap_rate": 1.0, "ceiling_burst": 8.0}
-    lines(tmp_path / "entries.jsonl", made(units=1000.0))
+    write_entries(tmp_path / "entries.jsonl", reserve_entry(units=1000.0))
 
     async def test() -> None:
-        async with world(COSTS, settings=settings) as w, kept(w, tmp_path) as service:
-            await free(service)
+        async with world(COSTS, settings=settings) as w, running_reservations(w, tmp_path) as service:
+            await wait_until_free(service)
             plan = w.gateway.settings.plans[1]
             assert (plan.ceiling_rate, plan.ceiling_burst) == (1.0, 8.0)
-            got = [await asks(w, n, "plus", Quota_Info="units=2,spread=1,first=0") for n in range(1, 12)]
+            got = [await status_of(w, n, "plus", Quota_Info="units=2,spread=1,first=0") for n in range(1, 12)]
             units = 3 * got.count(200)
             assert 429 in got or 503 in got
-            assert units <= plan.ceiling_burst + plan.ceiling_rate * 2 + 3  # and refusals took nothing of it
+            assert units <= plan.ceiling_burst + plan.ceiling_rate * 2 + 3  # rejected requests used no units
             assert service.escrow.parts["r"].used == 1000 * units
 
     run(test())
 
 
-def test_units_of_a_request_that_was_never_sent_or_failed_are_there_again(tmp_path: Path) -> None:
-    lines(tmp_path / "entries.jsonl", made(units=30.0))
+def test_units_of_unsent_and_failed_requests_are_refunded(tmp_path: Path) -> None:
+    write_entries(tmp_path / "entries.jsonl", reserve_entry(units=30.0))
 
     async def test() -> None:
-        async with world(sends(b"nonsense\r\n\r\n")) as w, kept(w, tmp_path) as service:
-            await free(service)
-            w.backends[0].stop()  # nobody takes a connection
+        async with world(sends(b"nonsense\r\n\r\n")) as w, running_reservations(w, tmp_path) as service:
+            await wait_until_free(service)
+            w.backends[0].stop()  # connections are refused
             await asyncio.sleep(0)
-            assert await asks(w, 1, Request_Timeout="0.200") != 200
+            assert await status_of(w, 1, Request_Timeout="0.200") != 200
             assert service.escrow.parts["r"].used <= 2000
 
     run(test())
 
 
-def test_a_gateway_that_runs_short_is_given_of_anothers_part(tmp_path: Path) -> None:
-    """Two ingresses, whose datagrams are carried by the test; the second one is where the customer comes."""
+def test_gateway_that_runs_short_receives_units_of_another(tmp_path: Path) -> None:
+    """Two ingresses whose datagrams the test carries; all requests go to the second one."""
     own = [tmp_path / "a", tmp_path / "b"]
     for folder in own:
         folder.mkdir()
-        lines(folder / "entries.jsonl", made(units=40.0, width=2, gateways=2))
+        write_entries(folder / "entries.jsonl", reserve_entry(units=40.0, width=2, gateways=2))
 
     async def test() -> None:
-        async with world(COSTS) as a, world(COSTS) as b, kept(a, own[0]) as first, kept(b, own[1]) as second:
+        async with (
+            world(COSTS) as a,
+            world(COSTS) as b,
+            running_reservations(a, own[0]) as first,
+            running_reservations(b, own[1]) as second,
+        ):
             services, sent = [first, second], list[bytes]()
 
             def carry(sender: int) -> Any:
@@ -136,41 +146,41 @@
                 return tell
 
             a.engine.send_to_peer, b.engine.send_to_peer = carry(0), carry(1)
-            await free(first)
-            second.escrow._index = 1  # both worlds are gateway 0 of theirs
-            await free(second)
+            await wait_until_free(first)
+            second.escrow._index = 1  # both worlds have index 0
+            await wait_until_free(second)
             served = 0
             for n in range(1, 13):
-                served += await asks(b, n) == 200
+                served += await status_of(b, n) == 200
                 await asyncio.sleep(0.03)
-            assert served >= 11 and second.escrow.parts["r"].used > 20_000  # more than its even part
+            assert served >= 11 and second.escrow.parts["r"].used > 20_000  # more than its even share
             assert first.transfers_sent >= 1 and second.requests_sent <= 6
             assert {messages.decode(body)[0] for body in sent} == {messages.REQUEST, messages.TRANSFER}
             total = sum(s.escrow.parts["r"].remaining + s.escrow.parts["r"].used for s in services)
             assert total <= 40_000
             assert not second.heard(0, b"\x01abc") and second.heard(
                 0, b"\x28bad"
-            )  # the decision module's; broken
+            )  # a message of the decision module; a truncated one
 
     run(test())
 
 
-def test_an_end_in_order_keeps_all_and_a_death_what_was_not_free(tmp_path: Path) -> None:
-    lines(tmp_path / "entries.jsonl", made(units=8000.0))
+def test_shutdown_keeps_all_units_and_upgrade_hands_the_parts_over(tmp_path: Path) -> None:
+    write_entries(tmp_path / "entries.jsonl", reserve_entry(units=8000.0))
 
     async def test() -> None:
         async with world(COSTS) as w:
-            async with kept(w, tmp_path) as service:
-                await free(service)
-                assert await asks(w, 1) == 200
+            async with running_reservations(w, tmp_path) as service:
+                await wait_until_free(service)
+                assert await status_of(w, 1) == 200
                 second = Reservations(ReservationOptions(tmp_path / "entries.jsonl", tmp_path / "own", 0.05))
-                second.start(w.engine)  # an upgrade: the newer process has no parts yet
+                second.start(w.engine)  # an upgrade: the newer process does not own the parts yet
                 await asyncio.sleep(0.02)
                 assert second.escrow is None and second.take(9, "ledger-read", 2.0) is None
                 assert second.heard(1, messages.encode_request("r", 1, 5, 0))
-            await until(lambda: second.escrow is not None)  # once the older one has ended
+            await until(lambda: second.escrow is not None)  # after the older process has ended
             assert second.escrow.parts["r"].remaining == 7_997_000
-            await free(second)
+            await wait_until_free(second)
             saved = files.PartsFolder(tmp_path / "own").load(0)
             assert saved["r"][0] == 7_997_000 - 7_997_000 // 8
             await second.close()
@@ -178,13 +188,13 @@
     run(test())
 
 
-def test_what_is_not_saved_is_not_used_and_a_bad_file_changes_nothing(
+def test_failed_saves_free_no_units_and_an_invalid_file_changes_nothing(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    lines(tmp_path / "entries.jsonl", made(units=30.0))
+    write_entries(tmp_path / "entries.jsonl", reserve_entry(units=30.0))
 
     async def test() -> None:
-        async with world(COSTS) as w, kept(w, tmp_path) as service:
+        async with world(COSTS) as w, running_reservations(w, tmp_path) as service:
             whole = service._folder.save
 
             def full(index: int, parts: Any) -> None:
@@ -192,17 +202,17 @@
 
             service._folder.save = full  # type: ignore[method-assign]
             await until(lambda: "can't be saved" in caplog.text)
-            assert [await asks(w, n) for n in range(1, 6)].count(200) <= 4 and service.escrow.parts[
+            assert [await status_of(w, n) for n in range(1, 6)].count(200) <= 4 and service.escrow.parts[
                 "r"
             ].used == 0
             service._folder.save = whole  # type: ignore[method-assign]
-            await free(service)
+            await wait_until_free(service)
             (tmp_path / "entries.jsonl").write_bytes(b"[1]\n")
             await until(lambda: "entries.jsonl:1" in caplog.text)
             assert service.escrow.parts["r"].remaining == 30_000
-            lines(tmp_path / "entries.jsonl", made("other", 5.0))
-            await free(service, "other")
-            assert "r" in service.escrow.parts  # it holds: only what is over may vanish
+            write_entries(tmp_path / "entries.jsonl", reserve_entry("other", 5.0))
+            await wait_until_free(service, "other")
+            assert "r" in service.escrow.parts  # it is active: only ended reservations are removed
 
     run(test())
 
@@ -211,22 +221,22 @@
     ("content", "said"),
     [(b"what\n", "parts.json: not a parts file"), (b'{"version":1,"index":3,"parts":{}}', "gateway 3's")],
 )
-def test_a_folder_that_is_not_this_gateways_is_named_and_nothing_is_honoured(
+def test_parts_folder_of_another_gateway_disables_reservations(
     tmp_path: Path, content: bytes, said: str, caplog: pytest.LogCaptureFixture
 ) -> None:
-    lines(tmp_path / "entries.jsonl", made())
+    write_entries(tmp_path / "entries.jsonl", reserve_entry())
     (tmp_path / "own").mkdir()
     (tmp_path / "own" / "parts.json").write_bytes(content)
 
     async def test() -> None:
-        async with world(COSTS) as w, kept(w, tmp_path) as service:
+        async with world(COSTS) as w, running_reservations(w, tmp_path) as service:
             await until(lambda: said in caplog.text)
-            assert await asks(w, 1) == 200 and service.escrow is None
+            assert await status_of(w, 1) == 200 and service.escrow is None
 
     run(test())
 
 
-# ---- the door and the commands
+# ---- management calls and commands
 
 
 def cli(*words: str) -> tuple[int, str]:
@@ -235,8 +245,8 @@
 
 
 @asynccontextmanager
-async def doors(tmp_path: Path, number: int) -> AsyncIterator[list[Any]]:
-    """Ingresses with a door each, plans, and reservations."""
+async def ingresses(tmp_path: Path, number: int) -> AsyncIterator[list[Any]]:
+    """Runs ingresses with a management endpoint, plans and reservations."""
     async with AsyncExitStack() as stack:
         found = []
         for n in range(number):
@@ -267,9 +277,9 @@
         yield found
 
 
-def test_reservations_are_promised_at_one_door_and_told_to_all(tmp_path: Path) -> None:
+def test_commands_promise_at_one_ingress_and_inform_all(tmp_path: Path) -> None:
     async def test() -> None:
-        async with doors(tmp_path, 2) as (a, b):
+        async with ingresses(tmp_path, 2) as (a, b):
 
             async def said(*words: str, of: tuple[Any, ...] = (a, b)) -> tuple[int, str]:
                 more = [word for w in of for word in ("--door", w.door)]
@@ -293,11 +303,11 @@
             for w in (a, b):
                 assert w.parts[1].escrow.entries.get("r1").units == 500
                 assert files.read(w.parts[1]._options.file).get("r1") is not None
-            await free(a.parts[1], "r1")
-            assert [await asks(a, n) for n in range(1, 8)] == [200] * 7
+            await wait_until_free(a.parts[1], "r1")
+            assert [await status_of(a, n) for n in range(1, 8)] == [200] * 7
             code, out = await said("reservations", "0000000000000009")
             assert code == 0 and "500 units" in out and "479 left and 21 used at 1 of 1 gateways" in out
-            # too much is not promised, and what would be is said
+            # an excessive reservation is rejected with an alternative
             code, out = await said(
                 "reserve",
                 "0000000000000009",
@@ -343,7 +353,7 @@
                     )
                 )[1]
             )
-            # one door that has not heard
+            # one ingress that lacks an entry
             assert (await said("extend", "r1", "--units", "7", "--plan", "basis", of=(b,)))[0] == 0
             assert a.parts[1].escrow.entries.get("r1").units == 500
             code, out = await said("reservations")
@@ -353,7 +363,7 @@
                 and f"told to those that had not heard of all: {a.door}" in out
             )
             assert a.parts[1].escrow.entries.get("r1").units == 507
-            # a plan that bears less than is reserved: the caller is told
+            # assigning a plan that allows less than is reserved prints a warning
             assert (
                 await said(
                     "reserve",
@@ -381,9 +391,9 @@
             )
             assert (await said("plans", "assign", "0000000000000009", "plus", "--id", "p1"))[
                 0
-            ] == 1  # known otherwise
+            ] == 1  # the id is known with other content
             assert "p1" in (await said("plans", "history", "0000000000000009"))[1]
-            # released: the ordinary quota counts from now on
+            # after a release, requests use the ordinary quota
             code, out = await said("release", "r1")
             assert code == 0 and not a.parts[1].escrow.consume(9, "ledger-read", 1.0, time.time() * 1000 + 1)
             assert "released" in (await said("reservations", "--all"))[1]
@@ -410,9 +420,11 @@
         ("GET /control/usage HTTP/1.1\r\n\r\n", 404),
     ],
 )
-def test_what_a_book_can_t_take_is_said_and_changes_nothing(tmp_path: Path, call: str, status: int) -> None:
+def test_invalid_management_calls_are_rejected_and_change_nothing(
+    tmp_path: Path, call: str, status: int
+) -> None:
     async def test() -> None:
-        async with doors(tmp_path, 1) as (w,):
+        async with ingresses(tmp_path, 1) as (w,):
             reader, writer = await asyncio.open_connection(*w.service.management)
             assert (await Client(reader, writer).ask(call.encode()))[0] == status
             writer.close()
@@ -513,18 +525,18 @@
         assert code == 2 and said in out
 
 
-def test_the_operators_section_is_checked_and_a_bad_file_is_one_line(tmp_path: Path) -> None:
+def test_operator_section_is_validated_and_an_invalid_file_gives_one_line(tmp_path: Path) -> None:
     operator = tmp_path / "operator.yaml"
     operator.write_text("reservations:\n  file: x.jsonl\n")
     with pytest.raises(OperatorError, match=r"reservations.folder"):
         read_operator(operator)
-    file = lines(tmp_path / "entries.jsonl", made(), made(units=3.0))
+    file = write_entries(tmp_path / "entries.jsonl", reserve_entry(), reserve_entry(units=3.0))
     operator.write_text(f"reservations:\n  file: {file}\n  folder: {tmp_path / 'own'}\n")
     with pytest.raises(OperatorError, match=r"entries.jsonl:2: entry 'r' is known as"):
         parts_of("n0", read_operator(operator), settings())
 
 
-def test_promises_of_two_doors_on_one_file_stay_within_the_bound(tmp_path: Path) -> None:
+def test_concurrent_promises_on_one_file_stay_within_the_limit(tmp_path: Path) -> None:
     from concurrent.futures import ThreadPoolExecutor
 
     from troutdock.reservations.commitment_limit import CommitmentBounds
@@ -532,7 +544,9 @@
     file = tmp_path / "entries.jsonl"
 
     def one(n: int) -> bool:
-        entry = made(f"r{n}", 600.0, 1000.0, 60.0)._replace(customer=n)  # 10 units a second, of 30
+        entry = reserve_entry(f"r{n}", 600.0, 1000.0, 60.0)._replace(
+            customer=n
+        )  # 10 units/s each, the limit is 30
         return files.promise(
             file, entry._replace(from_ms=1e12, until_ms=1e12 + 60_000), CommitmentBounds(100.0, 10.0)
         )[1].granted
--- a/tests/support/kills.py
+++ b/tests/support/kills.py
@@ -1,6 +1,7 @@
-"""Ingresses with a ledger that are killed at random moments under load, and what is known of their answers.
+"""Kills ingresses with a ledger at random moments under load and compares exports with answers.
 
-Each request has a customer of its own, so exported units can be compared one by one with what nodes billed.
+Each request has its own customer, so that exported units can be compared one by one with those billed by the
+backend.
 """
 
 from __future__ import annotations
@@ -30,9 +31,15 @@
 
 @dataclass
 class Result:
-    """Numbers of answers. given: that clients have. uncertain, unknown: as exported. faults: of verify.
-
-    missing: that clients have, and no export. unseen: exported and without an answer. wrong: other units.
+    """Numbers of answers.
+
+    Attributes:
+        given: received by clients.
+        uncertain, unknown: as exported.
+        missing: received by clients but not exported.
+        unseen: exported but not received.
+        wrong: differences in units.
+        faults: reported by verify.
     """
 
     clients: int
@@ -46,13 +53,13 @@
 
 
 class Fleet:
-    """One node that tells units of its own for each request, one ingress, and clients that go on asking."""
+    """A backend that reports units for each request, one ingress, and clients that send requests continuously."""
 
     def __init__(self, folder: Path, promise: str, clients: int) -> None:
         self.folder, self.clients = folder, clients
-        self.billed: dict[int, float] = {}  # by customer, as the node told
-        self.given: set[int] = set()  # customers whose answer a client has
-        self.asked = 0
+        self.billed: dict[int, float] = {}  # units reported by the backend, by customer
+        self.given: set[int] = set()  # customers whose answer a client received
+        self.requests_sent = 0
         self.node = Peer(self._bill)
         self.address = free_address()
         self.child: subprocess.Popen[bytes] | None = None
@@ -69,8 +76,8 @@
             )
         )
 
-    async def _bill(self, peer: Peer, asked: bytes, writer: asyncio.StreamWriter) -> None:
-        account = re.search(rb"account: ([0-9a-f]{16})", asked, re.I)
+    async def _bill(self, peer: Peer, received: bytes, writer: asyncio.StreamWriter) -> None:
+        account = re.search(rb"account: ([0-9a-f]{16})", received, re.I)
         assert account is not None
         customer = int(account[1], 16)
         self.billed[customer] = units = 1 + customer % 7
@@ -93,11 +100,11 @@
             self.child = subprocess.Popen([sys.executable, "-m", "troutdock"], cwd=ROOT, env=env, stderr=log)
 
     async def client(self) -> None:
-        """Asks, one request after the other, each for a customer of its own."""
+        """Sends requests one after the other, each for a new customer."""
         connection: Client | None = None
         while True:
-            self.asked += 1
-            customer = self.asked
+            self.requests_sent += 1
+            customer = self.requests_sent
             try:
                 if connection is None:
                     connection = Client(*await asyncio.open_connection(*self.address))
@@ -112,8 +119,8 @@
                 connection = None
                 await asyncio.sleep(0.01)
 
-    async def up(self) -> None:
-        """It answers."""
+    async def wait_until_up(self) -> None:
+        """Waits until the ingress answers."""
         before = len(self.given)
         for _ in range(2000):
             if len(self.given) > before:
@@ -125,33 +132,33 @@
         raise AssertionError("never up")
 
 
-async def play(folder: Path, promise: str, kills: int, random: Random, clients: int = 8) -> Result:
-    """Kill an ingress so often, 20 to 300 ms after it has answered; end the last one in order, and compare."""
-    f = Fleet(folder, promise, clients)
-    await f.node.start()
-    tasks = [asyncio.create_task(f.client()) for _ in range(clients)]
+async def run_kills(folder: Path, promise: str, kills: int, random: Random, clients: int = 8) -> Result:
+    """Kills ingresses, each 20 to 300 ms after its first answer; shuts the last one down and compares."""
+    fleet = Fleet(folder, promise, clients)
+    await fleet.node.start()
+    tasks = [asyncio.create_task(fleet.client()) for _ in range(clients)]
     try:
         for turn in range(kills + 1):
-            f.start()
-            assert f.child is not None
-            await f.up()
+            fleet.start()
+            assert fleet.child is not None
+            await fleet.wait_until_up()
             await asyncio.sleep(random.uniform(0.02, 0.3))
-            f.child.send_signal(signal.SIGKILL if turn < kills else signal.SIGTERM)
-            await asyncio.to_thread(f.child.wait, 20)
+            fleet.child.send_signal(signal.SIGKILL if turn < kills else signal.SIGTERM)
+            await asyncio.to_thread(fleet.child.wait, 20)
     finally:
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-        if f.child is not None and f.child.poll() is None:
-            f.child.kill()
-            f.child.wait(20)
-        f.node.stop()
-    return judged(f)
+        if fleet.child is not None and fleet.child.poll() is None:
+            fleet.child.kill()
+            fleet.child.wait(20)
+        fleet.node.stop()
+    return evaluate(fleet)
 
 
-def judged(f: Fleet) -> Result:
-    """The rest is exported, and all of it compared."""
-    store, files = SqliteStore(f.folder / "usage"), Files(f.folder / "usage" / "exports")
+def evaluate(fleet: Fleet) -> Result:
+    """Exports the remaining records and compares all exports with the answers."""
+    store, files = SqliteStore(fleet.folder / "usage"), Files(fleet.folder / "usage" / "exports")
     Exporter("n0", store, files).run(1.0)
     store.close()
     verdict = verify(files)
@@ -161,16 +168,18 @@
     exported = [r for r in rows if r.state in (State.GIVEN, State.UNCERTAIN)]
     by_customer = {r.use.customer: r.use.units for r in exported}
     result = Result(
-        f.clients,
-        len(f.given),
+        fleet.clients,
+        len(fleet.given),
         sum(r.state is State.UNCERTAIN for r in rows),
         verdict.unknown,
-        len(f.given - by_customer.keys()),
-        len(by_customer.keys() - f.given),
+        len(fleet.given - by_customer.keys()),
+        len(by_customer.keys() - fleet.given),
         faults=verdict.faults,
     )
     result.wrong = [
-        f"{c}: {u:g}, and {f.billed.get(c)} were told" for c, u in by_customer.items() if f.billed.get(c) != u
+        f"{c}: {u:g}, and {fleet.billed.get(c)} were told"
+        for c, u in by_customer.items()
+        if fleet.billed.get(c) != u
     ]
     if len(by_customer) != len(exported):
         result.wrong.append(f"{len(exported) - len(by_customer)} customers are exported twice")
--- a/tests/usage/test_book.py
+++ b/tests/usage/test_book.py
@@ -1,4 +1,4 @@
-"""Whatever dies when: what was answered is on disk, or within the bound that was stated."""
+"""A crash at any moment: usage of given answers is on disk, or within the stated limit."""
 
 from __future__ import annotations
 
@@ -23,43 +23,43 @@
 from troutdock.usage.sqlite import SqliteStore
 
 
-def use(units: float = 1.0, customer: int = 9) -> Use:
+def make_use(units: float = 1.0, customer: int = 9) -> Use:
     return Use(customer, "plus", "ledger-read", units, 1000.0)
 
 
-class Course:
-    """An ingress before a ledger: answers that are booked, commits that last, and its end at any moment."""
+class Simulation:
+    """An ingress with a ledger: answers, commits that take time, and a crash at any moment."""
 
     def __init__(self, promise: Promise, at_risk_ms: float = 50.0) -> None:
         self.store, self.now = MemoryStore(), 0.0
         self.ledger = LedgerState(self.store.begin(0.0), promise, at_risk_ms)
-        self.running: Batch | None = None
-        self.left: list[tuple[float, float]] = []  # answers that have: when, units
+        self.running_commit: Batch | None = None
+        self.answers_given: list[tuple[float, float]] = []  # given answers: time, units
         self.not_given = 0.0
-        self.leaves = True  # whether answers that may leave do
+        self.clients_accept = True  # whether clients still accept answers
 
     def answer(self, units: float) -> None:
-        def told(sure: bool) -> bool:
-            if sure and self.leaves:
-                self.left.append((self.now, units))
+        def on_recorded(sure: bool) -> bool:
+            if sure and self.clients_accept:
+                self.answers_given.append((self.now, units))
                 return True
             self.not_given += units
             return False
 
-        self.ledger.add(self.now, use(units), told)
+        self.ledger.add(self.now, make_use(units), on_recorded)
 
-    def go_on(self, ms: float) -> None:
-        """Time passes, and commits begin when they are due."""
+    def advance(self, ms: float) -> None:
+        """Advances the clock and begins a commit if one is due."""
         self.now += ms
-        if self.running is None and self.ledger.commit_delay_ms(self.now) <= 0:
-            self.running = self.ledger.begin_commit()
+        if self.running_commit is None and self.ledger.commit_delay_ms(self.now) <= 0:
+            self.running_commit = self.ledger.begin_commit()
 
     def end(self, good: bool, written: bool) -> None:
-        """The commit ends; a bad one may have been written all the same."""
-        if self.running is not None:
+        """Ends the commit; a failed one may have been written nevertheless."""
+        if self.running_commit is not None:
             if good or written:
-                self.store.commit(self.running)
-            self.running = None
+                self.store.commit(self.running_commit)
+            self.running_commit = None
             self.ledger.commit_succeeded(self.now) if good else self.ledger.commit_failed(self.now)
 
 
@@ -73,27 +73,25 @@
 
 @examples(max_examples=300)
 @given(st.sampled_from([Promise.SYNC, Promise.BOUNDED]), st.lists(OPS, max_size=60))
-def test_a_crash_at_any_moment_loses_nothing_beyond_what_is_stated(
-    promise: Promise, ops: list[tuple[str, object]]
-) -> None:
-    c = Course(promise)
+def test_crash_loses_no_more_than_the_stated_limit(promise: Promise, ops: list[tuple[str, object]]) -> None:
+    c = Simulation(promise)
     for name, value in ops:
         if name == "answer" and not c.ledger.admits(c.now):
             c.answer(value)  # type: ignore[arg-type]
         elif name == "time":
-            c.go_on(value)  # type: ignore[arg-type]
+            c.advance(value)  # type: ignore[arg-type]
         elif name == "end":
             c.end(*value)  # type: ignore[misc]
         elif name == "leaves":
-            c.leaves = bool(value)
-        c.go_on(0)
+            c.clients_accept = bool(value)
+        c.advance(0)
     at_risk = c.ledger.units_at_risk
     c.store.crash(1)
     c.store.recover()
     selection = c.store.select(10_000)
     assert [r.sequence for r in selection.records] == list(range(1, len(selection.records) + 1))
     units = {state: sum(r.use.units for r in selection.records if r.state is state) for state in State}
-    left = sum(u for _, u in c.left)
+    left = sum(u for _, u in c.answers_given)
     assert units[State.WRITTEN] == 0
     if promise is Promise.SYNC:
         assert not selection.unknown
@@ -103,9 +101,11 @@
         assert lost <= at_risk + 1e-6
         assert sum(u.last - u.first + 1 for u in selection.unknown) <= SEQUENCE_RESERVE
         unknown = sum(u.last - u.first + 1 for u in selection.unknown)
-        assert len(selection.records) + unknown >= len(c.left)  # each has a number that is told
-        late = [at for at, _ in c.left if lost > 1e-6 and at < c.now - 10_000]
-        assert len(late) < len(c.left) or not c.left or lost <= at_risk + 1e-6
+        assert len(selection.records) + unknown >= len(
+            c.answers_given
+        )  # each given answer has a record or an unknown number
+        late = [at for at, _ in c.answers_given if lost > 1e-6 and at < c.now - 10_000]
+        assert len(late) < len(c.answers_given) or not c.answers_given or lost <= at_risk + 1e-6
 
 
 @examples(max_examples=100)
@@ -115,113 +115,113 @@
     st.booleans(),
     st.booleans(),
 )
-def test_a_book_that_is_closed_in_order_leaves_nothing_uncertain(
+def test_orderly_close_leaves_nothing_uncertain(
     promise: Promise, uses: list[float], fails: bool, commits: bool
 ) -> None:
-    c = Course(promise)
+    c = Simulation(promise)
     for units in uses:
-        c.go_on(3.0)
+        c.advance(3.0)
         c.answer(units)
     if fails:
-        c.go_on(60)
+        c.advance(60)
         c.end(False, False)
-    if commits:  # one runs as it is closed, and reserves numbers that nobody will give out
-        c.go_on(COMMIT_RETRY_MS)
+    if commits:  # a commit that runs during the close reserves numbers that are never used
+        c.advance(COMMIT_RETRY_MS)
     c.ledger.closing = True
     for _ in range(6):
         if c.ledger.finished:
             break
-        c.go_on(COMMIT_RETRY_MS)
+        c.advance(COMMIT_RETRY_MS)
         c.end(True, True)
     assert c.ledger.finished and not c.ledger.waiting
     c.store.end(1)
     selection = c.store.select(1000)
     assert len(selection.records) == len(uses) and not selection.unknown
     assert sum(r.use.units for r in selection.records if r.state is State.GIVEN) == pytest.approx(
-        sum(u for _, u in c.left)
+        sum(u for _, u in c.answers_given)
     )
     assert sum(r.use.units for r in selection.records if r.state is State.VOID) == pytest.approx(c.not_given)
 
 
-def test_with_sync_an_answer_leaves_with_its_commit_and_marks_wait_for_company() -> None:
-    c = Course(Promise.SYNC)
+def test_sync_answers_wait_for_their_commit_and_state_updates_are_batched() -> None:
+    c = Simulation(Promise.SYNC)
     c.answer(2.0)
-    assert not c.left and c.ledger.commit_delay_ms(0.0) == 0
-    c.go_on(0)
-    c.answer(3.0)  # while the commit runs: it goes into the next
+    assert not c.answers_given and c.ledger.commit_delay_ms(0.0) == 0
+    c.advance(0)
+    c.answer(3.0)  # during the commit: it goes into the next one
     c.end(True, True)
-    assert [u for _, u in c.left] == [2.0] and c.ledger.commit_delay_ms(0.0) == 0
-    c.go_on(0)
+    assert [u for _, u in c.answers_given] == [2.0] and c.ledger.commit_delay_ms(0.0) == 0
+    c.advance(0)
     c.end(True, True)
-    assert len(c.left) == 2 and c.ledger.commit_delay_ms(c.now) == pytest.approx(UPDATE_DELAY_MS)
+    assert len(c.answers_given) == 2 and c.ledger.commit_delay_ms(c.now) == pytest.approx(UPDATE_DELAY_MS)
 
 
-def test_with_bounded_answers_wait_once_the_disk_is_later_than_stated() -> None:
-    c = Course(Promise.BOUNDED, at_risk_ms=50.0)
-    c.go_on(0)
-    c.end(True, True)  # the first mark
+def test_bounded_answers_wait_once_the_disk_is_too_late() -> None:
+    c = Simulation(Promise.BOUNDED, at_risk_ms=50.0)
+    c.advance(0)
+    c.end(True, True)  # the first reserved numbers
     c.answer(1.0)
     assert (
-        len(c.left) == 1
+        len(c.answers_given) == 1
         and c.ledger.units_at_risk == 1.0
         and c.ledger.commit_delay_ms(c.now) == pytest.approx(25.0)
     )
-    c.go_on(25.0)
+    c.advance(25.0)
     c.now += 26.0
     c.answer(1.0)
-    assert len(c.left) == 1  # the oldest is 51 ms old
+    assert len(c.answers_given) == 1  # the oldest record is 51 ms old
     c.end(True, True)
     assert c.ledger.units_at_risk == 0.0 and c.ledger.commit_delay_ms(c.now) == 0
-    c.go_on(0)
+    c.advance(0)
     c.end(True, True)
-    assert len(c.left) == 2
+    assert len(c.answers_given) == 2
     for _ in range(SEQUENCE_RESERVE + 5):
         c.answer(1.0)
-    assert len(c.left) <= 2 + SEQUENCE_RESERVE  # numbers beyond the mark on disk wait
+    assert len(c.answers_given) <= 2 + SEQUENCE_RESERVE  # answers beyond the reserved numbers on disk wait
 
 
-def test_a_full_disk_refuses_until_a_trial_succeeds() -> None:
-    c = Course(Promise.SYNC)
+def test_full_disk_rejects_until_a_commit_succeeds() -> None:
+    c = Simulation(Promise.SYNC)
     c.answer(2.0)
-    c.go_on(0)
+    c.advance(0)
     c.end(False, False)
     assert c.ledger.stuck and 0 < c.ledger.admits(c.now) <= COMMIT_RETRY_MS and c.not_given == 2.0
-    c.go_on(COMMIT_RETRY_MS / 2)
-    assert c.running is None
-    c.go_on(COMMIT_RETRY_MS / 2)
+    c.advance(COMMIT_RETRY_MS / 2)
+    assert c.running_commit is None
+    c.advance(COMMIT_RETRY_MS / 2)
     c.end(True, True)
     assert not c.ledger.admits(c.now)
     assert c.store.select(9).records[0].state is State.VOID
 
 
-def test_no_more_waits_than_memory_is_there_for() -> None:
-    c = Course(Promise.SYNC)
-    c.go_on(0)
+def test_number_of_waiting_records_is_limited() -> None:
+    c = Simulation(Promise.SYNC)
+    c.advance(0)
     for _ in range(MAX_WAITING_RECORDS):
         c.answer(1.0)
     assert c.ledger.admits(c.now) == COMMIT_RETRY_MS
 
 
-# ---- both stores alike
+# ---- both stores
 
 
-def stores(tmp_path: Path, kind: str) -> Store:
+def make_store(tmp_path: Path, kind: str) -> Store:
     return MemoryStore() if kind == "memory" else SqliteStore(tmp_path)
 
 
-def records(incarnation: int, first: int, last: int, state: State = State.GIVEN) -> tuple[Record, ...]:
-    return tuple(Record(incarnation, n, use(float(n)), state) for n in range(first, last + 1))
+def make_records(incarnation: int, first: int, last: int, state: State = State.GIVEN) -> tuple[Record, ...]:
+    return tuple(Record(incarnation, n, make_use(float(n)), state) for n in range(first, last + 1))
 
 
 @pytest.mark.parametrize("kind", ["memory", "sqlite"])
-def test_stores_give_runs_without_holes_and_forget_only_what_is_acknowledged(
+def test_stores_select_contiguous_ranges_and_forget_only_acknowledged_exports(
     tmp_path: Path, kind: str
 ) -> None:
-    store = stores(tmp_path, kind)
+    store = make_store(tmp_path, kind)
     one = store.begin(0.0)
-    store.commit(Batch(one, records(one, 1, 3), (), 10))
-    store.commit(Batch(one, records(one, 1, 3), (), 10))  # again is harmless
-    store.commit(Batch(one, records(one, 4, 5, State.WRITTEN), ((2, State.VOID),), 12))
+    store.commit(Batch(one, make_records(one, 1, 3), (), 10))
+    store.commit(Batch(one, make_records(one, 1, 3), (), 10))  # idempotent
+    store.commit(Batch(one, make_records(one, 4, 5, State.WRITTEN), ((2, State.VOID),), 12))
     assert [(r.sequence, r.state) for r in store.select(99).records] == [
         (1, State.GIVEN),
         (2, State.VOID),
@@ -234,8 +234,8 @@
     store.commit(Batch(one, (), ((4, State.GIVEN), (5, State.GIVEN)), 5))
     store.end(one)
     two = store.begin(1.0)
-    store.commit(Batch(two, records(two, 1, 1), (), 4))
-    assert store.select(99) == ((*records(one, 3, 5), *records(two, 1, 1)), ())
+    store.commit(Batch(two, make_records(two, 1, 1), (), 4))
+    assert store.select(99) == ((*make_records(one, 3, 5), *make_records(two, 1, 1)), ())
     store.record_export(ExportInfo(2, "b", "y", 4, 10, False), {one: (3, 5), two: (1, 1)}, ())
     with pytest.raises(StoreError, match="not acknowledged"):
         store.forget(2)
@@ -246,14 +246,16 @@
     store.close()
 
 
-def test_a_dead_process_leaves_what_it_had_written_uncertain_and_what_it_may_have_given_unknown(
+def test_recovery_marks_written_records_uncertain_and_reserved_numbers_unknown(
     tmp_path: Path,
 ) -> None:
     one, other = SqliteStore(tmp_path), SqliteStore(tmp_path)
     number = one.begin(0.0)
-    one.commit(Batch(number, (*records(number, 1, 2), *records(number, 3, 3, State.WRITTEN)), (), 8))
-    assert other.recover() == [] and len(other.select(9).records) == 2  # it lives
-    one.close()  # as the process's end does: the lock goes, nothing is told
+    one.commit(
+        Batch(number, (*make_records(number, 1, 2), *make_records(number, 3, 3, State.WRITTEN)), (), 8)
+    )
+    assert other.recover() == [] and len(other.select(9).records) == 2  # its process is running
+    one.close()  # like the end of the process: the lock is released, without end()
     assert other.recover() == [number] and other.recover() == []
     selection = other.select(9)
     assert [r.state for r in selection.records] == [State.GIVEN, State.GIVEN, State.UNCERTAIN]
@@ -262,7 +264,7 @@
     other.close()
 
 
-def test_what_is_no_ledger_is_said_in_one_line(tmp_path: Path) -> None:
+def test_invalid_ledger_gives_a_one_line_error(tmp_path: Path) -> None:
     (tmp_path / "ledger.db").write_bytes(b"not a database" * 100)
     with pytest.raises(StoreError, match=r"open the ledger") as error:
         SqliteStore(tmp_path)
--- a/tests/usage/test_exports.py
+++ b/tests/usage/test_exports.py
@@ -1,4 +1,4 @@
-"""Exports: a death at each step, planted faults, a consumer that does everything wrong, and the commands."""
+"""Exports: a crash at each step, injected faults, a faulty consumer, and the commands."""
 
 from __future__ import annotations
 
@@ -34,10 +34,10 @@
 from troutdock.usage.verify import reconcile, verify
 
 
-def fill(
+def add_records(
     store: Store, incarnation: int, first: int, last: int, reserved: int = 0, customer: int = 9
 ) -> float:
-    """Records that were given, of n units each; gives their sum."""
+    """Adds GIVEN records, of n units for number n; returns the sum of units."""
     rows = tuple(
         Record(
             incarnation, n, Use(customer + n % 3, "plus", "ledger-read", float(n), 1000.0 + n), State.GIVEN
@@ -48,12 +48,12 @@
     return sum(r.use.units for r in rows)
 
 
-class Died(Exception):
-    """The process ends here."""
+class SimulatedCrash(Exception):
+    """Simulates the end of the process."""
 
 
-class Mortal:
-    """Passes calls on, to something that dies before or after the n-th of them."""
+class CrashingProxy:
+    """Forwards calls and simulates a crash before or after the n-th of them."""
 
     def __init__(self, inner: Any, names: tuple[str, ...], left: list[int], before: bool) -> None:
         self._inner, self._names, self._left, self._before = inner, names, left, before
@@ -66,82 +66,84 @@
         def call(*args: Any) -> Any:
             self._left[0] -= 1
             if self._left[0] == 0 and self._before:
-                raise Died(name)
+                raise SimulatedCrash(name)
             done = what(*args)
             if self._left[0] == 0:
-                raise Died(name)
+                raise SimulatedCrash(name)
             return done
 
         return call
 
 
-class MortalFiles(Files):
-    """A folder whose steps may be the last."""
+class CrashingFiles(Files):
+    """A folder with a possible crash at each operation."""
 
     def __init__(self, folder: Path, step: Callable[[Callable[[], None]], None]) -> None:
         super().__init__(folder)
         self._step = step
 
     def sync(self, path: Path) -> None:
-        self._step(lambda: super(MortalFiles, self).sync(path))
+        self._step(lambda: super(CrashingFiles, self).sync(path))
 
     def rename(self, old: Path, new: Path) -> None:
-        self._step(lambda: super(MortalFiles, self).rename(old, new))
+        self._step(lambda: super(CrashingFiles, self).rename(old, new))
 
     def remove(self, name: str) -> None:
-        self._step(lambda: super(MortalFiles, self).remove(name))
+        self._step(lambda: super(CrashingFiles, self).remove(name))
 
 
-def ledger(folder: Path) -> tuple[SqliteStore, float]:
-    """Three incarnations: one that ended in order, one that died with numbers unknown, one that lives."""
+def make_ledger(folder: Path) -> tuple[SqliteStore, float]:
+    """Creates three incarnations: one ended, one crashed with unknown numbers, one running."""
     store = SqliteStore(folder)
-    total = fill(store, store.begin(0.0), 1, 7)
+    total = add_records(store, store.begin(0.0), 1, 7)
     store.end(1)
     dead = SqliteStore(folder)
-    total += fill(dead, dead.begin(1.0), 1, 4, reserved=9)
+    total += add_records(dead, dead.begin(1.0), 1, 4, reserved=9)
     dead.close()
-    return store, total + fill(store, store.begin(2.0), 1, 6)
+    return store, total + add_records(store, store.begin(2.0), 1, 6)
 
 
 @pytest.mark.parametrize("before", [True, False])
-def test_a_death_at_any_step_of_an_export_neither_loses_nor_doubles(tmp_path: Path, before: bool) -> None:
+def test_crash_at_any_step_of_an_export_neither_loses_nor_duplicates_records(
+    tmp_path: Path, before: bool
+) -> None:
     for step in range(1, 200):
         folder = tmp_path / f"{before}-{step}"
-        store, total = ledger(folder)
+        store, total = make_ledger(folder)
         left = [step]
 
         def take(does: Callable[[], None], left: list[int] = left) -> None:
             left[0] -= 1
             if left[0] == 0 and before:
-                raise Died
+                raise SimulatedCrash
             does()
             if left[0] == 0:
-                raise Died
+                raise SimulatedCrash
 
-        died = False
-        mortal = Mortal(store, ("select", "record_export", "recover", "exports"), left, before)
-        exporter = Exporter("n0", mortal, MortalFiles(folder / "exports", take))  # type: ignore[arg-type]
+        crashed = False
+        crashing_store = CrashingProxy(store, ("select", "record_export", "recover", "exports"), left, before)
+        exporter = Exporter("n0", crashing_store, CrashingFiles(folder / "exports", take))  # type: ignore[arg-type]
         try:
             exporter.run(5.0, max_rows=5)
-        except Died:
-            died = True
+        except SimulatedCrash:
+            crashed = True
         Exporter("n0", store, Files(folder / "exports")).run(6.0, max_rows=5)
         verdict = verify(Files(folder / "exports"))
         assert not verdict.faults, (step, verdict.faults)
         assert verdict.units == {"GIVEN": total} and verdict.rows == 17 and verdict.unknown == 5
         store.close()
-        if not died:
+        if not crashed:
             break
-    assert step > 20  # each of the steps was a death
+    assert step > 20  # a crash at each of the steps
 
 
-def planted(tmp_path: Path, plant: Callable[[MemoryStore], None]) -> list[str]:
+def faults_after(tmp_path: Path, inject: Callable[[MemoryStore], None]) -> list[str]:
     store = MemoryStore()
     exporter = Exporter("n0", store, Files(tmp_path))
-    fill(store, store.begin(0.0), 1, 10)
+    add_records(store, store.begin(0.0), 1, 10)
     exporter.run(1.0)
-    plant(store)
-    fill(store, 1, 11, 20)
+    inject(store)
+    add_records(store, 1, 11, 20)
     exporter.run(2.0)
     return verify(Files(tmp_path)).faults
 
@@ -149,11 +151,11 @@
 @pytest.mark.parametrize(
     ("by", "said"), [(-3, "8 to 10 are exported twice"), (4, "11 to 14 are in no export"), (0, "")]
 )
-def test_a_planted_double_and_a_planted_gap_are_found(tmp_path: Path, by: int, said: str) -> None:
-    def plant(store: MemoryStore) -> None:
+def test_verify_finds_duplicates_and_gaps(tmp_path: Path, by: int, said: str) -> None:
+    def inject(store: MemoryStore) -> None:
         store._of[1].exported += by
 
-    faults = planted(tmp_path, plant)
+    faults = faults_after(tmp_path, inject)
     assert len(faults) == bool(said) and all(
         said in fault and "usage-n0-00000002" in fault for fault in faults
     )
@@ -166,7 +168,7 @@
 
 
 @pytest.mark.parametrize(
-    ("harm", "said"),
+    ("damage", "said"),
     [
         (lambda f: (f / "usage-n0-00000002.json").unlink(), "export 2 of n0 is missing"),
         (lambda f: (f / "usage-n0-00000002.parquet").unlink(), "No such file"),
@@ -186,19 +188,17 @@
         ),
     ],
 )
-def test_what_is_changed_afterwards_is_found(
-    tmp_path: Path, harm: Callable[[Path], object], said: str
-) -> None:
-    store, _ = ledger(tmp_path)
+def test_verify_finds_modified_exports(tmp_path: Path, damage: Callable[[Path], object], said: str) -> None:
+    store, _ = make_ledger(tmp_path)
     Exporter("n0", store, Files(tmp_path / "exports")).run(1.0, max_rows=5)
     assert not verify(Files(tmp_path / "exports")).faults
-    harm(tmp_path / "exports")
+    damage(tmp_path / "exports")
     assert any(said in fault for fault in verify(Files(tmp_path / "exports")).faults)
     store.close()
 
 
-def test_only_one_exports_and_what_is_not_its_own_stops_it(tmp_path: Path) -> None:
-    store, _ = ledger(tmp_path)
+def test_export_lock_and_invalid_manifest_stop_an_export(tmp_path: Path) -> None:
+    store, _ = make_ledger(tmp_path)
     exporter = Exporter("n0", store, Files(tmp_path / "exports"))
     with exporter.exclusive(), pytest.raises(StoreError, match="another process exports"):
         exporter.run(1.0)
@@ -210,13 +210,13 @@
 
 # ---- the consumer
 
-Script = Callable[
+ResponseScript = Callable[
     [str, bytes, str], tuple[int, bytes]
-]  # of name, body and digest: the answer; status 0: none
+]  # name, body, digest -> response; status 0: none
 
 
 @contextmanager
-def consumer(script: Script) -> Iterator[str]:
+def consumer(script: ResponseScript) -> Iterator[str]:
     class Handler(BaseHTTPRequestHandler):
         def do_PUT(self) -> None:
             body = self.rfile.read(int(self.headers["Content-Length"]))
@@ -242,14 +242,14 @@
         server.server_close()
 
 
-def test_a_consumer_that_does_everything_wrong_gets_each_export_once_and_in_order(tmp_path: Path) -> None:
-    store, total = ledger(tmp_path)
+def test_faulty_consumer_receives_each_export_once_and_in_order(tmp_path: Path) -> None:
+    store, total = make_ledger(tmp_path)
     files = Files(tmp_path / "exports")
     exporter = Exporter("n0", store, files)
     exporter.run(1.0, max_rows=6)
     booked: dict[str, float] = {}
     order: list[str] = []
-    trouble = iter(
+    faulty_responses = iter(
         [(0, b""), (500, b""), (200, b"thanks"), (200, b'{"acknowledged":"somebody else"}')]
         + [(503, b"")] * 3
     )
@@ -257,14 +257,14 @@
     def book(path: str, body: bytes, digest: str) -> tuple[int, bytes]:
         if not path.endswith(".json"):
             return 204, b""
-        wrong = next(trouble, None)
+        wrong = next(faulty_responses, None)
         if wrong is not None and wrong[0] != 503:
             return wrong
         known = digest in booked
         booked[digest] = sum(s["units"] for s in json.loads(body)["sums"])
         order.append(path)
         if wrong is not None:
-            return wrong  # it has it, and its answer is lost: "already had it" the next time
+            return wrong  # booked, but the response is lost: the next one is 409
         return (409 if known else 201), json.dumps({"acknowledged": digest}).encode()
 
     said: list[str] = []
@@ -284,9 +284,9 @@
     with pytest.raises(ValueError, match="line 1"):
         reconcile(verdict, [b"{}"])
     assert exporter.retain(2.0, keep_ms=5.0) == [] and exporter.retain(9.0, keep_ms=5.0) != []
-    fill(store, 3, 7, 9)
+    add_records(store, 3, 7, 9)
     exporter.run(10.0)
-    assert exporter.retain(99.0, keep_ms=5.0) == []  # the new one is not acknowledged
+    assert exporter.retain(99.0, keep_ms=5.0) == []  # the new export is not acknowledged
     assert not verify(files).faults
     store.close()
 
@@ -306,16 +306,14 @@
         (302, b"", DeliveryResult.RETRY),
     ],
 )
-def test_only_an_answer_that_names_the_export_acknowledges_it(
+def test_only_a_response_with_the_digest_acknowledges(
     status: int, body: bytes, verdict: DeliveryResult
 ) -> None:
     assert classify_response(status, body, "d")[0] is verdict
 
 
 @given(st.lists(st.sampled_from(list(DeliveryResult)), max_size=40), st.integers(0, 99))
-def test_tries_come_in_bounded_pauses_and_at_once_after_a_delivery(
-    course: list[DeliveryResult], seed: int
-) -> None:
+def test_retry_delays_are_bounded_and_zero_after_a_delivery(course: list[DeliveryResult], seed: int) -> None:
     c, now = RetrySchedule(Random(seed)), 0.0
     for verdict in course:
         c.record_result(now, 1, verdict, 100.0)
@@ -327,7 +325,7 @@
 
 
 @pytest.mark.parametrize("url", ["", "ftp://x/y", "http://", "http://h/x?y"])
-def test_what_is_no_folder_of_http_is_named(url: str) -> None:
+def test_invalid_consumer_url_is_rejected(url: str) -> None:
     with pytest.raises(ValueError, match="not an http URL"):
         Consumer(url)
 
@@ -340,8 +338,8 @@
     return result.exit_code, result.output
 
 
-def test_the_commands_export_prove_compare_and_sum_up(tmp_path: Path) -> None:
-    store, total = ledger(tmp_path)
+def test_usage_commands(tmp_path: Path) -> None:
+    store, total = make_ledger(tmp_path)
     store.close()
     code, said = run("usage", "export", tmp_path, "--ingress", "n0", "--rows", 8)
     assert code == 0 and said.count("usage-n0-") == 3
@@ -362,7 +360,7 @@
     assert run("usage", "export", tmp_path / "exports", "--ingress", "n0")[0] == 2
 
 
-def test_plans_are_assigned_shown_and_kept_in_a_file(tmp_path: Path) -> None:
+def test_plan_commands_on_a_file(tmp_path: Path) -> None:
     file, account = tmp_path / "plans.jsonl", "0000000000000009"
     assert run("plans", "show", account, "--file", file)[1] == f"{account}: as its requests say\n"
     for plan, start in (("basis", "2026-01-01T00:00:00Z"), ("plus", "2026-06-01T00:00:00")):
--- a/tests/usage/test_kills.py
+++ b/tests/usage/test_kills.py
@@ -1,4 +1,4 @@
-"""Real ingresses killed under load; what is exported is compared with the true answers, customer by customer."""
+"""Ingress processes killed under load; compares the exports with the actual answers, customer by customer."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from random import Random
 
 import pytest
-from kills import Fleet, judged, play
+from kills import Fleet, evaluate, run_kills
 from loopback import run
 from upgrade import Upgrade
 
@@ -16,26 +16,24 @@
 
 
 @pytest.mark.parametrize("promise", ["sync", "bounded"])
-def test_killed_ingresses_lose_and_double_nothing_beyond_what_is_stated(tmp_path: Path, promise: str) -> None:
+def test_killed_ingresses_lose_and_duplicate_no_more_than_stated(tmp_path: Path, promise: str) -> None:
     kills = 5
-    result = asyncio.run(asyncio.wait_for(play(tmp_path, promise, kills, Random(7)), 60))
+    result = asyncio.run(asyncio.wait_for(run_kills(tmp_path, promise, kills, Random(7)), 60))
     assert not result.faults and result.given > 100
-    assert not result.wrong  # each customer's exported units are those that its node told
+    assert not result.wrong  # the exported units of each customer are those that the backend billed
     if promise == "sync":
-        assert not result.missing  # every answer that a client has
+        assert not result.missing  # every answer received by a client is exported
         assert result.unknown == 0
     else:
         assert result.missing <= result.unknown <= kills * SEQUENCE_RESERVE
     assert (
         result.unseen <= result.uncertain + kills * result.clients
-    )  # exported, and the client has no answer
+    )  # exported, but the client did not receive the answer
 
 
 @pytest.mark.parametrize("promise", ["sync", "bounded"])
-def test_an_upgrade_while_records_are_in_a_commit_loses_and_doubles_nothing(
-    tmp_path: Path, promise: str
-) -> None:
-    """And leaves nothing uncertain, as both processes end in order."""
+def test_upgrade_under_load_loses_and_duplicates_nothing(tmp_path: Path, promise: str) -> None:
+    """Orderly shutdowns of both processes leave nothing uncertain."""
 
     async def test() -> None:
         fleet = Fleet(tmp_path, promise, 8)
@@ -54,9 +52,9 @@
                 given = len(fleet.given)
                 while len(fleet.given) < given + 50:
                     await asyncio.sleep(0.01)
-                assert await tier.end(number - 1) == 0  # while clients go on asking
+                assert await tier.end(number - 1) == 0  # while clients continue to send requests
                 given = len(fleet.given)
-                while len(fleet.given) < given + 50:  # the newer one serves
+                while len(fleet.given) < given + 50:  # the newer process serves
                     await asyncio.sleep(0.01)
             for client in clients:
                 client.cancel()
@@ -67,9 +65,9 @@
                 client.cancel()
             tier.kill()
             fleet.node.stop()
-        result = judged(fleet)
+        result = evaluate(fleet)
         assert not result.faults and not result.wrong and result.given >= 200
         assert (result.missing, result.uncertain, result.unknown) == (0, 0, 0)
-        assert result.unseen <= result.clients  # those that were cancelled with an answer on its way
+        assert result.unseen <= result.clients  # requests cancelled while the answer was in transit
 
     run(test())
--- a/tests/usage/test_ledger_front.py
+++ b/tests/usage/test_ledger_front.py
@@ -1,4 +1,4 @@
-"""The ledger behind a front: answers wait for the disk, a full disk lets nothing in, and no answer is late for it."""
+"""The ledger in an ingress: answers wait for the disk, a full disk rejects requests, and no deadline is missed."""
 
 from __future__ import annotations
 
@@ -24,18 +24,18 @@
 BILLED = answer(head=b"Billed-Units: 3\r\n")
 
 
-class Disk(MemoryStore):
-    """A ledger whose commits may be held, and may fail."""
+class FaultyStore(MemoryStore):
+    """A store whose commits can be blocked and can fail."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.free = threading.Event()
-        self.free.set()
+        self.writable = threading.Event()
+        self.writable.set()
         self.full = False
         self.commits = 0
 
     def commit(self, batch: Batch) -> None:
-        self.free.wait(10)
+        self.writable.wait(10)
         if self.full:
             raise StoreError("no space left")
         self.commits += not batch.empty
@@ -47,20 +47,20 @@
 
 @asynccontextmanager
 async def ledger(w: World, promise: Promise = Promise.SYNC, at_risk_ms: float = 50.0) -> AsyncIterator[Any]:
-    """Use is written down from here on; ends with all of it on disk."""
-    disk = Disk()
+    """Records usage; writes all of it to disk at the end."""
+    disk = FaultyStore()
     usage = Usage("n0", UsageOptions(promise, at_risk_ms=at_risk_ms), disk)
     usage.start(w.engine)
     try:
         yield disk, usage
     finally:
         disk.full = False
-        disk.free.set()
+        disk.writable.set()
         await usage.close()
 
 
-def plays(*scripts: Any, **changes: Any) -> Callable[[Callable[..., Any]], None]:
-    """Run a course of events before an ingress with a ledger."""
+def with_ledger(*scripts: Any, **changes: Any) -> Callable[[Callable[..., Any]], None]:
+    """Runs a scenario on an ingress with a ledger."""
 
     def decorate(course: Callable[..., Any]) -> None:
         async def test() -> None:
@@ -72,44 +72,44 @@
     return decorate
 
 
-def test_an_answer_leaves_when_its_record_is_on_disk() -> None:
-    @plays(BILLED)
-    async def _(w: World, disk: Disk, usage: Usage) -> None:
-        disk.free.clear()
+def test_answer_is_given_once_its_record_is_on_disk() -> None:
+    @with_ledger(BILLED)
+    async def _(w: World, disk: FaultyStore, usage: Usage) -> None:
+        disk.writable.clear()
         client = await w.client()
         asking = asyncio.create_task(client.ask(request("ledger-read")))
         await until(lambda: len(w.backends[0].requests) == 1 and usage.ledger.waiting == 1)
         await asyncio.sleep(0.05)
         assert not asking.done() and w.engine.open == 1
-        disk.free.set()
+        disk.writable.set()
         assert (await asking)[0] == 200
         await until(lambda: disk.states() == [State.GIVEN])
         (record,) = disk.select(9).records
         assert record.use[:4] == (9, "plus", "ledger-read", 3.0)
 
 
-def test_with_bounded_answers_leave_at_once_and_records_follow() -> None:
-    @plays(BILLED, promise=Promise.BOUNDED)
-    async def _(w: World, disk: Disk, usage: Usage) -> None:
+def test_bounded_answers_are_given_before_their_records_are_on_disk() -> None:
+    @with_ledger(BILLED, promise=Promise.BOUNDED)
+    async def _(w: World, disk: FaultyStore, usage: Usage) -> None:
         await until(lambda: usage.ledger.reserved > 0)
-        disk.free.clear()
+        disk.writable.clear()
         assert (await w.ask(request("ledger-read")))[0] == 200
         assert not disk.states() and usage.ledger.units_at_risk == 3.0
-        disk.free.set()
+        disk.writable.set()
         await until(lambda: disk.states() == [State.GIVEN] and usage.ledger.units_at_risk == 0)
 
 
-def test_a_full_disk_lets_nothing_in_and_comes_back_by_itself() -> None:
-    @plays(BILLED)
-    async def _(w: World, disk: Disk, usage: Usage) -> None:
+def test_full_disk_rejects_requests_until_it_recovers() -> None:
+    @with_ledger(BILLED)
+    async def _(w: World, disk: FaultyStore, usage: Usage) -> None:
         disk.full = True
         status, head, _ = await w.ask(request("ledger-read", 1))
-        assert status == 429 and b"Retry-After" in head  # it ran, and running it again is harmless
+        assert status == 429 and b"Retry-After" in head  # it was executed, and may safely be repeated
         sent = len(w.backends[0].requests)
         for number, cls in ((2, "ledger-read"), (3, "vat-filing")):
             status, head, _ = await w.ask(request(cls, number))
             assert status == 429 and b"Retry-After" in head
-        assert len(w.backends[0].requests) == sent == 1  # nothing that could not be billed was sent
+        assert len(w.backends[0].requests) == sent == 1  # requests that could not be billed were not sent
         disk.full = False
         await until(lambda: not usage.ledger.stuck)
         assert (await w.ask(request("vat-filing", 4)))[0] == 200
@@ -119,30 +119,28 @@
 @pytest.mark.parametrize(
     ("cls", "status"), [("ledger-read", 429), ("payment-book", 429), ("vat-filing", 500)]
 )
-def test_what_ran_and_can_not_be_written_down_is_refused_only_where_that_is_harmless(
-    cls: str, status: int
-) -> None:
-    @plays(BILLED)
-    async def _(w: World, disk: Disk, usage: Usage) -> None:
+def test_unrecorded_answer_is_retryable_only_for_repeatable_classes(cls: str, status: int) -> None:
+    @with_ledger(BILLED)
+    async def _(w: World, disk: FaultyStore, usage: Usage) -> None:
         disk.full = True
         assert (await w.ask(request(cls)))[0] == status
 
 
-def test_a_consumer_that_is_down_is_waited_for_within_the_bound_and_nothing_is_let_in_beyond_it(
+def test_unacknowledged_exports_are_limited_and_then_requests_are_rejected(
     tmp_path: Path,
 ) -> None:
-    there = False
+    available = False
 
-    async def consumer(peer: Peer, asked: bytes, writer: asyncio.StreamWriter) -> None:
-        key = re.search(rb"idempotency-key: (\w+)", asked, re.I)
+    async def consumer(peer: Peer, received: bytes, writer: asyncio.StreamWriter) -> None:
+        key = re.search(rb"idempotency-key: (\w+)", received, re.I)
         assert key is not None
         body = b'{"acknowledged": "%b"}' % key[1]
-        await (answer(body) if there else answer(status=503))(peer, asked, writer)
+        await (answer(body) if available else answer(status=503))(peer, received, writer)
 
     async def test() -> None:
-        nonlocal there
-        taker = Peer(consumer)
-        await taker.start()
+        nonlocal available
+        consumer_server = Peer(consumer)
+        await consumer_server.start()
         async with world(BILLED) as w:
             usage = Usage(
                 "n0",
@@ -150,13 +148,13 @@
                     Promise.SYNC,
                     tmp_path,
                     export_interval_s=0.05,
-                    consumer_url=f"http://{taker.address}/use",
+                    consumer_url=f"http://{consumer_server.address}/use",
                     max_unacknowledged_bytes=10_000,
                 ),
             )
             usage.start(w.engine)
             number = 0
-            while not usage.ledger.full:  # each export is some kilobytes
+            while not usage.ledger.full:  # each export has a few kilobytes
                 number += 1
                 assert (await w.ask(request("ledger-read", number)))[0] in (200, 429)
                 await asyncio.sleep(0.02)
@@ -164,57 +162,57 @@
             assert 10_000 < kept < 40_000
             status, head, _ = await w.ask(request("ledger-read", 1000))
             assert status == 429 and b"Retry-After" in head and usage.ledger.last_sequence <= number
-            there = True
+            available = True
             await until(lambda: not usage.ledger.full)
             assert (await w.ask(request("ledger-read", 1001)))[0] == 200
             await usage.close()
-        taker.stop()
+        consumer_server.stop()
 
     run(test())
 
 
-def test_a_disk_that_stands_still_makes_no_answer_late() -> None:
-    @plays(BILLED)
-    async def _(w: World, disk: Disk, usage: Usage) -> None:
-        disk.free.clear()
+def test_stalled_disk_does_not_delay_answers_beyond_their_deadline() -> None:
+    @with_ledger(BILLED)
+    async def _(w: World, disk: FaultyStore, usage: Usage) -> None:
+        disk.writable.clear()
         began = asyncio.get_running_loop().time()
         status, _, _ = await w.ask(request("vat-filing", Request_Timeout="0.400"))
         assert status == 500 and asyncio.get_running_loop().time() - began < 0.4
         assert w.engine.open == 0
-        disk.free.set()
+        disk.writable.set()
         await until(lambda: disk.states() == [State.VOID])
 
 
-def test_a_client_that_leaves_while_its_record_is_written_is_not_billed() -> None:
-    @plays(BILLED)
-    async def _(w: World, disk: Disk, usage: Usage) -> None:
-        disk.free.clear()
+def test_client_that_disconnects_during_the_commit_is_not_billed() -> None:
+    @with_ledger(BILLED)
+    async def _(w: World, disk: FaultyStore, usage: Usage) -> None:
+        disk.writable.clear()
         client = await w.client()
         client.writer.write(request("ledger-read"))
         await until(lambda: usage.ledger.waiting == 1)
         client.writer.close()
         await until(lambda: w.engine.open == 0)
-        disk.free.set()
+        disk.writable.set()
         await until(lambda: disk.states() == [State.VOID])
         assert w.engine.tally.withdrawn == 1 and w.engine.tally.served == 0
 
 
-def test_many_answers_share_a_commit() -> None:
-    @plays(*[BILLED] * 6)
-    async def _(w: World, disk: Disk, usage: Usage) -> None:
-        disk.free.clear()
+def test_concurrent_answers_share_a_commit() -> None:
+    @with_ledger(*[BILLED] * 6)
+    async def _(w: World, disk: FaultyStore, usage: Usage) -> None:
+        disk.writable.clear()
         asking = []
-        for n in range(1, 13):  # one after the other, as a fresh ingress lets in few at once
+        for n in range(1, 13):  # one by one, as a new ingress admits few concurrent requests
             client = await w.client()
             asking.append(asyncio.create_task(client.ask(request("ledger-read", n, Account=f"{n:016x}"))))
             await until(lambda n=n: usage.ledger.waiting >= n)
-        disk.free.set()
+        disk.writable.set()
         assert [status for status, _, _ in await asyncio.gather(*asking)] == [200] * 12
         await until(lambda: disk.states() == [State.GIVEN] * 12)
-        assert disk.commits <= 4  # the first one, all others, and what marks their answers as given
+        assert disk.commits <= 4  # the first record, all others, and the state updates
 
 
-def test_what_is_booked_as_the_ingress_ends_is_on_disk() -> None:
+def test_close_writes_the_remaining_records() -> None:
     async def test() -> None:
         async with world(BILLED) as w:
             async with ledger(w, Promise.BOUNDED, at_risk_ms=5000.0) as (disk, usage):
@@ -226,7 +224,7 @@
     run(test())
 
 
-# ---- the operator's file
+# ---- operator file
 
 
 @pytest.mark.parametrize(
@@ -246,7 +244,7 @@
         ("usage:\n  folder: x\n  folder: y\n", ":3:"),
     ],
 )
-def test_a_bad_operators_file_names_line_and_key(tmp_path: Path, text: str, said: str) -> None:
+def test_invalid_operator_file_names_line_and_key(tmp_path: Path, text: str, said: str) -> None:
     file = tmp_path / "operator.yaml"
     file.write_text(text)
     with pytest.raises(OperatorError) as error:
@@ -254,7 +252,7 @@
     assert said in str(error.value) and "\n" not in str(error.value)
 
 
-def test_the_example_is_an_operators_file() -> None:
+def test_example_operator_file_is_valid() -> None:
     section = read_operator(Path(__file__).parent.parent.parent / "deploy" / "operator.example.yaml").usage
     assert section is not None
     terms = terms_of(section)
