--- a/benchmarks/control_times.py
+++ b/benchmarks/control_times.py
@@ -17,7 +17,7 @@
 from random import Random
 from statistics import median
 
-sys.path[:0] = [str(Path(__file__).parent.parent), str(Path(__file__).parent.parent / "tests" / "peers")]
+sys.path[:0] = [str(Path(__file__).parent.parent), str(Path(__file__).parent.parent / "tests" / "support")]
 
 from cluster import Cluster  # noqa: E402
 from worst_days import body_of, until_confirmed  # noqa: E402
--- a/benchmarks/exchange.py
+++ b/benchmarks/exchange.py
@@ -11,7 +11,7 @@
 import time
 from pathlib import Path
 
-sys.path[:0] = [str(Path(__file__).parent.parent), str(Path(__file__).parent.parent / "tests" / "peers")]
+sys.path[:0] = [str(Path(__file__).parent.parent), str(Path(__file__).parent.parent / "tests" / "support")]
 
 from proxy_fleet import SimulatedFleet, proxy_settings  # noqa: E402
 
--- a/benchmarks/schedules.py
+++ b/benchmarks/schedules.py
@@ -15,7 +15,7 @@
 from time import monotonic
 
 ROOT = Path(__file__).parent.parent
-sys.path[:0] = [str(ROOT), str(ROOT / "tests" / "peers"), str(ROOT / "tests" / "system")]
+sys.path[:0] = [str(ROOT), str(ROOT / "tests" / "support"), str(ROOT / "tests" / "system")]
 
 import test_store_schedules as steady  # noqa: E402
 import worst_days  # noqa: E402
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from statistics import median
 
-sys.path[:0] = [str(Path(__file__).parent.parent), str(Path(__file__).parent.parent / "tests" / "peers")]
+sys.path[:0] = [str(Path(__file__).parent.parent), str(Path(__file__).parent.parent / "tests" / "support")]
 
 from cluster import Cluster  # noqa: E402
 
--- a/benchmarks/usage_kills.py
+++ b/benchmarks/usage_kills.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from random import Random
 
-sys.path.insert(0, str(Path(__file__).parent.parent / "tests" / "peers"))
+sys.path.insert(0, str(Path(__file__).parent.parent / "tests" / "support"))
 
 from kills import play
 
