--- a/tests/system/test_quota_loop.py
+++ b/tests/system/test_quota_loop.py
@@ -1,11 +1,11 @@
-"""The loop round quotas: datagrams of linked peers count, all others are dropped, and what must come once goes on links."""
+"""I/O of quotas: only datagrams of linked peers are accepted; messages that must not be lost use links."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
 
-from troutdock.proxy.quota_loop import BUSY_MS, MOST_DATAGRAM_BYTES, QuotaLoop
+from troutdock.proxy.quota_loop import BUSY_LAG_MS, MAX_DATAGRAM_BYTES, QuotaLoop
 from troutdock.rpc.messages import (
     INCARNATION_TAG_MODULUS,
     Hello,
@@ -23,7 +23,7 @@
 from troutdock.platform.clock import SystemClock
 from troutdock.quota.bucket import QuotaLimit
 from troutdock.quota.node import QuotaNode
-from troutdock.quota.routes import ALONE, Peers, zones_before
+from troutdock.quota.routes import SINGLE_PROXY, Peers, preceding_zones
 
 TENANT, LIMIT = "t", QuotaLimit(10.0, 20.0)
 OWNER = Hello("espalier", "owner", "127.0.0.1", "a", 11, True)
@@ -31,7 +31,7 @@
 
 
 class Side:
-    """A loop and what it does."""
+    """A QuotaLoop that records its output."""
 
     def __init__(self, me: Hello, peers: dict[str, Hello], lag_ms: Callable[[], float] = lambda: 0.0) -> None:
         clock = SystemClock()
@@ -59,7 +59,7 @@
             self.informed.set()
 
 
-def play(story: Callable[[Side, Side], object]) -> None:
+def run_scenario(scenario: Callable[[Side, Side], object]) -> None:
     async def run() -> None:
         owner, asker = Side(OWNER, {"asker": ASKER}), Side(ASKER, {"owner": OWNER})
         await owner.loop.start((OWNER.ip, 0))
@@ -68,7 +68,7 @@
         owner.loop._port = port
         try:
             async with asyncio.timeout(10):
-                await story(owner, asker)  # type: ignore[misc]
+                await scenario(owner, asker)  # type: ignore[misc]
         finally:
             for side in (owner, asker):
                 side.loop.close()
@@ -80,8 +80,8 @@
     return Peers(frozenset([other]), {}, frozenset([other]), frozenset(), 2, frozenset([busy]))
 
 
-def test_a_demand_goes_to_the_owner_and_its_grant_comes_back() -> None:
-    async def story(owner: Side, asker: Side) -> None:
+def test_a_demand_reaches_the_owner_and_is_granted() -> None:
+    async def scenario(owner: Side, asker: Side) -> None:
         owner.loop.update_peers(linked("owner", "asker", busy="asker"))
         asker.loop.update_peers(linked("asker", "owner", busy="asker"))
         asker.node.demand(asker.loop.now(), TENANT, 7)
@@ -89,18 +89,18 @@
         await asker.informed.wait()
         (grant,) = asker.node.take_grants()
         assert grant.granted == 7 and not asker.on_links
-        # what must come once goes on the link
-        asker.node.give_back(TENANT, 3, grant.term)
+        # returned tokens must arrive exactly once and use the link
+        asker.node.return_tokens(TENANT, 3, grant.term)
         asker.loop.flush()
         ((name, message),) = asker.on_links
         assert name == "owner" and isinstance(message, QuotaSettlement)
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_datagrams_of_strangers_and_of_other_lives_are_dropped_and_counted() -> None:
-    async def story(owner: Side, asker: Side) -> None:
-        owner.loop.update_peers(ALONE)
+def test_datagrams_of_unlinked_senders_and_other_incarnations_are_rejected() -> None:
+    async def scenario(owner: Side, asker: Side) -> None:
+        owner.loop.update_peers(SINGLE_PROXY)
         demands = [TokenDemand(TENANT, 1, 5)]
         for sender, life, ip in (
             ("asker", 23, ASKER.ip),
@@ -124,34 +124,34 @@
         )
         assert owner.node.has_output and owner.node.rejected == 9
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_what_is_too_long_for_a_datagram_goes_on_the_link() -> None:
-    async def story(owner: Side, asker: Side) -> None:
-        votes = [ShardVote(1, "zone", n) for n in range(MOST_DATAGRAM_BYTES // 8)]
+def test_messages_too_long_for_a_datagram_use_the_link() -> None:
+    async def scenario(owner: Side, asker: Side) -> None:
+        votes = [ShardVote(1, "zone", n) for n in range(MAX_DATAGRAM_BYTES // 8)]
         asker.loop._send_messages("owner", [QuotaRequest(votes=votes), QuotaGrant([])])
         assert [type(message) for _, message in asker.on_links] == [QuotaRequest, QuotaGrant]
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_a_late_loop_is_busy_until_it_is_prompt_again() -> None:
-    async def story(owner: Side, asker: Side) -> None:
-        lag = [10 * BUSY_MS]
+def test_a_proxy_is_busy_while_its_event_loop_lags() -> None:
+    async def scenario(owner: Side, asker: Side) -> None:
+        lag = [10 * BUSY_LAG_MS]
         side = Side(OWNER, {}, lambda: lag[0])
         for _ in range(5):
-            side.loop._follow_lag()
+            side.loop._update_lag()
         assert side.statuses == [True]
         lag[0] = 0.0
         for _ in range(30):
-            side.loop._follow_lag()
+            side.loop._update_lag()
         assert side.statuses == [True, False]
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_zones_before() -> None:
-    orders = {shard: zones_before(shard, "a", ["a", "b", "c"]) for shard in range(16)}
+def test_preceding_zones() -> None:
+    orders = {shard: preceding_zones(shard, "a", ["a", "b", "c"]) for shard in range(16)}
     assert all("a" not in zones for zones in orders.values())
     assert any(zones == [] for zones in orders.values()) and any(len(zones) == 2 for zones in orders.values())
