--- a/tests/reservations/test_reservations.py
+++ b/tests/reservations/test_reservations.py
@@ -115,8 +115,8 @@
                 self.in_transit.append((gateway, ask.to, ask))
             if found is None:
                 return
-            held = escrow.entries.get(found)
-            assert held is not None and held.from_ms <= self.now < held.ends_ms
+            reservation = escrow.entries.get(found)
+            assert reservation is not None and reservation.from_ms <= self.now < reservation.ends_ms
             self.used[found] = self.used.get(found, 0) + sum(p.used for p in escrow.parts.values()) - before
 
     @rule(gateway=st.integers(0, 3), units=st.floats(-3, 3), data=st.data())
@@ -200,10 +200,10 @@
     @invariant()
     def no_unit_is_used_twice(self) -> None:
         for id, units in self.made.items():
-            whole = round(units * MILLIUNITS_PER_UNIT) + len(self.entries)
+            total = round(units * MILLIUNITS_PER_UNIT) + len(self.entries)
             parts = sum(e.parts[id].remaining for e in self.fleet if id in e.parts)
-            assert self.used.get(id, 0) <= whole
-            assert self.used.get(id, 0) + parts <= whole  # the sum only decreases
+            assert self.used.get(id, 0) <= total
+            assert self.used.get(id, 0) + parts <= total  # the sum only decreases
         for escrow in self.fleet:
             assert all(0 <= p.free <= p.remaining for p in escrow.parts.values())
 
@@ -238,8 +238,8 @@
     entry = reserve_entry(units=units, first=first, width=width, gateways=gateways)
     parts = [even_part(entry, n) for n in range(gateways + 3)]  # also for gateways added later
     assert sum(parts) == int(units * MILLIUNITS_PER_UNIT) and sum(p > 0 for p in parts) <= width
-    held = [parts[(first + n) % gateways] for n in range(width)]
-    assert max(held) - min(held) <= 1
+    set_parts = [parts[(first + n) % gateways] for n in range(width)]
+    assert max(set_parts) - min(set_parts) <= 1
 
 
 def test_reservation_that_ends_first_is_used_first_and_only_by_its_classes() -> None:
--- a/tests/reservations/test_reserved_front.py
+++ b/tests/reservations/test_reserved_front.py
@@ -195,7 +195,7 @@
 
     async def test() -> None:
         async with world(COSTS) as w, running_reservations(w, tmp_path) as service:
-            whole = service._folder.save
+            original_save = service._folder.save
 
             def full(index: int, parts: Any) -> None:
                 raise OSError("no space left")
@@ -205,7 +205,7 @@
             assert [await status_of(w, n) for n in range(1, 6)].count(200) <= 4 and service.escrow.parts[
                 "r"
             ].used == 0
-            service._folder.save = whole  # type: ignore[method-assign]
+            service._folder.save = original_save  # type: ignore[method-assign]
             await wait_until_free(service)
             (tmp_path / "entries.jsonl").write_bytes(b"[1]\n")
             await until(lambda: "entries.jsonl:1" in caplog.text)
@@ -218,11 +218,11 @@
 
 
 @pytest.mark.parametrize(
-    ("content", "said"),
+    ("content", "expected"),
     [(b"what\n", "parts.json: not a parts file"), (b'{"version":1,"index":3,"parts":{}}', "gateway 3's")],
 )
 def test_parts_folder_of_another_gateway_disables_reservations(
-    tmp_path: Path, content: bytes, said: str, caplog: pytest.LogCaptureFixture
+    tmp_path: Path, content: bytes, expected: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     write_entries(tmp_path / "entries.jsonl", reserve_entry())
     (tmp_path / "own").mkdir()
@@ -230,7 +230,7 @@
 
     async def test() -> None:
         async with world(COSTS) as w, running_reservations(w, tmp_path) as service:
-            await until(lambda: said in caplog.text)
+            await until(lambda: expected in caplog.text)
             assert await status_of(w, 1) == 200 and service.escrow is None
 
     run(test())
@@ -281,12 +281,12 @@
     async def test() -> None:
         async with ingresses(tmp_path, 2) as (a, b):
 
-            async def said(*words: str, of: tuple[Any, ...] = (a, b)) -> tuple[int, str]:
+            async def run_command(*words: str, of: tuple[Any, ...] = (a, b)) -> tuple[int, str]:
                 more = [word for w in of for word in ("--door", w.door)]
                 return await asyncio.to_thread(cli, *words, *more)
 
             end = "2099-01-01T00:00:00Z"
-            got = await said(
+            got = await run_command(
                 "reserve",
                 "0000000000000009",
                 "500",
@@ -305,10 +305,10 @@
                 assert files.read(w.parts[1]._options.file).get("r1") is not None
             await wait_until_free(a.parts[1], "r1")
             assert [await status_of(a, n) for n in range(1, 8)] == [200] * 7
-            code, out = await said("reservations", "0000000000000009")
+            code, out = await run_command("reservations", "0000000000000009")
             assert code == 0 and "500 units" in out and "479 left and 21 used at 1 of 1 gateways" in out
             # an excessive reservation is rejected with an alternative
-            code, out = await said(
+            code, out = await run_command(
                 "reserve",
                 "0000000000000009",
                 "1e6",
@@ -320,11 +320,13 @@
                 "basis",
             )
             assert code == 1 and "the customer's plan" in out and "units would be" in out
-            assert (await said("reserve", "0000000000000009", "5", "--until", end, "--plan", "gold"))[0] == 2
+            assert (await run_command("reserve", "0000000000000009", "5", "--until", end, "--plan", "gold"))[
+                0
+            ] == 2
             assert (
                 "'mail' is none here"
                 in (
-                    await said(
+                    await run_command(
                         "reserve",
                         "0000000000000009",
                         "5",
@@ -340,7 +342,7 @@
             assert (
                 "is over"
                 in (
-                    await said(
+                    await run_command(
                         "reserve",
                         "0000000000000009",
                         "5",
@@ -354,9 +356,9 @@
                 )[1]
             )
             # one ingress that lacks an entry
-            assert (await said("extend", "r1", "--units", "7", "--plan", "basis", of=(b,)))[0] == 0
+            assert (await run_command("extend", "r1", "--units", "7", "--plan", "basis", of=(b,)))[0] == 0
             assert a.parts[1].escrow.entries.get("r1").units == 500
-            code, out = await said("reservations")
+            code, out = await run_command("reservations")
             assert (
                 code == 0
                 and "507 units" in out
@@ -365,7 +367,7 @@
             assert a.parts[1].escrow.entries.get("r1").units == 507
             # assigning a plan that allows less than is reserved prints a warning
             assert (
-                await said(
+                await run_command(
                     "reserve",
                     "0000000000000009",
                     "500",
@@ -379,28 +381,28 @@
                     "plus",
                 )
             )[0] == 0
-            code, out = await said("plans", "assign", "0000000000000009", "basis", "--id", "p1")
+            code, out = await run_command("plans", "assign", "0000000000000009", "basis", "--id", "p1")
             assert code == 0 and "beware" in out and "basis bears 4" in out
             await until(lambda: all(w.engine.plan_of(9) == "basis" for w in (a, b)))
-            code, out = await said("plans", "assign", "0000000000000009", "gold")
+            code, out = await run_command("plans", "assign", "0000000000000009", "gold")
             assert code == 2 and "no plan there" in out
             assert (
-                (await said("plans", "show", "0000000000000009"))[1]
+                (await run_command("plans", "show", "0000000000000009"))[1]
                 .strip()
                 .startswith("0000000000000009: basis")
             )
-            assert (await said("plans", "assign", "0000000000000009", "plus", "--id", "p1"))[
+            assert (await run_command("plans", "assign", "0000000000000009", "plus", "--id", "p1"))[
                 0
             ] == 1  # the id is known with other content
-            assert "p1" in (await said("plans", "history", "0000000000000009"))[1]
+            assert "p1" in (await run_command("plans", "history", "0000000000000009"))[1]
             # after a release, requests use the ordinary quota
-            code, out = await said("release", "r1")
+            code, out = await run_command("release", "r1")
             assert code == 0 and not a.parts[1].escrow.consume(9, "ledger-read", 1.0, time.time() * 1000 + 1)
-            assert "released" in (await said("reservations", "--all"))[1]
-            assert (await said("release", "nothing"))[0] == 2
+            assert "released" in (await run_command("reservations", "--all"))[1]
+            assert (await run_command("release", "nothing"))[0] == 2
             gone = b.door
             b.service._door.close()
-            code, out = await said(
+            code, out = await run_command(
                 "reserve", "0000000000000009", "5", "--until", end, "--plan", "basis", "--id", "r3"
             )
             assert code == 1 and "1 ingresses have not heard" in out and "--id r3" in out and gone in out
@@ -499,8 +501,13 @@
         == 2
     )
     assert cli("extend", "new", "--units", "5", "--id", "x", *bears)[0] == 0
-    held = files.read(Path(file)).get("new")
-    assert held is not None and (held.units, held.first, held.width, held.gateways) == (105.0, 2, 2, 3)
+    reservation = files.read(Path(file)).get("new")
+    assert reservation is not None and (
+        reservation.units,
+        reservation.first,
+        reservation.width,
+        reservation.gateways,
+    ) == (105.0, 2, 2, 3)
     assert (
         "105 units" in cli("reservations", "--file", file)[1]
         and "old  " not in cli("reservations", "--file", file)[1]
@@ -514,7 +521,7 @@
         cli("release", "new", "--file", file)[0] == 0
         and "released" in cli("reservations", "--all", "--file", file)[1]
     )
-    for words, said in (
+    for words, expected in (
         (("reserve", "9", "1", "--until", "2099-01-01", *bears), "16 hex digits"),
         (("reserve", "0000000000000009", "1", "--until", "soon", *bears), "soon"),
         (("reserve", "0000000000000009", "1", "--until", "2099-01-01", "--file", file), "--fleet and --rate"),
@@ -522,7 +529,7 @@
         (("reservations", "--door", "nowhere"), "no host:port"),
     ):
         code, out = cli(*words)
-        assert code == 2 and said in out
+        assert code == 2 and expected in out
 
 
 def test_operator_section_is_validated_and_an_invalid_file_gives_one_line(tmp_path: Path) -> None:
--- a/tests/support/kills.py
+++ b/tests/support/kills.py
@@ -177,7 +177,7 @@
         faults=verdict.faults,
     )
     result.wrong = [
-        f"{c}: {u:g}, and {fleet.billed.get(c)} were told"
+        f"{c}: {u:g} exported, {fleet.billed.get(c)} billed"
         for c, u in by_customer.items()
         if fleet.billed.get(c) != u
     ]
--- a/tests/usage/test_exports.py
+++ b/tests/usage/test_exports.py
@@ -149,15 +149,15 @@
 
 
 @pytest.mark.parametrize(
-    ("by", "said"), [(-3, "8 to 10 are exported twice"), (4, "11 to 14 are in no export"), (0, "")]
+    ("by", "expected"), [(-3, "8 to 10 are exported twice"), (4, "11 to 14 are in no export"), (0, "")]
 )
-def test_verify_finds_duplicates_and_gaps(tmp_path: Path, by: int, said: str) -> None:
+def test_verify_finds_duplicates_and_gaps(tmp_path: Path, by: int, expected: str) -> None:
     def inject(store: MemoryStore) -> None:
         store._of[1].exported += by
 
     faults = faults_after(tmp_path, inject)
-    assert len(faults) == bool(said) and all(
-        said in fault and "usage-n0-00000002" in fault for fault in faults
+    assert len(faults) == bool(expected) and all(
+        expected in fault and "usage-n0-00000002" in fault for fault in faults
     )
 
 
@@ -168,7 +168,7 @@
 
 
 @pytest.mark.parametrize(
-    ("damage", "said"),
+    ("damage", "expected"),
     [
         (lambda f: (f / "usage-n0-00000002.json").unlink(), "export 2 of n0 is missing"),
         (lambda f: (f / "usage-n0-00000002.parquet").unlink(), "No such file"),
@@ -188,12 +188,14 @@
         ),
     ],
 )
-def test_verify_finds_modified_exports(tmp_path: Path, damage: Callable[[Path], object], said: str) -> None:
+def test_verify_finds_modified_exports(
+    tmp_path: Path, damage: Callable[[Path], object], expected: str
+) -> None:
     store, _ = make_ledger(tmp_path)
     Exporter("n0", store, Files(tmp_path / "exports")).run(1.0, max_rows=5)
     assert not verify(Files(tmp_path / "exports")).faults
     damage(tmp_path / "exports")
-    assert any(said in fault for fault in verify(Files(tmp_path / "exports")).faults)
+    assert any(expected in fault for fault in verify(Files(tmp_path / "exports")).faults)
     store.close()
 
 
@@ -267,16 +269,18 @@
             return wrong  # booked, but the response is lost: the next one is 409
         return (409 if known else 201), json.dumps({"acknowledged": digest}).encode()
 
-    said: list[str] = []
+    logged: list[str] = []
     now = [0.0]
     with consumer(book) as url:
-        deliveries = Deliveries(store, files, Consumer(url, response_timeout_ms=2000), Random(1), said.append)
+        deliveries = Deliveries(
+            store, files, Consumer(url, response_timeout_ms=2000), Random(1), logged.append
+        )
         for _ in range(20):
             deliveries.run(lambda: now[0])
             now[0] = max(now[0], deliveries.schedule.due_at)
     assert all(e.acknowledged for e in store.exports()) and len(booked) == 3
     assert sum(booked.values()) == total and order == sorted(order)
-    assert any("acknowledges 'somebody el" in line for line in said)
+    assert any("acknowledges 'somebody el" in line for line in logged)
     verdict = verify(files)
     lines = [json.dumps({"manifest": d, "units": u}).encode() for d, u in booked.items()]
     assert reconcile(verdict, lines) == []
@@ -341,19 +345,19 @@
 def test_usage_commands(tmp_path: Path) -> None:
     store, total = make_ledger(tmp_path)
     store.close()
-    code, said = run("usage", "export", tmp_path, "--ingress", "n0", "--rows", 8)
-    assert code == 0 and said.count("usage-n0-") == 3
-    code, said = run("usage", "verify", tmp_path)
-    assert code == 0 and f"{total:g} given" in said and "0 faults" in said
-    code, said = run("usage", "verify", tmp_path, "--json")
-    assert json.loads(said)["rows"] == 17
+    code, output = run("usage", "export", tmp_path, "--ingress", "n0", "--rows", 8)
+    assert code == 0 and output.count("usage-n0-") == 3
+    code, output = run("usage", "verify", tmp_path)
+    assert code == 0 and f"{total:g} given" in output and "0 faults" in output
+    code, output = run("usage", "verify", tmp_path, "--json")
+    assert json.loads(output)["rows"] == 17
     assert run("usage", "top", tmp_path, "--most", 1)[1].count("\n") == 1
     received = tmp_path / "received.jsonl"
     received.write_text("")
     assert run("usage", "reconcile", tmp_path, "--received", received)[0] == 1
     received.write_text("nonsense\n")
-    code, said = run("usage", "reconcile", tmp_path, "--received", received)
-    assert code == 2 and "line 1" in said
+    code, output = run("usage", "reconcile", tmp_path, "--received", received)
+    assert code == 2 and "line 1" in output
     (tmp_path / "exports" / "usage-n0-00000002.json").unlink()
     assert run("usage", "verify", tmp_path)[0] == 1
     assert run("usage", "verify", tmp_path / "nowhere")[0] == 2
@@ -364,10 +368,10 @@
     file, account = tmp_path / "plans.jsonl", "0000000000000009"
     assert run("plans", "show", account, "--file", file)[1] == f"{account}: as its requests say\n"
     for plan, start in (("basis", "2026-01-01T00:00:00Z"), ("plus", "2026-06-01T00:00:00")):
-        code, said = run(
+        code, output = run(
             "plans", "assign", account, plan, "--file", file, "--from", start, "--id", plan, "--who", "eva"
         )
-        assert code == 0 and f"{plan} from 2026-0" in said
+        assert code == 0 and f"{plan} from 2026-0" in output
     assert (
         run(
             "plans",
@@ -385,16 +389,16 @@
         )[0]
         == 0
     )
-    code, said = run("plans", "show", account, "--file", file, "--at", "2026-02-01")
-    assert said == f"{account}: basis, plus from 2026-06-01T00:00:00.000Z on\n"
+    code, output = run("plans", "show", account, "--file", file, "--at", "2026-02-01")
+    assert output == f"{account}: basis, plus from 2026-06-01T00:00:00.000Z on\n"
     assert run("plans", "history", account, "--file", file)[1].count("\n") == 2
     for bad, named in (
         (("9", "basis"), "account"),
         ((account, "basis", "--from", "soon"), "isoformat"),
         ((account, "plus", "--id", "basis"), "is known as"),
     ):
-        code, said = run("plans", "assign", *bad, "--file", file)
-        assert code == 2 and named in said
+        code, output = run("plans", "assign", *bad, "--file", file)
+        assert code == 2 and named in output
     file.write_text(file.read_text() + "{}\n")
-    code, said = run("plans", "history", account, "--file", file)
-    assert code == 2 and "plans.jsonl:3" in said
+    code, output = run("plans", "history", account, "--file", file)
+    assert code == 2 and "plans.jsonl:3" in output
--- a/tests/usage/test_ledger_front.py
+++ b/tests/usage/test_ledger_front.py
@@ -228,7 +228,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "expected"),
     [
         ("usage:\n  promise: sync\n", ":1: usage: promise sync needs a folder"),
         ("usage:\n  promise: often\n  folder: x\n", ":2: usage.promise"),
@@ -244,12 +244,12 @@
         ("usage:\n  folder: x\n  folder: y\n", ":3:"),
     ],
 )
-def test_invalid_operator_file_names_line_and_key(tmp_path: Path, text: str, said: str) -> None:
+def test_invalid_operator_file_names_line_and_key(tmp_path: Path, text: str, expected: str) -> None:
     file = tmp_path / "operator.yaml"
     file.write_text(text)
     with pytest.raises(OperatorError) as error:
         read_operator(file)
-    assert said in str(error.value) and "\n" not in str(error.value)
+    assert expected in str(error.value) and "\n" not in str(error.value)
 
 
 def test_example_operator_file_is_valid() -> None:
--- a/troutdock/reservations/commitment_limit.py
+++ b/troutdock/reservations/commitment_limit.py
@@ -17,9 +17,7 @@
 # Of the fleet's units per second: usage within quotas takes 83 to 100% of them on the busiest days.
 MAX_COMMITTED_FRACTION = 0.3
 MAX_PLAN_RATE_MULTIPLE = 4.0  # limit of a customer's reserved rate, relative to its plan's rate
-MIN_WINDOW_MS = (
-    10_000.0  # the rate of a shorter window is computed over this time: its units are used at once
-)
+MIN_WINDOW_MS = 10_000.0  # the rate of a shorter window is computed over this: its units are used at once
 
 
 @dataclass(frozen=True, slots=True)
--- a/troutdock/reservations/entries.py
+++ b/troutdock/reservations/entries.py
@@ -115,13 +115,13 @@
 class Entries:
     """An immutable set of entries; Entries() is the empty set."""
 
-    __slots__ = ("_by_id", "_of")
+    __slots__ = ("_by_id", "_by_reservation")
 
     def __init__(
         self, by_id: Map[str, Entry] | None = None, of: Map[str, tuple[Entry, ...]] | None = None
     ) -> None:
         self._by_id: Map[str, Entry] = Map() if by_id is None else by_id
-        self._of: Map[str, tuple[Entry, ...]] = Map() if of is None else of
+        self._by_reservation: Map[str, tuple[Entry, ...]] = Map() if of is None else of
 
     def __eq__(self, other: object) -> bool:
         return isinstance(other, Entries) and self._by_id == other._by_id
@@ -142,11 +142,11 @@
 
     def for_reservation(self, id: str) -> tuple[Entry, ...]:
         """Returns the entries of a reservation, ordered by id, also if its creation is not known."""
-        return self._of.get(id, ())
+        return self._by_reservation.get(id, ())
 
     def without(self, ids: Iterable[str]) -> Entries:
         """Returns the set without the entries of these reservations."""
-        by_id, of = self._by_id.mutate(), self._of.mutate()
+        by_id, of = self._by_id.mutate(), self._by_reservation.mutate()
         for id in ids:
             for entry in of.pop(id, ()):
                 del by_id[entry.id]
@@ -158,7 +158,7 @@
         Raises:
             ConflictError, ValueError: names the first invalid entry; none is added.
         """
-        by_id, of = self._by_id.mutate(), self._of.mutate()
+        by_id, of = self._by_id.mutate(), self._by_reservation.mutate()
         for entry in entries:
             known = by_id.get(entry.id)
             if known == entry:
@@ -174,7 +174,7 @@
         creation = self._by_id.get(id)
         if creation is None or creation.kind is not Kind.RESERVE:
             return None
-        rows = self._of[id]
+        rows = self._by_reservation[id]
         extensions = [e for e in rows if e.kind is Kind.EXTEND]
         released = [e.from_ms for e in rows if e.kind is Kind.RELEASE]
         until_ms = max([creation.until_ms, *(e.until_ms for e in extensions)])
--- a/troutdock/reservations/escrow.py
+++ b/troutdock/reservations/escrow.py
@@ -164,9 +164,7 @@
         self._dirty: dict[str, None] = {}  # reservations whose parts the next save updates
         self._parts_being_saved: tuple[str, ...] = ()  # reservations whose parts the save in progress updates
         self._active: dict[int, list[Reservation]] = {}  # by customer, ordered by end
-        self._upcoming: list[
-            tuple[float, str]
-        ] = []  # heap of times to prepare a window, with the reservation
+        self._upcoming: list[tuple[float, str]] = []  # heap: when to prepare a window, reservation
         self._last_transfer_number = transfer_number_base
         self.save_needed = False  # a save would free units that are wanted
 
