--- a/troutdock/reservations/service.py
+++ b/troutdock/reservations/service.py
@@ -394,12 +394,12 @@
         name = self._engine.plan_of(customer) or wanted.plan
         plan = next((p for p in settings.plans if p.name == name), None)
         if plan is None:
-            raise ValueError(f"plan: {name!r} is none of {', '.join(p.name for p in settings.plans)}")
+            raise ValueError(f"plan: {name!r} is not one of {', '.join(p.name for p in settings.plans)}")
         unknown_classes = [c for c in entry.classes if c not in [k.name for k in settings.classes]]
         if unknown_classes:
-            raise ValueError(f"classes: {unknown_classes[0]!r} is none here")
+            raise ValueError(f"classes: {unknown_classes[0]!r} is not a request class")
         if entry.until_ms <= _now():
-            raise ValueError("until_ms: the window is over")
+            raise ValueError("until_ms: the window has ended")
         return CommitmentBounds(self._fleet_units_per_s(), plan.rate, plan.ceiling_rate)
 
 
