--- a/benchmarks/hollow/ingress.py
+++ b/benchmarks/hollow/ingress.py
@@ -5,8 +5,8 @@
 from typing import Any
 
 from troutdock.settings.configuration import RejectedConfiguration, read_configuration
-from troutdock.proxy.daemon import NOTHING, STATES
-from troutdock.proxy.route_table import Table
+from troutdock.proxy.daemon import EMPTY_SETTINGS, BACKEND_STATES
+from troutdock.proxy.route_table import RouteTable
 from troutdock.proxy.load_exchange import Exchange
 from troutdock.rpc.messages import GONE, Config, Instances, Members, Silence
 from troutdock.endpoints.endpoint_table import EndpointTable
@@ -26,9 +26,9 @@
 
     def __init__(self, name: str, ip: str, zone: str) -> None:
         self.book = EndpointTable()
-        self.fabric = ProxyAdmission(NOTHING, 1, int(zone[1:]))
+        self.fabric = ProxyAdmission(EMPTY_SETTINGS, 1, int(zone[1:]))
         self.exchange = Exchange(name, ip, zone, 1, self.book)
-        self.table: Table | None = None
+        self.table: RouteTable | None = None
         self.numbers: dict[str, int] = {}
         self.instance_of: dict[int, bytes] = {}
         self.pools: dict[str, int] = {}
@@ -36,7 +36,7 @@
         self._last = 0
 
     def hear(self, now: float, message: Any) -> None:
-        """As Ingress._heard."""
+        """As Ingress._handle_registry_message."""
         match message:
             case Config(version, body):
                 self._configure(now, version, bytes(body))
@@ -61,7 +61,7 @@
             return
         found = read_configuration(body)
         assert not isinstance(found, RejectedConfiguration), found
-        table = Table(found, self.tenants)
+        table = RouteTable(found, self.tenants)
         for service in found.services:
             self.pools.setdefault(service, len(self.pools))
         self._tell(now, SettingsChanged(table.settings))
@@ -76,7 +76,7 @@
                 self._last += 1
                 number = self.numbers[entry.id] = self._last
                 self.instance_of[number] = entry.id.encode()
-            told = BackendEntry(number, STATES[entry.state], int(entry.zone[1:]), size=entry.slots)
+            told = BackendEntry(number, BACKEND_STATES[entry.state], int(entry.zone[1:]), size=entry.slots)
             pool = self.pools.setdefault(entry.service, len(self.pools))
             self._tell(now, FleetUpdate(ListKind.CHANGES, [told], pool=pool))
             if entry.state == GONE:
--- a/benchmarks/hollow/zone.py
+++ b/benchmarks/hollow/zone.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from benchmarks.hollow.town import INGRESSES, PEAK_PER_S, Size, state_bytes, zone_of
-from troutdock.proxy.peer_connections import AWAY_S, LOOK_S, ZONE_S
+from troutdock.proxy.peer_connections import REMOTE_BATCH_S, MAINTENANCE_INTERVAL_S, ZONE_BATCH_S
 from troutdock.proxy.load_exchange import ZONE, Exchange
 from troutdock.rpc.connection import PING_INTERVAL_S
 from troutdock.rpc.messages import Instance, Member, Ping, Shares, decode, encode
@@ -108,8 +108,8 @@
             for other, zone in self.away[name].items():
                 self._mirror(name, other, zone, exchange.full(0.0, other, True))
         for at, name in enumerate(self.names):
-            self.time.at(AWAY_S * at / len(self.names), lambda n=name: self._away(n))
-            self.time.at(LOOK_S * at / len(self.names), lambda n=name: self._look(n))
+            self.time.at(REMOTE_BATCH_S * at / len(self.names), lambda n=name: self._away(n))
+            self.time.at(MAINTENANCE_INTERVAL_S * at / len(self.names), lambda n=name: self._look(n))
             self.time.at(self._pause(), lambda n=name: self._ask(n))
 
     def _pause(self) -> float:
@@ -133,7 +133,7 @@
     def _soon(self, name: str) -> None:
         if name not in self.due:
             self.due.add(name)
-            self.time.after(ZONE_S, lambda: self._tell_zone(name))
+            self.time.after(ZONE_BATCH_S, lambda: self._tell_zone(name))
 
     def _tell_zone(self, name: str) -> None:
         self.due.discard(name)
@@ -171,7 +171,7 @@
             for other in self.names[:FULL]:
                 if other != name:
                     self._hear(other, payload, name, HERE, "passed on")
-        self.time.after(AWAY_S, lambda: self._away(name))
+        self.time.after(REMOTE_BATCH_S, lambda: self._away(name))
 
     def _mirror(self, name: str, other: str, zone: str, shares: Shares) -> None:
         """That zone's home says to this one what this one says to it."""
@@ -190,7 +190,7 @@
             exchange.wanted(now, linked, [])
             exchange.company(now)
             self._took("look", name, began)
-        self.time.after(LOOK_S, lambda: self._look(name))
+        self.time.after(MAINTENANCE_INTERVAL_S, lambda: self._look(name))
 
 
 def run(
--- a/tests/support/whole.py
+++ b/tests/support/local_system.py
@@ -18,7 +18,7 @@
 
 
 def free_ports(count: int) -> int:
-    """The first of so many ports in a row that are free on loopback just now."""
+    """Returns the first of `count` consecutive ports; that port is currently free on loopback."""
     while True:
         with socket.socket() as probe:
             probe.bind(("127.0.0.1", 0))
@@ -27,10 +27,10 @@
             return first
 
 
-async def until(found: Callable[[], Any], seconds: float = 20.0) -> Any:
-    """What is found once it is true."""
+async def until(condition: Callable[[], Any], seconds: float = 20.0) -> Any:
+    """Returns the value of the condition once it is true."""
     async with asyncio.timeout(seconds):
-        while not (value := found()):
+        while not (value := condition()):
             await asyncio.sleep(0.005)
     return value
 
@@ -38,7 +38,7 @@
 async def call(
     address: tuple[str, int], method: str, path: str, body: bytes = b"", *headers: str
 ) -> tuple[int, dict, bytes]:
-    """One request on a connection of its own: status, headers, body."""
+    """Sends one request on its own connection; returns status, headers and body."""
     reader, writer = await asyncio.open_connection(*address)
     lines = [
         f"{method} {path} HTTP/1.1",
@@ -51,17 +51,21 @@
     raw = await reader.read()
     writer.close()
     head, _, rest = raw.partition(b"\r\n\r\n")
-    first, *found = head.decode().split("\r\n")
-    return int(first.split()[1]), {k.lower(): v for k, _, v in (line.partition(": ") for line in found)}, rest
+    first, *header_lines = head.decode().split("\r\n")
+    return (
+        int(first.split()[1]),
+        {k.lower(): v for k, _, v in (line.partition(": ") for line in header_lines)},
+        rest,
+    )
 
 
 class Backend:
-    """Answers what it is told to; seen holds each request's headers."""
+    """A scripted backend. seen: the headers of each request; respond: returns the response, None closes."""
 
     def __init__(
-        self, id: str, says: Callable[[dict[str, str]], tuple[int, dict[str, str], bytes] | None]
+        self, id: str, respond: Callable[[dict[str, str]], tuple[int, dict[str, str], bytes] | None]
     ) -> None:
-        self.id, self.says, self.seen = id, says, []  # type: ignore[var-annotated]
+        self.id, self.respond, self.seen = id, respond, []  # type: ignore[var-annotated]
         self.address = ("", 0)
 
     async def start(self) -> None:
@@ -76,16 +80,20 @@
                 body = await reader.readexactly(int(headers.get("content-length", 0)))
                 headers[":first"], headers[":body"] = first, body.decode()
                 self.seen.append(headers)
-                answer: Any = self.says(headers)
-                if asyncio.iscoroutine(answer):
-                    answer = await answer
-                if answer is None:
+                response: Any = self.respond(headers)
+                if asyncio.iscoroutine(response):
+                    response = await response
+                if response is None:
                     break
-                status, more, text = answer
-                more = {"Attempt-Id": headers.get("attempt-id", ""), "Content-Length": str(len(text)), **more}
+                status, response_headers, text = response
+                response_headers = {
+                    "Attempt-Id": headers.get("attempt-id", ""),
+                    "Content-Length": str(len(text)),
+                    **response_headers,
+                }
                 writer.write(
                     f"HTTP/1.1 {status} X\r\n".encode()
-                    + b"".join(f"{k}: {v}\r\n".encode() for k, v in more.items())
+                    + b"".join(f"{k}: {v}\r\n".encode() for k, v in response_headers.items())
                     + b"\r\n"
                     + text
                 )
@@ -95,7 +103,7 @@
             writer.close()
 
 
-def good(_: dict[str, str]) -> tuple[int, dict[str, str], bytes]:
+def success(_: dict[str, str]) -> tuple[int, dict[str, str], bytes]:
     return 200, {"Response-Signature": "s"}, b"whole"
 
 
@@ -124,21 +132,21 @@
 }
 
 
-class Whole:
-    """Three core machines and two ingresses."""
+class LocalSystem:
+    """Three core machines, each with a store and a registry, and two ingresses."""
 
     def __init__(self, folder: Path) -> None:
-        self.folder, self.ports = folder, free_ports(8)
-        net = f"127.{20 + os.getpid() % 200}"  # test processes beside this one have others
-        self.core = [f"{net}.1.{n}" for n in (1, 2, 3)]
-        self.edge = [f"{net}.2.{n}" for n in (1, 2)]
+        self.folder, self.first_port = folder, free_ports(8)
+        network = f"127.{20 + os.getpid() % 200}"  # parallel test processes use other networks
+        self.core_ips = [f"{network}.1.{n}" for n in (1, 2, 3)]
+        self.ingress_ips = [f"{network}.2.{n}" for n in (1, 2)]
         self.stores: dict[str, Store] = {}
         self.registries: dict[str, Daemon] = {}
         self.ingresses: dict[str, Ingress] = {}
-        self.life = 0
+        self.incarnation = 0
 
-    def boot(self, ip: str, zone: str, first: bool, data: bool) -> Any:
-        port = self.ports
+    def make_boot(self, ip: str, zone: str, first: bool, data: bool) -> Any:
+        port = self.first_port
         return parse_boot(
             {
                 "nodeName": f"n-{ip}",
@@ -150,44 +158,44 @@
                     "readiness": f"{ip}:{port + 4}",
                     "controlPlane": f"{ip}:{port + 5}",
                 },
-                # ingresses are told one of the core only: the others they learn of
-                "seedNodes": [f"{c}:{port + 5}" for c in (self.core if data else self.core[:1])],
+                # ingresses have one seed only and learn of the other core machines
+                "seedNodes": [f"{c}:{port + 5}" for c in (self.core_ips if data else self.core_ips[:1])],
                 "bootstrap": first,
                 "heartbeatS": 0.5,
                 "dataDirectory": str(self.folder / ip) if data else None,
             }
         )
 
-    def control(self, ip: str) -> tuple[str, int]:
-        return ip, self.ports + 5
+    def control_address(self, ip: str) -> tuple[str, int]:
+        return ip, self.first_port + 5
 
-    def http(self, ip: str) -> tuple[str, int]:
-        return ip, self.ports + 3
+    def http_address(self, ip: str) -> tuple[str, int]:
+        return ip, self.first_port + 3
 
     async def start_store(self, ip: str, first: bool = False, seeds: tuple[str, ...] | None = None) -> None:
-        self.life += 1
-        boot = self.boot(ip, ip, first, True)
+        self.incarnation += 1
+        boot = self.make_boot(ip, ip, first, True)
         if seeds is not None:
-            boot = replace(boot, seeds=tuple((host, self.ports + 5) for host in seeds))
-        self.stores[ip] = Store(boot, self.life)
-        await self.stores[ip].start((ip, self.ports + 1))
+            boot = replace(boot, seeds=tuple((host, self.first_port + 5) for host in seeds))
+        self.stores[ip] = Store(boot, self.incarnation)
+        await self.stores[ip].start((ip, self.first_port + 1))
 
     async def start_registry(self, ip: str, first: bool = False) -> None:
-        self.life += 1
-        self.registries[ip] = Daemon(self.boot(ip, ip, first, True), self.life)
-        await self.registries[ip].start(self.control(ip), (ip, self.ports))
+        self.incarnation += 1
+        self.registries[ip] = Daemon(self.make_boot(ip, ip, first, True), self.incarnation)
+        await self.registries[ip].start(self.control_address(ip), (ip, self.first_port))
 
     async def start_ingress(self, ip: str, first: bool = False) -> Ingress:
-        self.life += 1
-        boot = self.boot(ip, "z", first, False)
-        await until(lambda: self._free(ip))
-        self.ingresses[ip] = ingress = Ingress(boot, "nowhere", self.life)
-        await ingress.start(boot.listen["http"], boot.listen["readiness"], (ip, self.ports))
+        self.incarnation += 1
+        boot = self.make_boot(ip, "z", first, False)
+        await until(lambda: self._ports_free(ip))
+        self.ingresses[ip] = ingress = Ingress(boot, "nowhere", self.incarnation)
+        await ingress.start(boot.listen["http"], boot.listen["readiness"], (ip, self.first_port))
         return ingress
 
-    def _free(self, ip: str) -> bool:
-        """What stood at its ports before has let them go."""
-        for port in (self.ports, self.ports + 3, self.ports + 4):
+    def _ports_free(self, ip: str) -> bool:
+        """Whether a previous process has released the ports of this address."""
+        for port in (self.first_port, self.first_port + 3, self.first_port + 4):
             try:
                 socket.create_server((ip, port)).close()
             except OSError:
@@ -195,18 +203,18 @@
         return True
 
     async def start(self) -> None:
-        for ip in self.core:
+        for ip in self.core_ips:
             await self.start_store(ip, True)
             await self.start_registry(ip, True)
-        for ip in self.edge:
+        for ip in self.ingress_ips:
             await self.start_ingress(ip, True)
 
-    async def put(self, configuration: dict = CONFIGURATION, ip: str = "") -> int:
-        """Sent again as an operator does, until there is a clear answer."""
+    async def put_configuration(self, configuration: dict = CONFIGURATION, ip: str = "") -> int:
+        """Sends a configuration, with retries until the status is below 500, as an operator would."""
         async with asyncio.timeout(20):
             while True:
                 status, _, _ = await call(
-                    self.control(ip or self.core[1]),
+                    self.control_address(ip or self.core_ips[1]),
                     "POST",
                     "/configuration/replace",
                     json.dumps(configuration).encode(),
@@ -215,7 +223,9 @@
                     return status
                 await asyncio.sleep(0.02)
 
-    async def beat(self, backend: Backend, state: str = "available", count: int = 1, ip: str = "") -> int:
+    async def send_heartbeat(
+        self, backend: Backend, state: str = "available", count: int = 1, ip: str = ""
+    ) -> int:
         body = {
             "service": "s",
             "address": "{}:{}".format(*backend.address),
@@ -227,23 +237,23 @@
         }
         return (
             await call(
-                self.control(ip or self.core[0]),
+                self.control_address(ip or self.core_ips[0]),
                 "POST",
                 f"/instances/{backend.id}/heartbeat",
                 json.dumps(body).encode(),
             )
         )[0]
 
-    async def ready(self) -> None:
+    async def wait_until_ready(self) -> None:
         await until(lambda: all(i.ready for i in self.ingresses.values()))
 
     async def close(self) -> None:
         for ingress in self.ingresses.values():
             ingress.server.begin_handover()
-            if hasattr(ingress.server, "_listener"):  # else it never opened
+            if hasattr(ingress.server, "_listener"):  # otherwise it never listened
                 ingress.server._listener.close()
             ingress.engine.close()
-            ingress.feed.close()
+            ingress.registry_client.close()
             ingress.mesh.close()
             ingress._readiness.close()
         for part in (*self.registries.values(), *self.stores.values()):
--- a/tests/support/quota_network.py
+++ b/tests/support/quota_network.py
@@ -13,7 +13,7 @@
 from math import inf
 from random import Random
 
-from troutdock.proxy.peer_connections import BUSY_MEMORY_S
+from troutdock.proxy.peer_connections import BUSY_RETENTION_S
 from troutdock.proxy.load_exchange import Exchange, Services
 from troutdock.rpc.messages import Member, Message, QuotaGrant, QuotaRequest, QuotaStatus
 from troutdock.quota.node import QuotaNode
@@ -336,7 +336,7 @@
         if end in self.ends:
             del self.ends[end]
             if end.peer.name in self._busy_until:
-                self._busy_until[end.peer.name] = self.now + BUSY_MEMORY_S
+                self._busy_until[end.peer.name] = self.now + BUSY_RETENTION_S
             self.tell_peers()
             self._dial_soon()
 
--- a/tests/system/test_proxy_outcomes.py
+++ b/tests/system/test_proxy_outcomes.py
@@ -26,7 +26,7 @@
 from troutdock.proxy import daemon as daemon_module
 from troutdock.proxy import request_reader
 from troutdock.proxy.daemon import Ingress
-from troutdock.proxy.request_reader import SystemRequest
+from troutdock.proxy.request_reader import RoutedRequest
 from troutdock.endpoints.endpoint_table import Endpoint
 from troutdock.admission import proxy_admission
 from troutdock.admission.interface import Outcome
@@ -589,13 +589,13 @@
         }
     )
     ingress = Ingress(boot, "nowhere", 1)
-    ingress._decides.mesh = None
+    ingress._publishing_admission.mesh = None
     ingress.transport.idle_connection_reset = lambda idle_s: None  # type: ignore[method-assign]  # rows must not influence each other's connection reuse
     ingress._configure(1, configuration(of))
     address = ingress.server.listen((ip, 0), hold=True)
-    ingress._open()
-    ingress._sweep()
-    ingress._sample()
+    ingress._start_accepting()
+    ingress._sweep_connections()
+    ingress._sample_lag()
     return ingress, address
 
 
@@ -603,11 +603,11 @@
     """Registers a backend with its latency factor: the one with the lower factor is selected first."""
     now = asyncio.get_running_loop().time()
     id = f"{name}{run.number}"
-    ingress._instances(
+    ingress._update_backends(
         [Endpoint(id, f"s{run.number}", "{}:{}".format(*backend.address), "z", 2, 0, 0.0, now, now)]
     )
-    number = ingress._numbers[id]
-    ingress.fabric.backends[number].latency_factor = speed
+    number = ingress._backend_numbers[id]
+    ingress.admission.backends[number].latency_factor = speed
     return number
 
 
@@ -622,7 +622,7 @@
         await second.start()
         number = introduce(ingress, run, "i-first-", first, 1.0)
         introduce(ingress, run, "i-second-", second, 2.5)
-        pool = ingress.fabric.pools[ingress._pools[f"s{run.number}"]]
+        pool = ingress.admission.pools[ingress._pool_numbers[f"s{run.number}"]]
         pool.retry_budget = 5.0
         await client.open()
         nonce = f"n{run.number}"
@@ -828,9 +828,9 @@
                 attempt.owner.request.id if attempt is not None and attempt.owner is not None else b""
             )
             change(seen)
-            return request_reader.verdict(attempt, seen)
+            return request_reader.classify_backend_response(attempt, seen)
 
-        patch.setattr(daemon_module, "verdict", changed)
+        patch.setattr(daemon_module, "classify_backend_response", changed)
 
     return inject
 
@@ -894,12 +894,12 @@
         "REFUSED",
     ),
     "what was written in part never ran": (
-        sets(SystemRequest, "traits", ProtocolTraits(True, True, False)),
+        sets(RoutedRequest, "traits", ProtocolTraits(True, True, False)),
         ("reset, the body half read",),
         "row",
     ),
     "a refusal that promises nothing is passed on": (
-        sets(request_reader, "PROMISES", ()),
+        sets(request_reader, "NOT_EXECUTED_STATUSES", ()),
         ("503 of the backend, which promises what it does not say",),
         "REFUSED",
     ),
@@ -1042,7 +1042,7 @@
             backend.normal = any_row
             await backend.start()
             introduce(ingress, calls[number % 2], f"i{number}-", backend, 1.0)
-        for pool in ingress.fabric.pools.values():
+        for pool in ingress.admission.pools.values():
             pool.retry_budget = 1000.0
         await asyncio.gather(*map(client, range(CLIENTS)))
         return asked, backends
@@ -1250,7 +1250,9 @@
             )
             if when == "in the answer":
                 await until(lambda: any(call.committed for call in ingress.engine._calls.values()))
-            ending = asyncio.create_task(ingress.end(0.6 if when == "to the end of the grace" else 10.0))
+            ending = asyncio.create_task(
+                ingress.shut_down(0.6 if when == "to the end of the grace" else 10.0)
+            )
             await until(lambda: ingress._ending)
             if when == "to the end of the grace":
                 got = await client.answer()
--- a/tests/system/test_registry_simulation.py
+++ b/tests/system/test_registry_simulation.py
@@ -8,7 +8,7 @@
 
 import pytest
 from simulated_registries import SimulatedCore, Violation, run_schedule
-from whole import Backend, Whole, call, good, until
+from local_system import Backend, LocalSystem, call, success, until
 
 from troutdock.rpc.messages import GONE, InstancesAck
 from troutdock.registry.storage import InstanceStorage
@@ -140,11 +140,11 @@
     tmp_path: Path,
 ) -> None:
     async def scenario() -> None:
-        system = Whole(tmp_path)
+        system = LocalSystem(tmp_path)
         try:
             await system.start()
-            assert await system.put() == 200
-            backend = Backend("i-1", good)
+            assert await system.put_configuration() == 200
+            backend = Backend("i-1", success)
             await backend.start()
             await until(
                 lambda: all(
@@ -152,27 +152,29 @@
                     for r in system.registries.values()
                 )
             )
-            assert await system.beat(backend) == 200
-            assert await system.beat(backend, "draining", 2, system.core[1]) == 200
+            assert await system.send_heartbeat(backend) == 200
+            assert await system.send_heartbeat(backend, "draining", 2, system.core_ips[1]) == 200
             for id in ("i-1", "i-never"):
                 async with asyncio.timeout(10):
-                    while (await call(system.control(system.core[2]), "POST", f"/instances/{id}/deregister"))[
-                        0
-                    ] != 200:
+                    while (
+                        await call(
+                            system.control_address(system.core_ips[2]), "POST", f"/instances/{id}/deregister"
+                        )
+                    )[0] != 200:
                         await asyncio.sleep(0.01)
-            for ip in system.core:
+            for ip in system.core_ips:
                 system.registries.pop(ip).close()
             stored = {}
-            for ip in system.core:
+            for ip in system.core_ips:
                 memory = InstanceStorage(tmp_path / ip)
                 stored[ip] = {entry.id: entry.state for entry in memory.load() or []}
                 memory.close()
             assert all(
                 sum(disk.get(id) == GONE for disk in stored.values()) >= 2 for id in ("i-1", "i-never")
             )
-            for ip in system.core:
+            for ip in system.core_ips:
                 await system.start_registry(ip)
-            await system.beat(backend, "available", 1)
+            await system.send_heartbeat(backend, "available", 1)
             await until(
                 lambda: all(
                     {e.state for e in r.registry.endpoints.entries.values()} == {GONE}
--- a/tests/system/test_system_command.py
+++ b/tests/system/test_system_command.py
@@ -8,7 +8,7 @@
 
 import pytest
 from typer.testing import CliRunner
-from whole import CONFIGURATION, Backend, Whole, good, until
+from local_system import CONFIGURATION, Backend, LocalSystem, success, until
 
 from troutdock.config_store.storage import FILE
 from troutdock.cli.app import app
@@ -21,16 +21,16 @@
 
 def test_status_and_members_of_a_running_system_and_history_of_a_stopped_store(tmp_path: Path) -> None:
     async def scenario() -> None:
-        system = Whole(tmp_path)
+        system = LocalSystem(tmp_path)
         try:
             await system.start()
-            assert await system.put() == 200
-            backend = Backend("i-1", good)
+            assert await system.put_configuration() == 200
+            backend = Backend("i-1", success)
             await backend.start()
-            await system.beat(backend)
-            await system.ready()
-            at = "{}:{}".format(*system.control(system.core[0]))
-            registry = system.registries[system.core[0]].registry
+            await system.send_heartbeat(backend)
+            await system.wait_until_ready()
+            at = "{}:{}".format(*system.control_address(system.core_ips[0]))
+            registry = system.registries[system.core_ips[0]].registry
             await until(lambda: len(registry.status()["members"]) == 2)  # type: ignore[arg-type]
             code, text = await asyncio.to_thread(run, "status", "--at", at)
             assert (
@@ -43,9 +43,9 @@
             newer.write_text(json.dumps({**CONFIGURATION, "revision": "r6"}))
             code, text = await asyncio.to_thread(run, "put", str(newer), "--at", "127.0.0.1:1", "--at", at)
             assert (code, text) == (0, "r6 is kept\n")
-            assert await system.put() == 200  # an older revision is repeated
+            assert await system.put_configuration() == 200  # an older revision is repeated
             code, text = await asyncio.to_thread(run, "members", "--at", at, "--json")
-            assert {m["ip"] for m in json.loads(text)} == set(system.edge)
+            assert {m["ip"] for m in json.loads(text)} == set(system.ingress_ips)
         finally:
             await system.close()
 
--- a/troutdock/cli/system.py
+++ b/troutdock/cli/system.py
@@ -18,7 +18,7 @@
     read_configuration,
 )
 from troutdock.settings.table import REQUIRED
-from troutdock.proxy.route_table import Table
+from troutdock.proxy.route_table import RouteTable
 from troutdock.rpc.messages import WriteAck
 from troutdock.rpc.event_trace import TraceError, replay_events, read_trace
 from troutdock.config_store.replica import EVENTS, again
@@ -121,11 +121,11 @@
 ) -> None:
     """Which route, services and tenant a request takes under a configuration; exit 1 where it takes none."""
     with plain_errors():
-        table = Table(_configuration(file), {})
+        table = RouteTable(_configuration(file), {})
     host, slash, path = url.removeprefix("http://").partition("/")
     path = (slash + path or "/").partition("?")[0]
     found = table.find(host.partition(":")[0].lower().encode(), path.encode())
-    holder = table.holder(key.encode())
+    holder = table.key_owner(key.encode())
     told: dict[str, Any] = {"status": 404, "why": "no route"}
     if found is not None:
         route = found.route
--- a/troutdock/proxy/__init__.py
+++ b/troutdock/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The proxy of the whole gateway, on troutdock's engine, front and transport."""
+"""The proxy of the system, built on troutdock's engine, HTTP frontend and transport."""
--- a/troutdock/proxy/daemon.py
+++ b/troutdock/proxy/daemon.py
@@ -1,7 +1,8 @@
-"""The proxy's loop: clients, backends, news from the registry, other ingresses, readiness, the end.
+"""The proxy process: clients, backends, registry updates, other ingresses, readiness and shutdown.
 
-What clients and backends are spoken to with is troutdock's: engine, front and transport. Here they get the
-system's reader and verdict, and the decision module for many ingresses (admission.proxy_admission).
+Clients and backends are served by troutdock's engine, HTTP frontend and transport. This module configures
+them with the route-based request reader, the classification of backend responses, and the decision module
+for several ingresses (admission.proxy_admission).
 """
 
 from __future__ import annotations
@@ -17,12 +18,23 @@
 from troutdock.settings.boot import Boot, load_boot
 from troutdock.settings.configuration import RejectedConfiguration, read_configuration
 from troutdock.settings.table import SettingsError
-from troutdock.proxy.registry_watch import Act, Note, Ready, Serve, Serving, same
-from troutdock.proxy.peer_connections import ROLE, Mesh
-from troutdock.proxy.registry_connections import Feed
+from troutdock.proxy.registry_watch import (
+    ConfigAction,
+    LogMessage,
+    BecomeReady,
+    ApplyConfig,
+    ConfigSelector,
+    digests_match,
+)
+from troutdock.proxy.peer_connections import INGRESS_ROLE, PeerMesh
+from troutdock.proxy.registry_connections import RegistryClient
 from troutdock.proxy.quota_loop import QuotaLoop
-from troutdock.proxy.request_reader import SystemReader, passes, verdict
-from troutdock.proxy.route_table import Table
+from troutdock.proxy.request_reader import (
+    RoutedRequestReader,
+    forwarded_response_headers,
+    classify_backend_response,
+)
+from troutdock.proxy.route_table import RouteTable
 from troutdock.proxy.load_exchange import News
 from troutdock.rpc.http_calls import HttpRequest, HttpServer, HttpResponse
 from troutdock.rpc.connection import SILENCE_TIMEOUT_S, Address, PeerConnection
@@ -66,19 +78,19 @@
 
 log = logbook.Logger("espalier")
 
-OTHER_DESCRIPTORS = 350  # of the process: files, links, doors
-CONNECT_S = 0.5  # for a connection to a backend to come up
-IDLE_S = 10.0  # until a backend closes a connection that stands idle
-SAMPLE_S = 0.05  # between two samples of this process's own lateness: each is a wake-up
-SWEEP_S = 0.25
-FORGET_S = 30.0  # between two looks for what has long been gone
-SETTINGS_S = 2.0  # between two looks at the settings file, which may change without a signal
-DRAIN_MOST_S = 2.6  # after SIGTERM clients still come: two questions for readiness have to be missed
-DOOR_S = 0.9  # from the start until clients are told that there is no configuration yet, or are served
-LEFT_S = 0.4  # of the grace: kept for the end itself
-HANDOVER_S = 0.02  # for the buckets of quotas to leave before the links end
-STATES = {0: BackendState.READY, 1: BackendState.DRAINING, 2: BackendState.GONE}
-NOTHING = Settings(
+RESERVED_DESCRIPTORS = 350  # file descriptors for files, internal connections and listeners
+BACKEND_CONNECT_TIMEOUT_S = 0.5
+BACKEND_IDLE_TIMEOUT_S = 10.0  # time after which a backend closes an idle connection
+LAG_SAMPLE_INTERVAL_S = 0.05  # between two samples of the event loop's lag; each sample wakes the process
+SWEEP_INTERVAL_S = 0.25
+CLEANUP_INTERVAL_S = 30.0  # between two removals of expired state
+SETTINGS_POLL_INTERVAL_S = 2.0  # between two checks of the settings file, which may change without a signal
+DRAIN_ACCEPT_S = 2.6  # clients still arrive after SIGTERM: the platform needs two failed readiness checks
+MAX_CONFIG_WAIT_S = 0.9  # after the start; clients that wait longer for a configuration get 503
+SHUTDOWN_RESERVE_S = 0.4  # part of the grace period that is reserved for the shutdown itself
+QUOTA_HANDOVER_S = 0.02  # for the quota buckets to be sent before the connections are closed
+BACKEND_STATES = {0: BackendState.READY, 1: BackendState.DRAINING, 2: BackendState.GONE}
+EMPTY_SETTINGS = Settings(
     gateways=1,
     index=0,
     classes=(RequestClass(1000, 1000, 1, Effect.SAFE),),
@@ -92,75 +104,75 @@
 )
 
 
-class Recorder:
-    """The decision module, and after each event what it has changed that others are to know."""
+class PublishingAdmission:
+    """Passes events to the decision module and publishes the changes that other ingresses need."""
 
-    def __init__(self, fabric: ProxyAdmission) -> None:
-        self.fabric = fabric
-        self.mesh: Mesh | None = None
+    def __init__(self, admission: ProxyAdmission) -> None:
+        self.admission = admission
+        self.mesh: PeerMesh | None = None
         self.quotas: QuotaLoop | None = None
         self.instance_of: Mapping[int, bytes] = {}
 
     @property
     def settings(self) -> Settings:
-        return self.fabric.settings
+        return self.admission.settings
 
     def handle(self, now: float, event: Event) -> Actions:
-        fabric, mesh = self.fabric, self.mesh
-        actions = fabric.handle(now, event)
-        if mesh is not None and fabric.loads_changed:
-            for backend in fabric.loads_changed:
+        admission, mesh = self.admission, self.mesh
+        actions = admission.handle(now, event)
+        if mesh is not None and admission.loads_changed:
+            for backend in admission.loads_changed:
                 if (instance := self.instance_of.get(backend)) is not None:
-                    mesh.load(instance.decode(), fabric.own_load(backend))
-            fabric.loads_changed.clear()
+                    mesh.update_load(instance.decode(), admission.own_load(backend))
+            admission.loads_changed.clear()
         if self.quotas is not None:
             self.quotas.flush_soon()
         return actions
 
 
 class Ingress:
-    """One proxy; it belongs to the event loop that runs."""
+    """One proxy process; bound to the running event loop."""
 
-    def __init__(self, boot: Boot, path: str, life: int) -> None:
+    def __init__(self, boot: Boot, path: str, incarnation: int) -> None:
         self._boot, self._path = boot, path
         self._loop = asyncio.get_running_loop()
-        self._hello = Hello(ROLE, boot.name, boot.ip, boot.zone, life, leases=True)
-        random = Random(f"{boot.name} {life}")
+        self._hello = Hello(INGRESS_ROLE, boot.name, boot.ip, boot.zone, incarnation, leases=True)
+        random = Random(f"{boot.name} {incarnation}")
         values = boot.values
         zones = sorted({*values["zones"], boot.zone})
         self._zones = {zone: number for number, zone in enumerate(zones)}
         self.clock = SystemClock()
-        node = QuotaNode(boot.name, boot.zone, life, self.clock.now() / 1000, boot.bootstrap)
-        self.fabric = ProxyAdmission(
-            NOTHING,
+        node = QuotaNode(boot.name, boot.zone, incarnation, self.clock.now() / 1000, boot.bootstrap)
+        self.admission = ProxyAdmission(
+            EMPTY_SETTINGS,
             random.getrandbits(32),
             self._zones[boot.zone],
             values["bounds.retryRatio"],
             values["bounds.retryAllowance"],
             node,
         )
-        self._decides = Recorder(self.fabric)
-        self.engine = Engine(NOTHING, 0, self.clock, self._loop, self._decides)
+        self._publishing_admission = PublishingAdmission(self.admission)
+        self.engine = Engine(EMPTY_SETTINGS, 0, self.clock, self._loop, self._publishing_admission)
         self.engine.relay_backend_errors = True
-        self.lag = Lag(self.clock.now, SAMPLE_S)
-        descriptors = max(64, values["limits.fileDescriptors"] - OTHER_DESCRIPTORS)
+        self.lag = Lag(self.clock.now, LAG_SAMPLE_INTERVAL_S)
+        descriptors = max(64, values["limits.fileDescriptors"] - RESERVED_DESCRIPTORS)
         self.transport = HttpTransport(
             descriptors // 2,
-            CONNECT_S,
-            IDLE_S,
+            BACKEND_CONNECT_TIMEOUT_S,
+            BACKEND_IDLE_TIMEOUT_S,
             self.engine.attempt_ended,
             lag=self.lag,
             streams=self.engine,
-            classify=verdict,
+            classify=classify_backend_response,
         )
-        self.book = EndpointTable()
-        self._numbers: dict[str, int] = {}  # of instances
+        self.endpoints = EndpointTable()
+        self._backend_numbers: dict[str, int] = {}  # by instance id
         self._instance_of: dict[int, bytes] = {}
-        self._last_instance = 0
-        self._decides.instance_of = self._instance_of
-        self._pools: dict[str, int] = {}  # of services
-        self._tenants: dict[str, int] = {}  # numbers
-        self.reader = SystemReader(self._pool_of, self._instance_of.__getitem__, random)
+        self._last_backend_number = 0
+        self._publishing_admission.instance_of = self._instance_of
+        self._pool_numbers: dict[str, int] = {}  # by service
+        self._tenant_numbers: dict[str, int] = {}  # by name
+        self.reader = RoutedRequestReader(self._pool_of, self._instance_of.__getitem__, random)
         memory = values["limits.memoryMb"]
         self.server = Server(
             self.engine,
@@ -171,16 +183,23 @@
             max_streams=max_streams_for(memory),
         )
         self.server.health_path = None
-        self.server.forwarded_headers = passes
-        self.server.drain_accept_s = self.server.drain_most_s = DRAIN_MOST_S
-        self.serving = Serving(self._loop.time(), values["bounds.contactS"])
-        self.feed = Feed(boot, self._hello, self._heard, self._followed, self.serving.lost, self._has)
-        self.mesh = Mesh(
+        self.server.forwarded_headers = forwarded_response_headers
+        self.server.drain_accept_s = self.server.drain_most_s = DRAIN_ACCEPT_S
+        self.config_selector = ConfigSelector(self._loop.time(), values["bounds.contactS"])
+        self.registry_client = RegistryClient(
             boot,
             self._hello,
-            self._others,
-            self._company,
-            self.book,
+            self._handle_registry_message,
+            self._registry_subscribed,
+            self.config_selector.registry_lost,
+            self._is_outdated,
+        )
+        self.mesh = PeerMesh(
+            boot,
+            self._hello,
+            self._peer_loads_changed,
+            self._ingress_count_changed,
+            self.endpoints,
             self._quota_peers_changed,
             self._quota_message,
         )
@@ -195,164 +214,169 @@
             self.mesh.set_busy,
             boot.bootstrap,
         )
-        self._decides.mesh, self._decides.quotas = self.mesh, self.quotas
-        self._readiness = HttpServer(self._ready, 1024)
+        self._publishing_admission.mesh, self._publishing_admission.quotas = self.mesh, self.quotas
+        self._readiness = HttpServer(self._answer_readiness, 1024)
         self._sampled_at = self._loop.time()
-        self._ending = self._opened = False
-        self._mark: tuple[int, int, int] | None = None  # of the settings file that was read last
+        self._ending = self._accepting = False
+        self._settings_stamp: tuple[int, int, int] | None = None  # of the settings file as last read
 
-    async def start(self, http: Address, readiness: Address, inner: Address) -> Address:
-        """Open the doors and begin to follow the news; gives the clients' address."""
+    async def start(self, http: Address, readiness: Address, internal: Address) -> Address:
+        """Starts listening and connects to a registry; returns the address for clients."""
         await self._readiness.listen(readiness)
-        # who comes before there is a configuration stands at the door for a moment: nothing of it is read yet
+        # connections that arrive before there is a configuration are held unread for up to MAX_CONFIG_WAIT_S
         address = self.server.listen(http, hold=True)
-        self._loop.call_later(DOOR_S, self._open)
-        self._loop.call_later(self.serving.contact_s, self._tick_serving)
-        await self.mesh.start(inner)
-        await self.quotas.start(inner)
-        self.feed.start()
-        self._sweep()
-        self._sample()
-        self._forget()
-        self._look_at_settings()
-        log.info("Serves at {}:{}.", *address)
+        self._loop.call_later(MAX_CONFIG_WAIT_S, self._start_accepting)
+        self._loop.call_later(self.config_selector.contact_s, self._tick_config_selector)
+        await self.mesh.start(internal)
+        await self.quotas.start(internal)
+        self.registry_client.start()
+        self._sweep_connections()
+        self._sample_lag()
+        self._remove_expired()
+        self._poll_settings()
+        log.info("Serving at {}:{}.", *address)
         return address
 
-    def _open(self) -> None:
-        """Take clients; harmless twice."""
-        if not self._opened and not self._ending:
-            self._opened = True
+    def _start_accepting(self) -> None:
+        """Starts to read from clients; idempotent."""
+        if not self._accepting and not self._ending:
+            self._accepting = True
             self.server.open()
 
     # ---- readiness
 
     @property
     def ready(self) -> bool:
-        """Wants clients: it has had the newest configuration, and knows a backend."""
+        """Whether this ingress is ready: the newest configuration has been served and a backend is known."""
         return (
-            self.serving.ready and not self._ending and bool(self._numbers) and self.reader.table is not None
+            self.config_selector.ready
+            and not self._ending
+            and bool(self._backend_numbers)
+            and self.reader.table is not None
         )
 
-    async def _ready(self, call: HttpRequest) -> HttpResponse:
+    async def _answer_readiness(self, request: HttpRequest) -> HttpResponse:
         return HttpResponse(200 if self.ready else 503)
 
-    # ---- news
+    # ---- registry
 
-    def _followed(self, link: PeerConnection) -> None:
-        """A registry is followed anew: it may have lost what this ingress knows."""
-        self.serving.followed()
+    def _registry_subscribed(self, connection: PeerConnection) -> None:
+        """Sends the known instances to a newly subscribed registry, which may have lost them."""
+        self.config_selector.registry_changed()
         now = self._loop.time()
-        known = self.book.snapshot(now)
+        known = self.endpoints.snapshot(now)
         if known:
-            link.send(Instances(known))
+            connection.send(Instances(known))
 
-    def _heard(self, message: Message) -> None:
+    def _handle_registry_message(self, message: Message) -> None:
         match message:
             case Config():
-                self._act(self.serving.config(self._loop.time(), message))
+                self._apply_actions(self.config_selector.config_received(self._loop.time(), message))
             case Instances(entries):
-                self._instances(self.book.merge(self._loop.time(), entries))
+                self._update_backends(self.endpoints.merge(self._loop.time(), entries))
             case Silence(silent, back):
                 for ids, is_silent in ((silent, True), (back, False)):
                     for id in ids:
-                        if (number := self._numbers.get(id)) is not None:
-                            self._tell(BackendSuspected(number, is_silent))
+                        if (number := self._backend_numbers.get(id)) is not None:
+                            self._dispatch(BackendSuspected(number, is_silent))
             case Members():
-                self.mesh.listed(message)
+                self.mesh.update_members(message)
             case Registries(zones):
-                self.feed.learn(zones)
+                self.registry_client.add_registries(zones)
             case Fresh():
-                self._act(self.serving.fresh(self._loop.time(), message))
+                self._apply_actions(self.config_selector.contact_reported(self._loop.time(), message))
             case _:
                 pass
 
-    def _has(self, config: Config) -> bool:
-        """Of no use, if a registry that is not followed yet tells it."""
-        own = self.serving
-        return config.version < own.version or (
-            config.version == own.version and same(config.digest, own.digest)
+    def _is_outdated(self, config: Config) -> bool:
+        """Whether a configuration from a registry that is not subscribed to yet need not be buffered."""
+        selector = self.config_selector
+        return config.version < selector.version or (
+            config.version == selector.version and digests_match(config.digest, selector.digest)
         )
 
-    def _act(self, acts: list[Act]) -> None:
-        """What the machine for configurations has decided."""
-        for act in acts:
-            match act:
-                case Serve(config):
+    def _apply_actions(self, actions: list[ConfigAction]) -> None:
+        """Carries out the decisions of the ConfigSelector."""
+        for action in actions:
+            match action:
+                case ApplyConfig(config):
                     ok = self._configure(config.version, bytes(config.body))
-                    self._act(self.serving.served(config, ok))
-                case Ready(version):
-                    log.info("Ready with r{}.", version)
-                    self._open()
-                case Note(level, text):
+                    self._apply_actions(self.config_selector.config_applied(config, ok))
+                case BecomeReady(version):
+                    log.info("Ready with configuration r{}.", version)
+                    self._start_accepting()
+                case LogMessage(level, text):
                     getattr(log, level)("{}", text)
 
-    def _tick_serving(self) -> None:
-        self._act(self.serving.tick(self._loop.time()))
+    def _tick_config_selector(self) -> None:
+        self._apply_actions(self.config_selector.tick(self._loop.time()))
 
     def _configure(self, version: int, body: bytes) -> bool:
-        """Swap in a configuration, in one step; false: it can't be read, and nothing has changed."""
-        found = read_configuration(body)
-        if isinstance(found, RejectedConfiguration):
-            log.error("Configuration r{} can't be read: {}", version, found)
+        """Replaces the configuration atomically; returns False, without any change, if it is invalid."""
+        configuration = read_configuration(body)
+        if isinstance(configuration, RejectedConfiguration):
+            log.error("Configuration r{} is invalid: {}", version, configuration)
             return False
-        table = Table(found, self._tenants)
-        for service in found.services:
+        table = RouteTable(configuration, self._tenant_numbers)
+        for service in configuration.services:
             self._pool_of(service)
         self.engine.reconfigure(table.settings)
         self.reader.table = table
-        self.server.max_head = found.limits.header_bytes
-        self.server.head_s = found.limits.header_ms / 1000
-        self.server.idle_s = found.limits.idle_ms / 1000
-        log.info("Configuration r{}: {} routes.", version, len(found.routes))
+        self.server.max_head = configuration.limits.header_bytes
+        self.server.head_s = configuration.limits.header_ms / 1000
+        self.server.idle_s = configuration.limits.idle_ms / 1000
+        log.info("Configuration r{} applied: {} routes.", version, len(configuration.routes))
         return True
 
     def _pool_of(self, service: str) -> int:
-        number = self._pools.get(service)
+        number = self._pool_numbers.get(service)
         if number is None:
-            number = self._pools[service] = self.engine.add_pool(self.transport)
+            number = self._pool_numbers[service] = self.engine.add_pool(self.transport)
         return number
 
-    def _instances(self, risen: list[Endpoint]) -> None:
-        """Backends that are new, drain or have gone."""
+    def _update_backends(self, changed: list[Endpoint]) -> None:
+        """Applies instances that are new, draining or gone."""
         now, clock = self._loop.time(), self.clock.now()
-        for entry in risen:
-            number = self._numbers.get(entry.id)
+        for entry in changed:
+            number = self._backend_numbers.get(entry.id)
             if number is None:
                 if entry.state == GONE:
                     continue
-                self._last_instance += 1
-                number = self._numbers[entry.id] = self._last_instance
+                self._last_backend_number += 1
+                number = self._backend_numbers[entry.id] = self._last_backend_number
                 self._instance_of[number] = entry.id.encode()
             try:
                 address = parse_address(entry.address)
             except ValueError:
                 continue
             warm_at = clock + max(0.0, entry.warm_at - now) * 1000 if entry.warm_at > now else 0.0
-            told = BackendEntry(
+            backend = BackendEntry(
                 number,
-                STATES[entry.state],
+                BACKEND_STATES[entry.state],
                 self._zones.setdefault(entry.zone, len(self._zones)),
                 size=entry.slots,
                 warm_at_ms=warm_at,
             )
             self.engine.fleet_updated(
-                FleetUpdate(ListKind.CHANGES, [told], pool=self._pool_of(entry.service)), {number: address}
+                FleetUpdate(ListKind.CHANGES, [backend], pool=self._pool_of(entry.service)), {number: address}
             )
             if entry.state == GONE:
-                del self._numbers[entry.id]
-                # what is under way there still names it
-                self._loop.call_later(FORGET_S, self._instance_of.pop, number, None)
+                del self._backend_numbers[entry.id]
+                # open attempts still refer to it
+                self._loop.call_later(CLEANUP_INTERVAL_S, self._instance_of.pop, number, None)
 
     # ---- other ingresses
 
-    def _tell(self, event: Event) -> None:
-        self._decides.handle(self.clock.now(), event)
+    def _dispatch(self, event: Event) -> None:
+        self._publishing_admission.handle(self.clock.now(), event)
 
-    def _others(self, news: News) -> None:
-        for origin, out in news.out.items():
-            found = {self._numbers[id]: count for id, count in out.items() if id in self._numbers}
-            if found:
-                self._tell(PeerLoad(origin, found))
+    def _peer_loads_changed(self, update: News) -> None:
+        for origin, out in update.out.items():
+            loads = {
+                self._backend_numbers[id]: count for id, count in out.items() if id in self._backend_numbers
+            }
+            if loads:
+                self._dispatch(PeerLoad(origin, loads))
 
     def _quota_peers_changed(self, peers: Peers) -> None:
         self.quotas.update_peers(peers)
@@ -360,74 +384,79 @@
     def _quota_message(self, peer: str, message: Message) -> None:
         self.quotas.receive(peer, message)
 
-    def _company(self, ingresses: int, heard: int) -> None:
-        self._tell(IngressMembership(ingresses, heard))
+    def _ingress_count_changed(self, ingresses: int, connected: int) -> None:
+        self._dispatch(IngressMembership(ingresses, connected))
 
     # ---- time
 
-    def _sweep(self) -> None:
+    def _sweep_connections(self) -> None:
         self.server.sweep()
         self.transport.sweep()
-        self._loop.call_later(SWEEP_S, self._sweep)
+        self._loop.call_later(SWEEP_INTERVAL_S, self._sweep_connections)
 
-    def _forget(self) -> None:
-        """What has long been gone; what is silent is the registry's to give up."""
-        self.book.expire(self._loop.time(), inf)
-        self.book.changed.clear()
-        self._loop.call_later(FORGET_S, self._forget)
+    def _remove_expired(self) -> None:
+        """Removes expired tombstones; only the registry decides when a silent instance is gone."""
+        self.endpoints.expire(self._loop.time(), inf)
+        self.endpoints.changed.clear()
+        self._loop.call_later(CLEANUP_INTERVAL_S, self._remove_expired)
 
-    def _sample(self) -> None:
+    def _sample_lag(self) -> None:
         self.lag.sample()
         now = self._loop.time()
-        stood, self._sampled_at = now - self._sampled_at, now
-        if stood > SILENCE_TIMEOUT_S:
-            self._woke(stood)
-        self._loop.call_later(SAMPLE_S, self._sample)
-
-    def _woke(self, stood_s: float) -> None:
-        """The process stood still for so long: what its links hold is of before, and others have cut them."""
-        log.warning("Stood still for {:.1f} s: links begin anew.", stood_s)
-        self.serving.woke(self._loop.time())
-        self.feed.renew()
-        self.mesh.renew()
-        self._loop.call_later(self.serving.contact_s, self._tick_serving)
-
-    def _look_at_settings(self) -> None:
-        """The file may change without a signal; what can change in service is who the seeds are."""
+        stalled_s, self._sampled_at = now - self._sampled_at, now
+        if stalled_s > SILENCE_TIMEOUT_S:
+            self._resumed(stalled_s)
+        self._loop.call_later(LAG_SAMPLE_INTERVAL_S, self._sample_lag)
+
+    def _resumed(self, stalled_s: float) -> None:
+        """The process was stalled: unread data of its connections is outdated, and peers have closed them."""
+        log.warning("Process was stalled for {:.1f} s: reopening all internal connections.", stalled_s)
+        self.config_selector.resumed(self._loop.time())
+        self.registry_client.abort_connections()
+        self.mesh.abort_connections()
+        self._loop.call_later(self.config_selector.contact_s, self._tick_config_selector)
+
+    def _poll_settings(self) -> None:
+        """Reloads the settings file if it has changed; only the seeds can change while in service."""
         try:
             stat = os.stat(self._path)
         except OSError:
-            stat = None  # it is being replaced
-        mark = (stat.st_mtime_ns, stat.st_size, stat.st_ino) if stat is not None else self._mark
-        if mark != self._mark:
-            first, self._mark = self._mark is None, mark
+            stat = None  # the file is being replaced
+        stamp = (stat.st_mtime_ns, stat.st_size, stat.st_ino) if stat is not None else self._settings_stamp
+        if stamp != self._settings_stamp:
+            first, self._settings_stamp = self._settings_stamp is None, stamp
             if not first:
                 self.reload()
-        self._loop.call_later(SETTINGS_S, self._look_at_settings)
+        self._loop.call_later(SETTINGS_POLL_INTERVAL_S, self._poll_settings)
 
     def reload(self) -> None:
-        """Read the settings again; a bad file is logged and changes nothing."""
+        """Reloads the settings; an invalid file is logged and changes nothing."""
         try:
             boot = load_boot(self._path)
         except SettingsError as error:
-            log.error("Settings stay as they were: {}", error)
+            log.error("Settings not reloaded: {}", error)
             return
-        self.feed.learn({host: self.feed.registries.get(host, "") for host, _ in boot.seeds})
-        log.info("Settings read again.")
+        self.registry_client.add_registries(
+            {host: self.registry_client.registries.get(host, "") for host, _ in boot.seeds}
+        )
+        log.info("Settings reloaded.")
+
+    async def shut_down(self, grace_s: float) -> None:
+        """Shuts down after SIGTERM.
 
-    async def end(self, grace_s: float) -> None:
-        """SIGTERM: take no more clients once the platform has noticed, answer all that was taken."""
+        Accepts clients until the platform has noticed, then completes all accepted requests within grace_s.
+        """
         self._ending = True
-        log.info("Ends: {} requests open.", self.engine.open)
+        log.info("Shutting down: {} requests open.", self.engine.open)
         try:
-            async with asyncio.timeout(max(0.1, grace_s - LEFT_S)):
+            async with asyncio.timeout(max(0.1, grace_s - SHUTDOWN_RESERVE_S)):
                 await self.server.drain()
         except TimeoutError:
-            log.warning("Grace is over: {} requests open.", self.engine.open)
+            log.warning("Grace period expired: {} requests open.", self.engine.open)
         self.engine.close()
         self.quotas.close()
-        await asyncio.sleep(HANDOVER_S)
-        self.feed.close()
+        await asyncio.sleep(QUOTA_HANDOVER_S)
+        self.registry_client.close()
         self.mesh.close()
         self._readiness.close()
         self.transport.close()
--- a/troutdock/proxy/peer_connections.py
+++ b/troutdock/proxy/peer_connections.py
@@ -1,8 +1,9 @@
-"""The links of an ingress to others: its zone's, and as home for a duty those of other zones.
+"""Connections of an ingress to the other ingresses of its zone and, if it owns a duty, to other zones.
 
-The loop round proxy.load_exchange. Of two ingresses the one with the lower address dials. Other zones are
-dialled by homes only; who is dialled takes part whatever it thinks of its own part. Of one name the links of
-one life count, those of the life that came last, and nothing that is said on another.
+Performs the I/O for proxy.load_exchange. Of two ingresses, the one with the lower address connects. Only
+owners connect to other zones; an ingress accepts such a connection whether or not it considers itself an
+owner. Of one name, only the connections of the incarnation that connected last count; messages on any other
+are ignored.
 """
 
 from __future__ import annotations
@@ -33,229 +34,258 @@
 
 log = logbook.Logger("mesh")
 
-ROLE = "espalier"
-PORT = 0  # of the system's own ports
-ZONE_S, AWAY_S = 0.008, 0.04  # how long changes are gathered for neighbours in the zone, and for other zones
-LOOK_S = 0.25  # between two looks at who is to be linked
-BUSY_MEMORY_S = 5.0  # so long a busy ingress is taken for busy after its link has ended
+INGRESS_ROLE = "espalier"
+PORT_INDEX = 0  # index into the internal port range
+ZONE_BATCH_S, REMOTE_BATCH_S = (
+    0.008,
+    0.04,
+)  # how long changes are collected for the own zone, and for other zones
+MAINTENANCE_INTERVAL_S = 0.25  # between two checks of which peers to connect to
+BUSY_RETENTION_S = 5.0  # how long a busy ingress counts as busy after its connection has ended
 
 
-class Mesh:
-    """It belongs to the event loop that runs."""
+class PeerMesh:
+    """The connections to other ingresses; bound to the running event loop."""
 
     def __init__(
         self,
         boot: Boot,
         hello: Hello,
-        heard: Callable[[News], None],
-        company: Callable[[int, int], None],
+        on_load_update: Callable[[News], None],
+        on_ingress_count: Callable[[int, int], None],
         services: Services,
         peers_changed: Callable[[Peers], None] = lambda _: None,
         quota_message: Callable[[str, Message], None] = lambda _name, _message: None,
     ) -> None:
-        """Begin without links.
+        """Starts without connections.
 
         Args:
             boot: The process's settings.
-            hello: Who this ingress is.
-            heard: Gets what others tell of their load.
-            company: Gets how many ingresses there are, and how many are heard.
-            services: Of the backends that are known.
-            peers_changed: Gets the ingresses that take part in the leases of quotas.
-            quota_message: Gets what they say about quotas, with the sender's name.
+            hello: Identifies this ingress.
+            on_load_update: Receives the loads that other ingresses report.
+            on_ingress_count: Receives the number of ingresses, and of those that are reachable.
+            services: Maps the known backends to services.
+            peers_changed: Receives the ingresses that take part in quota leases.
+            quota_message: Receives the sender's name and its messages about quotas.
         """
         self._boot, self._hello = boot, hello
-        self._on_news, self._company = heard, company
+        self._on_load_update, self._on_ingress_count = on_load_update, on_ingress_count
         self._peers_changed, self._quota_message = peers_changed, quota_message
         self._is_listed = False
         self._is_busy = False
         self._by_name: dict[str, PeerConnection] = {}
-        self._is_dial_due = False
-        self._busy_until: dict[str, float] = {}  # by name; infinite while it is linked
+        self._connection_update_scheduled = False
+        self._busy_until: dict[str, float] = {}  # by name; infinite while it is connected
         self._loop = asyncio.get_running_loop()
         self.exchange = Exchange(boot.name, boot.ip, boot.zone, hello.life, services)
-        self._dialers: dict[str, Connector] = {}  # by name
-        self._links: dict[PeerConnection, None] = {}
-        self._listener = Listener(lambda: PeerConnection(hello, self._heard, self._up, self._down))
-        self._zone_due = False
+        self._connectors: dict[str, Connector] = {}  # by name
+        self._connections: dict[PeerConnection, None] = {}
+        self._listener = Listener(
+            lambda: PeerConnection(hello, self._receive, self._connection_up, self._connection_down)
+        )
+        self._zone_update_scheduled = False
         self._closed = False
-        self._told = (0, 0)
+        self._reported_count = (0, 0)
 
     async def start(self, address: Address) -> None:
-        """Open the door to other ingresses."""
+        """Listens for connections of other ingresses."""
         await self._listener.listen(address)
-        self._look()
-        self._away()
+        self._maintain()
+        self._send_to_other_zones()
 
-    def listed(self, members: Members) -> None:
-        """The registry's list of ingresses."""
+    def update_members(self, members: Members) -> None:
+        """Applies the registry's list of ingresses."""
         self.exchange.listed(self._loop.time(), members.entries, members.gone, members.full)
         self._is_listed = True
-        self._dial()
-        self._tell_company()
-        self._tell_peers()
+        self._update_connections()
+        self._report_ingress_count()
+        self._report_quota_peers()
 
-    # ---- own numbers
+    # ---- own load
 
-    def load(self, instance: str, count: int) -> None:
-        """Own open attempts at a backend have changed."""
+    def update_load(self, instance: str, count: int) -> None:
+        """The number of own open attempts at a backend has changed."""
         self.exchange.load(instance, count)
-        self._soon()
+        self._schedule_zone_update()
 
-    def _soon(self) -> None:
-        if not self._zone_due:
-            self._zone_due = True
-            self._loop.call_later(ZONE_S, self._tell_zone)
+    def _schedule_zone_update(self) -> None:
+        if not self._zone_update_scheduled:
+            self._zone_update_scheduled = True
+            self._loop.call_later(ZONE_BATCH_S, self._send_zone_update)
 
-    def _tell_zone(self) -> None:
-        self._zone_due = False
-        self._to_zone(self.exchange.for_zone())
+    def _send_zone_update(self) -> None:
+        self._zone_update_scheduled = False
+        self._send_to_zone(self.exchange.for_zone())
 
-    def _to_zone(self, shares: Shares | None) -> None:
+    def _send_to_zone(self, shares: Shares | None) -> None:
         if shares is not None:
             payload = encode(shares)
-            for link in list(self._links):
-                if link.peer is not None and link.peer.zone == self._boot.zone:
-                    link.send_payload(payload)
-
-    def _away(self) -> None:
-        away = {
-            link.peer.name: link
-            for link in self._links
-            if link.peer is not None and link.peer.zone != self._boot.zone
+            for connection in list(self._connections):
+                if connection.peer is not None and connection.peer.zone == self._boot.zone:
+                    connection.send_payload(payload)
+
+    def _send_to_other_zones(self) -> None:
+        remote = {
+            connection.peer.name: connection
+            for connection in self._connections
+            if connection.peer is not None and connection.peer.zone != self._boot.zone
         }
-        zones = [(name, link.peer.zone) for name, link in away.items() if link.peer is not None]
-        for names, shares in self.exchange.for_away(self._loop.time(), self._neighbours(), zones):
+        zones = [
+            (name, connection.peer.zone) for name, connection in remote.items() if connection.peer is not None
+        ]
+        for names, shares in self.exchange.for_away(self._loop.time(), self._zone_peers(), zones):
             payload = encode(shares)
             for name in names:
-                away[name].send_payload(payload)
-        self._to_zone(self.exchange.passed_on())
+                remote[name].send_payload(payload)
+        self._send_to_zone(self.exchange.passed_on())
         if not self._closed:
-            self._loop.call_later(AWAY_S, self._away)
+            self._loop.call_later(REMOTE_BATCH_S, self._send_to_other_zones)
 
-    # ---- links
+    # ---- connections
 
-    def _neighbours(self) -> list[str]:
-        """In the zone, linked."""
+    def _zone_peers(self) -> list[str]:
+        """Returns the names of the connected ingresses of this zone."""
         return [
-            link.peer.name
-            for link in self._links
-            if link.peer is not None and link.peer.zone == self._boot.zone
+            connection.peer.name
+            for connection in self._connections
+            if connection.peer is not None and connection.peer.zone == self._boot.zone
         ]
 
-    def _dial_soon(self) -> None:
-        """Look at whom to dial once the present events are through."""
-        if not self._is_dial_due:
-            self._is_dial_due = True
-            self._loop.call_soon(self._dial)
+    def _schedule_connection_update(self) -> None:
+        """Updates the connections once the current events have been processed."""
+        if not self._connection_update_scheduled:
+            self._connection_update_scheduled = True
+            self._loop.call_soon(self._update_connections)
 
-    def _failing(self) -> list[str]:
-        """Those that were dialled in vain the last time."""
-        return [name for name, dialer in self._dialers.items() if dialer.attempted and not dialer.is_ready]
+    def _unreachable(self) -> list[str]:
+        """Returns the names of the peers whose last connection attempt failed."""
+        return [
+            name
+            for name, connector in self._connectors.items()
+            if connector.attempted and not connector.is_ready
+        ]
 
-    def _dial(self) -> None:
-        self._is_dial_due = False
+    def _update_connections(self) -> None:
+        self._connection_update_scheduled = False
         if self._closed:
             return
-        linked = [(link.peer.name, link.peer.zone) for link in self._links if link.peer is not None]
-        wanted = {m.name: m for m in self.exchange.wanted(self._loop.time(), linked, self._failing())}
-        for name, dialer in list(self._dialers.items()):
-            if not self.exchange.keeps(name, dialer.address[0], wanted, dialer.is_ready):
-                dialer.close()
-                del self._dialers[name]
+        connected = [
+            (connection.peer.name, connection.peer.zone)
+            for connection in self._connections
+            if connection.peer is not None
+        ]
+        wanted = {m.name: m for m in self.exchange.wanted(self._loop.time(), connected, self._unreachable())}
+        for name, connector in list(self._connectors.items()):
+            if not self.exchange.keeps(name, connector.address[0], wanted, connector.is_ready):
+                connector.close()
+                del self._connectors[name]
         for name, member in wanted.items():
-            if name not in self._dialers:
-                up = partial(self._up, expected=name)
-                self._dialers[name] = Connector(
-                    (member.ip, member.port), self._hello, self._heard, up, self._down, self._dial_soon
+            if name not in self._connectors:
+                on_up = partial(self._connection_up, expected=name)
+                self._connectors[name] = Connector(
+                    (member.ip, member.port),
+                    self._hello,
+                    self._receive,
+                    on_up,
+                    self._connection_down,
+                    self._schedule_connection_update,
                 )
 
-    def _up(self, link: PeerConnection, expected: str = "") -> None:
-        """expected: whom it was dialled to reach; another one may have taken over the address."""
-        peer = link.peer
+    def _connection_up(self, connection: PeerConnection, expected: str = "") -> None:
+        """Registers a connection.
+
+        Args:
+            connection: The identified connection.
+            expected: The name of the ingress that was to be reached, if this process connected; another
+                ingress may have taken over its address.
+        """
+        peer = connection.peer
         assert peer is not None
-        wrong = peer.role != ROLE or (expected and peer.name != expected)
-        if wrong or peer.name == self._hello.name:  # one's own name: a former life's connection
-            link.abort()
+        unexpected = peer.role != INGRESS_ROLE or (expected and peer.name != expected)
+        if unexpected or peer.name == self._hello.name:  # own name: a connection of an earlier incarnation
+            connection.abort()
             return
-        for other in list(self._links):
+        for other in list(self._connections):
             if other.peer is not None and other.peer.name == peer.name and other.peer.life != peer.life:
                 listed = self.exchange.members.get(peer.name)
                 if listed is not None and listed.life == other.peer.life and peer.life < other.peer.life:
-                    link.abort()  # of a former life, come late; one whose clock was set back tries again
+                    # of an earlier incarnation; one whose clock was set back connects again
+                    connection.abort()
                     return
                 other.abort()
-        self._links[link] = None
+        self._connections[connection] = None
         self._busy_until.pop(peer.name, None)
         if self._is_busy and peer.leases:
-            link.send(QuotaStatus(True))
-        away = peer.zone != self._boot.zone
-        link.send(self.exchange.full(self._loop.time(), peer.name, away))
-        self._tell_peers()
-        self._dial_soon()  # this one may speak for its zone now
-
-    def _down(self, link: PeerConnection) -> None:
-        if link in self._links:
-            del self._links[link]
-            if link.peer is not None and link.peer.name in self._busy_until:
-                self._busy_until[link.peer.name] = self._loop.time() + BUSY_MEMORY_S
-            self._tell_peers()
-            self._dial_soon()
-            peer = link.peer
-            if peer is None or peer.zone != self._boot.zone or peer.name in self._neighbours():
-                return  # two links, where both have dialled: the other one is up
-            self._on_news(self.exchange.forget(self._loop.time(), peer.name))
-
-    def _heard(self, link: PeerConnection, message: Message) -> None:
-        if link.peer is None or link not in self._links:
+            connection.send(QuotaStatus(True))
+        is_remote = peer.zone != self._boot.zone
+        connection.send(self.exchange.full(self._loop.time(), peer.name, is_remote))
+        self._report_quota_peers()
+        self._schedule_connection_update()  # this ingress may represent its zone now
+
+    def _connection_down(self, connection: PeerConnection) -> None:
+        if connection in self._connections:
+            del self._connections[connection]
+            if connection.peer is not None and connection.peer.name in self._busy_until:
+                self._busy_until[connection.peer.name] = self._loop.time() + BUSY_RETENTION_S
+            self._report_quota_peers()
+            self._schedule_connection_update()
+            peer = connection.peer
+            if peer is None or peer.zone != self._boot.zone or peer.name in self._zone_peers():
+                return  # both sides had connected: the other connection is still up
+            self._on_load_update(self.exchange.forget(self._loop.time(), peer.name))
+
+    def _receive(self, connection: PeerConnection, message: Message) -> None:
+        if connection.peer is None or connection not in self._connections:
             return
         if isinstance(message, QuotaRequest | QuotaGrant | QuotaSettlement | QuotaHandover):
-            self._quota_message(link.peer.name, message)
+            self._quota_message(connection.peer.name, message)
         elif isinstance(message, QuotaStatus):
-            self._hear_status(link.peer.name, message)
+            self._handle_quota_status(connection.peer.name, message)
         if not isinstance(message, Shares):
             return
         now = self._loop.time()
-        news = self.exchange.hear(now, message, link.peer.name, link.peer.zone, link.peer.life)
-        if news.out:
-            self._on_news(news)
+        update = self.exchange.hear(
+            now, message, connection.peer.name, connection.peer.zone, connection.peer.life
+        )
+        if update.out:
+            self._on_load_update(update)
 
-    def _look(self) -> None:
+    def _maintain(self) -> None:
         if self._closed:
             return
         now = self._loop.time()
-        for name in self._neighbours():
+        for name in self._zone_peers():
             self.exchange.alive(now, name)
-        news = self.exchange.forget(now)
-        if news.out:
-            self._on_news(news)
-        self._dial()
-        self._tell_company()
-        self._tell_peers()
+        update = self.exchange.forget(now)
+        if update.out:
+            self._on_load_update(update)
+        self._update_connections()
+        self._report_ingress_count()
+        self._report_quota_peers()
         if not self._closed:
-            self._loop.call_later(LOOK_S, self._look)
+            self._loop.call_later(MAINTENANCE_INTERVAL_S, self._maintain)
 
-    def _tell_company(self) -> None:
-        company = self.exchange.company(self._loop.time())
-        if company != self._told:
-            self._told = company
-            self._company(*company)
+    def _report_ingress_count(self) -> None:
+        on_ingress_count = self.exchange.company(self._loop.time())
+        if on_ingress_count != self._reported_count:
+            self._reported_count = on_ingress_count
+            self._on_ingress_count(*on_ingress_count)
 
     def set_busy(self, is_busy: bool) -> None:
-        """Tell the others whether this ingress handles messages too late to answer for them."""
+        """Notifies the peers whether this ingress is too slow to respond to quota messages in time."""
         self._is_busy = is_busy
-        for link in list(self._links):
-            if link.peer is not None and link.peer.leases:
-                link.send(QuotaStatus(is_busy))
-        self._tell_peers()
+        for connection in list(self._connections):
+            if connection.peer is not None and connection.peer.leases:
+                connection.send(QuotaStatus(is_busy))
+        self._report_quota_peers()
 
-    def _hear_status(self, name: str, status: QuotaStatus) -> None:
+    def _handle_quota_status(self, name: str, status: QuotaStatus) -> None:
         if status.busy:
             self._busy_until[name] = inf
         else:
             self._busy_until.pop(name, None)
-        self._tell_peers()
-        self._dial_soon()
+        self._report_quota_peers()
+        self._schedule_connection_update()
 
     def _busy_names(self) -> frozenset[str]:
         now = self._loop.time()
@@ -263,17 +293,25 @@
             del self._busy_until[name]
         return frozenset([*self._busy_until, self._boot.name] if self._is_busy else self._busy_until)
 
-    def _tell_peers(self) -> None:
-        """Who takes part in the leases of quotas: linked, and of a version that knows them."""
-        linked = [link.peer for link in self._links if link.peer is not None and link.peer.leases]
-        self._by_name = {link.peer.name: link for link in self._links if link.peer is not None}
+    def _report_quota_peers(self) -> None:
+        """Reports which ingresses take part in quota leases: connected ones whose version supports leases."""
+        connected = [
+            connection.peer
+            for connection in self._connections
+            if connection.peer is not None and connection.peer.leases
+        ]
+        self._by_name = {
+            connection.peer.name: connection
+            for connection in self._connections
+            if connection.peer is not None
+        }
         zone, members = self._boot.zone, self.exchange.members.values()
         self.exchange.busy = self._busy_names()
         self._peers_changed(
             Peers(
-                near=frozenset(peer.name for peer in linked if peer.zone == zone),
-                away={peer.name: peer.zone for peer in linked if peer.zone != zone},
-                listed_near=frozenset(m.name for m in members if m.zone == zone) - set(self._failing()),
+                near=frozenset(peer.name for peer in connected if peer.zone == zone),
+                away={peer.name: peer.zone for peer in connected if peer.zone != zone},
+                listed_near=frozenset(m.name for m in members if m.zone == zone) - set(self._unreachable()),
                 listed_zones=frozenset(m.zone for m in members if m.zone != zone),
                 fleet_size=self.exchange.company(self._loop.time())[0] if self._is_listed else 0,
                 busy=self.exchange.busy,
@@ -281,25 +319,25 @@
         )
 
     def peer(self, name: str) -> Hello | None:
-        """Who a linked ingress is; none if it is not linked."""
-        link = self._by_name.get(name)
-        return link.peer if link is not None else None
+        """Returns the identity of a connected ingress; None if it is not connected."""
+        connection = self._by_name.get(name)
+        return connection.peer if connection is not None else None
 
     def send_to(self, name: str, message: Message) -> None:
-        """Say something to a linked ingress; lost if it is none any more."""
-        if (link := self._by_name.get(name)) is not None:
-            link.send(message)
+        """Sends a message to an ingress; the message is dropped if it is not connected."""
+        if (connection := self._by_name.get(name)) is not None:
+            connection.send(message)
 
-    def renew(self) -> None:
-        """Cut all links: what stands in them was said before this process stood still."""
-        for link in list(self._links):
-            link.abort()
+    def abort_connections(self) -> None:
+        """Aborts all connections: their unread data is older than the stall of this process."""
+        for connection in list(self._connections):
+            connection.abort()
 
     def close(self) -> None:
-        """End in order."""
+        """Stops listening and closes all connections."""
         self._closed = True
         self._listener.close()
-        for dialer in self._dialers.values():
-            dialer.close()
-        for link in list(self._links):
-            link.abort()
+        for connector in self._connectors.values():
+            connector.close()
+        for connection in list(self._connections):
+            connection.abort()
--- a/troutdock/proxy/registry_connections.py
+++ b/troutdock/proxy/registry_connections.py
@@ -1,8 +1,9 @@
-"""The ingress's links to registries: the thin loop round troutdock.proxy.registry_watch.
+"""The ingress's connections to registries: carries out the decisions of troutdock.proxy.registry_watch.
 
-Whoever is followed tells all it knows, then changes. One that is silent is left by the link's own measure.
-What was learnt stays, whoever is lost. Of a link that is not followed yet one configuration is kept and
-BEFORE_MOST other messages; of a standby nothing.
+The subscribed registry sends its complete state, then changes. The connection's own silence time-out
+detects a registry that does not respond. State that was received is kept when a registry is lost. Before a
+connection is subscribed to, one configuration and MAX_BUFFERED_MESSAGES other messages of it are buffered;
+of a standby none.
 """
 
 from __future__ import annotations
@@ -14,203 +15,229 @@
 import logbook
 
 from troutdock.settings.boot import Boot
-from troutdock.proxy.registry_watch import Cut, Dial, Follow, Following, Shed, Step
+from troutdock.proxy.registry_watch import (
+    Disconnect,
+    Connect,
+    Subscribe,
+    RegistrySelector,
+    DiscardMessages,
+    ConnectionAction,
+)
 from troutdock.rpc.connection import CONNECT_TIMEOUT_S, PeerConnection
 from troutdock.rpc.messages import Config, Fresh, Hello, Message
 
 log = logbook.Logger("news")
 
-REGISTRY = "hedgerow"
-PORT = 0  # of the system's own ports
-BEFORE_MOST = 256  # messages beside a configuration that are kept of a link until it is followed
-FOR_EVER_S = 3600.0
+REGISTRY_ROLE = "hedgerow"
+PORT_INDEX = 0  # index into the internal port range
+MAX_BUFFERED_MESSAGES = 256  # per connection before it is subscribed to, besides one configuration
+MAX_TIMER_S = 3600.0
 
 
-class _Before:
-    """What a link has said that is not followed yet, in its order, bounded."""
+class _MessageBuffer:
+    """The messages received on a connection that is not subscribed to yet, in order and bounded."""
 
     def __init__(self) -> None:
         self.messages: list[Message] = []
 
     def add(self, message: Message) -> bool:
-        """Keep it; false: there is no room."""
+        """Buffers a message; returns False if the buffer is full."""
         if isinstance(message, Config):
             self.messages = [m for m in self.messages if not isinstance(m, Config)]
-        elif len(self.messages) >= BEFORE_MOST:
+        elif len(self.messages) >= MAX_BUFFERED_MESSAGES:
             return False
         self.messages.append(message)
         return True
 
 
-class Feed:
-    """Follows one registry at a time; heard gets what it says, up is called when one is followed anew."""
+class RegistryClient:
+    """Subscribes to one registry at a time."""
 
     def __init__(
         self,
         boot: Boot,
         hello: Hello,
-        heard: Callable[[Message], None],
-        up: Callable[[PeerConnection], None],
-        lost: Callable[[], None] = lambda: None,
-        has: Callable[[Config], bool] = lambda _: False,
+        on_message: Callable[[Message], None],
+        on_subscribed: Callable[[PeerConnection], None],
+        on_lost: Callable[[], None] = lambda: None,
+        is_outdated: Callable[[Config], bool] = lambda _: False,
     ) -> None:
-        """lost: nobody is followed any more. has: a configuration that need not be kept."""
-        self._boot, self._hello, self._on_message, self._on_up = boot, hello, heard, up
-        self._on_lost, self._has = lost, has
+        """Starts without connections.
+
+        Args:
+            boot: The process's settings.
+            hello: Identifies this ingress.
+            on_message: Receives the messages of the subscribed registry.
+            on_subscribed: Called with the connection of each new subscription.
+            on_lost: Called when the connection to the subscribed registry has ended.
+            is_outdated: Whether a configuration need not be buffered.
+        """
+        self._boot, self._hello, self._on_message, self._on_subscribed = (
+            boot,
+            hello,
+            on_message,
+            on_subscribed,
+        )
+        self._on_lost, self._is_outdated = on_lost, is_outdated
         self._loop = asyncio.get_running_loop()
-        self.following = Following(boot.name, boot.zone, [host for host, _ in boot.seeds])
-        self._link: PeerConnection | None = None
-        self._links: dict[int, PeerConnection] = {}
+        self.selector = RegistrySelector(boot.name, boot.zone, [host for host, _ in boot.seeds])
+        self._subscribed: PeerConnection | None = None
+        self._connections: dict[int, PeerConnection] = {}
         self._numbers: dict[PeerConnection, int] = {}
-        self._before: dict[int, _Before] = {}
-        self._dials: dict[int, asyncio.Task[None]] = {}
+        self._buffers: dict[int, _MessageBuffer] = {}
+        self._connect_tasks: dict[int, asyncio.Task[None]] = {}
         self._timer: asyncio.TimerHandle | None = None
-        self._carrying = False
-        self._waiting: list[Step] = []
+        self._executing = False
+        self._pending_actions: list[ConnectionAction] = []
         self._closed = False
 
     @property
     def registries(self) -> dict[str, str]:
-        """Those that are known: zones by address, empty where not met yet."""
-        return self.following.registries
+        """The zones of the known registries by address; empty while unknown."""
+        return self.selector.registries
 
     def start(self) -> None:
-        """Begin to look for one."""
+        """Starts to connect to registries."""
         self._tick()
 
     def send(self, message: Message) -> bool:
-        """Tell the one that is followed."""
-        return self._link is not None and self._link.send(message)
+        """Sends to the subscribed registry; returns False if there is none or it cannot be sent."""
+        return self._subscribed is not None and self._subscribed.send(message)
 
-    def learn(self, registries: dict[str, str]) -> None:
-        """Registries that there are, with their zones."""
-        self._carry_out(self.following.learnt(self._loop.time(), registries))
+    def add_registries(self, registries: dict[str, str]) -> None:
+        """Adds registries, as zones by address."""
+        self._execute_all(self.selector.registries_learned(self._loop.time(), registries))
 
-    def renew(self) -> None:
-        """Cut all links: what stands in them was said before this process stood still."""
-        for link in list(self._links.values()):
-            link.abort()
+    def abort_connections(self) -> None:
+        """Aborts all connections: their unread data is older than the stall of this process."""
+        for connection in list(self._connections.values()):
+            connection.abort()
 
-    # ---- links
+    # ---- connections
 
-    def _heard(self, link: PeerConnection, message: Message) -> None:
-        if (number := self._numbers.get(link)) is None:
+    def _receive(self, connection: PeerConnection, message: Message) -> None:
+        if (number := self._numbers.get(connection)) is None:
             return
-        if link is self._link:
+        if connection is self._subscribed:
             self._on_message(message)
-        elif (before := self._before.get(number)) is not None:
-            unneeded = isinstance(message, Config) and self._has(message)
-            if not unneeded and not before.add(message):
-                log.warning("Registry {} says too much to wait for.", link.peer.name if link.peer else "?")
-                link.abort()
+        elif (buffer := self._buffers.get(number)) is not None:
+            outdated = isinstance(message, Config) and self._is_outdated(message)
+            if not outdated and not buffer.add(message):
+                log.warning(
+                    "Registry {} sent too many messages before the subscription; closing the connection.",
+                    connection.peer.name if connection.peer else "?",
+                )
+                connection.abort()
                 return
         if isinstance(message, Fresh):
-            self._carry_out(self.following.told(self._loop.time(), number, message.fresh))
+            self._execute_all(self.selector.contact_reported(self._loop.time(), number, message.fresh))
 
-    def _up(self, link: PeerConnection) -> None:
-        peer = link.peer
+    def _connection_up(self, connection: PeerConnection) -> None:
+        peer = connection.peer
         assert peer is not None
-        number = self._numbers.get(link)
-        if number is None or peer.role != REGISTRY:
-            link.abort()
+        number = self._numbers.get(connection)
+        if number is None or peer.role != REGISTRY_ROLE:
+            connection.abort()
             return
-        self._before[number] = _Before()
-        self._carry_out(self.following.met(self._loop.time(), number, peer.ip, peer.zone))
+        self._buffers[number] = _MessageBuffer()
+        self._execute_all(self.selector.peer_identified(self._loop.time(), number, peer.ip, peer.zone))
 
-    def _down(self, link: PeerConnection) -> None:
-        if (number := self._numbers.get(link)) is None:
+    def _connection_down(self, connection: PeerConnection) -> None:
+        if (number := self._numbers.get(connection)) is None:
             return
-        self._drop(number)
-        if link is self._link:
-            self._link = None
-            log.info("Registry lost.")
+        self._remove(number)
+        if connection is self._subscribed:
+            self._subscribed = None
+            log.info("Connection to the subscribed registry lost.")
             self._on_lost()
-        self._carry_out(self.following.ended(self._loop.time(), number))
+        self._execute_all(self.selector.connection_ended(self._loop.time(), number))
 
-    def _drop(self, number: int) -> None:
-        self._before.pop(number, None)
-        link = self._links.pop(number, None)
-        if link is not None:
-            self._numbers.pop(link, None)
+    def _remove(self, number: int) -> None:
+        self._buffers.pop(number, None)
+        connection = self._connections.pop(number, None)
+        if connection is not None:
+            self._numbers.pop(connection, None)
 
-    async def _connect(self, number: int, ip: str, link: PeerConnection) -> None:
+    async def _connect(self, number: int, ip: str, connection: PeerConnection) -> None:
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
-                await self._loop.create_connection(lambda: link, ip, self._boot.port(PORT))
+                await self._loop.create_connection(lambda: connection, ip, self._boot.port(PORT_INDEX))
         except (OSError, TimeoutError):
-            link.abort()
-            if number in self._links:
-                self._drop(number)
-                self._carry_out(self.following.ended(self._loop.time(), number))
+            connection.abort()
+            if number in self._connections:
+                self._remove(number)
+                self._execute_all(self.selector.connection_ended(self._loop.time(), number))
         finally:
-            self._dials.pop(number, None)
+            self._connect_tasks.pop(number, None)
 
-    # ---- steps
+    # ---- actions
 
     def _tick(self) -> None:
         self._timer = None
         now = self._loop.time()
-        for number, link in self._links.items():
-            self.following.heard(number, link.last_received_at)
-        self._carry_out(self.following.tick(now))
-
-    def _carry_out(self, steps: list[Step]) -> None:
-        """One after the other, also where one leads to others."""
-        self._waiting += steps
-        if self._carrying or self._closed:
+        for number, connection in self._connections.items():
+            self.selector.data_received(number, connection.last_received_at)
+        self._execute_all(self.selector.tick(now))
+
+    def _execute_all(self, actions: list[ConnectionAction]) -> None:
+        """Executes actions in order; those that an action causes are appended."""
+        self._pending_actions += actions
+        if self._executing or self._closed:
             return
-        self._carrying = True
+        self._executing = True
         try:
-            while self._waiting:
-                self._do(self._waiting.pop(0))
+            while self._pending_actions:
+                self._execute(self._pending_actions.pop(0))
         finally:
-            self._carrying = False
+            self._executing = False
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        wait = self.following.wait(self._loop.time())
-        if wait != inf and not self._closed:
-            self._timer = self._loop.call_later(min(max(wait, 0.01), FOR_EVER_S), self._tick)
-
-    def _do(self, step: Step) -> None:
-        match step:
-            case Dial(number, ip):
-                link = PeerConnection(self._hello, self._heard, self._up, self._down)
-                self._links[number], self._numbers[link] = link, number
-                self._dials[number] = self._loop.create_task(self._connect(number, ip, link))
-            case Follow(number):
-                self._follow(number)
-            case Shed(number):
-                self._before.pop(number, None)
-            case Cut(number):
-                cut = self._links.get(number)
-                self._drop(number)
-                if (dial := self._dials.pop(number, None)) is not None:
-                    dial.cancel()
-                if cut is not None:
-                    cut.abort()
-
-    def _follow(self, number: int) -> None:
-        link = self._links.get(number)
-        if link is None or not link.open:  # it has just ended, and says so next
+        wait_s = self.selector.seconds_to_tick(self._loop.time())
+        if wait_s != inf and not self._closed:
+            self._timer = self._loop.call_later(min(max(wait_s, 0.01), MAX_TIMER_S), self._tick)
+
+    def _execute(self, action: ConnectionAction) -> None:
+        match action:
+            case Connect(number, ip):
+                connection = PeerConnection(
+                    self._hello, self._receive, self._connection_up, self._connection_down
+                )
+                self._connections[number], self._numbers[connection] = connection, number
+                self._connect_tasks[number] = self._loop.create_task(self._connect(number, ip, connection))
+            case Subscribe(number):
+                self._subscribe(number)
+            case DiscardMessages(number):
+                self._buffers.pop(number, None)
+            case Disconnect(number):
+                removed = self._connections.get(number)
+                self._remove(number)
+                if (task := self._connect_tasks.pop(number, None)) is not None:
+                    task.cancel()
+                if removed is not None:
+                    removed.abort()
+
+    def _subscribe(self, number: int) -> None:
+        connection = self._connections.get(number)
+        if connection is None or not connection.open:  # it has just ended; _connection_down follows
             return
-        self._link = link
-        assert link.peer is not None
-        log.info("Follows {}.", link.peer.name)
-        self._on_up(link)
-        before = self._before.pop(number, None)
-        for message in before.messages if before is not None else ():
+        self._subscribed = connection
+        assert connection.peer is not None
+        log.info("Subscribed to registry {}.", connection.peer.name)
+        self._on_subscribed(connection)
+        buffer = self._buffers.pop(number, None)
+        for message in buffer.messages if buffer is not None else ():
             self._on_message(message)
 
     def close(self) -> None:
-        """Follow nobody any more."""
+        """Closes all connections."""
         self._closed = True
         if self._timer is not None:
             self._timer.cancel()
-        for dial in list(self._dials.values()):
-            dial.cancel()
-        for link in list(self._links.values()):
-            self._numbers.pop(link, None)
-            link.abort()
-        self._links.clear()
-        self._link = None
+        for task in list(self._connect_tasks.values()):
+            task.cancel()
+        for connection in list(self._connections.values()):
+            self._numbers.pop(connection, None)
+            connection.abort()
+        self._connections.clear()
+        self._subscribed = None
--- a/troutdock/proxy/request_reader.py
+++ b/troutdock/proxy/request_reader.py
@@ -1,4 +1,4 @@
-"""A client's request read by its route and key, its form for a backend, and what a backend's answer means."""
+"""Reads client requests by route and API key, and classifies the responses of backends."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from random import Random
 
-from troutdock.proxy.route_table import Table, pick
+from troutdock.proxy.route_table import RouteTable, pick_service
 from troutdock.admission.interface import BackendId, Outcome, RequestArrived, RequestQueued
 from troutdock.engine import BadRequest, ProtocolTraits
 from troutdock.http.body_limits import UNBUDGETED_BODY_BYTES
@@ -14,23 +14,29 @@
 from troutdock.http.response import Response
 from troutdock.http.transport import HttpAttempt
 
-_MEANT = frozenset((b"host", b"attempt-id", b"deadline-ms", b"key", b"tenant-name", b"expected-instance"))
-# what the ingress words itself, whatever the client has sent
-_DROPPED = HOP_BY_HOP | {b"key", b"deadline-ms", b"tenant-name", b"expected-instance"}
-_DEADLINE = re.compile(rb"\d{1,9}(\.\d{1,6})?")
-_ID = re.compile(rb"[\x21-\x7e]{1,128}")
-METHODS = frozenset(
+_INTERPRETED_HEADERS = frozenset(
+    (b"host", b"attempt-id", b"deadline-ms", b"key", b"tenant-name", b"expected-instance")
+)
+# headers that the ingress sets itself; a client's values are dropped
+_REPLACED_HEADERS = HOP_BY_HOP | {b"key", b"deadline-ms", b"tenant-name", b"expected-instance"}
+_DEADLINE_PATTERN = re.compile(rb"\d{1,9}(\.\d{1,6})?")
+_ATTEMPT_ID_PATTERN = re.compile(rb"[\x21-\x7e]{1,128}")
+SUPPORTED_METHODS = frozenset(
     (b"GET", b"POST", b"PUT", b"PATCH", b"DELETE")
-)  # HEAD's answers have lengths and no bodies
-PROMISES = (408, 429, 503)  # to a client they say that its request has not run and never will
-_KEPT_BACK = HOP_BY_HOP | {b"content-length"}
+)  # no HEAD: its responses have a length but no body
+NOT_EXECUTED_STATUSES = (
+    408,
+    429,
+    503,
+)  # to a client they promise that its request has not run and never will
+_CONNECTION_HEADERS = HOP_BY_HOP | {b"content-length"}
 
 
-class SystemRequest(HttpRequest):
-    """A request, and its form for the backend that it goes to."""
+class RoutedRequest(HttpRequest):
+    """A request of a route, with the headers for the selected backend."""
 
     __slots__ = ("_instance_of",)
-    # only Not-Executed and 421 say that nothing has run: a request that was sent in part may have
+    # only Not-Executed and 421 prove that nothing has run: a partly sent request may have run
     traits = ProtocolTraits(
         starts_after_last_byte=False, responses_name_request=True, stall_timeout_applies=False
     )
@@ -48,7 +54,7 @@
         self._instance_of = instance_of
 
     def message_to(self, backend: BackendId, left_ms: float) -> Message:
-        """With what is left of its time, and the instance that alone may run it."""
+        """Returns the message with its remaining time and the only instance that may run it."""
         head = b"%bDeadline-Ms: %d\r\nExpected-Instance: %b\r\n\r\n" % (
             self._head,
             max(1, int(left_ms)),
@@ -57,81 +63,87 @@
         return [head, *self.body] if isinstance(self.body, list) else head + self.body
 
 
-class SystemReader:
-    """In place of http.request.Reader: listener.RequestParser."""
+class RoutedRequestReader:
+    """Implements listener.RequestParser with routes and API keys, in place of http.request.Reader."""
 
     def __init__(
         self, pool_of: Callable[[str], int], instance_of: Callable[[BackendId], bytes], random: Random
     ) -> None:
-        self.table: Table | None = None  # swapped as one
+        self.table: RouteTable | None = None  # replaced as a whole
         self._pool_of, self._instance_of, self._random = pool_of, instance_of, random
 
     def read(self, method: bytes, url: bytes, headers: Headers, body: bytes | list[bytes]) -> HttpRequest:
-        """The request; BadRequest if it takes no route, its key is nobody's, or a part is senseless."""
+        """Returns the request.
+
+        Raises:
+            BadRequest: No route matches, the API key is unknown, or the request is malformed.
+        """
         table = self.table
         if table is None:
             raise BadRequest(503, "no configuration yet")
         length = len(body) if isinstance(body, bytes) else sum(map(len, body))
         if isinstance(body, list) and length <= UNBUDGETED_BODY_BYTES:
             body = b"".join(body)
-        seen = single_valued(headers, _MEANT)
-        if method not in METHODS:
+        values = single_valued(headers, _INTERPRETED_HEADERS)
+        if method not in SUPPORTED_METHODS:
             raise BadRequest(405, "no such method here")
-        host = seen.get(b"host", b"").partition(b":")[0].lower()
-        found = table.find(host, url.partition(b"?")[0])
-        if found is None:
+        host = values.get(b"host", b"").partition(b":")[0].lower()
+        matched = table.find(host, url.partition(b"?")[0])
+        if matched is None:
             raise BadRequest(404, "no route")
-        route = found.route
-        number = plan = 0
+        route = matched.route
+        tenant_number = plan = 0
         priority = route.priority
         extra = b""
         if table.needs_key and not route.public:
-            holder = table.holder(seen.get(b"key", b""))
-            if holder is None:
+            key_owner = table.key_owner(values.get(b"key", b""))
+            if key_owner is None:
                 raise BadRequest(401, "the key is nobody's")
-            number, plan = holder.number, holder.plan
-            if holder.tenant.priority is not None:
-                priority = holder.tenant.priority
-            extra = b"Tenant-Name: %b\r\n" % holder.tenant.name.encode()
+            tenant_number, plan = key_owner.tenant_number, key_owner.plan
+            if key_owner.tenant.priority is not None:
+                priority = key_owner.tenant.priority
+            extra = b"Tenant-Name: %b\r\n" % key_owner.tenant.name.encode()
         if length > table.configuration.limits.body_bytes:
             raise BadRequest(413, "the body is too long")
-        id = seen.get(b"attempt-id", b"")
-        if not _ID.fullmatch(id):
+        id = values.get(b"attempt-id", b"")
+        if not _ATTEMPT_ID_PATTERN.fullmatch(id):
             raise BadRequest(400, "attempt-id is missing or senseless")
         left_ms = route.timeout_ms
-        if (told := seen.get(b"deadline-ms")) is not None:
-            if not _DEADLINE.fullmatch(told):
+        if (deadline := values.get(b"deadline-ms")) is not None:
+            if not _DEADLINE_PATTERN.fullmatch(deadline):
                 raise BadRequest(400, "deadline-ms is senseless")
-            left_ms = min(left_ms, float(told))
+            left_ms = min(left_ms, float(deadline))
         arrival = RequestArrived(
             0,
-            number,
+            tenant_number,
             plan,
-            found.cls,
+            matched.class_number,
             1.0,
             0,
             1,
             max(1.0, left_ms),
             False,
-            self._pool_of(pick(route.split, self._random)),
+            self._pool_of(pick_service(route.split, self._random)),
             route.max_attempts,
             priority=priority,
         )
-        head = forwarded_head(method, url, headers, length, _DROPPED, _MEANT) + extra
-        return SystemRequest(id, head, body, arrival, route.read_only, self._instance_of)
+        head = forwarded_head(method, url, headers, length, _REPLACED_HEADERS, _INTERPRETED_HEADERS) + extra
+        return RoutedRequest(id, head, body, arrival, route.read_only, self._instance_of)
 
     def waited(self, url: bytes, headers: Headers, waited_ms: float) -> RequestQueued | None:
-        """None: a request is read before it is turned away, as its class is its route's."""
+        """Returns None: a request has to be read before it can be rejected, as its route sets its class."""
         return None
 
 
-def verdict(attempt: HttpAttempt | None, response: Response) -> Outcome | None:
-    """What an answer means; None: it is an earlier request's, come late, and the attempt's is still to come.
+def classify_backend_response(attempt: HttpAttempt | None, response: Response) -> Outcome | None:
+    """Returns the outcome of a backend's response; None for a late response to an earlier request.
 
-    Only Not-Executed and 421 say that nothing has run, and only of the request that the answer names: one
-    that names none may be anybody's. A success without the backend's stamp, in a coding that nobody asked
-    for, or one that says it has not run, is not the backend's answer, and its request may have run. Neither
-    is a refusal without Not-Executed: passed on, it would promise what nobody has said.
+    After None, the attempt's own response is still expected. Only Not-Executed and 421 prove that nothing
+    has run, and only for the request whose id the response carries; a response without an id may belong to
+    any request. A success without the backend's signature, in a content coding that was not requested, or
+    with Not-Executed is not accepted as the backend's response, and its request may have run. The same
+    holds for a 408, 429 or 503 without Not-Executed: forwarded, it would promise the client that the
+    request has not run.
     """
     headers = response.headers
     id = headers.get(b"attempt-id")
@@ -146,25 +158,25 @@
     if id is None:
         return Outcome.RESET
     if 200 <= status < 300:
-        sound = (
+        valid = (
             b"response-signature" in headers
             and b"content-encoding" not in headers
             and b"not-executed" not in headers
         )
-        return Outcome.OK if sound else Outcome.RESET
+        return Outcome.OK if valid else Outcome.RESET
     if b"not-executed" in headers:
         return Outcome.FULL
     if status == 421:
         return Outcome.WRONG_INSTANCE
-    if status in PROMISES:
+    if status in NOT_EXECUTED_STATUSES:
         return Outcome.RESET
-    return Outcome.ERROR if status >= 500 else Outcome.OK  # the backend's own answer to what was asked
+    return Outcome.ERROR if status >= 500 else Outcome.OK  # the backend's own response
 
 
-def passes(answer: Response) -> tuple[tuple[bytes, bytes], ...]:
-    """All headers but those of one connection: what the backend says is the client's."""
-    given = tuple(pair for pair in answer.headers.items() if pair[0] not in _KEPT_BACK)
+def forwarded_response_headers(answer: Response) -> tuple[tuple[bytes, bytes], ...]:
+    """Returns all response headers except those that belong to one connection."""
+    pairs = tuple(pair for pair in answer.headers.items() if pair[0] not in _CONNECTION_HEADERS)
     if len(answer.cookies) < 2:
-        return given
-    rest = tuple(pair for pair in given if pair[0] != b"set-cookie")
-    return rest + tuple((b"set-cookie", cookie) for cookie in answer.cookies)
+        return pairs
+    others = tuple(pair for pair in pairs if pair[0] != b"set-cookie")
+    return others + tuple((b"set-cookie", cookie) for cookie in answer.cookies)
--- a/troutdock/proxy/route_table.py
+++ b/troutdock/proxy/route_table.py
@@ -1,4 +1,4 @@
-"""A configuration as requests need it: routes by host and longest prefix, tenants by key (no I/O)."""
+"""A configuration compiled for lookups: routes by host and longest prefix, tenants by API key (no I/O)."""
 
 from __future__ import annotations
 
@@ -9,65 +9,76 @@
 from troutdock.settings.configuration import Configuration, Route, Tenant
 from troutdock.admission.interface import Effect, Plan, RequestClass, Settings
 
-LOWEST = 9  # priorities beyond are worth no less
+LOWEST_PRIORITY = 9  # higher numbers have the same weight
 TICK_MS = 1.0
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
-    """A route and the number of its class."""
+class RouteMatch:
+    """A route and the number of its request class."""
 
     route: Route
-    cls: int
+    class_number: int
 
 
 @dataclass(frozen=True, slots=True)
-class Holder:
-    """Whose a key is. number: of the tenant, the same in every version; plan: in this version's settings."""
+class KeyOwner:
+    """The tenant that an API key belongs to.
+
+    Attributes:
+        tenant: Its configuration.
+        tenant_number: Its number, the same in every version of the configuration.
+        plan: The index of its plan in the settings of this version.
+    """
 
     tenant: Tenant
-    number: int
+    tenant_number: int
     plan: int
 
 
-class Table:
-    """One version, compiled; a new version is a new one."""
+class RouteTable:
+    """One compiled version of the configuration; each version gets a new table."""
+
+    def __init__(self, configuration: Configuration, tenant_numbers: dict[str, int]) -> None:
+        """Compiles a configuration.
 
-    def __init__(self, configuration: Configuration, numbers: dict[str, int]) -> None:
-        """numbers: of tenants by name, kept from version to version; new ones are added."""
+        Args:
+            configuration: One version.
+            tenant_numbers: Tenant numbers by name, shared by all versions; new tenants are added.
+        """
         self.configuration = configuration
         self.version = configuration.version
         self.needs_key = configuration.tenants is not None
-        self._hosts: dict[bytes, dict[bytes, Found]] = {}
-        for cls, route in enumerate(configuration.routes):
+        self._hosts: dict[bytes, dict[bytes, RouteMatch]] = {}
+        for class_number, route in enumerate(configuration.routes):
             prefixes = self._hosts.setdefault(route.host.encode(), {})
-            prefixes[route.prefix.encode()] = Found(route, cls)
-        self._holders: dict[bytes, Holder] = {}
+            prefixes[route.prefix.encode()] = RouteMatch(route, class_number)
+        self._key_owners: dict[bytes, KeyOwner] = {}
         tenants = configuration.tenants or ()
         for plan, tenant in enumerate(tenants):
-            number = numbers.setdefault(tenant.name, len(numbers) + 1)
+            tenant_number = tenant_numbers.setdefault(tenant.name, len(tenant_numbers) + 1)
             for key in tenant.keys:
-                self._holders[key.encode()] = Holder(tenant, number, plan + 1)
+                self._key_owners[key.encode()] = KeyOwner(tenant, tenant_number, plan + 1)
         self.settings = _settings(configuration, tenants)
 
-    def find(self, host: bytes, path: bytes) -> Found | None:
-        """The route of the host with the longest prefix that begins the path."""
+    def find(self, host: bytes, path: bytes) -> RouteMatch | None:
+        """Returns the host's route with the longest matching path prefix."""
         prefixes = self._hosts.get(host)
         if prefixes is None:
             return None
         end = len(path)
         while (end := path.rfind(b"/", 0, end)) >= 0:
-            if (found := prefixes.get(path[: end + 1])) is not None:
-                return found
+            if (matched := prefixes.get(path[: end + 1])) is not None:
+                return matched
         return None
 
-    def holder(self, key: bytes) -> Holder | None:
-        """Whose the key is."""
-        return self._holders.get(key)
+    def key_owner(self, key: bytes) -> KeyOwner | None:
+        """Returns the owner of an API key; None if the key is unknown."""
+        return self._key_owners.get(key)
 
 
 def _settings(configuration: Configuration, tenants: tuple[Tenant, ...]) -> Settings:
-    """What the decision module is told: a class for each route, a plan for each tenant.
+    """Returns the settings of the decision module: a class for each route, a plan for each tenant.
 
     Plan 0 has no limit.
     """
@@ -75,7 +86,7 @@
         RequestClass(
             route.target_latency_ms,
             route.timeout_ms,
-            1 / (1 + min(route.priority, LOWEST)),
+            1 / (1 + min(route.priority, LOWEST_PRIORITY)),
             Effect.SAFE if route.read_only else Effect.UNSAFE,
             name=route.name,
         )
@@ -105,13 +116,13 @@
     )
 
 
-def pick(to: tuple[tuple[str, float], ...], random: Random) -> str:
-    """One of a split's services, by weight."""
-    if len(to) == 1:
-        return to[0][0]
-    at = random.random() * sum(weight for _, weight in to)
-    for service, weight in to:
-        at -= weight
-        if at < 0:
+def pick_service(split: tuple[tuple[str, float], ...], random: Random) -> str:
+    """Returns a random service of a split, by weight."""
+    if len(split) == 1:
+        return split[0][0]
+    remaining = random.random() * sum(weight for _, weight in split)
+    for service, weight in split:
+        remaining -= weight
+        if remaining < 0:
             return service
-    return next(service for service, weight in reversed(to) if weight > 0)
+    return next(service for service, weight in reversed(split) if weight > 0)
