--- a/tests/handover/test_handover.py
+++ b/tests/handover/test_handover.py
@@ -16,9 +16,9 @@
 from upgrade import Upgrade
 
 
-from troutdock.handover.link import NAME
-from troutdock.handover.protocol import Holds
-from troutdock.handover.roles import Item
+from troutdock.handover.link import SOCKET_NAME
+from troutdock.handover.protocol import PredecessorStatus
+from troutdock.handover.roles import TransferredConnection
 
 
 class Held:
@@ -308,7 +308,7 @@
         row.append("good")
     return state
 snapshot.take = more
-roles.Successor.ask = lambda self: [roles.Send(self.link, protocol.Hello(3, 2, self.program))]
+roles.Successor.connected = lambda self: [roles.Send(self.link, protocol.Hello(3, 2, self.program))]
 """
 
 
@@ -397,7 +397,7 @@
             await tier.start()
             tier.children[0][0].kill()
             tier.children[0][0].wait(20)
-            assert (tmp_path / NAME).exists()
+            assert (tmp_path / SOCKET_NAME).exists()
             await tier.start()
             reader, writer = await asyncio.open_connection(*tier.address)
             assert (await Client(reader, writer).ask(request()))[0] == 200
@@ -410,13 +410,13 @@
     async def test() -> None:
         async with world(answer()) as w:
             for alone in (False, True):  # followed to its end; or dead before it was
-                assert w.service.take(b"no state", Holds(bodies=7, streams=1))[0]
-                w.service.own(alone)
+                assert w.service.import_state(b"no state", PredecessorStatus(bodies=7, streams=1))[0]
+                w.service.become_owner(alone)
                 assert (w.service._server.bodies.used, w.service._server.streams) == (
                     (0, 0) if alone else (7, 1)
                 )
                 if not alone:
-                    w.service.ended()
+                    w.service.predecessor_ended()
                 assert (w.service._server.bodies.used, w.service._server.streams) == (0, 0)
 
     run(test())
@@ -426,9 +426,9 @@
     """Takes what it is given, or nothing."""
 
     def __init__(self) -> None:
-        self.items: list[Item] = []
+        self.items: list[TransferredConnection] = []
 
-    def give(self, item: Item) -> bool:
+    def pass_connection(self, item: TransferredConnection) -> bool:
         self.items.append(item)
         return True
 
--- a/tests/handover/test_link.py
+++ b/tests/handover/test_link.py
@@ -15,30 +15,30 @@
 
 from troutdock.admission.interface import Outcome, AttemptSettled
 from troutdock.handover import link
-from troutdock.handover.link import NAME, PredecessorLink, SuccessorLink
+from troutdock.handover.link import SOCKET_NAME, PredecessorLink, SuccessorLink
 from troutdock.handover.protocol import (
-    PIECE,
-    Ack,
-    Bytes,
+    CHUNK_BYTES,
+    ConnectionAck,
+    DataChunk,
     Done,
     Hello,
-    Holds,
+    PredecessorStatus,
     Message,
-    Passed,
-    Sorry,
-    State,
+    PassedConnection,
+    Rejection,
+    StateChunk,
     StateEnd,
-    Told,
-    Took,
+    AttemptReport,
+    StateAck,
     Welcome,
-    Wish,
+    SetOutOfService,
     checksum,
     decode,
     encode,
 )
-from troutdock.handover.roles import Giving, Item, Taking
+from troutdock.handover.roles import PredecessorPhase, TransferredConnection, SuccessorPhase
 
-STATE = os.urandom(3 * PIECE + 7)
+STATE = os.urandom(3 * CHUNK_BYTES + 7)
 
 
 class Older:
@@ -48,18 +48,18 @@
         self.state, self.log, self.returned = state, [], []
         self.link = PredecessorLink(str(folder), self, "old")
 
-    def retire(self) -> tuple[bytes, Holds]:
+    def begin_handover(self) -> tuple[bytes, PredecessorStatus]:
         self.log.append("retired")
-        return self.state, Holds(True, 7, 1)
+        return self.state, PredecessorStatus(True, 7, 1)
 
-    def owned(self) -> None:
+    def ownership_transferred(self) -> None:
         self.log.append("owned")
 
-    def lost(self, untouched: bool, returned: Iterable[Item]) -> None:
-        self.log.append("untouched" if untouched else "lost")
+    def successor_lost(self, state_unused: bool, returned: Iterable[TransferredConnection]) -> None:
+        self.log.append("untouched" if state_unused else "lost")
         self.returned += returned
 
-    def wished(self, out_of_service: bool) -> None:
+    def set_out_of_service(self, out_of_service: bool) -> None:
         self.log.append(("wished", out_of_service))
 
 
@@ -68,34 +68,34 @@
 
     def __init__(self) -> None:
         self.log: list[Any] = []
-        self.items: list[Item] = []
+        self.items: list[TransferredConnection] = []
         self.link = SuccessorLink(self, "new")
 
-    def take(self, state: bytes, holds: Holds) -> tuple[str, tuple[str, ...]]:
+    def import_state(self, state: bytes, holds: PredecessorStatus) -> tuple[str, tuple[str, ...]]:
         self.log.append((state, holds))
         return "", ()
 
-    def own(self, alone: bool) -> None:
+    def become_owner(self, alone: bool) -> None:
         self.log.append("alone" if alone else "owner")
 
-    def adopt(self, item: Item) -> None:
+    def adopt(self, item: TransferredConnection) -> None:
         self.items.append(item)
 
     def settle(self, settled: AttemptSettled) -> None:
         self.log.append(settled)
 
-    def ended(self) -> None:
+    def predecessor_ended(self) -> None:
         self.log.append("ended")
 
 
 async def packet(sock: socket.socket) -> Message | str | None:
-    data = await asyncio.get_running_loop().sock_recv(sock, PIECE + 512)
+    data = await asyncio.get_running_loop().sock_recv(sock, CHUNK_BYTES + 512)
     return decode(data) if data else None
 
 
 def dialled(folder: Path) -> socket.socket:
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET | socket.SOCK_NONBLOCK)
-    with link._short(str(folder)) as path:
+    with link._short_path(str(folder)) as path:
         sock.connect(path)
     return sock
 
@@ -105,26 +105,31 @@
         folder = tmp_path / ("x" * 100) / ("y" * 100)  # longer than such a socket's name may be
         folder.mkdir(parents=True)
         older, newer = Older(folder), Newer()
-        assert await newer.link.ask(str(folder))
-        newer.link.wish(True)
+        assert await newer.link.connect(str(folder))
+        newer.link.request_out_of_service(True)
         await until(lambda: older.log == [("wished", True)])
         assert newer.log == [] and newer.link.standing_by
         assert await older.link.end()
-        assert newer.log == [(STATE, Holds(True, 7, 1)), "owner"] and older.log[1:] == ["retired", "owned"]
+        assert newer.log == [(STATE, PredecessorStatus(True, 7, 1)), "owner"] and older.log[1:] == [
+            "retired",
+            "owned",
+        ]
         ends = [socket.socketpair() for _ in range(300)]
         for n, (_, given) in enumerate(ends):
-            assert older.link.give(Item(given, b"x" * (n % 3 * 40_000), float(n), 2.0))
+            assert older.link.pass_connection(
+                TransferredConnection(given, b"x" * (n % 3 * 40_000), float(n), 2.0)
+            )
         for n in range(5):
-            older.link.tell(AttemptSettled(n, 0, Outcome.OK))
+            older.link.report_attempt(AttemptSettled(n, 0, Outcome.OK))
         await older.link.finish()
-        await until(newer.link.over.is_set)
+        await until(newer.link.finished.is_set)
         assert [told.request for told in newer.log[2:-1]] == [0, 1, 2, 3, 4] and newer.log[-1] == "ended"
         for n, ((mine, _), item) in enumerate(zip(ends, newer.items, strict=True)):
             mine.send(b"x")
             assert item.connection.recv(1) == b"x" and (len(item.data), item.began_ms) == (n % 3 * 40_000, n)
             mine.close()
             item.connection.close()
-        assert not older.link.give(Item(None)) and older.returned == []
+        assert not older.link.pass_connection(TransferredConnection(None)) and older.returned == []
         older.link.close()
 
     run(test())
@@ -133,10 +138,10 @@
 # what a successor says, in turn, and what the older process is left as when it ends after so many of them
 SAYS: list[tuple[Message, list[Any]]] = [
     (Hello(), []),
-    (Wish(False), [("wished", False)]),
-    (Took(), ["retired", "owned"]),
-    (Ack(1), []),
-    (Ack(3), []),
+    (SetOutOfService(False), [("wished", False)]),
+    (StateAck(), ["retired", "owned"]),
+    (ConnectionAck(1), []),
+    (ConnectionAck(3), []),
 ]
 LEFT = [[], [], ["retired", "untouched"], ["lost"], ["lost"], ["lost"]]
 RETURNED = [0, 0, 0, 3, 2, 0]
@@ -150,21 +155,21 @@
         ending, pairs = None, [socket.socketpair() for _ in range(3)]
         for message, logged in SAYS[:said]:
             expected += logged
-            if isinstance(message, Took):
+            if isinstance(message, StateAck):
                 ending = asyncio.create_task(older.link.end())
                 while not isinstance(await packet(sock), StateEnd):
                     pass
             sock.send(encode(message))
             await until(lambda: older.log == expected)
-            if isinstance(message, Took):
+            if isinstance(message, StateAck):
                 for _, given in pairs:
-                    older.link.give(Item(given, b"begun"))
+                    older.link.pass_connection(TransferredConnection(given, b"begun"))
         if said == 2:  # it ends with the state on its way
             ending = asyncio.create_task(older.link.end())
             await until(lambda: older.log[-1:] == ["retired"])
         await asyncio.sleep(0.01)
         sock.close()
-        await until(lambda: older.link.role.at is Giving.ALONE)
+        await until(lambda: older.link.role.phase is PredecessorPhase.STANDALONE)
         if ending is not None:
             assert await ending == (said > 2)
         assert older.log == [*expected, *LEFT[said]]
@@ -180,15 +185,15 @@
 
 GIVES: list[Message] = [
     Welcome(),
-    State(STATE[:PIECE]),
-    State(STATE[PIECE : 2 * PIECE]),
-    State(STATE[2 * PIECE : 3 * PIECE]),
-    State(STATE[3 * PIECE :]),
+    StateChunk(STATE[:CHUNK_BYTES]),
+    StateChunk(STATE[CHUNK_BYTES : 2 * CHUNK_BYTES]),
+    StateChunk(STATE[2 * CHUNK_BYTES : 3 * CHUNK_BYTES]),
+    StateChunk(STATE[3 * CHUNK_BYTES :]),
     StateEnd(len(STATE), checksum(STATE)),
-    Told(AttemptSettled(1, 0)),
-    Bytes(b"be"),
-    Bytes(b"gun"),
-    Passed(5),
+    AttemptReport(AttemptSettled(1, 0)),
+    DataChunk(b"be"),
+    DataChunk(b"gun"),
+    PassedConnection(5),
     Done(),
 ]
 
@@ -199,15 +204,15 @@
 ) -> None:
     async def test() -> None:
         listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET | socket.SOCK_NONBLOCK)
-        listener.bind(str(tmp_path / NAME))
+        listener.bind(str(tmp_path / SOCKET_NAME))
         listener.listen()
         newer = Newer()
-        asking = asyncio.create_task(newer.link.ask(str(tmp_path)))
+        asking = asyncio.create_task(newer.link.connect(str(tmp_path)))
         sock, _ = await asyncio.get_running_loop().sock_accept(listener)
         assert isinstance(await packet(sock), Hello)
         other, given = socket.socketpair()
         for message in GIVES[:said]:
-            if isinstance(message, Passed):
+            if isinstance(message, PassedConnection):
                 socket.send_fds(sock, [encode(message)], [given.fileno()])
             else:
                 sock.send(encode(message))
@@ -215,19 +220,30 @@
             assert await asking
             await until(
                 lambda: (
-                    newer.link.role.at
-                    is (Taking.STANDBY if said < 6 else Taking.OWNER if said < 11 else Taking.ALONE)
+                    newer.link.role.phase
+                    is (
+                        SuccessorPhase.STANDBY
+                        if said < 6
+                        else SuccessorPhase.OWNER
+                        if said < 11
+                        else SuccessorPhase.STANDALONE
+                    )
                 )
             )
         listener.close()
         sock.close()
-        await until(newer.link.over.is_set)
+        await until(newer.link.finished.is_set)
         if said == 0:
             assert not await asking and newer.log == []  # it is told that there is none
         elif said < 6:
             await until(lambda: newer.log == ["alone"])
         else:
-            assert newer.log == [(STATE, Holds()), "owner", *[AttemptSettled(1, 0)] * (said > 6), "ended"]
+            assert newer.log == [
+                (STATE, PredecessorStatus()),
+                "owner",
+                *[AttemptSettled(1, 0)] * (said > 6),
+                "ended",
+            ]
         assert [item.data for item in newer.items] == [b"begun"] * (said > 9)
         newer.link.close()
         for end in (other, given, *(item.connection for item in newer.items)):
@@ -238,20 +254,20 @@
 
 @pytest.mark.parametrize(
     "nonsense",
-    [b"take", b"\xff" * 2000, msgspec.msgpack.encode({"type": "took"}), encode(Took()), encode(Done())],
+    [b"take", b"\xff" * 2000, msgspec.msgpack.encode({"type": "took"}), encode(StateAck()), encode(Done())],
 )
 def test_nonsense_ends_its_link_and_nothing_else(tmp_path: Path, nonsense: bytes) -> None:
     async def test() -> None:
         older = Older(tmp_path)
-        others = [dialled(tmp_path) for _ in range(link.MOST_LINKS)]  # that say nothing
+        others = [dialled(tmp_path) for _ in range(link.MAX_PENDING_LINKS)]  # that say nothing
         bad = dialled(tmp_path)
         bad.send(nonsense)
         assert await packet(bad) is None
         newer = Newer()
-        assert await newer.link.ask(str(tmp_path))
+        assert await newer.link.connect(str(tmp_path))
         assert await older.link.end() and newer.log[-1] == "owner"
         late = Newer()
-        asking = asyncio.create_task(late.link.ask(str(tmp_path)))
+        asking = asyncio.create_task(late.link.connect(str(tmp_path)))
         await asyncio.sleep(0.05)
         older.link.close()  # as its process does at its end
         newer.link.close()
@@ -266,11 +282,11 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It wakes up later, and asks anew; then it is."""
-    monkeypatch.setattr(link, "ANSWER_S", 0.05)
+    monkeypatch.setattr(link, "RESPONSE_TIMEOUT_S", 0.05)
 
     async def test() -> None:
         older, newer = Older(tmp_path), Newer()
-        assert await newer.link.ask(str(tmp_path))
+        assert await newer.link.connect(str(tmp_path))
         asyncio.get_running_loop().remove_reader(newer.link._wire.sock.fileno())  # it hangs
         assert not await older.link.end()
         assert older.log == ["retired", "untouched"]
@@ -285,16 +301,16 @@
 def test_a_predecessor_that_says_nothing_is_waited_for_no_longer_than_told(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(link, "ANSWER_S", 0.05)
+    monkeypatch.setattr(link, "RESPONSE_TIMEOUT_S", 0.05)
 
     async def test() -> None:
         with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as mute:
-            mute.bind(str(tmp_path / NAME))
+            mute.bind(str(tmp_path / SOCKET_NAME))
             mute.listen()
             newer = Newer()
-            assert not await newer.link.ask(str(tmp_path)) and newer.link.over.is_set()
-        assert not await Newer().link.ask(str(tmp_path))  # nobody listens there any more
-        assert not await Newer().link.ask(str(tmp_path / "nowhere"))
+            assert not await newer.link.connect(str(tmp_path)) and newer.link.finished.is_set()
+        assert not await Newer().link.connect(str(tmp_path))  # nobody listens there any more
+        assert not await Newer().link.connect(str(tmp_path / "nowhere"))
 
     run(test())
 
@@ -305,7 +321,7 @@
     async def test() -> None:
         older = Older(tmp_path)
         monkeypatch.setattr(link, "_same_user", lambda sock: False)
-        assert not await Newer().link.ask(str(tmp_path))
+        assert not await Newer().link.connect(str(tmp_path))
         sock = dialled(tmp_path)
         assert await packet(sock) is None
         sock.close()
@@ -321,7 +337,7 @@
         sock.send(msgspec.msgpack.encode({"type": "hello", "version": 7, "oldest": 2, "mood": "good"}))
         assert await packet(sock) == Welcome(2, "old")
         sock.send(msgspec.msgpack.encode({"type": "weather", "sky": "blue"}))
-        sock.send(encode(Wish(True)))
+        sock.send(encode(SetOutOfService(True)))
         await until(lambda: older.log == [("wished", True)])
         sock.close()
         older.link.close()
@@ -335,7 +351,7 @@
         older = Older(tmp_path)
         sock = dialled(tmp_path)
         sock.send(encode(Hello(9, 8)))
-        assert await packet(sock) == Sorry("no common version with 8 to 9")
+        assert await packet(sock) == Rejection("no common version with 8 to 9")
         assert await packet(sock) is None
         sock.close()
         older.link.close()
--- a/tests/handover/test_roles.py
+++ b/tests/handover/test_roles.py
@@ -13,28 +13,34 @@
 from troutdock.admission.interface import Outcome, AttemptSettled
 from troutdock.handover import roles
 from troutdock.handover.protocol import (
-    MAX_STATE,
-    PIECE,
+    MAX_STATE_BYTES,
+    CHUNK_BYTES,
     VERSION,
-    WINDOW,
-    Ack,
-    Bytes,
+    MAX_UNACKED_CONNECTIONS,
+    ConnectionAck,
+    DataChunk,
     Done,
     Hello,
-    Holds,
-    Passed,
+    PredecessorStatus,
+    PassedConnection,
     ProtocolError,
-    Sorry,
-    State,
+    Rejection,
+    StateChunk,
     StateEnd,
-    Took,
+    StateAck,
     Welcome,
-    Wish,
+    SetOutOfService,
     checksum,
     decode,
     encode,
 )
-from troutdock.handover.roles import Giving, Item, Predecessor, Successor, Taking
+from troutdock.handover.roles import (
+    PredecessorPhase,
+    TransferredConnection,
+    Predecessor,
+    Successor,
+    SuccessorPhase,
+)
 
 STATE = bytes(range(256)) * 300  # three pieces
 
@@ -86,8 +92,8 @@
         self.shut = {"older": False, "newer": False}
         while self.to_older:  # of the link before
             self.read_older(self.link - 1)
-        self.done_older(self.older.cut(self.link - 1))
-        self.newer_does(self.newer.ask())
+        self.done_older(self.older.link_closed(self.link - 1))
+        self.newer_does(self.newer.connected())
 
     def done_older(self, effects: list[Any]) -> None:
         for effect in effects:
@@ -95,48 +101,48 @@
                 case roles.Send(link, message, connection):
                     if link == self.link and self.alive["newer"] and not self.shut["newer"]:
                         self.to_newer.append((decode(encode(message)), connection))
-                case roles.Retire():
+                case roles.BeginHandover():
                     self.retired = True
-                    self.done_older(self.older.state(STATE, Holds()))
-                case roles.Owned(error, _):
+                    self.done_older(self.older.send_state(STATE, PredecessorStatus()))
+                case roles.OwnershipTransferred(error, _):
                     assert not error and self.took
-                case roles.Given(connection):
+                case roles.ReleaseConnection(connection):
                     assert connection in self.at_newer or not self.alive["newer"]
-                case roles.Lost(untouched, returned):
-                    assert untouched != self.took
+                case roles.SuccessorLost(state_unused, returned):
+                    assert state_unused != self.took
                     self.retired = self.took = False
                     for item in returned:
                         assert item.connection not in self.at_older
                         self.at_older[item.connection] = item.data
                     self.owns = False  # as if it had died; if not, the older one's ceilings are empty
-                case roles.Shut(link) | roles.Close(link):
+                case roles.Abort(link) | roles.Close(link):
                     if link == self.link:
                         self.give_up("older")
-                case roles.Wished():
+                case roles.OutOfServiceRequested():
                     assert not self.retired
 
     def newer_does(self, effects: list[Any]) -> None:
         for effect in effects:
             match effect:
-                case roles.Send(_, message) | roles.Decide(_, message):
+                case roles.Send(_, message) | roles.SendOrAbort(_, message):
                     there = self.alive["older"] and not self.shut["older"]
                     if there:
                         self.to_older.append(decode(encode(message)))
-                    if isinstance(effect, roles.Decide):
-                        self.newer_does(self.newer.said(there))
+                    if isinstance(effect, roles.SendOrAbort):
+                        self.newer_does(self.newer.send_result(there))
                         if not there:
                             self.give_up("newer")
-                case roles.Take(state, _):
+                case roles.ImportState(state, _):
                     assert state == STATE
-                    self.newer_does(self.newer.took("", ()))
-                case roles.Owner():
+                    self.newer_does(self.newer.state_imported("", ()))
+                case roles.BecomeOwner():
                     self.owns = self.took = True
-                case roles.Alone() | roles.Again():
+                case roles.ProceedAlone() | roles.Reconnect():
                     self.asks = True
-                case roles.Adopt(item):
+                case roles.AdoptConnection(item):
                     assert item.connection not in self.at_newer
                     self.at_newer[item.connection] = item.data
-                case roles.Settle(settled):
+                case roles.SettleAttempt(settled):
                     self.heard.append(settled.request)
                 case roles.Close():
                     self.give_up("newer")
@@ -149,10 +155,10 @@
         if side == "older":
             while self.to_older:
                 self.read_older()
-            self.done_older(self.older.cut(self.link))
+            self.done_older(self.older.link_closed(self.link))
         else:
             self.to_newer.clear()  # what is not acknowledged goes back
-            self.newer_does(self.newer.cut())
+            self.newer_does(self.newer.link_closed())
 
     def read_older(self, link: int = 0) -> None:
         if self.to_older:
@@ -184,7 +190,7 @@
     @rule()
     def a_client_comes(self) -> None:
         self.names += 1
-        self.all[self.names] = self.at_older[self.names] = b"x" * (self.names % 3) * (PIECE - 1)
+        self.all[self.names] = self.at_older[self.names] = b"x" * (self.names % 3) * (CHUNK_BYTES - 1)
 
     @precondition(lambda self: self.all)
     @rule(pick=st.integers(0, 1000))
@@ -214,30 +220,36 @@
     def told_to_end(self) -> None:
         self.done_older(self.older.end())
 
-    @precondition(lambda self: self.alive["older"] and self.older.at is Giving.FOLLOWED and self.at_older)
+    @precondition(
+        lambda self: (
+            self.alive["older"] and self.older.phase is PredecessorPhase.SUCCESSOR_OWNS and self.at_older
+        )
+    )
     @rule(many=st.booleans())
-    def give(self, many: bool) -> None:
+    def pass_connection(self, many: bool) -> None:
         owes = [name for name, reader in self.asked.items() if reader == "older"]
         for name in [n for n in self.at_older if n not in owes][: None if many else 1]:
-            if self.older.at is Giving.FOLLOWED:
-                self.done_older(self.older.give(Item(name, self.at_older.pop(name))))
+            if self.older.phase is PredecessorPhase.SUCCESSOR_OWNS:
+                self.done_older(
+                    self.older.pass_connection(TransferredConnection(name, self.at_older.pop(name)))
+                )
 
     @precondition(lambda self: self.alive["older"] and self.retired)
     @rule()
     def an_attempt_ends(self) -> None:
-        if self.older.at is Giving.FOLLOWED:
+        if self.older.phase is PredecessorPhase.SUCCESSOR_OWNS:
             self.told.append(len(self.told) + 1)
-            self.done_older(self.older.tell(AttemptSettled(len(self.told), 0, Outcome.OK)))
+            self.done_older(self.older.report_attempt(AttemptSettled(len(self.told), 0, Outcome.OK)))
 
     @precondition(lambda self: self.alive["older"])
     @rule()
     def waits_no_longer(self) -> None:
-        self.done_older(self.older.late())
+        self.done_older(self.older.timed_out())
 
     @precondition(lambda self: self.alive["older"] and self.retired and not self.at_older)
     @rule()
     def nothing_left(self) -> None:
-        self.done_older(self.older.done())
+        self.done_older(self.older.finish())
 
     @rule(side=st.sampled_from(["older", "newer"]))
     def breaks(self, side: str) -> None:
@@ -262,7 +274,7 @@
     def one_owner_of_every_budget(self) -> None:
         if self.alive["older"]:  # else the newer one is it, or will be once it asks anew
             # it is not retired, or the newer one has it, or its Took is still to be read, or the state to come
-            on_the_way = self.older.at is Giving.GIVING
+            on_the_way = self.older.phase is PredecessorPhase.SENDING_STATE
             died = self.took and not self.alive["newer"]  # and the older one has not noticed yet
             assert (not self.retired) + self.owns == 1 or (on_the_way and not self.owns) or died
 
@@ -270,7 +282,7 @@
     def one_owner_of_every_connection(self) -> None:
         assert not self.at_older.keys() & self.at_newer.keys()
         if all(self.alive.values()):
-            on_the_way = {item.connection for item in (*self.older._sent, *self.older._waiting)}
+            on_the_way = {item.connection for item in (*self.older._unacked, *self.older._waiting)}
             assert self.at_older.keys() | self.at_newer.keys() | on_the_way == self.all.keys()
         for name, data in (*self.at_older.items(), *self.at_newer.items()):
             assert data == self.all[name]
@@ -289,7 +301,7 @@
 
     @invariant()
     def few_descriptors_are_held_twice(self) -> None:
-        assert len(self.older._sent) <= WINDOW
+        assert len(self.older._unacked) <= MAX_UNACKED_CONNECTIONS
 
 
 TestUpgrade = Upgrade.TestCase
@@ -303,54 +315,54 @@
     u.requests_are_read("older")
     u.older_reads(9)
     u.newer_reads(9)
-    assert u.newer.at is Taking.STANDBY and not u.owns
+    assert u.newer.phase is SuccessorPhase.STANDBY and not u.owns
     u.told_to_end()
     u.newer_reads(9)
     assert u.owns and u.retired
     u.older_reads(9)
-    u.give(True)
+    u.pass_connection(True)
     assert len(u.at_older) == 100  # each owes an answer
     u.requests_are_answered("older")
-    u.give(True)
+    u.pass_connection(True)
     u.an_attempt_ends()
     u.nothing_left()
     for _ in range(50):
         u.newer_reads(12)
         u.older_reads(12)
-    assert u.older.at is Giving.OVER and u.newer.at is Taking.ALONE
+    assert u.older.phase is PredecessorPhase.FINISHED and u.newer.phase is SuccessorPhase.STANDALONE
     assert u.at_newer == u.all and u.heard == [1] and not u.at_older
     assert sum(u.answered.values()) == 100
 
 
 CALLS = {
-    Giving.ALONE: [],
-    Giving.AWAITED: [Hello()],
-    Giving.GIVING: [Hello(), "end"],
-    Giving.FOLLOWED: [Hello(), "end", Took()],
+    PredecessorPhase.STANDALONE: [],
+    PredecessorPhase.SUCCESSOR_READY: [Hello()],
+    PredecessorPhase.SENDING_STATE: [Hello(), "end"],
+    PredecessorPhase.SUCCESSOR_OWNS: [Hello(), "end", StateAck()],
 }
 
 
 @pytest.mark.parametrize(
     ("at", "message"),
     [
-        (Giving.ALONE, Took()),
-        (Giving.ALONE, Wish(True)),
-        (Giving.AWAITED, Took()),
-        (Giving.AWAITED, Ack(0)),
-        (Giving.AWAITED, Done()),
-        (Giving.GIVING, Ack(0)),
-        (Giving.GIVING, Welcome()),
-        (Giving.FOLLOWED, Took()),
-        (Giving.FOLLOWED, Ack(1)),
-        (Giving.FOLLOWED, State(b"")),
-        (Giving.ALONE, "new"),
+        (PredecessorPhase.STANDALONE, StateAck()),
+        (PredecessorPhase.STANDALONE, SetOutOfService(True)),
+        (PredecessorPhase.SUCCESSOR_READY, StateAck()),
+        (PredecessorPhase.SUCCESSOR_READY, ConnectionAck(0)),
+        (PredecessorPhase.SUCCESSOR_READY, Done()),
+        (PredecessorPhase.SENDING_STATE, ConnectionAck(0)),
+        (PredecessorPhase.SENDING_STATE, Welcome()),
+        (PredecessorPhase.SUCCESSOR_OWNS, StateAck()),
+        (PredecessorPhase.SUCCESSOR_OWNS, ConnectionAck(1)),
+        (PredecessorPhase.SUCCESSOR_OWNS, StateChunk(b"")),
+        (PredecessorPhase.STANDALONE, "new"),
     ],
 )
-def test_a_predecessor_takes_no_message_that_makes_no_sense(at: Giving, message: Any) -> None:
+def test_a_predecessor_takes_no_message_that_makes_no_sense(at: PredecessorPhase, message: Any) -> None:
     older = Predecessor()
     for call in CALLS[at]:
         older.end() if call == "end" else older.receive("link", call)
-    assert older.at is at
+    assert older.phase is at
     with pytest.raises(ProtocolError):
         older.receive("link", message)
 
@@ -358,24 +370,24 @@
 @pytest.mark.parametrize(
     ("before", "message"),
     [
-        ([], State(b"")),
+        ([], StateChunk(b"")),
         ([], Done()),
         ([Welcome()], Welcome()),
-        ([Welcome()], Passed()),
+        ([Welcome()], PassedConnection()),
         ([Welcome()], StateEnd(1, 0)),
-        ([Welcome(), State(b"ab")], StateEnd(2, 0)),
-        ([Welcome(), *[State(b"x" * PIECE)] * (MAX_STATE // PIECE)], State(b"x")),
-        ([Welcome(), StateEnd(0, checksum(b"")), "said"], Passed()),
-        ([Welcome(), StateEnd(0, checksum(b"")), "said"], State(b"")),
-        ([Welcome(), StateEnd(0, checksum(b"")), "said", Bytes(b"ab")], Passed(3)),
+        ([Welcome(), StateChunk(b"ab")], StateEnd(2, 0)),
+        ([Welcome(), *[StateChunk(b"x" * CHUNK_BYTES)] * (MAX_STATE_BYTES // CHUNK_BYTES)], StateChunk(b"x")),
+        ([Welcome(), StateEnd(0, checksum(b"")), "said"], PassedConnection()),
+        ([Welcome(), StateEnd(0, checksum(b"")), "said"], StateChunk(b"")),
+        ([Welcome(), StateEnd(0, checksum(b"")), "said", DataChunk(b"ab")], PassedConnection(3)),
     ],
 )
 def test_a_successor_takes_no_message_that_makes_no_sense(before: list[Any], message: Any) -> None:
     newer = Successor()
     for step in before:
-        newer.said(True) if step == "said" else newer.receive(step)
+        newer.send_result(True) if step == "said" else newer.receive(step)
     with pytest.raises(ProtocolError):
-        newer.receive(message, 7 if message == Passed(3) else None)
+        newer.receive(message, 7 if message == PassedConnection(3) else None)
 
 
 @pytest.mark.parametrize(
@@ -383,8 +395,8 @@
     [
         (Hello(VERSION + 5, VERSION), Welcome(VERSION)),
         (Hello(VERSION, 1), Welcome(VERSION)),
-        (Hello(VERSION + 5, VERSION + 1), Sorry),
-        (Hello(1, 1), Sorry),
+        (Hello(VERSION + 5, VERSION + 1), Rejection),
+        (Hello(1, 1), Rejection),
     ],
 )
 def test_the_newest_version_that_both_speak_is_spoken(hello: Hello, answer: Any) -> None:
--- a/troutdock/daemon.py
+++ b/troutdock/daemon.py
@@ -20,8 +20,8 @@
 from troutdock.address import Address
 from troutdock.engine import Engine
 from troutdock.handover.link import PredecessorLink, SuccessorLink
-from troutdock.handover.protocol import Holds, ProtocolError, pack_state, unpack_state
-from troutdock.handover.roles import Item
+from troutdock.handover.protocol import PredecessorStatus, ProtocolError, pack_state, unpack_state
+from troutdock.handover.roles import TransferredConnection
 from troutdock.http.body_limits import ByteBudget
 from troutdock.http.request import Reader
 from troutdock.http.listener import Server
@@ -94,7 +94,7 @@
         self._from_predecessor: SuccessorLink | None = None
         self._state: Any = None  # that was given to a successor, until that has said that it uses it
         self._wish: bool | None = None  # of this process's operator while it stood by: out of service, or in
-        self._holds = Holds()  # what the predecessor has
+        self._holds = PredecessorStatus()  # what the predecessor has
 
     # ---- what fronts beside this one need
 
@@ -133,7 +133,7 @@
         """An operator's call, which counts for whoever takes the clients."""
         if self._from_predecessor is not None and self._from_predecessor.standing_by:
             self._wish = not wanted
-            self._from_predecessor.wish(not wanted)
+            self._from_predecessor.request_out_of_service(not wanted)
             return True
         away, now = self._server.availability, time.monotonic()
         return away.put_back(now) if wanted else away.take_out(now)
@@ -150,8 +150,8 @@
         self.address = self._server.listen(self._listen, self._listener, hold=True)
         if self._listener is not None:
             self._from_predecessor = SuccessorLink(self, __version__)
-        if self._from_predecessor is None or not await self._from_predecessor.ask(tempfile.gettempdir()):
-            self.own(False)
+        if self._from_predecessor is None or not await self._from_predecessor.connect(tempfile.gettempdir()):
+            self.become_owner(False)
         sweep = Background("the sweep of clients", self._sweep)
         serving(self)
         await stop.wait()
@@ -161,7 +161,7 @@
         before = self._from_predecessor
         if before is not None and (before.standing_by or before.superseded):
             before.close()  # it was never the owner of anything
-        await self._server.drain(lambda: before is not None and not before.over.is_set())
+        await self._server.drain(lambda: before is not None and not before.finished.is_set())
         self._door.close()
         if self._to_successor is not None:
             await self._to_successor.finish()
@@ -176,7 +176,7 @@
 
     # ---- as a successor: SuccessorHost
 
-    def take(self, state: bytes, holds: Holds) -> tuple[str, tuple[str, ...]]:
+    def import_state(self, state: bytes, holds: PredecessorStatus) -> tuple[str, tuple[str, ...]]:
         """Go on from a state: why that can't be, or nothing; and what of it is not known here."""
         self._holds = holds
         try:
@@ -189,11 +189,11 @@
             log.warning("not known here, or not there: %s", ", ".join(left_out))
         return "", tuple(name for name in left_out if not name.startswith("no "))
 
-    def own(self, alone: bool) -> None:
+    def become_owner(self, without_state: bool) -> None:
         """All is this process's from now on: take clients. alone: without knowing what was spent before."""
-        if alone:
+        if without_state:
             self.ingress.engine.resume()
-            self._holds = Holds(self._holds.out_of_service)  # what it held has gone with it
+            self._holds = PredecessorStatus(self._holds.out_of_service)  # what it held has gone with it
         self._server.open()
         self._server.reserve_predecessor_share(self._holds.bodies, self._holds.streams)
         if self._holds.out_of_service if self._wish is None else self._wish:
@@ -210,7 +210,7 @@
             len(self._config.known[1]),
         )
 
-    def adopt(self, item: Item) -> None:
+    def adopt(self, item: TransferredConnection) -> None:
         """A client's connection, with what has come on it."""
         self._server.adopt(item)
 
@@ -218,36 +218,36 @@
         """What an attempt of the predecessor has come to."""
         self.ingress.engine.attempt_settled(settled)
 
-    def ended(self) -> None:
+    def predecessor_ended(self) -> None:
         """The predecessor has ended, and what it held of the budgets is free."""
         self._server.reserve_predecessor_share(-self._holds.bodies, -self._holds.streams)
         self.ingress.engine.predecessor_ended()
 
     # ---- as a predecessor: PredecessorHost
 
-    def retire(self) -> tuple[bytes, Holds]:
+    def begin_handover(self) -> tuple[bytes, PredecessorStatus]:
         """Let nothing new in: the state, and what this process holds to its end."""
         log.info("a successor takes over")
         assert self._to_successor is not None
         self._server.begin_handover()
-        self._state = self.ingress.engine.export_state(self._to_successor.tell)
+        self._state = self.ingress.engine.export_state(self._to_successor.report_attempt)
         out = self._server.availability.state is State.OUT_OF_SERVICE
-        return pack_state(self._state), Holds(out, *self._server.unreleased_share())
+        return pack_state(self._state), PredecessorStatus(out, *self._server.unreleased_share())
 
-    def owned(self) -> None:
+    def ownership_transferred(self) -> None:
         """The successor is the owner; connections may be given."""
         assert self._to_successor is not None
         self._state = None
         self._server.hand_over_to(self._to_successor)
 
-    def lost(self, untouched: bool, returned: Iterable[Item]) -> None:
+    def successor_lost(self, untouched: bool, returned: Iterable[TransferredConnection]) -> None:
         """There is no successor any more; connections that nobody has are back."""
         log.warning("the successor has ended; what is left is this process's again")
         self.ingress.engine.resume(self._state if untouched else None)
         self._state = None
         self._server.cancel_handover(returned)
 
-    def wished(self, out_of_service: bool) -> None:
+    def set_out_of_service(self, out_of_service: bool) -> None:
         """The successor's operator takes the ingress out of service, or puts it back."""
         self._in_service(not out_of_service)
 
--- a/troutdock/handover/link.py
+++ b/troutdock/handover/link.py
@@ -18,23 +18,38 @@
 
 from troutdock.admission.interface import AttemptSettled
 from troutdock.handover import roles
-from troutdock.handover.protocol import ANSWER_S, MAX_PACKET, Holds, Message, ProtocolError, decode, encode
-from troutdock.handover.roles import Effect, Giving, Item, Predecessor, Successor, Taking
+from troutdock.handover.protocol import (
+    RESPONSE_TIMEOUT_S,
+    MAX_PACKET_BYTES,
+    PredecessorStatus,
+    Message,
+    ProtocolError,
+    decode,
+    encode,
+)
+from troutdock.handover.roles import (
+    Effect,
+    PredecessorPhase,
+    TransferredConnection,
+    Predecessor,
+    Successor,
+    SuccessorPhase,
+)
 
 log = logging.getLogger("troutdock")
 
-NAME = "troutdock-handover"
-RETRY_S = 0.02  # until a socket is asked again whose process is about to end
-MOST_LINKS = 8  # that have said nothing yet
+SOCKET_NAME = "troutdock-handover"
+CONNECT_RETRY_S = 0.02  # until a socket is asked again whose process is about to end
+MAX_PENDING_LINKS = 8  # that have said nothing yet
 _CREDENTIALS = struct.Struct("=iII")  # pid, uid, gid
 
 
 @contextlib.contextmanager
-def _short(folder: str) -> Iterator[str]:
+def _short_path(folder: str) -> Iterator[str]:
     """A path of the socket that is short enough for any folder (108 bytes are the most)."""
     fd = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
-        yield f"/proc/self/fd/{fd}/{NAME}"
+        yield f"/proc/self/fd/{fd}/{SOCKET_NAME}"
     finally:
         os.close(fd)
 
@@ -44,19 +59,19 @@
     return bool(_CREDENTIALS.unpack(peer)[1] == os.getuid())
 
 
-class Wire:
+class MessageSocket:
     """One end of a link: messages and descriptors, in order, until it is cut; cut is told once."""
 
     def __init__(
         self,
         sock: socket.socket,
-        receive: Callable[[Wire, Message | str, Any], None],
-        cut: Callable[[Wire], None],
+        receive: Callable[[MessageSocket, Message | str, Any], None],
+        on_closed: Callable[[MessageSocket], None],
     ) -> None:
-        self.sock, self._receive, self._cut = sock, receive, cut
+        self.sock, self._receive, self._on_closed = sock, receive, on_closed
         self._loop = asyncio.get_running_loop()
         self._out: deque[tuple[Message, socket.socket | None]] = deque()
-        self._writing = self._ending = self._failing = self.closed = False
+        self._writing = self._ending = self._aborting = self.closed = False
         self._loop.add_reader(sock.fileno(), self._read)
 
     def send(self, message: Message, passed: socket.socket | None = None, now: bool = False) -> bool:
@@ -70,19 +85,19 @@
             return False
         return there
 
-    def end(self) -> None:
+    def close_when_sent(self) -> None:
         """Close once all is written; the other side's end is not waited for."""
         self._ending = True
         self._write()
 
-    def fail(self) -> None:
+    def abort(self) -> None:
         """Cut it. What the other side sends from now on fails there; what has come before is read first.
 
         So the two agree: a message that could be sent has been taken in, also by the side that gave up.
         """
-        if self.closed or self._failing:
+        if self.closed or self._aborting:
             return
-        self._failing = True
+        self._aborting = True
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_RD)
         self._read()
@@ -112,7 +127,7 @@
                 return True
             except OSError as error:
                 log.warning("handover: %s", error)
-                self._loop.call_soon(self.fail)  # not within whoever sends
+                self._loop.call_soon(self.abort)  # not within whoever sends
                 return False
             self._out.popleft()
         if self._writing and not self.closed:
@@ -126,11 +141,11 @@
         while not self.closed:
             passed: list[socket.socket] = []
             try:
-                packet, fds, flags, _ = socket.recv_fds(self.sock, MAX_PACKET, 4)
+                packet, fds, flags, _ = socket.recv_fds(self.sock, MAX_PACKET_BYTES, 4)
                 passed = [socket.socket(fileno=fd) for fd in fds]
                 if not packet:
                     self.close()
-                    self._cut(self)
+                    self._on_closed(self)
                     return
                 if flags & socket.MSG_TRUNC:
                     raise ProtocolError("a message is too long")
@@ -144,7 +159,7 @@
                 continue  # the other side has ended with something unread; what it had sent is still here
             except (OSError, ProtocolError) as error:
                 log.warning("handover: %s", error)
-                self.fail()
+                self.abort()
             finally:
                 for unclaimed in passed:
                     unclaimed.close()
@@ -153,72 +168,72 @@
 class PredecessorHost(Protocol):
     """What a predecessor gives away; the daemon is one."""
 
-    def retire(self) -> tuple[bytes, Holds]:
+    def begin_handover(self) -> tuple[bytes, PredecessorStatus]:
         """Let nothing new in: the state, and what this process holds to its end."""
 
-    def owned(self) -> None:
+    def ownership_transferred(self) -> None:
         """The successor is the owner; connections may be given."""
 
-    def lost(self, untouched: bool, returned: Iterable[Item]) -> None:
+    def successor_lost(self, state_unused: bool, returned: Iterable[TransferredConnection]) -> None:
         """There is no successor any more; connections that nobody has are back."""
 
-    def wished(self, out_of_service: bool) -> None:
+    def set_out_of_service(self, out_of_service: bool) -> None:
         """The successor's operator takes the ingress out of service, or puts it back."""
 
 
 class PredecessorLink:
     """The older process's end: waits for a successor, and gives it all when this process is to end."""
 
-    def __init__(self, folder: str, estate: PredecessorHost, program: str = "") -> None:
+    def __init__(self, folder: str, host: PredecessorHost, program: str = "") -> None:
         """OSError if the folder can't be used."""
         self.role = Predecessor(program)
-        self._host = estate
+        self._host = host
         self._loop = asyncio.get_running_loop()
-        self._links: list[Wire] = []
-        self._late: asyncio.TimerHandle | None = None
-        self.settled = asyncio.Event()  # the successor has the state, or there is none
+        self._links: list[MessageSocket] = []
+        self._response_timer: asyncio.TimerHandle | None = None
+        self.handover_decided = asyncio.Event()  # the successor has the state, or there is none
         self._listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET | socket.SOCK_NONBLOCK)
         try:
-            with _short(folder) as path:
+            with _short_path(folder) as path:
                 with contextlib.suppress(FileNotFoundError):
                     os.unlink(path)  # a predecessor's, which has given all to this one, or has died
                 self._listener.bind(path)
                 os.chmod(path, 0o600)
-            self._listener.listen(2 * MOST_LINKS)
+            self._listener.listen(2 * MAX_PENDING_LINKS)
         except OSError:
             self._listener.close()
             raise
         self._loop.add_reader(self._listener.fileno(), self._accept)
 
     @property
-    def followed(self) -> bool:
+    def successor_owns(self) -> bool:
         """A successor is the owner of all budgets, and takes connections."""
-        return self.role.at is Giving.FOLLOWED
+        return self.role.phase is PredecessorPhase.SUCCESSOR_OWNS
 
     async def end(self) -> bool:
         """This process is to end: give the state to a successor; true once that is the owner."""
-        self.settled.clear()
+        self.handover_decided.clear()
         self._do(self.role.end())
-        if self.role.at is Giving.GIVING:
-            await self.settled.wait()
-        return self.followed
+        if self.role.phase is PredecessorPhase.SENDING_STATE:
+            await self.handover_decided.wait()
+        return self.successor_owns
 
-    def give(self, item: Item) -> bool:
+    def pass_connection(self, item: TransferredConnection) -> bool:
         """Pass a connection on; it is this process's no longer. False: there is nobody to take it."""
-        if self.followed:
-            self._do(self.role.give(item))
+        if self.successor_owns:
+            self._do(self.role.pass_connection(item))
             return True
         return False
 
-    def tell(self, settled: AttemptSettled) -> None:
+    def report_attempt(self, settled: AttemptSettled) -> None:
         """What an attempt of this process has come to."""
-        self._do(self.role.tell(settled))
+        self._do(self.role.report_attempt(settled))
 
     async def finish(self) -> None:
         """All is given, acknowledged and told, or there is nobody to take it."""
-        self._do(self.role.done())
-        for _ in range(int(ANSWER_S / 0.005)):
-            if self.role.at is not Giving.FOLLOWED:
+        self._do(self.role.finish())
+        for _ in range(int(RESPONSE_TIMEOUT_S / 0.005)):
+            if self.role.phase is not PredecessorPhase.SUCCESSOR_OWNS:
                 break
             await asyncio.sleep(0.005)
 
@@ -242,23 +257,23 @@
             sock.close()
             return
         silent = [link for link in self._links if link is not self.role.successor]
-        if len(silent) >= MOST_LINKS:
-            self._drop(silent[0])
-        self._links.append(Wire(sock, self._received, self._was_cut))
+        if len(silent) >= MAX_PENDING_LINKS:
+            self._remove(silent[0])
+        self._links.append(MessageSocket(sock, self._received, self._link_closed))
 
-    def _received(self, link: Wire, message: Message | str, passed: Any) -> None:
+    def _received(self, link: MessageSocket, message: Message | str, passed: Any) -> None:
         if passed is not None:
             passed.close()
             raise ProtocolError("a descriptor from a successor")
         self._do(self.role.receive(link, message))
 
-    def _was_cut(self, link: Wire) -> None:
+    def _link_closed(self, link: MessageSocket) -> None:
         if link in self._links:
             self._links.remove(link)
-        self._do(self.role.cut(link))
+        self._do(self.role.link_closed(link))
 
-    def _drop(self, link: Wire) -> None:
-        link.end()
+    def _remove(self, link: MessageSocket) -> None:
+        link.close_when_sent()
         if link in self._links:
             self._links.remove(link)
 
@@ -266,107 +281,111 @@
         for effect in effects:
             match effect:
                 case roles.Send(link, message, connection):
-                    assert isinstance(link, Wire)
+                    assert isinstance(link, MessageSocket)
                     link.send(message, connection)
                 case roles.Close(link):
-                    assert isinstance(link, Wire)
-                    self._drop(link)
-                case roles.Shut(link):
-                    assert isinstance(link, Wire)
-                    log.warning("handover: the successor has not taken over in %.0f s", ANSWER_S)
-                    link.fail()
-                case roles.Wished(out):
-                    self._host.wished(out)
-                case roles.Retire():
-                    self._late = self._loop.call_later(ANSWER_S, lambda: self._do(self.role.late()))
-                    self._do(self.role.state(*self._host.retire()))
-                case roles.Owned(error, left_out):
+                    assert isinstance(link, MessageSocket)
+                    self._remove(link)
+                case roles.Abort(link):
+                    assert isinstance(link, MessageSocket)
+                    log.warning("handover: the successor has not taken over in %.0f s", RESPONSE_TIMEOUT_S)
+                    link.abort()
+                case roles.OutOfServiceRequested(out):
+                    self._host.set_out_of_service(out)
+                case roles.BeginHandover():
+                    self._response_timer = self._loop.call_later(
+                        RESPONSE_TIMEOUT_S, lambda: self._do(self.role.timed_out())
+                    )
+                    self._do(self.role.send_state(*self._host.begin_handover()))
+                case roles.OwnershipTransferred(error, left_out):
                     if error:
                         log.warning("the successor has started from nothing: %s", error)
                     if left_out:
                         log.warning("the successor has left out: %s", ", ".join(left_out))
-                    self._answered()
-                    self._host.owned()
-                case roles.Given(connection):
+                    self._response_received()
+                    self._host.ownership_transferred()
+                case roles.ReleaseConnection(connection):
                     connection.close()
-                case roles.Lost(untouched, returned):
-                    self._answered()
-                    self._host.lost(untouched, returned)
+                case roles.SuccessorLost(state_unused, returned):
+                    self._response_received()
+                    self._host.successor_lost(state_unused, returned)
                 case _:
                     raise NotImplementedError(effect)
 
-    def _answered(self) -> None:
-        if self._late is not None:
-            self._late.cancel()
-            self._late = None
-        self.settled.set()
+    def _response_received(self) -> None:
+        if self._response_timer is not None:
+            self._response_timer.cancel()
+            self._response_timer = None
+        self.handover_decided.set()
 
 
 class SuccessorHost(Protocol):
     """Who takes over; the daemon is one."""
 
-    def take(self, state: bytes, holds: Holds) -> tuple[str, tuple[str, ...]]:
+    def import_state(self, state: bytes, holds: PredecessorStatus) -> tuple[str, tuple[str, ...]]:
         """Go on from a state: why that can't be, or nothing; and what of it is not known here."""
 
-    def own(self, alone: bool) -> None:
+    def become_owner(self, without_state: bool) -> None:
         """All is this process's from now on: take clients. alone: without knowing what was spent before."""
 
-    def adopt(self, item: Item) -> None:
+    def adopt(self, item: TransferredConnection) -> None:
         """A client's connection, with what has come on it."""
 
     def settle(self, settled: AttemptSettled) -> None:
         """What an attempt of the predecessor has come to."""
 
-    def ended(self) -> None:
+    def predecessor_ended(self) -> None:
         """The predecessor has ended."""
 
 
 class SuccessorLink:
     """The successor's end."""
 
-    def __init__(self, successor: SuccessorHost, program: str = "") -> None:
+    def __init__(self, host: SuccessorHost, program: str = "") -> None:
         self.role = Successor(program)
-        self._host = successor
+        self._host = host
         self._loop = asyncio.get_running_loop()
-        self._wire: Wire | None = None
+        self._wire: MessageSocket | None = None
         self._folder = ""
-        self._answered = asyncio.Event()
-        self._welcome = False
-        self._anew: asyncio.Task[None] | None = None
-        self.over = asyncio.Event()  # nothing more comes
+        self._response_received = asyncio.Event()
+        self._accepted = False
+        self._reconnecting: asyncio.Task[None] | None = None
+        self.finished = asyncio.Event()  # nothing more comes
 
     @property
     def standing_by(self) -> bool:
         """The predecessor serves until it is told to end."""
-        return self.role.at is Taking.STANDBY or self._anew is not None
+        return self.role.phase is SuccessorPhase.STANDBY or self._reconnecting is not None
 
     @property
     def superseded(self) -> bool:
         """Another successor stands by: this one is not needed."""
-        return self.role.at is Taking.SUPERSEDED
+        return self.role.phase is SuccessorPhase.SUPERSEDED
 
-    async def ask(self, folder: str) -> bool:
+    async def connect(self, folder: str) -> bool:
         """Find a predecessor and stand by; false where there is none, and then this process is the owner."""
-        self._folder, self._welcome = folder, False
+        self._folder, self._accepted = folder, False
         try:
-            async with asyncio.timeout(ANSWER_S):
-                while not await self._ask(folder):
-                    await asyncio.sleep(RETRY_S)  # it is about to end, and its successor will listen here
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
+                while not await self._connect_once(folder):
+                    await asyncio.sleep(
+                        CONNECT_RETRY_S
+                    )  # it is about to end, and its successor will listen here
         except TimeoutError:
-            self._do(self.role.late())
+            self._do(self.role.timed_out())
         except (FileNotFoundError, ConnectionRefusedError):
             pass
         except OSError as error:
             log.warning("handover: nothing is taken over: %s", error)
-        if not self._welcome:
-            self.over.set()
-        return self._welcome  # whatever has come since
+        if not self._accepted:
+            self.finished.set()
+        return self._accepted  # whatever has come since
 
-    async def _ask(self, folder: str) -> bool:
+    async def _connect_once(self, folder: str) -> bool:
         """True once there is an answer that stays; OSError if nobody listens."""
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET | socket.SOCK_NONBLOCK)
         try:
-            with _short(folder) as path:
+            with _short_path(folder) as path:
                 sock.connect(path)  # at once, or there is no room in its queue
             if not _same_user(sock):
                 raise PermissionError("a process of another user listens there")
@@ -377,35 +396,35 @@
             sock.close()
             raise
         self.role = Successor(self.role.program)
-        self._answered.clear()
-        self._welcome = False
-        self._wire = Wire(sock, self._received, self._was_cut)
-        self._do(self.role.ask())
-        await self._answered.wait()
-        return self._welcome
-
-    async def _ask_anew(self) -> None:
+        self._response_received.clear()
+        self._accepted = False
+        self._wire = MessageSocket(sock, self._received, self._link_closed)
+        self._do(self.role.connected())
+        await self._response_received.wait()
+        return self._accepted
+
+    async def _reconnect(self) -> None:
         """The link has broken: the predecessor may live all the same."""
-        waits = await self.ask(self._folder)
-        self._anew = None
+        waits = await self.connect(self._folder)
+        self._reconnecting = None
         if not waits:
             log.warning("the predecessor has died: going on without what it knew")
-            self._host.own(True)
+            self._host.become_owner(True)
 
-    def wish(self, out_of_service: bool) -> None:
+    def request_out_of_service(self, out_of_service: bool) -> None:
         """The operator's word, for the predecessor."""
-        self._do(self.role.wish(out_of_service))
+        self._do(self.role.request_out_of_service(out_of_service))
 
     def close(self) -> None:
         """Take no more."""
-        if self._anew is not None:
-            self._anew.cancel()
-            self._anew = None
+        if self._reconnecting is not None:
+            self._reconnecting.cancel()
+            self._reconnecting = None
         if self._wire is not None:
             self._wire.close()
-        self.over.set()
+        self.finished.set()
 
-    def _received(self, link: Wire, message: Message | str, passed: Any) -> None:
+    def _received(self, link: MessageSocket, message: Message | str, passed: Any) -> None:
         try:
             self._do(self.role.receive(message, passed))
         except ProtocolError:
@@ -413,8 +432,8 @@
                 passed.close()
             raise
 
-    def _was_cut(self, link: Wire) -> None:
-        self._do(self.role.cut())
+    def _link_closed(self, link: MessageSocket) -> None:
+        self._do(self.role.link_closed())
 
     def _do(self, effects: list[Effect]) -> None:
         for effect in effects:
@@ -422,42 +441,42 @@
                 case roles.Send(_, message):
                     if self._wire is not None:
                         self._wire.send(message)
-                case roles.Decide(_, message):
+                case roles.SendOrAbort(_, message):
                     there = self._wire is not None and self._wire.send(message, now=True)
-                    self._do(self.role.said(there))
+                    self._do(self.role.send_result(there))
                     if not there and self._wire is not None:
-                        self._wire.fail()
+                        self._wire.abort()
                 case roles.Close():
                     if self._wire is not None:
                         self._wire.close()
-                case roles.Ready(program):
+                case roles.StandingBy(program):
                     log.info("standing by for a predecessor%s", f", {program}" if program else "")
-                    self._welcome = True
-                    self._answered.set()
-                case roles.Take(state, holds):
-                    self._do(self.role.took(*self._host.take(state, holds)))
-                case roles.Owner():
-                    self._host.own(False)
-                case roles.Alone(why):
+                    self._accepted = True
+                    self._response_received.set()
+                case roles.ImportState(state, holds):
+                    self._do(self.role.state_imported(*self._host.import_state(state, holds)))
+                case roles.BecomeOwner():
+                    self._host.become_owner(False)
+                case roles.ProceedAlone(why):
                     log.warning("handover: the predecessor gives nothing: %s", why)
-                    self._answered.set()
-                case roles.Again():
-                    self._anew = self._loop.create_task(self._ask_anew())
+                    self._response_received.set()
+                case roles.Reconnect():
+                    self._reconnecting = self._loop.create_task(self._reconnect())
                 case roles.Superseded():
                     log.warning("another successor stands by: this process takes no clients")
-                    self._welcome = True  # it is not needed, but it is not the owner either
-                    self._answered.set()
-                    self.over.set()
-                case roles.Adopt(item):
+                    self._accepted = True  # it is not needed, but it is not the owner either
+                    self._response_received.set()
+                    self.finished.set()
+                case roles.AdoptConnection(item):
                     self._host.adopt(item)
-                case roles.Given(connection):
+                case roles.ReleaseConnection(connection):
                     connection.close()
-                case roles.Settle(settled):
+                case roles.SettleAttempt(settled):
                     self._host.settle(settled)
-                case roles.Ended(done):
+                case roles.PredecessorEnded(done):
                     if not done:
                         log.warning("the predecessor has ended before it had said all")
-                    self.over.set()
-                    self._host.ended()
+                    self.finished.set()
+                    self._host.predecessor_ended()
                 case _:
                     raise NotImplementedError(effect)
--- a/troutdock/handover/protocol.py
+++ b/troutdock/handover/protocol.py
@@ -41,13 +41,17 @@
 
 from troutdock.admission.interface import AttemptSettled
 
-VERSION, OLDEST = 2, 2
-PIECE = 32 * 1024  # bytes of the state or of a message in one packet: a few fit into the socket's buffer
-MAX_PACKET = PIECE + 512
-MAX_STATE = 16 * 1024 * 1024  # bytes: 20,000 remembered payments and 40,000 customers take some 9 MB
-MAX_MESSAGE = 64 * 1024 * 1024  # bytes: no budget for clients' bodies is larger
-WINDOW = 32  # descriptors that two processes hold at once; more would strain the one limit on both
-ANSWER_S = 1.0  # the platform waits 6 s for a successor's yes, and for 3 s at an end
+VERSION, OLDEST_VERSION = 2, 2
+CHUNK_BYTES = (
+    32 * 1024
+)  # bytes of the state or of a message in one packet: a few fit into the socket's buffer
+MAX_PACKET_BYTES = CHUNK_BYTES + 512
+MAX_STATE_BYTES = 16 * 1024 * 1024  # bytes: 20,000 remembered payments and 40,000 customers take some 9 MB
+MAX_MESSAGE_BYTES = 64 * 1024 * 1024  # bytes: no budget for clients' bodies is larger
+MAX_UNACKED_CONNECTIONS = (
+    32  # descriptors that two processes hold at once; more would strain the one limit on both
+)
+RESPONSE_TIMEOUT_S = 1.0  # the platform waits 6 s for a successor's yes, and for 3 s at an end
 
 
 class ProtocolError(Exception):
@@ -58,24 +62,24 @@
     """A process that would be the successor; versions that it speaks."""
 
     version: int = VERSION
-    oldest: int = OLDEST
+    oldest: int = OLDEST_VERSION
     program: str = ""
 
 
-class Wish(msgspec.Struct, frozen=True, tag="wish"):
+class SetOutOfService(msgspec.Struct, frozen=True, tag="wish"):
     """The successor's operator takes the ingress out of service, or puts it back."""
 
     out_of_service: bool
 
 
-class Took(msgspec.Struct, frozen=True, tag="took"):
+class StateAck(msgspec.Struct, frozen=True, tag="took"):
     """The state has been taken; or not: then the successor has started from nothing, for that reason."""
 
     error: str = ""
     left_out: tuple[str, ...] = ()
 
 
-class Ack(msgspec.Struct, frozen=True, tag="ack"):
+class ConnectionAck(msgspec.Struct, frozen=True, tag="ack"):
     """Connections that have come, in all."""
 
     count: int
@@ -88,20 +92,20 @@
     program: str = ""
 
 
-class Sorry(msgspec.Struct, frozen=True, tag="sorry"):
+class Rejection(msgspec.Struct, frozen=True, tag="sorry"):
     """The successor may not stand by any longer. superseded: another one does in its place."""
 
     reason: str = ""
     superseded: bool = False
 
 
-class State(msgspec.Struct, frozen=True, tag="state"):
+class StateChunk(msgspec.Struct, frozen=True, tag="state"):
     """A piece of the state."""
 
     data: bytes
 
 
-class Holds(msgspec.Struct, frozen=True):
+class PredecessorStatus(msgspec.Struct, frozen=True):
     """What else the older process has, which the successor is to know.
 
     out_of_service: an operator has taken the ingress out. bodies, streams: bytes of clients' long bodies and
@@ -118,16 +122,16 @@
 
     length: int
     checksum: int
-    holds: Holds = Holds()
+    holds: PredecessorStatus = PredecessorStatus()
 
 
-class Bytes(msgspec.Struct, frozen=True, tag="bytes"):
+class DataChunk(msgspec.Struct, frozen=True, tag="bytes"):
     """A piece of what a client has sent."""
 
     data: bytes
 
 
-class Passed(msgspec.Struct, frozen=True, tag="passed"):
+class PassedConnection(msgspec.Struct, frozen=True, tag="passed"):
     """A client's connection; the bytes before it are the beginning of its next message, or more.
 
     began_ms: when the message began that is not whole. arrived_ms: when those came that are. 0: none.
@@ -138,7 +142,7 @@
     arrived_ms: float = 0.0
 
 
-class Told(msgspec.Struct, frozen=True, tag="told"):
+class AttemptReport(msgspec.Struct, frozen=True, tag="told"):
     """What an attempt has come to."""
 
     settled: AttemptSettled
@@ -148,7 +152,20 @@
     """The older process has nothing more to give."""
 
 
-Message = Hello | Wish | Took | Ack | Welcome | Sorry | State | StateEnd | Bytes | Passed | Told | Done
+Message = (
+    Hello
+    | SetOutOfService
+    | StateAck
+    | ConnectionAck
+    | Welcome
+    | Rejection
+    | StateChunk
+    | StateEnd
+    | DataChunk
+    | PassedConnection
+    | AttemptReport
+    | Done
+)
 _encode = msgspec.msgpack.Encoder().encode
 _decoder = msgspec.msgpack.Decoder(Message)
 _any = msgspec.msgpack.Decoder()
@@ -177,7 +194,7 @@
 def common_version(hello: Hello) -> int | None:
     """The newest version that both sides speak."""
     newest = min(VERSION, hello.version)
-    return newest if newest >= max(OLDEST, hello.oldest) else None
+    return newest if newest >= max(OLDEST_VERSION, hello.oldest) else None
 
 
 def pack_state(state: Any) -> bytes:
--- a/troutdock/handover/roles.py
+++ b/troutdock/handover/roles.py
@@ -46,25 +46,25 @@
 
 from troutdock.admission.interface import AttemptSettled
 from troutdock.handover.protocol import (
-    MAX_MESSAGE,
-    MAX_STATE,
-    PIECE,
-    WINDOW,
-    Ack,
-    Bytes,
+    MAX_MESSAGE_BYTES,
+    MAX_STATE_BYTES,
+    CHUNK_BYTES,
+    MAX_UNACKED_CONNECTIONS,
+    ConnectionAck,
+    DataChunk,
     Done,
     Hello,
-    Holds,
+    PredecessorStatus,
     Message,
-    Passed,
+    PassedConnection,
     ProtocolError,
-    Sorry,
-    State,
+    Rejection,
+    StateChunk,
     StateEnd,
-    Told,
-    Took,
+    AttemptReport,
+    StateAck,
     Welcome,
-    Wish,
+    SetOutOfService,
     checksum,
     common_version,
 )
@@ -85,7 +85,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Decide:
+class SendOrAbort:
     """Write a message now or never, and answer with Successor.said; if it can't be, give up on the link."""
 
     link: Link
@@ -100,26 +100,26 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Shut:
+class Abort:
     """Give up on a link: take nothing more from it, but read what it holds already; then it is cut."""
 
     link: Link
 
 
 @dataclass(frozen=True, slots=True)
-class Wished:
+class OutOfServiceRequested:
     """The operator of the successor wants the ingress out of service, or back."""
 
     out_of_service: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Retire:
+class BeginHandover:
     """Let nothing new in, and answer with Predecessor.state."""
 
 
 @dataclass(frozen=True, slots=True)
-class Owned:
+class OwnershipTransferred:
     """The successor is the owner of all budgets. error: why it could not use the state."""
 
     error: str
@@ -127,49 +127,49 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Given:
+class ReleaseConnection:
     """The other side has the connection: the descriptor here may be closed."""
 
     connection: Any
 
 
 @dataclass(frozen=True, slots=True)
-class Lost:
+class SuccessorLost:
     """There is no successor any more. untouched: it never had the state. returned: nobody has these."""
 
-    untouched: bool
-    returned: tuple[Item, ...]
+    state_unused: bool
+    returned: tuple[TransferredConnection, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Ready:
+class StandingBy:
     """The successor stands by."""
 
     program: str
 
 
 @dataclass(frozen=True, slots=True)
-class Take:
+class ImportState:
     """Go on from this state, and answer with Successor.took."""
 
     data: bytes
-    holds: Holds
+    holds: PredecessorStatus
 
 
 @dataclass(frozen=True, slots=True)
-class Owner:
+class BecomeOwner:
     """All budgets are this process's: take clients."""
 
 
 @dataclass(frozen=True, slots=True)
-class Alone:
+class ProceedAlone:
     """The predecessor gives nothing."""
 
     why: str
 
 
 @dataclass(frozen=True, slots=True)
-class Again:
+class Reconnect:
     """The link to the predecessor has ended: ask anew; if it has died, all is this process's."""
 
 
@@ -179,21 +179,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Adopt:
+class AdoptConnection:
     """A client's connection, and what it has sent of a message or more."""
 
-    item: Item
+    item: TransferredConnection
 
 
 @dataclass(frozen=True, slots=True)
-class Settle:
+class SettleAttempt:
     """What an attempt of the predecessor has come to."""
 
     settled: AttemptSettled
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class PredecessorEnded:
     """The predecessor has ended. done: it had said all."""
 
     done: bool
@@ -201,28 +201,28 @@
 
 Effect = (
     Send
-    | Decide
+    | SendOrAbort
     | Close
-    | Shut
-    | Wished
-    | Retire
-    | Owned
-    | Given
-    | Lost
-    | Ready
-    | Take
-    | Owner
-    | Alone
-    | Again
+    | Abort
+    | OutOfServiceRequested
+    | BeginHandover
+    | OwnershipTransferred
+    | ReleaseConnection
+    | SuccessorLost
+    | StandingBy
+    | ImportState
+    | BecomeOwner
+    | ProceedAlone
+    | Reconnect
     | Superseded
-    | Adopt
-    | Settle
-    | Ended
+    | AdoptConnection
+    | SettleAttempt
+    | PredecessorEnded
 )
 
 
 @dataclass(frozen=True, slots=True)
-class Item:
+class TransferredConnection:
     """A connection to be given, with what it has sent."""
 
     connection: Any
@@ -231,14 +231,14 @@
     arrived_ms: float = 0.0
 
 
-class Giving(Enum):
+class PredecessorPhase(Enum):
     """What the older process is at."""
 
-    ALONE = "alone"
-    AWAITED = "a successor stands by"
-    GIVING = "the state is on its way"
-    FOLLOWED = "the successor is the owner"
-    OVER = "all is given"
+    STANDALONE = "alone"
+    SUCCESSOR_READY = "a successor stands by"
+    SENDING_STATE = "the state is on its way"
+    SUCCESSOR_OWNS = "the successor is the owner"
+    FINISHED = "all is given"
 
 
 @dataclass(slots=True)
@@ -246,123 +246,140 @@
     """The older process's part. Each method returns what is to be done."""
 
     program: str = ""
-    at: Giving = Giving.ALONE
+    phase: PredecessorPhase = PredecessorPhase.STANDALONE
     successor: Link = None
-    _waiting: deque[Item] = field(default_factory=deque)
-    _sent: deque[Item] = field(default_factory=deque)  # not acknowledged
-    _given: int = 0  # connections acknowledged
-    _finishing: bool = False  # told to end
-    _complete: bool = False  # nothing more will be given or told
+    _waiting: deque[TransferredConnection] = field(default_factory=deque)
+    _unacked: deque[TransferredConnection] = field(default_factory=deque)  # not acknowledged
+    _acked_count: int = 0  # connections acknowledged
+    _ending_requested: bool = False  # told to end
+    _all_submitted: bool = False  # nothing more will be given or told
 
     @property
-    def giving(self) -> bool:
+    def has_pending(self) -> bool:
         """Something is still to be given or acknowledged."""
-        return bool(self._waiting or self._sent)
+        return bool(self._waiting or self._unacked)
 
     def receive(self, link: Link, message: Message | str) -> list[Effect]:
         """A message has come; ProtocolError if it makes no sense now: the host then closes the link."""
         match message:
             case Hello():
                 return self._hello(link, message)
-            case Wish(out) if link == self.successor and self.at is Giving.AWAITED:
-                return [Wished(out)]
-            case Wish() | str() if link == self.successor:
+            case SetOutOfService(out) if (
+                link == self.successor and self.phase is PredecessorPhase.SUCCESSOR_READY
+            ):
+                return [OutOfServiceRequested(out)]
+            case SetOutOfService() | str() if link == self.successor:
                 return []  # too late, or of a newer program
-            case Took(error, left_out) if link == self.successor and self.at is Giving.GIVING:
-                self.at = Giving.FOLLOWED
-                return [Owned(error, left_out), *self._more()]
-            case Ack(count) if link == self.successor and self.at is Giving.FOLLOWED:
-                most = self._given + len(self._sent)
-                if not self._given <= count <= most:
+            case StateAck(error, left_out) if (
+                link == self.successor and self.phase is PredecessorPhase.SENDING_STATE
+            ):
+                self.phase = PredecessorPhase.SUCCESSOR_OWNS
+                return [OwnershipTransferred(error, left_out), *self._more()]
+            case ConnectionAck(count) if (
+                link == self.successor and self.phase is PredecessorPhase.SUCCESSOR_OWNS
+            ):
+                most = self._acked_count + len(self._unacked)
+                if not self._acked_count <= count <= most:
                     raise ProtocolError(f"{count} connections acknowledged, of {most}")
                 closed: list[Effect] = [
-                    Given(self._sent.popleft().connection) for _ in range(count - self._given)
+                    ReleaseConnection(self._unacked.popleft().connection)
+                    for _ in range(count - self._acked_count)
                 ]
-                self._given = count
+                self._acked_count = count
                 return closed + self._more()
-        raise ProtocolError(f"{message!r:.60} while {self.at.value}")
+        raise ProtocolError(f"{message!r:.60} while {self.phase.value}")
 
     def _hello(self, link: Link, hello: Hello) -> list[Effect]:
         version = common_version(hello)
-        if self.at not in (Giving.ALONE, Giving.AWAITED):
-            return [Send(link, Sorry("another one takes over")), Close(link)]
+        if self.phase not in (PredecessorPhase.STANDALONE, PredecessorPhase.SUCCESSOR_READY):
+            return [Send(link, Rejection("another one takes over")), Close(link)]
         if version is None:
             theirs = f"no common version with {hello.oldest} to {hello.version}"
-            return [Send(link, Sorry(theirs)), Close(link)]
-        before, self.successor, self.at = self.successor, link, Giving.AWAITED
+            return [Send(link, Rejection(theirs)), Close(link)]
+        before, self.successor, self.phase = self.successor, link, PredecessorPhase.SUCCESSOR_READY
         told: list[Effect] = []
         if before is not None and before != link:
-            told = [Send(before, Sorry("another successor stands by", superseded=True)), Close(before)]
+            told = [Send(before, Rejection("another successor stands by", superseded=True)), Close(before)]
         told.append(Send(link, Welcome(version, self.program)))
-        return told + self.end() if self._finishing else told
+        return told + self.end() if self._ending_requested else told
 
     def end(self) -> list[Effect]:
         """This process has been told to end."""
-        self._finishing = True
-        if self.at is not Giving.AWAITED:
+        self._ending_requested = True
+        if self.phase is not PredecessorPhase.SUCCESSOR_READY:
             return []
-        self.at = Giving.GIVING
-        return [Retire()]
+        self.phase = PredecessorPhase.SENDING_STATE
+        return [BeginHandover()]
 
-    def state(self, data: bytes, holds: Holds) -> list[Effect]:
+    def send_state(self, data: bytes, holds: PredecessorStatus) -> list[Effect]:
         """The state, in answer to Retire."""
-        pieces = [Send(self.successor, State(data[at : at + PIECE])) for at in range(0, len(data), PIECE)]
+        pieces = [
+            Send(self.successor, StateChunk(data[at : at + CHUNK_BYTES]))
+            for at in range(0, len(data), CHUNK_BYTES)
+        ]
         return [*pieces, Send(self.successor, StateEnd(len(data), checksum(data), holds))]
 
-    def late(self) -> list[Effect]:
+    def timed_out(self) -> list[Effect]:
         """The successor has not said in time that it has the state."""
-        return [Shut(self.successor)] if self.at is Giving.GIVING else []
+        return [Abort(self.successor)] if self.phase is PredecessorPhase.SENDING_STATE else []
 
-    def give(self, item: Item) -> list[Effect]:
+    def pass_connection(self, item: TransferredConnection) -> list[Effect]:
         """Pass a connection on, after those before it; only while FOLLOWED."""
-        assert self.at is Giving.FOLLOWED
+        assert self.phase is PredecessorPhase.SUCCESSOR_OWNS
         self._waiting.append(item)
         return self._more()
 
-    def tell(self, settled: AttemptSettled) -> list[Effect]:
+    def report_attempt(self, settled: AttemptSettled) -> list[Effect]:
         """What an attempt has come to; nobody is told where there is no successor."""
-        return [Send(self.successor, Told(settled))] if self.at in (Giving.GIVING, Giving.FOLLOWED) else []
+        return (
+            [Send(self.successor, AttemptReport(settled))]
+            if self.phase in (PredecessorPhase.SENDING_STATE, PredecessorPhase.SUCCESSOR_OWNS)
+            else []
+        )
 
-    def done(self) -> list[Effect]:
+    def finish(self) -> list[Effect]:
         """Nothing more will be given or told."""
-        self._complete = True
+        self._all_submitted = True
         return self._more()
 
-    def cut(self, link: Link) -> list[Effect]:
+    def link_closed(self, link: Link) -> list[Effect]:
         """A link has ended."""
-        if link != self.successor or self.at is Giving.OVER:
+        if link != self.successor or self.phase is PredecessorPhase.FINISHED:
             return []
-        before, self.at, self.successor = self.at, Giving.ALONE, None
-        if before not in (Giving.GIVING, Giving.FOLLOWED):
+        before, self.phase, self.successor = self.phase, PredecessorPhase.STANDALONE, None
+        if before not in (PredecessorPhase.SENDING_STATE, PredecessorPhase.SUCCESSOR_OWNS):
             return []
-        returned = (*self._sent, *self._waiting)
-        self._sent.clear()
+        returned = (*self._unacked, *self._waiting)
+        self._unacked.clear()
         self._waiting.clear()
-        return [Lost(before is Giving.GIVING, returned)]
+        return [SuccessorLost(before is PredecessorPhase.SENDING_STATE, returned)]
 
     def _more(self) -> list[Effect]:
         effects: list[Effect] = []
-        while self._waiting and len(self._sent) < WINDOW:
+        while self._waiting and len(self._unacked) < MAX_UNACKED_CONNECTIONS:
             item = self._waiting.popleft()
-            self._sent.append(item)
+            self._unacked.append(item)
             data, length = item.data, len(item.data)
-            effects += [Send(self.successor, Bytes(data[at : at + PIECE])) for at in range(0, length, PIECE)]
-            passed = Passed(length, item.began_ms, item.arrived_ms)
+            effects += [
+                Send(self.successor, DataChunk(data[at : at + CHUNK_BYTES]))
+                for at in range(0, length, CHUNK_BYTES)
+            ]
+            passed = PassedConnection(length, item.began_ms, item.arrived_ms)
             effects.append(Send(self.successor, passed, item.connection))
-        if self._complete and not self.giving and self.at is Giving.FOLLOWED:
-            self.at = Giving.OVER
+        if self._all_submitted and not self.has_pending and self.phase is PredecessorPhase.SUCCESSOR_OWNS:
+            self.phase = PredecessorPhase.FINISHED
             effects += [Send(self.successor, Done()), Close(self.successor)]
         return effects
 
 
-class Taking(Enum):
+class SuccessorPhase(Enum):
     """What the successor is at."""
 
-    ASKING = "asking"
+    CONNECTING = "asking"
     STANDBY = "standing by"
-    TAKING = "taking the state"
+    IMPORTING = "taking the state"
     OWNER = "the owner, and the predecessor still finishes"
-    ALONE = "alone"
+    STANDALONE = "alone"
     SUPERSEDED = "not needed"
 
 
@@ -371,98 +388,105 @@
     """The newer process's part, on its one link. Each method returns what is to be done."""
 
     program: str = ""
-    at: Taking = Taking.ASKING
+    phase: SuccessorPhase = SuccessorPhase.CONNECTING
     link: Link = "predecessor"
     _state: bytearray = field(default_factory=bytearray)
-    _bytes: bytearray = field(default_factory=bytearray)
-    _came: int = 0
-    _item: Item | None = None  # it is this process's once its Ack is sent
+    _data: bytearray = field(default_factory=bytearray)
+    _received_count: int = 0
+    _unconfirmed: TransferredConnection | None = None  # it is this process's once its Ack is sent
 
-    def ask(self) -> list[Effect]:
+    def connected(self) -> list[Effect]:
         """The link is up."""
         return [Send(self.link, Hello(program=self.program))]
 
-    def wish(self, out_of_service: bool) -> list[Effect]:
+    def request_out_of_service(self, out_of_service: bool) -> list[Effect]:
         """The operator's word while the predecessor still serves."""
-        return [Send(self.link, Wish(out_of_service))] if self.at is Taking.STANDBY else []
+        return (
+            [Send(self.link, SetOutOfService(out_of_service))] if self.phase is SuccessorPhase.STANDBY else []
+        )
 
     def receive(self, message: Message | str, connection: Any = None) -> list[Effect]:
         """A message has come; ProtocolError if it makes no sense now: the host then closes the link."""
         match message:
             case str():
                 return []  # of a newer program: to be left out
-            case Welcome(_, program) if self.at is Taking.ASKING:
-                self.at = Taking.STANDBY
-                return [Ready(program)]
-            case Sorry(reason, superseded) if self.at in (Taking.ASKING, Taking.STANDBY):
+            case Welcome(_, program) if self.phase is SuccessorPhase.CONNECTING:
+                self.phase = SuccessorPhase.STANDBY
+                return [StandingBy(program)]
+            case Rejection(reason, superseded) if self.phase in (
+                SuccessorPhase.CONNECTING,
+                SuccessorPhase.STANDBY,
+            ):
                 if superseded:
-                    self.at = Taking.SUPERSEDED
+                    self.phase = SuccessorPhase.SUPERSEDED
                     return [Superseded(), Close(self.link)]
                 return [*self._alone(reason), Close(self.link)]
-            case State(data) if self.at is Taking.STANDBY:
+            case StateChunk(data) if self.phase is SuccessorPhase.STANDBY:
                 self._state += data
-                if len(self._state) > MAX_STATE:
-                    raise ProtocolError(f"a state of over {MAX_STATE} bytes")
+                if len(self._state) > MAX_STATE_BYTES:
+                    raise ProtocolError(f"a state of over {MAX_STATE_BYTES} bytes")
                 return []
-            case StateEnd(length, check, holds) if self.at is Taking.STANDBY:
+            case StateEnd(length, check, holds) if self.phase is SuccessorPhase.STANDBY:
                 data = bytes(self._state)
                 self._state.clear()
                 if (length, check) != (len(data), checksum(data)):
                     raise ProtocolError(f"the state is not whole: {len(data)} of {length} bytes")
-                self.at = Taking.TAKING
-                return [Take(data, holds)]
-            case Bytes(data) if self.at is Taking.OWNER:
-                self._bytes += data
-                if len(self._bytes) > MAX_MESSAGE:
-                    raise ProtocolError(f"a message of over {MAX_MESSAGE} bytes")
+                self.phase = SuccessorPhase.IMPORTING
+                return [ImportState(data, holds)]
+            case DataChunk(data) if self.phase is SuccessorPhase.OWNER:
+                self._data += data
+                if len(self._data) > MAX_MESSAGE_BYTES:
+                    raise ProtocolError(f"a message of over {MAX_MESSAGE_BYTES} bytes")
                 return []
-            case Passed(length, began_ms, arrived_ms) if self.at is Taking.OWNER and connection is not None:
-                data = bytes(self._bytes)
-                self._bytes.clear()
+            case PassedConnection(length, began_ms, arrived_ms) if (
+                self.phase is SuccessorPhase.OWNER and connection is not None
+            ):
+                data = bytes(self._data)
+                self._data.clear()
                 if length != len(data):
                     raise ProtocolError(f"a connection with {len(data)} of {length} bytes")
-                self._came += 1
-                self._item = Item(connection, data, began_ms, arrived_ms)
-                return [Decide(self.link, Ack(self._came))]
-            case Told(settled) if self.at is Taking.OWNER:
-                return [Settle(settled)]
-            case Done() if self.at is Taking.OWNER:
-                self.at = Taking.ALONE
-                return [Ended(True), Close(self.link)]
-        raise ProtocolError(f"{message!r:.60} while {self.at.value}")
-
-    def took(self, error: str, left_out: tuple[str, ...]) -> list[Effect]:
+                self._received_count += 1
+                self._unconfirmed = TransferredConnection(connection, data, began_ms, arrived_ms)
+                return [SendOrAbort(self.link, ConnectionAck(self._received_count))]
+            case AttemptReport(settled) if self.phase is SuccessorPhase.OWNER:
+                return [SettleAttempt(settled)]
+            case Done() if self.phase is SuccessorPhase.OWNER:
+                self.phase = SuccessorPhase.STANDALONE
+                return [PredecessorEnded(True), Close(self.link)]
+        raise ProtocolError(f"{message!r:.60} while {self.phase.value}")
+
+    def state_imported(self, error: str, left_out: tuple[str, ...]) -> list[Effect]:
         """The host's answer to Take."""
-        return [Decide(self.link, Took(error, left_out))]
+        return [SendOrAbort(self.link, StateAck(error, left_out))]
 
-    def said(self, there: bool) -> list[Effect]:
+    def send_result(self, there: bool) -> list[Effect]:
         """The host's answer to Decide: whether it could be sent."""
-        item, self._item = self._item, None
-        if self.at is Taking.TAKING and there:
-            self.at = Taking.OWNER
-            return [Owner()]
+        item, self._unconfirmed = self._unconfirmed, None
+        if self.phase is SuccessorPhase.IMPORTING and there:
+            self.phase = SuccessorPhase.OWNER
+            return [BecomeOwner()]
         if item is not None:
-            return [Adopt(item) if there else Given(item.connection)]
+            return [AdoptConnection(item) if there else ReleaseConnection(item.connection)]
         return []
 
-    def late(self) -> list[Effect]:
+    def timed_out(self) -> list[Effect]:
         """The predecessor has not answered in time."""
-        if self.at is not Taking.ASKING:
+        if self.phase is not SuccessorPhase.CONNECTING:
             return []
         return [*self._alone("it did not answer in time"), Close(self.link)]
 
-    def cut(self) -> list[Effect]:
+    def link_closed(self) -> list[Effect]:
         """The link has ended."""
-        if self.at is Taking.OWNER:
-            self.at = Taking.ALONE
-            return [Ended(False)]
-        if self.at is Taking.ASKING:
+        if self.phase is SuccessorPhase.OWNER:
+            self.phase = SuccessorPhase.STANDALONE
+            return [PredecessorEnded(False)]
+        if self.phase is SuccessorPhase.CONNECTING:
             return self._alone("it has ended")
-        if self.at in (Taking.STANDBY, Taking.TAKING):
-            self.at = Taking.ASKING
-            return [Again()]
+        if self.phase in (SuccessorPhase.STANDBY, SuccessorPhase.IMPORTING):
+            self.phase = SuccessorPhase.CONNECTING
+            return [Reconnect()]
         return []
 
     def _alone(self, why: str) -> list[Effect]:
-        self.at = Taking.ALONE
-        return [Alone(why)]
+        self.phase = SuccessorPhase.STANDALONE
+        return [ProceedAlone(why)]
--- a/troutdock/http/connection.py
+++ b/troutdock/http/connection.py
@@ -28,7 +28,7 @@
 import httptools
 
 from troutdock.engine import BadRequest, Failure
-from troutdock.handover.roles import Item
+from troutdock.handover.roles import TransferredConnection
 from troutdock.http.socket_info import peer_closed, has_unread_data
 from troutdock.http.body_limits import UNBUDGETED_BODY_BYTES, MessageTimer
 from troutdock.http.exchange import Exchange
@@ -83,7 +83,9 @@
 class ClientConnection(asyncio.Protocol):
     """A connection of a client; requests may be fragmented, pipelined or chunked."""
 
-    def __init__(self, server: Server, sock: socket.socket | None = None, item: Item | None = None) -> None:
+    def __init__(
+        self, server: Server, sock: socket.socket | None = None, item: TransferredConnection | None = None
+    ) -> None:
         self.server, self.sock = server, sock
         self.item = item  # passed on by a predecessor, with the bytes it had received
         self.arrived_ms = 0.0  # while parsing requests that the predecessor had received: their arrival
@@ -272,7 +274,7 @@
             self._read_paused = False
             self._transport.resume_reading()
 
-    def pass_on(self) -> Item | None:
+    def pass_on(self) -> TransferredConnection | None:
         """Detaches the connection for another process; None if data in this process would be lost."""
         if self.sock is None or self.closing or self._exchanges or self.has_unwritten:
             return None
@@ -285,7 +287,7 @@
             began_ms = self.server.engine.clock.now() - 1000 * (time.monotonic() - self._timer.started_at())
         arrived_ms = self._complete_requests[0].arrived_ms if self._complete_requests else 0.0
         self._transport.pause_reading()
-        item = Item(self.sock.dup(), data, began_ms, arrived_ms)
+        item = TransferredConnection(self.sock.dup(), data, began_ms, arrived_ms)
         self.closing = True
         self._transport.abort()  # closes only this process's descriptor
         return item
--- a/troutdock/http/listener.py
+++ b/troutdock/http/listener.py
@@ -30,7 +30,7 @@
 from troutdock.admission.interface import RequestQueued
 from troutdock.address import Address
 from troutdock.engine import Engine
-from troutdock.handover.roles import Item
+from troutdock.handover.roles import TransferredConnection
 from troutdock.http.socket_info import peer_closed
 from troutdock.http.body_limits import HEADER_TIMEOUT_S, ByteBudget
 from troutdock.http.connection import ClientConnection
@@ -95,7 +95,7 @@
 class Successor(Protocol):
     """The process that takes over the client connections."""
 
-    def give(self, item: Item) -> bool:
+    def pass_connection(self, item: TransferredConnection) -> bool:
         """Passes a connection on. Returns false if the successor is gone."""
 
 
@@ -217,13 +217,13 @@
             self._last_accept = time.monotonic()
             self._start_connection(sock)
 
-    def _start_connection(self, sock: socket.socket, item: Item | None = None) -> None:
+    def _start_connection(self, sock: socket.socket, item: TransferredConnection | None = None) -> None:
         self._pending_connections += 1
         task = self._loop.create_task(self._set_up(sock, item))
         self._starting.add(task)
         task.add_done_callback(self._starting.discard)
 
-    async def _set_up(self, sock: socket.socket, item: Item | None) -> None:
+    async def _set_up(self, sock: socket.socket, item: TransferredConnection | None) -> None:
         try:
             await self._loop.connect_accepted_socket(lambda: ClientConnection(self, sock, item), sock)
         except OSError:
@@ -342,7 +342,7 @@
         """Handles a connection that has its response and is now between requests."""
         self.idle.add(connection)
 
-    def adopt(self, item: Item) -> None:
+    def adopt(self, item: TransferredConnection) -> None:
         """Takes a client's connection over from a predecessor; closes it if no slot is free."""
         sock: socket.socket = item.connection
         if self._used_slots >= self._max_clients:
@@ -364,7 +364,7 @@
         for connection in list(self._clients):
             self._pass_on(connection)
 
-    def cancel_handover(self, returned: Iterable[Item] = ()) -> None:
+    def cancel_handover(self, returned: Iterable[TransferredConnection] = ()) -> None:
         """Resumes after the successor has died, with the connections and requests kept for it."""
         self.successor, self.handing_over = None, False
         if self.availability.state is not State.ENDING:
@@ -391,7 +391,7 @@
     def _pass_on(self, connection: ClientConnection) -> None:
         if self.successor is None or connection not in self._clients:
             return
-        if (item := connection.pass_on()) is not None and not self.successor.give(item):
+        if (item := connection.pass_on()) is not None and not self.successor.pass_connection(item):
             item.connection.close()
 
     def _close(self, connection: ClientConnection) -> None:
