--- a/benchmarks/routed_cost.py
+++ b/benchmarks/routed_cost.py
@@ -17,8 +17,8 @@
 from benchmarks.processes import daemon, free_port, node, process
 from troutdock.operator.subprocess_reader import read_apart
 from troutdock.operator.compiled import Compiled
-from troutdock.routing_service.run import take_over
-from troutdock.routing_service.service import Routed, Terms
+from troutdock.routing_service.run import reload_deployment
+from troutdock.routing_service.service import RoutingFrontend, RoutingOptions
 
 FILE = """version: 1
 listen: 127.0.0.1:{port}
@@ -42,14 +42,14 @@
     return FILE.format(port=port, servers=at, routes="\n".join(rows))
 
 
-class _Nobody(Routed):
+class _Nobody(RoutingFrontend):
     """Swaps tables, and has no pools."""
 
-    def __init__(self, terms: Terms) -> None:
+    def __init__(self, terms: RoutingOptions) -> None:
         super().__init__(terms, 1024)
         self.reader = SimpleNamespace(view=None)  # type: ignore[assignment]
 
-    def _follow(self, terms: Terms) -> None:
+    def _apply(self, terms: RoutingOptions) -> None:
         pass
 
 
@@ -63,7 +63,7 @@
 async def pauses(file: Path) -> tuple[float, float]:
     """Seconds that reading takes beside the loop, and the loop's longest pause meanwhile."""
     served = _Nobody(read(file).terms)
-    reading = asyncio.create_task(take_over(served, lambda: read(file)))
+    reading = asyncio.create_task(reload_deployment(served, lambda: read(file)))
     worst = 0.0
     began = before = time.perf_counter()
     while not reading.done():
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -9,11 +9,20 @@
 import time
 from random import Random
 
-from troutdock.routing.route import How, Part, Request, Route, Value, exact, pattern, prefix
-from troutdock.routing.split import choose
-from troutdock.routing.table import Table
+from troutdock.routing.route import (
+    Comparison,
+    WeightedPool,
+    Request,
+    Route,
+    Condition,
+    exact,
+    pattern,
+    prefix,
+)
+from troutdock.routing.split import choose_pool
+from troutdock.routing.table import RouteTable
 
-TO = (Part("a", 90), Part("b", 10))
+TO = (WeightedPool("a", 90), WeightedPool("b", 10))
 
 
 def routes(number: int) -> list[Route]:
@@ -25,7 +34,7 @@
             paths = (pattern(f"/p{n}/[0-9]+/.*"),)
         else:
             paths = (exact(f"/v1/{n}/x"),) if n % 2 else (prefix(f"/v1/{n}"),)
-        values = (Value("header", "version", How.IS, "2"),) if n % 11 == 0 else ()
+        values = (Condition("header", "version", Comparison.IS, "2"),) if n % 11 == 0 else ()
         made.append(Route(f"r{n}", n, paths, host, values=values, to=TO))
     return [*made, Route("all", number, (prefix("/"),), to=TO)]
 
@@ -41,7 +50,7 @@
             break
         made = routes(number)
         began = time.perf_counter()
-        table = Table.of(made)
+        table = RouteTable.of(made)
         build = time.perf_counter() - began
         picked = random.choices(range(number), k=20_000)
         asked = [Request("GET", f"s{n // 200}.example.de", f"/v1/{n}/x") for n in picked]
@@ -60,8 +69,8 @@
             f"made in {build * 1000:.0f} ms, one changed in {change:.0f} us"
         )
     keys = [f"{n:016x}" for n in range(100_000)]
-    was = [choose((Part("a", 90), Part("b", 10)), k) for k in keys]
-    now = [choose((Part("a", 80), Part("b", 20)), k) for k in keys]
+    was = [choose_pool((WeightedPool("a", 90), WeightedPool("b", 10)), k) for k in keys]
+    now = [choose_pool((WeightedPool("a", 80), WeightedPool("b", 20)), k) for k in keys]
     moved = sum(x != y for x, y in zip(was, now, strict=True)) / len(keys)
     print(f"  10 to 20%: {moved:.2%} of the customers moved")
 
--- a/lab/discovery.py
+++ b/lab/discovery.py
@@ -16,7 +16,7 @@
 from typing import Protocol
 
 from lab.timeline import Timeline
-from troutdock.membership.watch import Ask, Watch
+from troutdock.membership.watch import NextCall, WatchSchedule
 
 GRACE_S = 0.2  # a watch goes on as long as the next call comes so soon after the last answer
 
@@ -24,11 +24,11 @@
 class Client(Protocol):
     """What is tried: when to call, told what became of each call."""
 
-    def ask(self) -> Ask: ...
+    def next_call(self) -> NextCall: ...
 
     def answered(self, version: int) -> None: ...
 
-    def refused(self) -> None: ...
+    def rejected(self) -> None: ...
 
     def failed(self) -> None: ...
 
@@ -41,14 +41,14 @@
         self._version: int | None = 0
         self._pause_s = 0.0
 
-    def ask(self) -> Ask:
+    def next_call(self) -> NextCall:
         hold_ms = 0 if self._version is None else 1000
-        return Ask(self._pause_s, self._version, hold_ms, hold_ms / 1000 + 0.5)
+        return NextCall(self._pause_s, self._version, hold_ms, hold_ms / 1000 + 0.5)
 
     def answered(self, version: int) -> None:
         self._version, self._pause_s = version, 0.0
 
-    def refused(self) -> None:
+    def rejected(self) -> None:
         self._version, self._pause_s = None, 0.1
 
     def failed(self) -> None:
@@ -77,7 +77,7 @@
         self.begun: Counter[int] = Counter()  # calls that begin a watch or ask for the whole list, by second
         self.turned_away: Counter[int] = Counter()  # those of them that got no, by second
 
-    def begin(self, gateway: int, ask: Ask) -> tuple[float, bool] | None:
+    def begin(self, gateway: int, ask: NextCall) -> tuple[float, bool] | None:
         """A call that is no watch's next: when its answer comes, and whether it is a no. None: silence."""
         if self.down:
             return None
@@ -105,31 +105,31 @@
         self._next()
 
     def _next(self) -> None:
-        self._time.after(self.client.ask().after_s, self._call)
+        self._time.after(self.client.next_call().delay_s, self._call)
 
     def _call(self) -> None:
         if self.dead:
             return
-        ask, discovery = self.client.ask(), self._fleet.discovery
+        ask, discovery = self.client.next_call(), self._fleet.discovery
         if not discovery.down and self._time.now - self._watched_at <= GRACE_S:
             self._time.after(ask.hold_ms / 1000 or 0.001, self._answered)
             return
         came = discovery.begin(self.number, ask)
-        if came is None or came[0] > ask.patience_s:
-            self._time.after(ask.patience_s, self._failed)
+        if came is None or came[0] > ask.timeout_s:
+            self._time.after(ask.timeout_s, self._failed)
         else:
             self._time.after(came[0], self._refused if came[1] else self._answered)
 
     def _answered(self) -> None:
         if self._fleet.discovery.down:  # the agent is silent: the call's patience ends
-            self._time.after(self.client.ask().patience_s, self._failed)
+            self._time.after(self.client.next_call().timeout_s, self._failed)
         elif not self.dead:
             self._watched_at, self.known = self._time.now, self._fleet.discovery.version
             self.client.answered(self.known)
             self._next()
 
     def _refused(self) -> None:
-        self._broken(self.client.refused)
+        self._broken(self.client.rejected)
 
     def _failed(self) -> None:
         self._broken(self.client.failed)
@@ -150,7 +150,7 @@
         self.time = Timeline()
         self.discovery = Discovery(self.time, service)
         self._random = Random(seed)
-        self._make = make or (lambda gateways, random: Watch(gateways, 0, random))
+        self._make = make or (lambda gateways, random: WatchSchedule(gateways, 0, random))
         self.members = [self._member(n, gateways) for n in range(gateways)]
 
     def _member(self, number: int, gateways: int) -> Member:
--- a/tests/http/test_bodies.py
+++ b/tests/http/test_bodies.py
@@ -90,7 +90,7 @@
 def test_a_pipelined_message_has_its_own_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
     """Two messages in one read: the body time of the first must not count for the second's header section."""
     monkeypatch.setattr(body_limits, "BODY_GRACE_S", 0.1)
-    monkeypatch.setattr("troutdock.daemon.SWEEP_S", 0.02)
+    monkeypatch.setattr("troutdock.daemon.SWEEP_INTERVAL_S", 0.02)
 
     async def test() -> None:
         async def later(peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
@@ -235,7 +235,7 @@
         ("MIN_BODY_RATE", 20_000),
     ):
         monkeypatch.setattr(body_limits, limit, value)
-    monkeypatch.setattr("troutdock.daemon.SWEEP_S", 0.02)
+    monkeypatch.setattr("troutdock.daemon.SWEEP_INTERVAL_S", 0.02)
 
     async def test() -> None:
         async with world(answer()) as w:
--- a/tests/http/test_long_answers.py
+++ b/tests/http/test_long_answers.py
@@ -214,7 +214,7 @@
 
 def test_a_client_that_reads_nothing_is_aborted(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("troutdock.http.listener.WRITE_STALL_S", 0.2)
-    monkeypatch.setattr("troutdock.daemon.SWEEP_S", 0.05)
+    monkeypatch.setattr("troutdock.daemon.SWEEP_INTERVAL_S", 0.05)
 
     async def test() -> None:
         async with world(writes("length", 512)) as w:
@@ -233,7 +233,7 @@
 def test_a_slow_client_can_read_its_last_response(monkeypatch: pytest.MonkeyPatch) -> None:
     """LINGER_S must not abort a connection whose client has not yet read its response."""
     monkeypatch.setattr("troutdock.http.listener.LINGER_S", 0.05)
-    monkeypatch.setattr("troutdock.daemon.SWEEP_S", 0.02)
+    monkeypatch.setattr("troutdock.daemon.SWEEP_INTERVAL_S", 0.02)
 
     async def test() -> None:
         async with world(writes("length", 64)) as w:
--- a/tests/management/test_door.py
+++ b/tests/management/test_door.py
@@ -89,10 +89,10 @@
         async with managed(answer()) as w:
             held = [await asyncio.open_connection(*w.service.management) for _ in range(3 * CALLERS)]
             held[-1][1].write(b"GET /control/re")
-            await until(lambda: len(w.service._door.callers) == CALLERS)
+            await until(lambda: len(w.service._management_server.callers) == CALLERS)
             for _ in range(3):
                 assert await call(w, "GET", "/control/ready") == 200
-            assert len(w.service._door.callers) < CALLERS + 1
+            assert len(w.service._management_server.callers) < CALLERS + 1
             for _, writer in held:
                 writer.close()
 
--- a/tests/membership/test_datagrams.py
+++ b/tests/membership/test_datagrams.py
@@ -11,7 +11,7 @@
 from loopback import SETTINGS, run, until
 
 from troutdock.ingress import Ingress
-from troutdock.membership.datagrams import MOST, Datagrams, Peers
+from troutdock.membership.datagrams import MAX_DATAGRAM_BYTES, PeerSocket, PeerAddresses
 from troutdock.platform.config import ConfigError, read_config
 
 
@@ -29,8 +29,8 @@
         address = own.getsockname()
         own.close()
         heard: list[tuple[int, bytes]] = []
-        ways = Datagrams(
-            Peers(address, (address, peer.getsockname()), None),
+        ways = PeerSocket(
+            PeerAddresses(address, (address, peer.getsockname()), None),
             0,
             20.0,
             lambda n, body: heard.append((n, body)),
@@ -40,7 +40,7 @@
             with caplog.at_level(logging.WARNING, logger="troutdock"):
                 for _ in range(3):
                     stranger.sendto(b"from nobody", address)
-                    peer.sendto(b"x" * (MOST + 1), address)
+                    peer.sendto(b"x" * (MAX_DATAGRAM_BYTES + 1), address)
                 peer.sendto(b"good", address)
                 await until(lambda: bool(heard))
                 assert heard == [(1, b"good")]
@@ -86,7 +86,7 @@
 def test_the_configuration_names_the_peers_or_none() -> None:
     peers = read_config(config()).peers
     assert (
-        peers is not None and peers.listen == ("127.0.0.1", 7946) and peers.everybody == ("127.0.0.1", 7947)
+        peers is not None and peers.listen == ("127.0.0.1", 7946) and peers.broadcast == ("127.0.0.1", 7947)
     )
     raw = json.loads(config())
     for key in ("peer_listen", "peers"):
--- a/tests/membership/test_watch.py
+++ b/tests/membership/test_watch.py
@@ -10,7 +10,16 @@
 from hypothesis import strategies as st
 
 from lab.discovery import Fleet, Impatient, Service
-from troutdock.membership.watch import BINDS_S, FIRST_S, LONGEST_S, RESUME_S, SLOT_S, Ask, State, Watch
+from troutdock.membership.watch import (
+    EFFECTIVE_S,
+    MAX_FIRST_BACKOFF_S,
+    MAX_BACKOFF_S,
+    RETRY_DELAY_S,
+    CALL_SLOT_S,
+    NextCall,
+    WatchState,
+    WatchSchedule,
+)
 
 GATEWAYS = 40
 SLOW = Service(lines_per_s=240.0)  # a call from each takes it 6.7 s, as the operators' slowest
@@ -60,8 +69,10 @@
     f = Fleet(gateways, Service(refuses=frozenset(range(gateways))), 1)
     f.time.run(60)
     f.discovery.begun[0] -= gateways  # the first of each
-    assert max(f.discovery.begun.values()) <= 2 * max(1 / SLOT_S, gateways / FIRST_S)
-    assert sum(f.discovery.begun[s] for s in range(30, 60)) / 30 <= max(1 / SLOT_S, gateways / FIRST_S)
+    assert max(f.discovery.begun.values()) <= 2 * max(1 / CALL_SLOT_S, gateways / MAX_FIRST_BACKOFF_S)
+    assert sum(f.discovery.begun[s] for s in range(30, 60)) / 30 <= max(
+        1 / CALL_SLOT_S, gateways / MAX_FIRST_BACKOFF_S
+    )
     assert f.discovery.begun.total() >= 10 * gateways  # and nobody gives up
 
 
@@ -69,52 +80,52 @@
     f = Fleet(GATEWAYS, Service(refuses=frozenset({7})), 1)
     assert f.until_current(20.0, but=1) < inf
     f.time.run(120)
-    assert 60 / LONGEST_S <= sum(f.discovery.begun[s] for s in range(60, 120)) <= 60 / FIRST_S
+    assert 60 / MAX_BACKOFF_S <= sum(f.discovery.begun[s] for s in range(60, 120)) <= 60 / MAX_FIRST_BACKOFF_S
 
 
 def test_a_lone_gateway_is_as_quick_as_ever() -> None:
     """A watch that breaks goes on within its 200 ms, and the first call is made at once."""
-    watch = Watch(1, 5, Random(1))
-    assert watch.ask() == Ask(0.0, 5, 1000, 3.2)
+    watch = WatchSchedule(1, 5, Random(1))
+    assert watch.next_call() == NextCall(0.0, 5, 1000, 3.2)
     watch.answered(6)
-    assert watch.ask().after_s == 0
+    assert watch.next_call().delay_s == 0
     watch.failed()
-    assert (watch.ask().after_s, watch.ask().version) == (RESUME_S, 6)
-    watch.refused()
-    assert watch.ask().after_s <= 0.25
+    assert (watch.next_call().delay_s, watch.next_call().version) == (RETRY_DELAY_S, 6)
+    watch.rejected()
+    assert watch.next_call().delay_s <= 0.25
 
 
 @given(st.integers(1, 5000), st.lists(st.sampled_from("arfncmg"), max_size=30), st.integers(0, 99))
 def test_any_course_ends_in_a_call_within_bounds(gateways: int, course: str, seed: int) -> None:
-    watch = Watch(gateways, 3, Random(seed))
+    watch = WatchSchedule(gateways, 3, Random(seed))
     steps = {
         "a": lambda: watch.answered(9),
-        "r": watch.refused,
+        "r": watch.rejected,
         "f": watch.failed,
-        "n": watch.misfit,
+        "n": watch.inconsistent,
         "c": watch.closed,
-        "m": watch.moved,
-        "g": lambda: watch.follow(gateways // 2 + 1),
+        "m": watch.source_changed,
+        "g": lambda: watch.set_gateways(gateways // 2 + 1),
     }
     for step in course:
         before = watch.version
         steps[step]()
         assert step != "r" or watch.version == before  # what is known is still worth something
-        ask = watch.ask()
-        assert 0 <= ask.after_s <= LONGEST_S
+        ask = watch.next_call()
+        assert 0 <= ask.delay_s <= MAX_BACKOFF_S
         assert (ask.version is None) == (ask.hold_ms == 0)
-        assert ask.patience_s >= ask.hold_ms / 1000 + 2  # what discovery has taken on is waited for
-        assert step != "a" or (ask.after_s, watch.state) == (0, State.CURRENT)
-        assert step != "f" or ask.after_s >= RESUME_S
+        assert ask.timeout_s >= ask.hold_ms / 1000 + 2  # what discovery has taken on is waited for
+        assert step != "a" or (ask.delay_s, watch.state) == (0, WatchState.CURRENT)
+        assert step != "f" or ask.delay_s >= RETRY_DELAY_S
 
 
 @pytest.mark.parametrize("gateways", [3, 40, 200])
 def test_a_watch_that_falls_silent_is_begun_anew_before_what_it_was_to_bring_binds(gateways: int) -> None:
     """A send to a backend that drains came 0.58 s after that was told: 2.5 s of patience, and a pause of 0.1 s."""
-    watch = Watch(gateways, 7, Random(1))
+    watch = WatchSchedule(gateways, 7, Random(1))
     watch.answered(8)
-    silent = watch.ask()
+    silent = watch.next_call()
     watch.failed()
     assert (
-        silent.patience_s + watch.ask().after_s < silent.hold_ms / 1000 + BINDS_S - 0.1
+        silent.timeout_s + watch.next_call().delay_s < silent.hold_ms / 1000 + EFFECTIVE_S - 0.1
     )  # to connect, and the answer's way
--- a/tests/overload/test_lag.py
+++ b/tests/overload/test_lag.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from troutdock.overload.lag import EVERY_S, NOTABLE_MS, Lag
+from troutdock.overload.lag import SAMPLE_INTERVAL_S, SIGNIFICANT_MS, EventLoopLag
 
-EVERY_MS = EVERY_S * 1000
+EVERY_MS = SAMPLE_INTERVAL_S * 1000
 
 
 class Clockwork:
@@ -12,7 +12,7 @@
 
     def __init__(self) -> None:
         self.now = 1000.0
-        self.lag = Lag(lambda: self.now)
+        self.lag = EventLoopLag(lambda: self.now)
         self.lag.sample()
 
     def fire(self, late_ms: float = 0.0) -> None:
@@ -24,25 +24,25 @@
     c = Clockwork()
     for _ in range(50):
         c.fire()
-        assert c.lag.now_ms < 1e-6 and not c.lag.notable
+        assert c.lag.now_ms < 1e-6 and not c.lag.significant
 
 
 def test_a_late_sample_is_the_lag_at_once_and_fades_in_a_tenth_of_a_second() -> None:
     c = Clockwork()
     c.fire(40)
-    assert abs(c.lag.now_ms - 40) < 1e-6 and c.lag.notable
+    assert abs(c.lag.now_ms - 40) < 1e-6 and c.lag.significant
     for _ in range(11):
         c.fire()
-    assert c.lag.now_ms < NOTABLE_MS and not c.lag.notable
+    assert c.lag.now_ms < SIGNIFICANT_MS and not c.lag.significant
 
 
 def test_an_overdue_sample_is_notable_before_it_fires() -> None:
     """What is read between a long pass and the sampler has waited for that pass."""
     c = Clockwork()
     c.now += EVERY_MS + 30
-    assert c.lag.notable and c.lag.now_ms == 0
+    assert c.lag.significant and c.lag.now_ms == 0
     c.now -= 30
-    assert not c.lag.notable
+    assert not c.lag.significant
 
 
 def test_a_loop_that_stays_late_stays_notable() -> None:
@@ -50,8 +50,8 @@
     c = Clockwork()
     for n in range(40):
         c.fire(30 * (n % 2))
-        assert n < 1 or c.lag.notable
+        assert n < 1 or c.lag.significant
 
 
 def test_before_the_first_sample_nothing_is_said() -> None:
-    assert not Lag().notable
+    assert not EventLoopLag().significant
--- a/tests/overload/test_storm.py
+++ b/tests/overload/test_storm.py
@@ -4,7 +4,7 @@
 
 from dataclasses import replace
 
-from troutdock.overload.storm import CALM_S, FRESH_S, TOLD_S, StormWatch, Sums
+from troutdock.overload.storm import CALM_CHECKS, STARTUP_S, CHECKS_PER_REPORT, StormDetector, RequestCounts
 
 
 class Watch:
@@ -12,16 +12,16 @@
 
     def __init__(self, old: bool = True) -> None:
         self.lines: list[str] = []
-        self.now, self.sums = 0.0, Sums()
-        self.watch = StormWatch(0.0, 400, self.lines.append)
+        self.now, self.sums = 0.0, RequestCounts()
+        self.watch = StormDetector(0.0, 400, self.lines.append)
         if old:
-            self.now = FRESH_S * 1000
-            self.watch.look(self.now, self.sums, 0.0)
+            self.now = STARTUP_S * 1000
+            self.watch.update(self.now, self.sums, 0.0)
 
     def second(
         self,
-        taken: int = 500,
-        refused: int = 0,
+        requests: int = 500,
+        rejected: int = 0,
         turned: int = 0,
         retries: int = 0,
         connections: int = 5,
@@ -32,77 +32,77 @@
             s = self.sums
             self.sums = replace(
                 s,
-                taken=s.taken + taken,
-                refused=s.refused + refused,
-                turned_away=s.turned_away + turned,
+                requests=s.requests + requests,
+                rejected=s.rejected + rejected,
+                rejected_unread=s.rejected_unread + turned,
                 retries=s.retries + retries,
                 connections=s.connections + connections,
             )
-            self.watch.look(self.now, self.sums, 40.0)
+            self.watch.update(self.now, self.sums, 40.0)
 
 
 def test_an_ordinary_day_is_no_storm() -> None:
     w = Watch()
-    for refused in (0, 100, 200, 50, 0) * 10:
-        w.second(refused=refused, retries=refused // 2, turned=refused // 20)
-    assert w.lines == [] and not w.watch.on
+    for rejected in (0, 100, 200, 50, 0) * 10:
+        w.second(rejected=rejected, retries=rejected // 2, turned=rejected // 20)
+    assert w.lines == [] and not w.watch.active
 
 
 def test_each_sign_begins_one_and_is_named() -> None:
     for sign, part in (
         ({"turned": 100}, "20% turned away unread"),
-        ({"refused": 400}, "80% refused"),
+        ({"rejected": 400}, "80% refused"),
         ({"retries": 300}, "60% retries"),
     ):
         w = Watch()
         w.second()
         w.second(**sign)
-        assert w.watch.on and len(w.lines) == 1
+        assert w.watch.active and len(w.lines) == 1
         assert w.lines[0].startswith("storm begins: ") and part in w.lines[0] and "40 ms late" in w.lines[0]
 
 
 def test_a_mass_return_is_known_by_its_connections_but_only_after_a_start() -> None:
     fresh, old = Watch(old=False), Watch()
-    fresh.second(taken=10, connections=300)
-    old.second(taken=10, connections=300)
-    assert fresh.watch.on and "300 new connections a second" in fresh.lines[0]
-    assert not old.watch.on
+    fresh.second(requests=10, connections=300)
+    old.second(requests=10, connections=300)
+    assert fresh.watch.active and "300 new connections a second" in fresh.lines[0]
+    assert not old.watch.active
 
 
 def test_a_few_requests_are_no_storm() -> None:
     w = Watch()
-    w.second(taken=20, refused=20, retries=20, times=5)
+    w.second(requests=20, rejected=20, retries=20, times=5)
     assert w.lines == []
 
 
 def test_it_ends_after_calm_seconds_with_its_sums() -> None:
     w = Watch()
-    w.second(refused=400, turned=100, times=2)
-    w.second(times=CALM_S - 1)
-    assert w.watch.on
+    w.second(rejected=400, turned=100, times=2)
+    w.second(times=CALM_CHECKS - 1)
+    assert w.watch.active
     w.second()
-    assert not w.watch.on and len(w.lines) == 2
+    assert not w.watch.active and len(w.lines) == 2
     assert (
         w.lines[-1]
-        == f"storm over after {2 + CALM_S} s: {500 * (2 + CALM_S)} requests, 800 refused, 200 of them unread"
+        == f"storm over after {2 + CALM_CHECKS} s: {500 * (2 + CALM_CHECKS)} requests, 800 refused, 200 of them unread"
     )
 
 
 def test_a_gap_in_the_storm_is_no_end_and_no_new_storm() -> None:
     w = Watch()
     for _ in range(6):
-        w.second(refused=400)
-        w.second(times=CALM_S - 1)
+        w.second(rejected=400)
+        w.second(times=CALM_CHECKS - 1)
     assert len([line for line in w.lines if line.startswith("storm begins")]) == 1
     assert not [line for line in w.lines if line.startswith("storm over")]
 
 
 def test_it_is_told_again_every_few_seconds_with_the_end_that_is_to_be_expected() -> None:
     w = Watch()
-    w.second(refused=450, times=TOLD_S + 1)
+    w.second(rejected=450, times=CHECKS_PER_REPORT + 1)
     assert "90% refused" in w.lines[-1] and "not falling yet" in w.lines[-1]
-    for refused in (420, 390, 360, 330, 300):
-        w.second(refused=refused)
+    for rejected in (420, 390, 360, 330, 300):
+        w.second(rejected=rejected)
     assert len(w.lines) == 3 and "60% refused" in w.lines[-1]
     seconds = int(w.lines[-1].partition("should end in ")[2].split()[0])
     assert 8 <= seconds <= 20  # it falls by 6 points a second: 10 s, and the calm ones
@@ -111,9 +111,9 @@
 def test_looks_that_come_too_often_or_late_are_no_matter() -> None:
     w = Watch()
     before = w.sums
-    w.watch.look(w.now + 10, replace(before, taken=400, refused=400), 0.0)
+    w.watch.update(w.now + 10, replace(before, requests=400, rejected=400), 0.0)
     assert w.lines == []
     w.now += 4000  # the process stood still
-    w.sums = replace(before, taken=200 * 5, refused=0)
-    w.watch.look(w.now, w.sums, 0.0)
+    w.sums = replace(before, requests=200 * 5, rejected=0)
+    w.watch.update(w.now, w.sums, 0.0)
     assert w.lines == []
--- a/tests/reservations/test_reserved_front.py
+++ b/tests/reservations/test_reserved_front.py
@@ -261,7 +261,7 @@
             for part in parts:
                 part.start(w.engine)
                 stack.push_async_callback(part.close)
-                w.service._door.books |= part.books()
+                w.service._management_server.books |= part.books()
             w.parts, w.door = parts, "{}:{}".format(*w.service.management)
             found.append(w)
         yield found
@@ -389,7 +389,7 @@
             assert "released" in (await said("reservations", "--all"))[1]
             assert (await said("release", "nothing"))[0] == 2
             gone = b.door
-            b.service._door.close()
+            b.service._management_server.close()
             code, out = await said(
                 "reserve", "0000000000000009", "5", "--until", end, "--plan", "basis", "--id", "r3"
             )
--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -10,25 +10,25 @@
 from hypothesis import strategies as st
 
 from troutdock.routing.route import (
-    BadRoute,
-    How,
-    Part,
+    InvalidRoute,
+    Comparison,
+    WeightedPool,
     Path,
     PathKind,
     Request,
     Rewrite,
     Route,
-    Value,
-    checked,
+    Condition,
+    validate_route,
     exact,
     pattern,
     prefix,
 )
-from troutdock.routing.split import choose, mirrored
-from troutdock.routing.table import Table, explain
-from troutdock.routing.target import BadTarget, Target, plain, plain_host, plain_path
+from troutdock.routing.split import choose_pool, select_mirrors
+from troutdock.routing.table import RouteTable, explain
+from troutdock.routing.target import InvalidTarget, Target, normalize_target, normalize_host, normalize_path
 
-TO = (Part("ledger"),)
+TO = (WeightedPool("ledger"),)
 PATHS = st.sampled_from(
     [
         exact("/a"),
@@ -46,12 +46,12 @@
 HOSTS = st.sampled_from(["x.de", "api.x.de", "*.x.de", "*.api.x.de", "*.de"])
 VALUES = st.sampled_from(
     [
-        Value("header", "v", How.IS, "2"),
-        Value("header", "v", How.PREFIX, "2"),
-        Value("header", "v", How.ABSENT),
-        Value("header", "w", How.PRESENT),
-        Value("query", "q", How.IS, "1"),
-        Value("query", "q", How.PATTERN, "[0-9]+"),
+        Condition("header", "v", Comparison.IS, "2"),
+        Condition("header", "v", Comparison.PREFIX, "2"),
+        Condition("header", "v", Comparison.ABSENT),
+        Condition("header", "w", Comparison.PRESENT),
+        Condition("query", "q", Comparison.IS, "1"),
+        Condition("query", "q", Comparison.PATTERN, "[0-9]+"),
     ]
 )
 
@@ -90,33 +90,35 @@
 def test_the_compiled_table_is_what_the_plain_reading_says(
     made: list[Route], requests: list[Request]
 ) -> None:
-    table = Table.of(made)
+    table = RouteTable.of(made)
     for request in requests:
         found, said = table.find(request), list(explain(made, request))
         taken = said[-1].route if said and not said[-1].why else None
         assert (found.route if found is not None else None) is taken
         if found is not None:
-            assert found.path in found.route.paths and found.path.holds(request.path)
+            assert found.path in found.route.paths and found.path.matches(request.path)
 
 
 @given(routes(), routes(), st.integers(0, 99), REQUESTS)
 def test_a_table_changed_step_by_step_is_the_one_made_at_once_and_the_old_one_stays(
     before: list[Route], after: list[Route], seed: int, request_: Request
 ) -> None:
-    table = start = Table.of(before)
+    table = start = RouteTable.of(before)
     said = start.find(request_)
     for id in Random(seed).sample(sorted(start.routes), len(start.routes)):
         if all(id != r.id for r in after):
             table = table.without(id)
     for route in Random(seed).sample(after, len(after)):
         table = table.with_route(route)
-    whole = Table.of(after)
+    whole = RouteTable.of(after)
     assert dict(table.routes) == dict(whole.routes) and table.find(request_) == whole.find(request_)
     assert start.find(request_) == said and table.without("nobody") is table
 
 
 def test_a_change_of_one_route_shares_the_rest() -> None:
-    table = Table.of(Route(f"r{n}", n, (exact(f"/{n}"),), (f"h{n % 50}.de",), to=TO) for n in range(2000))
+    table = RouteTable.of(
+        Route(f"r{n}", n, (exact(f"/{n}"),), (f"h{n % 50}.de",), to=TO) for n in range(2000)
+    )
     other = table.with_route(Route("r7", 7, (exact("/new"),), ("h7.de",), to=TO))
     shared = [host for host in table._hosts if table._hosts[host] is other._hosts[host]]
     assert len(shared) == 49 and other.find(Request("GET", "h7.de", "/new")) is not None
@@ -127,7 +129,9 @@
 
 
 def test_patterns_can_t_blow_up_and_prefixes_match_whole_segments() -> None:
-    table = Table.of([Route("p", 0, (pattern("/(a+)+b"),), to=TO), Route("q", 1, (prefix("/api/"),), to=TO)])
+    table = RouteTable.of(
+        [Route("p", 0, (pattern("/(a+)+b"),), to=TO), Route("q", 1, (prefix("/api/"),), to=TO)]
+    )
     assert table.find(Request("GET", "", "/" + "a" * 5000)) is None
     assert [
         table.find(Request("GET", "", path)) is not None for path in ("/api", "/api/", "/api/x", "/apix", "/")
@@ -141,13 +145,16 @@
         (Route("r", 0, (), to=TO), "no path"),
         (Route("r", 0, (exact("/a"),), ("A.de",), to=TO), "written small"),
         (Route("r", 0, (exact("/a"),), ("a b",), to=TO), "host"),
-        (Route("r", 0, (exact("/a"),), to=TO, mirrors=(Part("m", 101),)), "percentage"),
+        (Route("r", 0, (exact("/a"),), to=TO, mirrors=(WeightedPool("m", 101),)), "percentage"),
         (
             Route(
                 "r",
                 0,
                 (exact("/a"),),
-                values=(Value("header", "v", How.IS, "1"), Value("header", "v", How.IS, "2")),
+                values=(
+                    Condition("header", "v", Comparison.IS, "1"),
+                    Condition("header", "v", Comparison.IS, "2"),
+                ),
                 to=TO,
             ),
             "never match",
@@ -157,7 +164,10 @@
                 "r",
                 0,
                 (exact("/a"),),
-                values=(Value("header", "v", How.PRESENT), Value("header", "v", How.ABSENT)),
+                values=(
+                    Condition("header", "v", Comparison.PRESENT),
+                    Condition("header", "v", Comparison.ABSENT),
+                ),
                 to=TO,
             ),
             "never match",
@@ -165,10 +175,10 @@
     ],
 )
 def test_a_route_that_can_t_be_is_named(route: Route, said: str) -> None:
-    with pytest.raises(BadRoute, match=said):
-        checked(route)
-    with pytest.raises(BadRoute, match="twice"):
-        Table.of([Route("r", 0, (exact("/a"),), to=TO)] * 2)
+    with pytest.raises(InvalidRoute, match=said):
+        validate_route(route)
+    with pytest.raises(InvalidRoute, match="twice"):
+        RouteTable.of([Route("r", 0, (exact("/a"),), to=TO)] * 2)
 
 
 @pytest.mark.parametrize(
@@ -180,17 +190,17 @@
         (lambda: prefix("/%61"), "plain form is '/a'"),
         (lambda: pattern("/(a"), "missing"),
         (lambda: pattern("a" * 2000), "1000"),
-        (lambda: Value("header", "v", How.PATTERN, "["), "missing"),
+        (lambda: Condition("header", "v", Comparison.PATTERN, "["), "missing"),
     ],
 )
 def test_what_could_never_match_is_said_as_it_is_made(make: object, said: str) -> None:
-    with pytest.raises(BadRoute, match=said):
+    with pytest.raises(InvalidRoute, match=said):
         make()  # type: ignore[operator]
 
 
 def test_routes_that_nothing_can_take_are_named() -> None:
     post = frozenset({"POST"})
-    table = Table.of(
+    table = RouteTable.of(
         [
             Route("a", 0, (exact("/a"), prefix("/b")), to=TO),
             Route("b", 1, (exact("/a"),), to=TO),
@@ -199,13 +209,13 @@
             Route("e", 4, (exact("/a"),), methods=post, to=TO),
         ]
     )
-    assert table.never() == [("b", "a"), ("e", "c")]
+    assert table.unreachable() == [("b", "a"), ("e", "c")]
 
 
 def test_explain_says_why_not_those_before() -> None:
     made = [
         Route("all", 0, (prefix("/"),), to=TO),
-        Route("v2", 1, (prefix("/a"),), values=(Value("header", "v", How.IS, "2"),), to=TO),
+        Route("v2", 1, (prefix("/a"),), values=(Condition("header", "v", Comparison.IS, "2"),), to=TO),
         Route("other", 2, (exact("/z"),), ("x.de",), to=TO),
         Route("post", 3, (exact("/a/b"),), methods=frozenset({"POST"}), to=TO),
     ]
@@ -252,7 +262,7 @@
     ],
 )
 def test_targets_have_one_plain_form(raw: str, target: tuple[str, str, str]) -> None:
-    assert plain(raw) == Target(*target)
+    assert normalize_target(raw) == Target(*target)
 
 
 @pytest.mark.parametrize(
@@ -292,18 +302,18 @@
     ],
 )
 def test_what_might_be_read_in_two_ways_is_refused(raw: str) -> None:
-    with pytest.raises(BadTarget):
-        plain(raw)
+    with pytest.raises(InvalidTarget):
+        normalize_target(raw)
 
 
 @examples(max_examples=500)
 @given(st.text(st.sampled_from("/ab.%2eEfF5cC;~-0"), max_size=20))
 def test_a_plain_path_is_its_own_plain_form_and_climbs_nowhere(text: str) -> None:
     try:
-        once = plain_path("/" + text)
-    except BadTarget:
+        once = normalize_path("/" + text)
+    except InvalidTarget:
         return
-    assert plain_path(once) == once and "//" not in once and "%2F" not in once
+    assert normalize_path(once) == once and "//" not in once and "%2F" not in once
     assert not {".", ".."} & {segment.partition(";")[0] for segment in once.split("/")}
 
 
@@ -319,7 +329,7 @@
     ],
 )
 def test_hosts_are_plain(host: str, name: str) -> None:
-    assert plain_host(host) == name
+    assert normalize_host(host) == name
 
 
 # ---- splits
@@ -327,13 +337,16 @@
 
 def test_a_weight_that_changes_moves_its_share_and_nobody_else() -> None:
     keys = [f"{n:016x}" for n in range(20_000)]
-    before, after = [Part("a", 90), Part("b", 10), Part("c", 0)], [Part("a", 90), Part("b", 20), Part("c", 0)]
-    was, now = [choose(before, k) for k in keys], [choose(after, k) for k in keys]
+    before, after = (
+        [WeightedPool("a", 90), WeightedPool("b", 10), WeightedPool("c", 0)],
+        [WeightedPool("a", 90), WeightedPool("b", 20), WeightedPool("c", 0)],
+    )
+    was, now = [choose_pool(before, k) for k in keys], [choose_pool(after, k) for k in keys]
     moved = [(x, y) for x, y in zip(was, now, strict=True) if x != y]
     assert set(moved) == {("a", "b")} and "c" not in was
     assert was.count("b") == pytest.approx(2000, rel=0.08) and len(moved) == pytest.approx(
         20_000 * (20 / 110 - 0.1), rel=0.1
     )
-    assert [choose(list(reversed(before)), k) for k in keys[:500]] == was[:500]
-    copies = [mirrored([Part("m", 5), Part("n", 100)], k) for k in keys]
+    assert [choose_pool(list(reversed(before)), k) for k in keys[:500]] == was[:500]
+    copies = [select_mirrors([WeightedPool("m", 5), WeightedPool("n", 100)], k) for k in keys]
     assert all("n" in c for c in copies) and sum("m" in c for c in copies) == pytest.approx(1000, rel=0.12)
--- a/tests/routing_service/test_deployment.py
+++ b/tests/routing_service/test_deployment.py
@@ -27,8 +27,8 @@
 from troutdock.operator.yaml_tree import MOST_NODES, load
 from troutdock.routing_service import service as routed_service
 from troutdock.routing_service.reader import customer_number
-from troutdock.routing_service.run import take_over
-from troutdock.routing_service.service import Routed
+from troutdock.routing_service.run import reload_deployment
+from troutdock.routing_service.service import RoutingFrontend
 
 ROOT = Path(__file__).parent.parent.parent
 GOOD = """version: 1
@@ -270,7 +270,7 @@
 
 class World:
     service: Service
-    routed: Routed
+    routed: RoutingFrontend
     pools: dict[str, list[Peer]]
 
     async def ask(self, path: str, method: str = "GET", **headers: str) -> tuple[int, bytes]:
@@ -311,9 +311,9 @@
 
     w.write = write  # type: ignore[attr-defined]
     found = write(text)
-    w.routed = Routed(found.terms, found.config.sockets)
+    w.routed = RoutingFrontend(found.terms, found.config.sockets)
     stop, serving = asyncio.Event(), asyncio.get_running_loop().create_future()
-    task = asyncio.create_task(serve(found.config, stop, serving.set_result, beside=[w.routed]))
+    task = asyncio.create_task(serve(found.config, stop, serving.set_result, components=[w.routed]))
     await asyncio.wait({task, serving}, return_when=asyncio.FIRST_COMPLETED)
     w.service = await serving
     try:
@@ -403,7 +403,7 @@
                 .replace("  a: {servers: {a}}\n", "")
             )  # type: ignore[attr-defined]
             kept = dict(health)
-            await take_over(w.routed, lambda: moved)
+            await reload_deployment(w.routed, lambda: moved)
             assert (await w.ask("/z"))[1] == b"b" and (await w.ask("/a"))[0] == 404
             assert await under_way == (200, b"old")  # it ended under the old table
             assert all(
@@ -411,16 +411,16 @@
             )  # b's server is the same one
             before = w.routed.reader.view  # type: ignore[union-attr]
             (tmp_path / "x.yaml").write_text("version: 9\n")
-            await take_over(w.routed, lambda: [str(p) for p in read_deployment(tmp_path / "x.yaml")])  # type: ignore[union-attr]
+            await reload_deployment(w.routed, lambda: [str(p) for p in read_deployment(tmp_path / "x.yaml")])  # type: ignore[union-attr]
             both = [moved, w.write(POOLS)]  # type: ignore[attr-defined]
             switch = sys.getswitchinterval()
             await asyncio.gather(
-                *(take_over(w.routed, lambda one=one: (time.sleep(0.05), one)[1]) for one in both)
+                *(reload_deployment(w.routed, lambda one=one: (time.sleep(0.05), one)[1]) for one in both)
             )  # type: ignore[misc]
             assert (sys.getswitchinterval(), gc.isenabled()) == (switch, True) and (await w.ask("/a"))[
                 0
             ] == 200
-            await take_over(w.routed, lambda: moved)
+            await reload_deployment(w.routed, lambda: moved)
             assert w.routed.reader.view.table is before.table and "the old deployment stays" in caplog.text  # type: ignore[union-attr]
 
     run(test())
@@ -429,7 +429,7 @@
 def test_splits_stick_rewrites_hold_and_mirrors_count_for_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(routed_service, "MIRROR_S", 0.2)
+    monkeypatch.setattr(routed_service, "MIRROR_TIMEOUT_S", 0.2)
     text = POOLS.replace(
         "- {name: one, match: {prefix: /a}, class: read, to: a}",
         """- name: one
@@ -452,7 +452,7 @@
             assert head.startswith(b"get /v1/x http/1.1") and b"x-from: t" in head and b"x-old" not in head
             await until(lambda: w.sent("m") >= 16)
             assert (w.service.engine.tally.taken, w.service.engine.tally.served) == (60, 60)
-            await until(lambda: w.routed._pools["m"].copying == 0)
+            await until(lambda: w.routed._pools["m"].mirrors_in_flight == 0)
 
     run(test())
 
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -333,7 +333,7 @@
 async def daemon(w: World, stack: AsyncExitStack, config: str, beside: Sequence[Any] = ()) -> None:
     """The daemon, in this process."""
     serving: asyncio.Future[Service] = asyncio.get_running_loop().create_future()
-    w.task = asyncio.create_task(serve(read_config(config), w.stop, serving.set_result, beside=beside))
+    w.task = asyncio.create_task(serve(read_config(config), w.stop, serving.set_result, components=beside))
     await asyncio.wait({w.task, serving}, return_when=asyncio.FIRST_COMPLETED)
     w.service = await serving
     w.address, w.engine = w.service.address, w.service.ingress.engine
--- a/tests/test_robustness.py
+++ b/tests/test_robustness.py
@@ -24,7 +24,7 @@
 from troutdock.admission.interface import Outcome, Plan, Refuse, Send
 from troutdock.http import body_limits
 from troutdock.http.body_limits import body_budget_bytes
-from troutdock.membership.watch import Watch
+from troutdock.membership.watch import WatchSchedule
 from troutdock.platform.background import Background
 from troutdock.platform.config import read_config
 from troutdock.platform.discovery import Discovery, ListReader
@@ -114,7 +114,7 @@
     """Bytes sent one by one don't extend the limit: the client gets an error or a close."""
     for limit in ("HEADER_TIMEOUT_S", "FIRST_BYTE_TIMEOUT_S", "BODY_GRACE_S"):
         monkeypatch.setattr(body_limits, limit, 0.2)
-    monkeypatch.setattr("troutdock.daemon.SWEEP_S", 0.05)
+    monkeypatch.setattr("troutdock.daemon.SWEEP_INTERVAL_S", 0.05)
 
     async def test() -> None:
         async with world(answer()) as w:
@@ -140,7 +140,7 @@
 ) -> None:
     for limit in ("HEADER_TIMEOUT_S", "FIRST_BYTE_TIMEOUT_S", "BODY_GRACE_S"):
         monkeypatch.setattr(body_limits, limit, 0.2)
-    monkeypatch.setattr("troutdock.daemon.SWEEP_S", 0.05)
+    monkeypatch.setattr("troutdock.daemon.SWEEP_INTERVAL_S", 0.05)
 
     async def test() -> None:
         async with world(answer()) as w:
@@ -456,12 +456,12 @@
 
 
 def test_sighup_before_the_service_has_started_is_deferred(monkeypatch: pytest.MonkeyPatch) -> None:
-    from troutdock.__main__ import Reloads
+    from troutdock.__main__ import ReloadHandler
 
     before = signal.getsignal(signal.SIGHUP)
     read: list[str] = []
     try:
-        reloads = Reloads()
+        reloads = ReloadHandler()
         os.kill(os.getpid(), signal.SIGHUP)  # would end the program
 
         class Service:
@@ -470,7 +470,7 @@
 
         async def test() -> None:
             monkeypatch.setattr("troutdock.__main__.load_config", lambda path: path)
-            reloads.follow(Service(), "the file")  # type: ignore[arg-type]
+            reloads.attach(Service(), "the file")  # type: ignore[arg-type]
 
         run(test())
     finally:
@@ -494,7 +494,9 @@
 
         watch = Background(
             "the watch",
-            Discovery(("127.0.0.1", served.port), ListReader((), ()), Watch(1, 0, Random(1)), listen).run,
+            Discovery(
+                ("127.0.0.1", served.port), ListReader((), ()), WatchSchedule(1, 0, Random(1)), listen
+            ).run,
         )
         await until(lambda: len(served.requests) == 1)
         served.script = sends(one_line(served, "s-1", 3), close=False)
@@ -551,7 +553,7 @@
         await c.tried.wait()
         c.counter.call(7, 1.0, 1000.0)
         await until(lambda: len(old.requests) == 1)
-        c.counter.move(("127.0.0.1", new.port))
+        c.counter.set_address(("127.0.0.1", new.port))
         c.task.cancel()
         c.task = asyncio.create_task(c.counter.run(asyncio.Event()))
         await until(lambda: new.connections == 1)
--- a/tests/test_settings_change.py
+++ b/tests/test_settings_change.py
@@ -31,7 +31,7 @@
     merge_settings,
     previous_indexes,
 )
-from troutdock.platform.config import ConfigError, complete, keys_of, read_config
+from troutdock.platform.config import ConfigError, require_keys_of, key_paths, read_config
 
 READ = RequestClass(1500, 4000, 2, Effect.SAFE, name="read")
 BOOK = RequestClass(1000, 4000, 5, Effect.KEYED, Group.ALL, 3000, name="book")
@@ -186,7 +186,7 @@
 def test_a_class_is_added_and_a_removed_one_is_accepted_under_its_old_rules_for_a_while(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("troutdock.daemon.RETIRED_S", 0.2)
+    monkeypatch.setattr("troutdock.daemon.RETIRED_CLASS_GRACE_S", 0.2)
 
     async def test() -> None:
         async with world(answer()) as w:
@@ -277,7 +277,7 @@
 
 
 def test_keys_of_a_list_are_those_common_to_all_its_objects() -> None:
-    assert set(keys_of({"a": [{"x": 1, "y": {"z": 2}}, {"x": 3}], "b": [1, 2], "c": []})) == {
+    assert set(key_paths({"a": [{"x": 1, "y": {"z": 2}}, {"x": 3}], "b": [1, 2], "c": []})) == {
         "a",
         "a[].x",
         "b",
@@ -290,7 +290,7 @@
         async with world(silence) as w:
             running = read_config(json.dumps(w.config))
             extended = changed(w, news={"x": 1})
-            assert complete(read_config(json.dumps(extended)), running).settings == running.settings
+            assert require_keys_of(read_config(json.dumps(extended)), running).settings == running.settings
 
     run(test())
 
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -138,7 +138,7 @@
         await c.tried.wait()
         c.counter.call(7, 1.0, 1000.0)
         assert await c.outcomes(1) == [(7, Outcome.OK, 4.0)]
-        c.counter._pace.seconds = 0.001  # however slow this machine was just now
+        c.counter._reply_time.seconds = 0.001  # however slow this machine was just now
         c.counter.call(8, 1.0, 1000.0)
         c.counter.call(9, 1.0, 1000.0)
         assert await c.outcomes(3) == [(7, Outcome.OK, 4.0), (8, Outcome.RESET, 0.0), (9, Outcome.RESET, 0.0)]
@@ -162,7 +162,7 @@
         await peer.start()
         c = Counting(peer, 0.02)
         await c.tried.wait()
-        c.counter._pace.seconds = 0.001
+        c.counter._reply_time.seconds = 0.001
         for name in range(5):
             c.counter.call(name, 1.0, 1000.0)
             await until(lambda n=name: len(c.answers) == n + 1 and not c.counter._connection._calls)
--- a/troutdock/__main__.py
+++ b/troutdock/__main__.py
@@ -14,7 +14,7 @@
 
 import uvloop
 
-from troutdock.daemon import Beside, Service, serve
+from troutdock.daemon import Component, Service, serve
 from troutdock.platform.config import Config, ConfigError, load_config
 from troutdock.platform.inherited import inherited_socket, management_address
 
@@ -22,21 +22,21 @@
 
 # Objects more than before, until the collector of cycles looks. Requests and connections leave no cycles, so
 # it finds little; with far more the few that others leave (tasks that failed, say) would pile up.
-COLLECT_AFTER = 10_000
+GC_THRESHOLD = 10_000
 
 
-class Reloads:
+class ReloadHandler:
     """SIGHUP: the file is read again. Those that come before the service is there are not lost."""
 
     def __init__(self) -> None:
         self._service: Service | None = None
         self._path = ""
-        self._asked = False
-        signal.signal(signal.SIGHUP, lambda *_: self.ask())
+        self._requested = False
+        signal.signal(signal.SIGHUP, lambda *_: self.request())
 
-    def ask(self) -> None:
+    def request(self) -> None:
         """Read the file now, or as soon as there is a service to tell; a bad one changes nothing."""
-        self._asked = self._service is None
+        self._requested = self._service is None
         if self._service is None:
             return
         try:
@@ -44,24 +44,28 @@
         except ConfigError as error:
             log.error("the old configuration stays: %s", error)
 
-    def follow(self, service: Service, path: str) -> None:
+    def attach(self, service: Service, path: str) -> None:
         """From now on the service is told."""
         self._service, self._path = service, path
-        asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, self.ask)
-        if self._asked:
-            self.ask()
+        asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, self.request)
+        if self._requested:
+            self.request()
 
 
 async def _run(
-    config: Config, path: str, reloads: Reloads, listener: socket.socket | None, beside: list[Beside]
+    config: Config,
+    path: str,
+    reloads: ReloadHandler,
+    listener: socket.socket | None,
+    components: list[Component],
 ) -> None:
     stop = asyncio.Event()
     for signum in (signal.SIGTERM, signal.SIGINT):
         asyncio.get_running_loop().add_signal_handler(signum, stop.set)
-    await serve(config, stop, lambda service: reloads.follow(service, path), listener, beside)
+    await serve(config, stop, lambda service: reloads.attach(service, path), listener, components)
 
 
-def _beside(config: Config, path: str | None) -> list[Beside]:
+def _components(config: Config, path: str | None) -> list[Component]:
     """What the operator's file asks for; nothing of it is loaded without one. ConfigError in one line."""
     if not path:
         return []
@@ -78,7 +82,7 @@
 
 def main() -> int:
     """Exit 0 after a drain, 2 with one plain line on a bad configuration, 1 if it can't serve."""
-    reloads = Reloads()
+    reloads = ReloadHandler()
     logging.basicConfig(level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s", stream=sys.stderr)
     try:
         path = os.environ["RELAY_CONFIG"]
@@ -86,7 +90,7 @@
         if config.management is None and (address := os.environ.get("RELAY_MANAGEMENT")):
             config = replace(config, management=management_address(address))
         listener = inherited_socket(os.environ)
-        beside = _beside(config, os.environ.get("TROUTDOCK_OPERATOR"))
+        components = _components(config, os.environ.get("TROUTDOCK_OPERATOR"))
     except KeyError:
         print("troutdock: RELAY_CONFIG is not set", file=sys.stderr)
         return 2
@@ -97,9 +101,9 @@
         print(f"troutdock: can't serve: {error}", file=sys.stderr)
         return 1
     gc.freeze()
-    gc.set_threshold(COLLECT_AFTER, 20, 20)
+    gc.set_threshold(GC_THRESHOLD, 20, 20)
     try:
-        uvloop.run(_run(config, path, reloads, listener, beside))
+        uvloop.run(_run(config, path, reloads, listener, components))
     except OSError as error:
         print(f"troutdock: can't serve: {error}", file=sys.stderr)
         return 1
--- a/troutdock/cli/demo.py
+++ b/troutdock/cli/demo.py
@@ -139,7 +139,7 @@
     """All of it; show is given customers, nodes and the seconds gone by, four times a second."""
     from troutdock.daemon import Service, serve
     from troutdock.operator.compiled import Compiled, read_deployment
-    from troutdock.routing_service.service import Routed
+    from troutdock.routing_service.service import RoutingFrontend
 
     nodes = [Node(f"server {n}") for n in (1, 2, 3)]
     for node in nodes:
@@ -154,7 +154,12 @@
     assert isinstance(found, Compiled), found
     stop, serving = asyncio.Event(), asyncio.get_running_loop().create_future()
     daemon = asyncio.create_task(
-        serve(found.config, stop, serving.set_result, beside=[Routed(found.terms, found.config.sockets)])
+        serve(
+            found.config,
+            stop,
+            serving.set_result,
+            components=[RoutingFrontend(found.terms, found.config.sockets)],
+        )
     )
     await asyncio.wait({daemon, serving}, return_when=asyncio.FIRST_COMPLETED)
     service: Service = await serving
--- a/troutdock/cli/deployment.py
+++ b/troutdock/cli/deployment.py
@@ -13,9 +13,9 @@
 from troutdock.operator.compiled import Compiled, differences, read_deployment
 from troutdock.operator.deployment import schema as schema_of
 from troutdock.routing.route import Request
-from troutdock.routing.split import choose
+from troutdock.routing.split import choose_pool
 from troutdock.routing.table import explain as explained
-from troutdock.routing.target import plain, plain_host
+from troutdock.routing.target import normalize_target, normalize_host
 
 _FILE = typer.Argument(help="The deployment's YAML file.")
 _JSON = typer.Option(False, "--json", help="JSON in place of lines.")
@@ -72,15 +72,17 @@
                 raise ValueError(f"{header!r} is no 'Name: value'")
             told[name.strip().lower()] = value.strip()
         parts = urlsplit(url)
-        target = plain(parts.path + ("?" + parts.query if parts.query else "") if parts.scheme else url)
-        host = plain_host(parts.netloc if parts.scheme else told.get("host", ""))
+        target = normalize_target(
+            parts.path + ("?" + parts.query if parts.query else "") if parts.scheme else url
+        )
+        host = normalize_host(parts.netloc if parts.scheme else told.get("host", ""))
     request = Request(method.upper(), host, target.path, target.query, told)
     rows = list(explained(found.terms.table.routes.values(), request))
     taken = rows[-1].route if rows and not rows[-1].why else None
     account = told.get(found.terms.customers.account.decode())
     pool = ""
     if taken is not None:
-        pool = choose(taken.to, account) if account else " or ".join(part.pool for part in taken.to)
+        pool = choose_pool(taken.to, account) if account else " or ".join(part.pool for part in taken.to)
     if as_json:
         before = [{"route": row.route.id, "why": row.why} for row in rows if row.why]
         found_id = None if taken is None else taken.id
--- a/troutdock/daemon.py
+++ b/troutdock/daemon.py
@@ -28,17 +28,17 @@
 from troutdock.http.transport import HttpTransport
 from troutdock.management.availability import State
 from troutdock.management.api import Books, Door
-from troutdock.ingress import SWEEP_S, Ingress, half_of_sockets
-from troutdock.overload.lag import Lag
+from troutdock.ingress import SWEEP_INTERVAL_S, Ingress, max_connections_per_side
+from troutdock.overload.lag import EventLoopLag
 from troutdock.platform.background import Background
-from troutdock.platform.config import Config, complete
+from troutdock.platform.config import Config, require_keys_of
 
 log = logging.getLogger("troutdock")
 
-RETIRED_S = 3.0  # a class that is gone is still taken for so long, as clients hear of it later
+RETIRED_CLASS_GRACE_S = 3.0  # a class that is gone is still taken for so long, as clients hear of it later
 
 
-class Beside(Protocol):
+class Component(Protocol):
     """What runs beside the ingress because the operator's file asks for it."""
 
     def start(self, engine: Engine) -> None:
@@ -52,7 +52,7 @@
 
 
 @runtime_checkable
-class Front(Beside, Protocol):
+class Frontend(Component, Protocol):
     """One that takes clients or reaches backends by itself."""
 
     def attach(self, host: Service) -> None:
@@ -63,15 +63,15 @@
     """One daemon."""
 
     def __init__(
-        self, config: Config, listener: socket.socket | None = None, beside: Sequence[Beside] = ()
+        self, config: Config, listener: socket.socket | None = None, components: Sequence[Component] = ()
     ) -> None:
         """listener: the clients' listening socket, where the platform holds it."""
-        self._config, self._listener, self._beside = config, listener, beside
+        self._config, self._listener, self._components = config, listener, components
         self.ingress = Ingress(config)
         self._server = Server(
             self.ingress.engine,
             Reader(config.settings),
-            half_of_sockets(config),
+            max_connections_per_side(config),
             self.ingress.lag,
             config.damping,
             ByteBudget(config.bodies),
@@ -80,21 +80,23 @@
         if config.listen is None:
             raise ValueError("a daemon needs an address to listen on")
         self.address = self._listen = config.listen
-        self._door = Door(
+        self._management_server = Door(
             {
                 b"/control/ready": (b"GET", lambda: self.ready),
                 b"/control/out-of-service": (b"POST", lambda: self._in_service(False)),
                 b"/control/in-service": (b"POST", lambda: self._in_service(True)),
             },
-            {call: does for part in beside for call, does in part.books().items()},
+            {call: does for part in components for call, does in part.books().items()},
         )
         self.management: Address | None = None
-        self._retiring: asyncio.TimerHandle | None = None
+        self._retire_timer: asyncio.TimerHandle | None = None
         self._to_successor: PredecessorLink | None = None
         self._from_predecessor: SuccessorLink | None = None
-        self._state: Any = None  # that was given to a successor, until that has said that it uses it
-        self._wish: bool | None = None  # of this process's operator while it stood by: out of service, or in
-        self._holds = PredecessorStatus()  # what the predecessor has
+        self._exported_state: Any = None  # that was given to a successor, until that has said that it uses it
+        self._requested_out_of_service: bool | None = (
+            None  # of this process's operator while it stood by: out of service, or in
+        )
+        self._predecessor_status = PredecessorStatus()  # what the predecessor has
 
     # ---- what fronts beside this one need
 
@@ -114,7 +116,7 @@
         return self.ingress.transport
 
     @property
-    def lag(self) -> Lag:
+    def lag(self) -> EventLoopLag:
         """This process's own."""
         return self.ingress.lag
 
@@ -132,7 +134,7 @@
     def _in_service(self, wanted: bool) -> bool:
         """An operator's call, which counts for whoever takes the clients."""
         if self._from_predecessor is not None and self._from_predecessor.standing_by:
-            self._wish = not wanted
+            self._requested_out_of_service = not wanted
             self._from_predecessor.request_out_of_service(not wanted)
             return True
         away, now = self._server.availability, time.monotonic()
@@ -141,10 +143,10 @@
     async def run(self, stop: asyncio.Event, serving: Callable[[Service], object]) -> None:
         """Serve until stop is set, then drain; serving is told once the door is open."""
         if self._config.management is not None:
-            self.management = await self._door.listen(self._config.management)
+            self.management = await self._management_server.listen(self._config.management)
         await self.ingress.start()
-        for part in self._beside:
-            if isinstance(part, Front):
+        for part in self._components:
+            if isinstance(part, Frontend):
                 part.attach(self)
             part.start(self.ingress.engine)
         self.address = self._server.listen(self._listen, self._listener, hold=True)
@@ -162,14 +164,14 @@
         if before is not None and (before.standing_by or before.superseded):
             before.close()  # it was never the owner of anything
         await self._server.drain(lambda: before is not None and not before.finished.is_set())
-        self._door.close()
+        self._management_server.close()
         if self._to_successor is not None:
             await self._to_successor.finish()
             self._to_successor.close()
         if before is not None:
             before.close()
         await sweep.stop()
-        for part in self._beside:
+        for part in self._components:
             await part.close()
         await self.ingress.close()
         log.info("drained")
@@ -178,7 +180,7 @@
 
     def import_state(self, state: bytes, holds: PredecessorStatus) -> tuple[str, tuple[str, ...]]:
         """Go on from a state: why that can't be, or nothing; and what of it is not known here."""
-        self._holds = holds
+        self._predecessor_status = holds
         try:
             left_out = self.ingress.engine.import_state(unpack_state(state))
         except (ProtocolError, ValueError) as error:
@@ -193,10 +195,18 @@
         """All is this process's from now on: take clients. alone: without knowing what was spent before."""
         if without_state:
             self.ingress.engine.resume()
-            self._holds = PredecessorStatus(self._holds.out_of_service)  # what it held has gone with it
+            self._predecessor_status = PredecessorStatus(
+                self._predecessor_status.out_of_service
+            )  # what it held has gone with it
         self._server.open()
-        self._server.reserve_predecessor_share(self._holds.bodies, self._holds.streams)
-        if self._holds.out_of_service if self._wish is None else self._wish:
+        self._server.reserve_predecessor_share(
+            self._predecessor_status.bodies, self._predecessor_status.streams
+        )
+        if (
+            self._predecessor_status.out_of_service
+            if self._requested_out_of_service is None
+            else self._requested_out_of_service
+        ):
             self._server.availability.take_out(time.monotonic())
         if self._listener is not None:
             try:
@@ -220,7 +230,9 @@
 
     def predecessor_ended(self) -> None:
         """The predecessor has ended, and what it held of the budgets is free."""
-        self._server.reserve_predecessor_share(-self._holds.bodies, -self._holds.streams)
+        self._server.reserve_predecessor_share(
+            -self._predecessor_status.bodies, -self._predecessor_status.streams
+        )
         self.ingress.engine.predecessor_ended()
 
     # ---- as a predecessor: PredecessorHost
@@ -230,21 +242,21 @@
         log.info("a successor takes over")
         assert self._to_successor is not None
         self._server.begin_handover()
-        self._state = self.ingress.engine.export_state(self._to_successor.report_attempt)
+        self._exported_state = self.ingress.engine.export_state(self._to_successor.report_attempt)
         out = self._server.availability.state is State.OUT_OF_SERVICE
-        return pack_state(self._state), PredecessorStatus(out, *self._server.unreleased_share())
+        return pack_state(self._exported_state), PredecessorStatus(out, *self._server.unreleased_share())
 
     def ownership_transferred(self) -> None:
         """The successor is the owner; connections may be given."""
         assert self._to_successor is not None
-        self._state = None
+        self._exported_state = None
         self._server.hand_over_to(self._to_successor)
 
     def successor_lost(self, untouched: bool, returned: Iterable[TransferredConnection]) -> None:
         """There is no successor any more; connections that nobody has are back."""
         log.warning("the successor has ended; what is left is this process's again")
-        self.ingress.engine.resume(self._state if untouched else None)
-        self._state = None
+        self.ingress.engine.resume(self._exported_state if untouched else None)
+        self._exported_state = None
         self._server.cancel_handover(returned)
 
     def set_out_of_service(self, out_of_service: bool) -> None:
@@ -253,12 +265,14 @@
 
     def reload(self, config: Config) -> None:
         """Go over to a new configuration as a whole; ConfigError if it is not whole, and nothing changes."""
-        settings = self.ingress.reload(complete(config, self._config))
+        settings = self.ingress.reload(require_keys_of(config, self._config))
         self._config = config
         self._server.reader = Reader(settings, retired=True)
-        if self._retiring is not None:
-            self._retiring.cancel()
-        self._retiring = asyncio.get_running_loop().call_later(RETIRED_S, self._retire, settings)
+        if self._retire_timer is not None:
+            self._retire_timer.cancel()
+        self._retire_timer = asyncio.get_running_loop().call_later(
+            RETIRED_CLASS_GRACE_S, self._retire, settings
+        )
         log.info(
             "configured anew: %d classes, %d plans, %d attempts",
             settings.live_classes,
@@ -271,7 +285,7 @@
 
     async def _sweep(self) -> None:
         while True:
-            await asyncio.sleep(SWEEP_S)
+            await asyncio.sleep(SWEEP_INTERVAL_S)
             self._server.sweep()
 
 
@@ -280,7 +294,7 @@
     stop: asyncio.Event,
     serving: Callable[[Service], object] = lambda service: None,
     listener: socket.socket | None = None,
-    beside: Sequence[Beside] = (),
+    components: Sequence[Component] = (),
 ) -> None:
     """Serve until stop is set, then drain."""
-    await Service(config, listener, beside).run(stop, serving)
+    await Service(config, listener, components).run(stop, serving)
--- a/troutdock/grpc/front.py
+++ b/troutdock/grpc/front.py
@@ -202,7 +202,7 @@
     def _start_call(self, stream: Stream, pseudo: dict[bytes, bytes], metadata: Headers, end: bool) -> None:
         server = self.front.server
         arrived = self.now()
-        if server.lag.notable and self.sock is not None:
+        if server.lag.significant and self.sock is not None:
             arrived -= ms_since_last_data(
                 self.sock
             )  # the deadline counts from the arrival in the socket buffer
@@ -297,7 +297,7 @@
         server, request = self.front.server, exchange.request
         a = request.arrival
         waited_ms = self.now() - exchange.arrived
-        late = waited_ms > MIN_WAIT_MS and server.lag.notable
+        late = waited_ms > MIN_WAIT_MS and server.lag.significant
         if late and server.damping.turn_away and request.upload is None:
             waited = RequestQueued(a.customer, a.plan, a.cls, a.units, a.width, a.retry, waited_ms, a.key)
             if server.engine.reject_waited(waited, exchange):
--- a/troutdock/grpc/transport.py
+++ b/troutdock/grpc/transport.py
@@ -34,7 +34,7 @@
 from troutdock.http2.connection import LOW_WATER_BYTES, Connection, Stream
 from troutdock.http2.frames import ErrorCode
 from troutdock.http2.headers import Headers
-from troutdock.overload.lag import Lag
+from troutdock.overload.lag import EventLoopLag
 
 log = logging.getLogger("troutdock")
 
@@ -248,7 +248,7 @@
         if answer is not None:
             request.last_response = answer
             answer.body = attempt.body
-        if outcome is Outcome.OK and self.pool.lag.notable:
+        if outcome is Outcome.OK and self.pool.lag.significant:
             attempt.lag_ms += ms_since_last_data(self.sock)
         self.pool.end_attempt(attempt, outcome, answer if outcome is Outcome.OK else None)
         self._on_stream_closed()
@@ -564,7 +564,7 @@
         connect_timeout_s: float,
         idle_s: float,
         max_answer: int,
-        lag: Lag,
+        lag: EventLoopLag,
     ) -> None:
         self.reports, self.connection_limit, self.lag = reports, connection_limit, lag
         self.connect_timeout_s, self.max_answer = connect_timeout_s, max_answer
--- a/troutdock/http/exchange.py
+++ b/troutdock/http/exchange.py
@@ -56,7 +56,7 @@
         self.connection, self.keep_alive = connection, keep_alive
         server = connection.server
         self.arrived = arrived_ms or server.engine.clock.now()
-        if not arrived_ms and server.lag.notable and connection.sock is not None:
+        if not arrived_ms and server.lag.significant and connection.sock is not None:
             self.arrived -= ms_since_last_data(connection.sock)  # the client's timeout runs from then on
         self.call: Call | None = None
         self.reply: bytes | None = None
--- a/troutdock/http/host.py
+++ b/troutdock/http/host.py
@@ -7,7 +7,7 @@
 from troutdock.engine import Engine
 from troutdock.http.listener import Server
 from troutdock.http.transport import HttpTransport
-from troutdock.overload.lag import Lag
+from troutdock.overload.lag import EventLoopLag
 
 
 class Host(Protocol):
@@ -26,7 +26,7 @@
         """The HTTP transport to the platform's backends."""
 
     @property
-    def lag(self) -> Lag:
+    def lag(self) -> EventLoopLag:
         """The measured event loop lag of this process."""
 
     @property
--- a/troutdock/http/listener.py
+++ b/troutdock/http/listener.py
@@ -39,8 +39,8 @@
 from troutdock.http.response import MAX_HEAD
 from troutdock.http.status import forwarded_headers
 from troutdock.management.availability import Availability, State
-from troutdock.overload.damping import EVERY, Damping
-from troutdock.overload.lag import Lag
+from troutdock.overload.damping import ALL_ENABLED, Damping
+from troutdock.overload.lag import EventLoopLag
 
 log = logging.getLogger("troutdock")
 
@@ -107,14 +107,14 @@
         engine: Engine,
         reader: RequestParser,
         max_clients: int,
-        lag: Lag | None = None,
-        damping: Damping = EVERY,
+        lag: EventLoopLag | None = None,
+        damping: Damping = ALL_ENABLED,
         bodies: ByteBudget | None = None,
         max_streams: int = 100,
     ) -> None:
         self.streams, self._max_streams = 0, max_streams  # responses being streamed
         self.bodies = bodies or ByteBudget()  # memory for long request bodies
-        self.lag, self.damping = lag or Lag(), damping
+        self.lag, self.damping = lag or EventLoopLag(), damping
         self.engine = engine
         self.reader: RequestParser = reader
         self.forwarded_headers = forwarded_headers  # selects the response headers for the client
@@ -204,7 +204,7 @@
                 self._pause()
                 self._loop.call_later(ACCEPT_PAUSE_S, self._resume)
                 return
-            if self.damping.drop_departed and self.lag.notable and peer_closed(sock):
+            if self.damping.drop_departed and self.lag.significant and peer_closed(sock):
                 sock.close()  # the client no longer waits for a response
                 continue
             if evicted is not None:
--- a/troutdock/http/transport.py
+++ b/troutdock/http/transport.py
@@ -38,7 +38,7 @@
 from troutdock.http.backend_pools import BackendPools
 from troutdock.http.request import Message
 from troutdock.http.response import MAX_BODY, BadResponse, Response, ResponseReader
-from troutdock.overload.lag import Lag
+from troutdock.overload.lag import EventLoopLag
 
 log = logging.getLogger("troutdock")
 
@@ -202,7 +202,7 @@
             self._stall_timer.cancel()
             self._stall_timer = None
         for number, response in enumerate(responses, 1):
-            if self.pool.lag.notable and number == 1:
+            if self.pool.lag.significant and number == 1:
                 # excludes this process's own delay from the backend's time
                 self.attempt.lag_ms += ms_since_last_data(self.sock)
             # a response before the request's last byte makes the connection unusable for others
@@ -506,7 +506,7 @@
         idle_s: float,
         ended: OnAttemptEnded,
         max_answer: int = MAX_BODY,
-        lag: Lag | None = None,
+        lag: EventLoopLag | None = None,
         streams: StreamReports | None = None,
         classify: ResponseClassifier = classify_response,
     ) -> None:
@@ -518,7 +518,7 @@
         self.classify = classify
         self.streams = streams or NoStreams()
         self.max_answer = max_answer  # bytes of a response body
-        self.lag = lag or Lag()
+        self.lag = lag or EventLoopLag()
         self.max_open, self.connect_timeout_s, self._idle_s = (
             max_open,
             connect_timeout_s,
--- a/troutdock/ingress.py
+++ b/troutdock/ingress.py
@@ -13,10 +13,10 @@
 from troutdock.admission.interface import Settings, merge_settings
 from troutdock.engine import Engine
 from troutdock.http.transport import HttpTransport
-from troutdock.membership.datagrams import Datagrams
-from troutdock.membership.watch import Watch
-from troutdock.overload.lag import EVERY_S, Lag
-from troutdock.overload.storm import StormWatch, Sums
+from troutdock.membership.datagrams import PeerSocket
+from troutdock.membership.watch import WatchSchedule
+from troutdock.overload.lag import SAMPLE_INTERVAL_S, EventLoopLag
+from troutdock.overload.storm import StormDetector, RequestCounts
 from troutdock.platform.background import Background
 from troutdock.platform.clock import SystemClock
 from troutdock.platform.config import Config
@@ -25,13 +25,13 @@
 
 log = logging.getLogger("troutdock")
 
-SWEEP_S = 0.25  # how often connections that have stood too long are looked for
-OTHER_SOCKETS = 48  # of the process: listening, discovery, counter, event loop, standard streams
+SWEEP_INTERVAL_S = 0.25  # how often connections that have stood too long are looked for
+RESERVED_SOCKETS = 48  # of the process: listening, discovery, counter, event loop, standard streams
 
 
-def half_of_sockets(config: Config) -> int:
+def max_connections_per_side(config: Config) -> int:
     """The bound on clients' connections, and that on backends' connections."""
-    return (config.sockets - OTHER_SOCKETS) // 2
+    return (config.sockets - RESERVED_SOCKETS) // 2
 
 
 class Ingress:
@@ -41,9 +41,9 @@
         self._config, self.settings = config, config.settings
         settings = config.settings
         self.engine = Engine(settings, config.seed, SystemClock(), asyncio.get_running_loop())
-        self.lag = Lag(self.engine.clock.now)
+        self.lag = EventLoopLag(self.engine.clock.now)
         self.transport = HttpTransport(
-            half_of_sockets(config),
+            max_connections_per_side(config),
             config.connect_timeout_s,
             config.idle_s,
             self.engine.attempt_ended,
@@ -57,10 +57,10 @@
             timeout_s = settings.counter_timeout_ms / 1000
             self.counter = Counter(config.counter, timeout_s, self.engine.count_answered)
             self.engine.set_counter(self.counter)
-        self.peers: Datagrams | None = None
-        self._deaf = False  # their address could not be had yet
+        self.peers: PeerSocket | None = None
+        self._peers_unavailable = False  # their address could not be had yet
         if config.peers is not None and settings.peers and settings.gateways > 1:
-            self.peers = Datagrams(
+            self.peers = PeerSocket(
                 config.peers, settings.index, settings.peer_in_per_s, self.engine.peer_message_received
             )
             self.engine.set_peers(self.peers)
@@ -68,30 +68,30 @@
         self.engine.fleet_updated(known, endpoints)
         self._discovery: Discovery | None = None  # without one the list stays as it is
         if config.discovery is not None:
-            self._calls = Watch(settings.gateways, known.version, Random(config.seed))
+            self._watch_schedule = WatchSchedule(settings.gateways, known.version, Random(config.seed))
             self._discovery = Discovery(
                 config.discovery,
-                config.lists,
-                self._calls,
+                config.list_reader,
+                self._watch_schedule,
                 self.engine.fleet_updated,
                 self.engine.discovery_polled,
             )
-        self.storm = StormWatch(self.engine.clock.now(), half_of_sockets(config), log.warning)
-        self._watch: Background | None = None
-        self._count: Background | None = None
-        self._sweep: Background | None = None
+        self.storm = StormDetector(self.engine.clock.now(), max_connections_per_side(config), log.warning)
+        self._discovery_task: Background | None = None
+        self._counter_task: Background | None = None
+        self._sweep_task: Background | None = None
         self._sampler: asyncio.TimerHandle | None = None
 
     async def start(self) -> None:
         """Watch the list and connect to the counter; returns once that has been tried."""
         self._open_peers()
         if self._discovery is not None:
-            self._watch = Background("the watch of discovery", self._discovery.run)
+            self._discovery_task = Background("the watch of discovery", self._discovery.run)
         if (counter := self.counter) is not None:
-            tried = asyncio.Event()
-            self._count = Background("the counter's connection", lambda: counter.run(tried))
-            await tried.wait()
-        self._sweep = Background("the sweep", self._sweep_connections)
+            attempted = asyncio.Event()
+            self._counter_task = Background("the counter's connection", lambda: counter.run(attempted))
+            await attempted.wait()
+        self._sweep_task = Background("the sweep", self._sweep_connections)
         self._sample()
 
     def reload(self, config: Config) -> Settings:
@@ -107,25 +107,25 @@
         self.engine.reconfigure(self.settings)
         self.transport.set_timeouts(config.connect_timeout_s, config.idle_s)
         if self._discovery is not None:
-            self._calls.follow(settings.gateways)
+            self._watch_schedule.set_gateways(settings.gateways)
         if (
             self._discovery is not None
             and config.discovery is not None
-            and ((config.discovery, config.lists) != (before.discovery, before.lists))
+            and ((config.discovery, config.list_reader) != (before.discovery, before.list_reader))
         ):
             log.info("configured anew: discovery at %s:%d", *config.discovery)
-            self._discovery.move(config.discovery, config.lists)
-            if self._watch is not None:
-                self._watch.restart()
+            self._discovery.set_source(config.discovery, config.list_reader)
+            if self._discovery_task is not None:
+                self._discovery_task.restart()
         if self.counter is not None and config.counter != before.counter:
-            self.counter.move(config.counter)
-            if self._count is not None:
-                self._count.restart()
+            self.counter.set_address(config.counter)
+            if self._counter_task is not None:
+                self._counter_task.restart()
         return self.settings
 
     async def close(self) -> None:
         """End what runs beside the calls, and drop idle connections."""
-        for task in (self._watch, self._count, self._sweep):
+        for task in (self._discovery_task, self._counter_task, self._sweep_task):
             if task is not None:
                 await task.stop()
         if self._sampler is not None:
@@ -142,23 +142,23 @@
             try:
                 self.peers.open()
             except OSError as error:
-                if not self._deaf:
+                if not self._peers_unavailable:
                     log.warning("peers: nothing is told or heard yet: %s", error)
-                self._deaf = True
+                self._peers_unavailable = True
             else:
-                if self._deaf:
+                if self._peers_unavailable:
                     log.info("peers: heard from now on")
-                self._deaf = False
+                self._peers_unavailable = False
 
     def _sample(self) -> None:
         self.lag.sample()
-        self._sampler = asyncio.get_running_loop().call_later(EVERY_S, self._sample)
+        self._sampler = asyncio.get_running_loop().call_later(SAMPLE_INTERVAL_S, self._sample)
 
     async def _sweep_connections(self) -> None:
         while True:
-            await asyncio.sleep(SWEEP_S)
+            await asyncio.sleep(SWEEP_INTERVAL_S)
             self._open_peers()
             self.transport.sweep()
             t = self.engine.tally
-            sums = Sums(t.taken, t.refused, t.rejected_early, t.retries, t.connections)
-            self.storm.look(self.engine.clock.now(), sums, self.lag.now_ms)
+            sums = RequestCounts(t.taken, t.refused, t.rejected_early, t.retries, t.connections)
+            self.storm.update(self.engine.clock.now(), sums, self.lag.now_ms)
--- a/troutdock/jsonlines.py
+++ b/troutdock/jsonlines.py
@@ -15,7 +15,7 @@
 import msgspec
 
 Row = TypeVar("Row")
-Whole = TypeVar("Whole")
+Result = TypeVar("Result")
 
 
 def decode(data: bytes, kind: type[Row], place: object = "line") -> Iterator[tuple[int, Row]]:
@@ -28,13 +28,13 @@
                 raise ValueError(f"{place}:{number}: {error}") from error
 
 
-def gathered(
+def fold_lines(
     data: bytes,
     kind: type[Row],
-    none: Whole,
-    add: Callable[[Whole, list[Row]], Whole],
+    none: Result,
+    add: Callable[[Result, list[Row]], Result],
     place: object = "line",
-) -> Whole:
+) -> Result:
     """All lines added to nothing; ValueError names the place and the first line that is wrong."""
     rows = list(decode(data, kind, place))
     try:
@@ -54,7 +54,7 @@
     return b"".join(msgspec.json.encode(list(row)) + b"\n" for row in rows)
 
 
-def content(path: Path) -> bytes:
+def read_or_empty(path: Path) -> bytes:
     """A file's bytes, none if there is no file."""
     try:
         return path.read_bytes()
@@ -62,7 +62,7 @@
         return b""
 
 
-def mark(path: Path) -> tuple[int, int, int]:
+def file_stamp(path: Path) -> tuple[int, int, int]:
     """Another one whenever the file has changed; of none it is zeros."""
     try:
         stat = path.stat()
@@ -71,7 +71,7 @@
     return stat.st_mtime_ns, stat.st_size, stat.st_ino
 
 
-def replace(path: Path, data: bytes) -> None:
+def replace_file(path: Path, data: bytes) -> None:
     """Put this in the file's place in one step, and on disk; OSError leaves the old one."""
     part = path.with_name(path.name + ".part")
     with part.open("wb") as file:
@@ -87,7 +87,7 @@
 
 
 @contextmanager
-def locked(path: Path) -> Iterator[None]:
+def file_lock(path: Path) -> Iterator[None]:
     """Nobody else who asks for it changes the file meanwhile; blocks until that is so."""
     with path.with_name(path.name + ".lock").open("ab") as lock:
         fcntl.flock(lock, fcntl.LOCK_EX)
--- a/troutdock/library/deployment.py
+++ b/troutdock/library/deployment.py
@@ -9,7 +9,7 @@
 from troutdock.admission.interface import BackendEntry, FleetUpdate, ListKind, Plan, RequestClass, Settings
 from troutdock.address import Address, parse_address
 from troutdock.http.response import MAX_BODY
-from troutdock.overload.damping import EVERY
+from troutdock.overload.damping import ALL_ENABLED
 from troutdock.platform.config import MIN_SOCKETS, Config, ConfigError, load_config
 from troutdock.platform.discovery import Endpoints, ListReader, backend_id
 
@@ -146,13 +146,13 @@
                 discovery=_address("discovery", discovery) if discovery else None,
                 counter=_address("counter", counter) if counter else None,
                 seed=randbits(64),
-                lists=ListReader((), ()),
+                list_reader=ListReader((), ()),
                 known=(FleetUpdate(ListKind.CACHED, [BackendEntry(b) for b in endpoints]), endpoints),
                 settings=settings,
                 sockets=sockets,
                 max_answer=max_answer_bytes,
                 connect_timeout_s=connect_timeout_s,
-                damping=EVERY,
+                damping=ALL_ENABLED,
                 idle_s=idle_s,
             ),
         )
--- a/troutdock/membership/datagrams.py
+++ b/troutdock/membership/datagrams.py
@@ -18,34 +18,36 @@
 
 log = logging.getLogger("troutdock")
 
-MOST = 256  # bytes of a datagram; a longer one is against the protocol
-AT_ONCE = 64  # datagrams that are read before other work has its turn
-STRANGERS = 64  # senders that are logged by name
-FLOOD = 2.0  # times the intake a second that is let through: the platform drops what is more than the intake
+MAX_DATAGRAM_BYTES = 256  # bytes of a datagram; a longer one is against the protocol
+MAX_READS_PER_PASS = 64  # datagrams that are read before other work has its turn
+MAX_LOGGED_SENDERS = 64  # senders that are logged by name
+INTAKE_MARGIN = (
+    2.0  # times the intake a second that is let through: the platform drops what is more than the intake
+)
 
 
 @dataclass(frozen=True, slots=True)
-class Peers:
+class PeerAddresses:
     """Where digests go and come from."""
 
     listen: Address
     addresses: tuple[Address, ...]  # by gateway, this one's own among them
-    everybody: Address | None  # one datagram to it reaches all; None: each peer gets its own
+    broadcast: Address | None  # one datagram to it reaches all; None: each peer gets its own
 
 
-class Datagrams:
+class PeerSocket:
     """The socket that digests come and go by; it belongs to the loop that is running when it is opened."""
 
     def __init__(
-        self, peers: Peers, index: int, intake_per_s: float, heard: Callable[[int, bytes], None]
+        self, peers: PeerAddresses, index: int, intake_per_s: float, heard: Callable[[int, bytes], None]
     ) -> None:
         """index: this ingress's own number. heard: who is told a sender's number and its datagram."""
-        self._peers, self._index, self._heard = peers, index, heard
-        self._numbers = {address: n for n, address in enumerate(peers.addresses)}
-        self._most = max(1.0, FLOOD * intake_per_s)
-        self._room, self._room_at = self._most, 0.0
+        self._peers, self._index, self._on_datagram = peers, index, heard
+        self._indexes = {address: n for n, address in enumerate(peers.addresses)}
+        self._max_per_s = max(1.0, INTAKE_MARGIN * intake_per_s)
+        self._tokens, self._refilled_at = self._max_per_s, 0.0
         self._socket: socket.socket | None = None
-        self._named: set[Address] = set()
+        self._logged: set[Address] = set()
         self.dropped: Counter[str] = Counter()  # by cause
         self.address = peers.listen
 
@@ -80,8 +82,8 @@
             return
         if gateway is not None:
             targets: tuple[Address, ...] = self._peers.addresses[gateway : gateway + 1]
-        elif self._peers.everybody is not None:
-            targets = (self._peers.everybody,)
+        elif self._peers.broadcast is not None:
+            targets = (self._peers.broadcast,)
         else:
             targets = tuple(a for n, a in enumerate(self._peers.addresses) if n != self._index)
         for address in targets:
@@ -91,38 +93,38 @@
                 self._drop("could not be sent", address, error)
 
     def _readable(self) -> None:
-        for _ in range(AT_ONCE):
+        for _ in range(MAX_READS_PER_PASS):
             if self._socket is None:
                 return
             try:
-                body, sender = self._socket.recvfrom(MOST + 1)
+                body, sender = self._socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except (BlockingIOError, InterruptedError):
                 return
             except OSError as error:  # an earlier datagram found nobody listening
                 self.dropped["not delivered"] += 1
                 log.debug("peers: %r", error)
                 continue
-            self._take(body, sender)
+            self._receive(body, sender)
 
-    def _take(self, body: bytes, sender: Address) -> None:
-        number = self._numbers.get(sender)
+    def _receive(self, body: bytes, sender: Address) -> None:
+        number = self._indexes.get(sender)
         now = self._loop.time()
-        self._room = min(self._most, self._room + (now - self._room_at) * self._most)
-        self._room_at = now
+        self._tokens = min(self._max_per_s, self._tokens + (now - self._refilled_at) * self._max_per_s)
+        self._refilled_at = now
         if number is None:
             self._drop("from no peer", sender)
         elif number == self._index:
             return  # its own, where one to everybody comes back
-        elif len(body) > MOST:
+        elif len(body) > MAX_DATAGRAM_BYTES:
             self._drop("too long", sender)
-        elif self._room < 1:
+        elif self._tokens < 1:
             self._drop("too many", sender)
         else:
-            self._room -= 1
-            self._heard(number, body)
+            self._tokens -= 1
+            self._on_datagram(number, body)
 
     def _drop(self, why: str, address: Address, error: OSError | None = None) -> None:
         self.dropped[why] += 1
-        if address not in self._named and len(self._named) < STRANGERS:
-            self._named.add(address)
+        if address not in self._logged and len(self._logged) < MAX_LOGGED_SENDERS:
+            self._logged.add(address)
             log.warning("peers: a datagram %s: %s:%d%s", why, *address, f" ({error})" if error else "")
--- a/troutdock/operator/compiled.py
+++ b/troutdock/operator/compiled.py
@@ -14,10 +14,10 @@
 from troutdock.operator.deployment import DeploymentFile, Match, RouteSection, ValueMatch, nearest, validated
 from troutdock.operator.yaml_tree import Keys, Problem, Tree, load, named
 from troutdock.platform.config import Config, ConfigError
-from troutdock.routing_service.reader import Customers
-from troutdock.routing_service.service import PoolTerms, Terms
+from troutdock.routing_service.reader import CustomerHeaders
+from troutdock.routing_service.service import PoolOptions, RoutingOptions
 from troutdock.routing import route as routing
-from troutdock.routing.table import Table
+from troutdock.routing.table import RouteTable
 
 
 COMPARED = ("hosts", "paths", "methods", "values", "to", "mirrors", "rewrite", "cls", "order")  # of a route
@@ -29,7 +29,7 @@
 
     file: DeploymentFile
     config: Config
-    terms: Terms
+    terms: RoutingOptions
 
 
 def read_deployment(path: Path, environment: Mapping[str, str] = os.environ) -> Compiled | list[Problem]:
@@ -58,8 +58,8 @@
             )
         names.setdefault(section.name, number)
         try:
-            routes.append(routing.checked(_route(section, number)))
-        except routing.BadRoute as error:
+            routes.append(routing.validate_route(_route(section, number)))
+        except routing.InvalidRoute as error:
             _wrong(tree, (*keys, "match"), str(error))
     servers: dict[str, str] = {}
     for name, pool in file.pools.items():
@@ -84,8 +84,8 @@
         _wrong(tree, ("management",), "the clients' address is the same")
     if tree.problems:
         return None
-    table = Table.of(routes)
-    for name, other in table.never():
+    table = RouteTable.of(routes)
+    for name, other in table.unreachable():
         said = f"no request can take it: {other!r} takes all of its own"
         _wrong(tree, ("routes", names[name], "match"), said)
     try:
@@ -95,13 +95,13 @@
     if tree.problems:
         return None
     pools = tuple(
-        PoolTerms(name, tuple(p.servers), p.connect_ms / 1000, p.idle_s) for name, p in file.pools.items()
+        PoolOptions(name, tuple(p.servers), p.connect_ms / 1000, p.idle_s) for name, p in file.pools.items()
     )
     c = file.customers
-    customers = Customers(
+    customers = CustomerHeaders(
         c.account.lower().encode(), c.plan.lower().encode(), c.units.lower().encode(), c.default_plan
     )
-    return Compiled(file, config, Terms(pools, table, customers))
+    return Compiled(file, config, RoutingOptions(pools, table, customers))
 
 
 def _wrong(tree: Tree, keys: Keys, said: str) -> None:
@@ -129,9 +129,9 @@
 def _route(section: RouteSection, order: int) -> routing.Route:
     match = section.match
     to = (
-        (routing.Part(section.to),)
+        (routing.WeightedPool(section.to),)
         if isinstance(section.to, str)
-        else tuple(routing.Part(part.pool, part.weight) for part in section.to)
+        else tuple(routing.WeightedPool(part.pool, part.weight) for part in section.to)
     )
     rewrite = section.rewrite
     values = (*_values("header", match.headers), *_values("query", match.query))
@@ -143,7 +143,7 @@
         frozenset(match.methods),
         values,
         to,
-        tuple(routing.Part(m.pool, m.percent) for m in section.mirror),
+        tuple(routing.WeightedPool(m.pool, m.percent) for m in section.mirror),
         routing.Rewrite(
             rewrite.prefix,
             tuple((k.lower(), v) for k, v in rewrite.set.items()),
@@ -167,19 +167,19 @@
     return paths
 
 
-def _values(where: str, wanted: dict[str, str | ValueMatch]) -> list[routing.Value]:
+def _values(where: str, wanted: dict[str, str | ValueMatch]) -> list[routing.Condition]:
     found = []
     for raw, value in wanted.items():
         name = raw.lower() if where == "header" else raw
         if isinstance(value, str):
-            found.append(routing.Value(where, name, routing.How.IS, value))
+            found.append(routing.Condition(where, name, routing.Comparison.IS, value))
         elif value.prefix is not None:
-            found.append(routing.Value(where, name, routing.How.PREFIX, value.prefix))
+            found.append(routing.Condition(where, name, routing.Comparison.PREFIX, value.prefix))
         elif value.pattern is not None:
-            found.append(routing.Value(where, name, routing.How.PATTERN, value.pattern))
+            found.append(routing.Condition(where, name, routing.Comparison.PATTERN, value.pattern))
         else:
-            how = routing.How.PRESENT if value.present else routing.How.ABSENT
-            found.append(routing.Value(where, name, how))
+            how = routing.Comparison.PRESENT if value.present else routing.Comparison.ABSENT
+            found.append(routing.Condition(where, name, how))
     return found
 
 
--- a/troutdock/overload/damping.py
+++ b/troutdock/overload/damping.py
@@ -15,7 +15,7 @@
     pace_accepts: bool = True  # a few new connections in each pass of the loop
 
 
-EVERY = Damping()
+ALL_ENABLED = Damping()
 
 
 def read_damping(raw: object) -> Damping:
--- a/troutdock/plans/service.py
+++ b/troutdock/plans/service.py
@@ -37,7 +37,7 @@
         """The file is read here for the first time; ValueError or OSError if it can't be."""
         self._file, self._reread_s = file, reread_s
         self.book = PlanBook()
-        self._seen = jsonlines.mark(self._file)
+        self._seen = jsonlines.file_stamp(self._file)
         self.book.learn(_now(), read(file))
         self._bad: object = None
         self._named: set[str] = set()  # plans that the settings don't have
@@ -110,7 +110,7 @@
         """A file that can't be read changes nothing, and is named once."""
         while True:
             await asyncio.sleep(self._reread_s)
-            mark = jsonlines.mark(self._file)
+            mark = jsonlines.file_stamp(self._file)
             if mark == self._seen:
                 continue
             try:
--- a/troutdock/platform/background.py
+++ b/troutdock/platform/background.py
@@ -9,7 +9,7 @@
 
 log = logging.getLogger("troutdock")
 
-PAUSE_S = 0.1  # before a task that has failed is started anew
+RESTART_DELAY_S = 0.1  # before a task that has failed is started anew
 
 
 class Background:
@@ -24,15 +24,15 @@
     def _start(self) -> None:
         if not self._stopped:
             self._task = self._loop.create_task(self._work())
-            self._task.add_done_callback(self._ended)
+            self._task.add_done_callback(self._on_done)
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
+    def _on_done(self, task: asyncio.Task[None]) -> None:
         if task.cancelled() or self._stopped:
             return
         log.error("%s has ended and is started anew", self._name, exc_info=task.exception())
-        self._loop.call_later(PAUSE_S, self._again, task)
+        self._loop.call_later(RESTART_DELAY_S, self._restart_after, task)
 
-    def _again(self, ended: asyncio.Task[None]) -> None:
+    def _restart_after(self, ended: asyncio.Task[None]) -> None:
         if ended is self._task:  # else it was restarted meanwhile
             self._start()
 
--- a/troutdock/platform/config.py
+++ b/troutdock/platform/config.py
@@ -12,13 +12,15 @@
 from troutdock.address import Address, parse_address
 from troutdock.http.body_limits import MIN_BODY_BUDGET, MIN_STREAMS, body_budget_bytes, max_streams_for
 from troutdock.http.response import MAX_BODY
-from troutdock.membership.datagrams import Peers
+from troutdock.membership.datagrams import PeerAddresses
 from troutdock.overload.damping import Damping, read_damping
 from troutdock.platform.discovery import Endpoints, ListReader
 
 MIN_SOCKETS = 64
 MIN_MEMORY_MB = 24
-ANSWERS_HELD = 48  # of the greatest length, in all of the memory: an answer is held until it is whole
+MAX_BUFFERED_RESPONSES = (
+    48  # of the greatest length, in all of the memory: an answer is held until it is whole
+)
 
 
 class ConfigError(ValueError):
@@ -34,7 +36,7 @@
     discovery: Address | None  # None: the list of backends never changes
     counter: Address | None
     seed: int = field(compare=False)
-    lists: ListReader
+    list_reader: ListReader
     known: tuple[FleetUpdate, Endpoints]  # the list of backends as this ingress last had it
     settings: Settings
     sockets: int
@@ -44,26 +46,33 @@
     idle_s: float  # a backend closes a connection that has stood idle this long
     bodies: int = MIN_BODY_BUDGET  # bytes of clients' long bodies that are held, all together
     streams: int = MIN_STREAMS  # long answers that are passed on at once
-    peers: Peers | None = None  # None: nothing is told or heard
+    peers: PeerAddresses | None = None  # None: nothing is told or heard
     management: Address | None = None  # where operators call
     keys: frozenset[str] = field(default=frozenset(), compare=False)  # that the file has, see keys_of
 
 
-_PLATFORMS = ("name", "listen", "discovery", "counter", "limits", "settings")  # what it writes in every file
+_PLATFORM_KEYS = (
+    "name",
+    "listen",
+    "discovery",
+    "counter",
+    "limits",
+    "settings",
+)  # what it writes in every file
 
 
-def keys_of(value: object, path: str = "") -> Iterator[str]:
+def key_paths(value: object, path: str = "") -> Iterator[str]:
     """The paths of all keys; of a list of objects those that each of them has."""
     if isinstance(value, dict):
         for key, item in value.items():
             inner = f"{path}.{key}" if path else str(key)
             yield inner
-            yield from keys_of(item, inner)
+            yield from key_paths(item, inner)
     elif isinstance(value, list) and value and all(isinstance(item, dict) for item in value):
-        yield from set.intersection(*(set(keys_of(item, path + "[]")) for item in value))
+        yield from set.intersection(*(set(key_paths(item, path + "[]")) for item in value))
 
 
-def complete(config: Config, running: Config) -> Config:
+def require_keys_of(config: Config, running: Config) -> Config:
     """The new configuration; ConfigError if it lacks a key of the running one: it was half written."""
     if lacking := sorted(running.keys - config.keys):
         raise ConfigError(f"{lacking[0]} is missing, which the running configuration has")
@@ -97,7 +106,7 @@
     return "_".join(str(value).replace(",", " ").split())
 
 
-def read_peers(raw: dict[str, object], gateways: int) -> Peers | None:
+def read_peers(raw: dict[str, object], gateways: int) -> PeerAddresses | None:
     """Where digests come and go, if the file says so; ValueError names the key that can't be used."""
 
     def address(key: str, value: object) -> Address:
@@ -112,11 +121,11 @@
     peers = raw.get("peers")
     if not isinstance(peers, list) or len(peers) != gateways:
         raise ValueError(f"peers: not a list of {gateways} addresses, one for each ingress")
-    everybody = raw.get("peers_all")
-    return Peers(
+    broadcast = raw.get("peers_all")
+    return PeerAddresses(
         listen,
         tuple(address(f"peers[{n}]", peer) for n, peer in enumerate(peers)),
-        None if everybody is None else address("peers_all", everybody),
+        None if broadcast is None else address("peers_all", broadcast),
     )
 
 
@@ -133,7 +142,7 @@
         if not MIN_MEMORY_MB <= memory_mb < 1e9:
             raise ConfigError(f"limits.memory_mb: {memory_mb:g} is below {MIN_MEMORY_MB}")
         told = parse_settings("\n".join(flatten(settings)))
-        lists = ListReader(settings.get("zones", ()), settings.get("machine_types", ()))
+        list_reader = ListReader(settings.get("zones", ()), settings.get("machine_types", ()))
         known = raw.get("known") or {"rev": 0, "all": True, "targets": []}
         return Config(
             name=str(raw.get("name", "")),
@@ -141,11 +150,11 @@
             discovery=parse_address(raw["discovery"]),
             counter=parse_address(raw["counter"]) if raw.get("counter") else None,
             seed=int(raw.get("seed", "0"), 16),
-            lists=lists,
-            known=lists.read(known, cached=True),
+            list_reader=list_reader,
+            known=list_reader.read(known, cached=True),
             settings=told,
             sockets=sockets,
-            max_answer=max(MAX_BODY, int(memory_mb * 1024 * 1024 / ANSWERS_HELD)),
+            max_answer=max(MAX_BODY, int(memory_mb * 1024 * 1024 / MAX_BUFFERED_RESPONSES)),
             connect_timeout_s=float(permissions.get("dial_timeout", 250)) / 1000,
             idle_s=float(permissions.get("conn_idle", 15_000)) / 1000,
             bodies=body_budget_bytes(memory_mb),
@@ -153,7 +162,7 @@
             damping=read_damping(raw.get("damping", {})),
             peers=read_peers(raw, told.gateways),
             management=parse_address(raw["management"]) if raw.get("management") else None,
-            keys=frozenset(keys_of({name: raw[name] for name in _PLATFORMS if name in raw})),
+            keys=frozenset(key_paths({name: raw[name] for name in _PLATFORM_KEYS if name in raw})),
         )
     except KeyError as error:
         raise ConfigError(f"{error.args[0]} is missing") from error
--- a/troutdock/platform/discovery.py
+++ b/troutdock/platform/discovery.py
@@ -12,17 +12,17 @@
 from troutdock.admission.interface import BackendEntry, BackendId, BackendState, FleetUpdate, ListKind
 from troutdock.address import Address, parse_address
 from troutdock.http.response import BadResponse, Response, ResponseReader
-from troutdock.membership.watch import Ask, Watch
+from troutdock.membership.watch import NextCall, WatchSchedule
 
 log = logging.getLogger("troutdock")
 
-CONNECT_S = 1.0
-MAX_LIST = 4 * 1024 * 1024
+CONNECT_TIMEOUT_S = 1.0
+MAX_LIST_BYTES = 4 * 1024 * 1024
 STATES = {"active": BackendState.READY, "leaving": BackendState.DRAINING, "left": BackendState.GONE}
-ELSEWHERE = 0xFFFF  # the number of a zone or kind that the settings don't name
+UNKNOWN_INDEX = 0xFFFF  # the number of a zone or kind that the settings don't name
 
 Endpoints = dict[BackendId, Address]
-Listener = Callable[[FleetUpdate, Endpoints], None]
+OnFleetUpdate = Callable[[FleetUpdate, Endpoints], None]
 
 
 def backend_id(uid: str) -> BackendId:
@@ -65,15 +65,15 @@
         return BackendEntry(
             backend_id(target["uid"]),
             STATES[target["state"]],
-            self._zones.get(target.get("az"), ELSEWHERE),
-            self._kinds.get(target.get("model"), ELSEWHERE),
+            self._zones.get(target.get("az"), UNKNOWN_INDEX),
+            self._kinds.get(target.get("model"), UNKNOWN_INDEX),
             int(target.get("pod_group", 0)),
             size,
             boot_ms,
         )
 
 
-class TurnedAway(Exception):
+class DiscoveryRejected(Exception):
     """Discovery answers, and it says no."""
 
 
@@ -84,59 +84,59 @@
         self,
         address: Address,
         reader: ListReader,
-        watch: Watch,
-        told: Listener,
-        watched: Callable[[bool], None] = lambda heard: None,
+        watch: WatchSchedule,
+        on_update: OnFleetUpdate,
+        on_polled: Callable[[bool], None] = lambda heard: None,
     ) -> None:
         """told: of every change. watched: whether the last call was answered, after each."""
-        self._address, self._read, self._told, self._watched = address, reader, told, watched
-        self._watch = watch
+        self._address, self._read, self._on_update, self._on_polled = address, reader, on_update, on_polled
+        self._schedule = watch
         self._down = False
 
-    def move(self, address: Address, reader: ListReader) -> None:
+    def set_source(self, address: Address, reader: ListReader) -> None:
         """Another agent is to be asked, for the whole list; run is to be started anew."""
         self._address, self._read = address, reader
-        self._watch.moved()
+        self._schedule.source_changed()
 
     async def run(self) -> None:
         """Watch for ever; while the agent is silent or talks nonsense the last list holds."""
-        self._watched(False)  # until it says something
+        self._on_polled(False)  # until it says something
         while True:
-            writer, watch = None, self._watch
-            await asyncio.sleep(watch.ask().after_s)
+            writer, watch = None, self._schedule
+            await asyncio.sleep(watch.next_call().delay_s)
             try:
-                async with asyncio.timeout(CONNECT_S):
+                async with asyncio.timeout(CONNECT_TIMEOUT_S):
                     reader, writer = await asyncio.open_connection(*self._address)
-                while await self._call(watch.ask(), reader, writer):
+                while await self._call(watch.next_call(), reader, writer):
                     pass
                 watch.closed()
-            except TurnedAway as error:
-                watch.refused()
-                self._trouble(error)
+            except DiscoveryRejected as error:
+                watch.rejected()
+                self._report_error(error)
             except (ValueError, BadResponse) as error:
-                watch.misfit()
-                self._trouble(error)
+                watch.inconsistent()
+                self._report_error(error)
             except (OSError, TimeoutError) as error:
                 watch.failed()
-                self._trouble(error)
+                self._report_error(error)
             finally:
                 if writer is not None:
                     writer.close()
 
-    def _trouble(self, error: Exception) -> None:
-        self._watched(False)
+    def _report_error(self, error: Exception) -> None:
+        self._on_polled(False)
         if not self._down:
             log.warning("discovery: %r", error)
         self._down = True
 
-    async def _call(self, ask: Ask, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
+    async def _call(self, ask: NextCall, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
         """One call; true if the connection can take the next."""
         watch = "" if ask.version is None else f"?from={ask.version}&hold_ms={ask.hold_ms}"
         writer.write(f"GET /v1/servers{watch} HTTP/1.1\r\nHost: discovery\r\n\r\n".encode())
-        async with asyncio.timeout(ask.patience_s):
+        async with asyncio.timeout(ask.timeout_s):
             response = await self._response(reader)
         if response.status != 200:
-            raise TurnedAway(f"answered {response.status}")
+            raise DiscoveryRejected(f"answered {response.status}")
         try:
             update, endpoints = self._read.read(json.loads(response.body))
         except (ValueError, RecursionError) as error:  # the latter for JSON of great depth
@@ -148,16 +148,16 @@
             self._down = False
         if update.entries or update.kind is ListKind.FULL:
             try:
-                self._told(update, endpoints)
+                self._on_update(update, endpoints)
             except Exception:
-                self._watch.misfit()  # it is to hear the whole list again
+                self._schedule.inconsistent()  # it is to hear the whole list again
                 raise
-        self._watch.answered(update.version)
-        self._watched(True)
+        self._schedule.answered(update.version)
+        self._on_polled(True)
         return response.keep_alive
 
     async def _response(self, reader: asyncio.StreamReader) -> Response:
-        parser = ResponseReader(MAX_LIST)
+        parser = ResponseReader(MAX_LIST_BYTES)
         while data := await reader.read(65536):
             if (response := parser.feed(data)) is not None:
                 return response
--- a/troutdock/proxy/daemon.py
+++ b/troutdock/proxy/daemon.py
@@ -59,7 +59,7 @@
 from troutdock.http.body_limits import ByteBudget, body_budget_bytes, max_streams_for
 from troutdock.http.listener import Server
 from troutdock.http.transport import HttpTransport
-from troutdock.overload.lag import Lag
+from troutdock.overload.lag import EventLoopLag
 from troutdock.platform.clock import SystemClock
 from troutdock.quota.node import QuotaNode
 from troutdock.quota.routes import Peers
@@ -142,7 +142,7 @@
         self._decides = Recorder(self.fabric)
         self.engine = Engine(NOTHING, 0, self.clock, self._loop, self._decides)
         self.engine.relay_backend_errors = True
-        self.lag = Lag(self.clock.now, SAMPLE_S)
+        self.lag = EventLoopLag(self.clock.now, SAMPLE_S)
         descriptors = max(64, values["limits.fileDescriptors"] - OTHER_DESCRIPTORS)
         self.transport = HttpTransport(
             descriptors // 2,
--- a/troutdock/reservations/files.py
+++ b/troutdock/reservations/files.py
@@ -19,7 +19,7 @@
 
 def parse(data: bytes, place: object = "line") -> Entries:
     """Entries from their lines; ValueError names the place and the line that is wrong."""
-    entries = jsonlines.gathered(data, Entry, Entries(), Entries.add, place)
+    entries = jsonlines.fold_lines(data, Entry, Entries(), Entries.add, place)
     if len(entries) > MOST_ENTRIES:
         raise ValueError(f"{place}: {len(entries)} entries, and {MOST_ENTRIES} are the most")
     return entries
@@ -27,24 +27,24 @@
 
 def read(path: Path) -> Entries:
     """The file's entries, none if there is no file; ValueError names the line that is wrong."""
-    return parse(jsonlines.content(path), path)
+    return parse(jsonlines.read_or_empty(path), path)
 
 
 def join(path: Path, entries: Iterable[Entry]) -> Entries:
     """Add these to the file, and give what it holds then; ValueError or OSError leave it as it was."""
-    with jsonlines.locked(path):
+    with jsonlines.file_lock(path):
         known = read(path)
         joined = known.add(entries)
         if len(joined) > MOST_ENTRIES:
             raise ValueError(f"{path}: {MOST_ENTRIES} entries are the most; prune those that are over")
         if len(joined) != len(known):
-            jsonlines.replace(path, jsonlines.encode(joined))
+            jsonlines.replace_file(path, jsonlines.encode(joined))
         return joined
 
 
 def promise(path: Path, entry: Entry, terms: Terms) -> tuple[Entries, Verdict]:
     """Add it to the file if it may be promised beside what that holds; ValueError or OSError: it is not."""
-    with jsonlines.locked(path):
+    with jsonlines.file_lock(path):
         known = read(path)
         if known.knows(entry):
             return known, Verdict(True, units=entry.units)  # asked again: it was promised
@@ -54,17 +54,17 @@
             raise ValueError(f"no reservation is known as {entry.of!r}")
         verdict = may(wanted, known.reservations(), terms)
         if verdict.granted:
-            jsonlines.replace(path, jsonlines.encode(joined))
+            jsonlines.replace_file(path, jsonlines.encode(joined))
         return (joined if verdict.granted else known), verdict
 
 
 def prune(path: Path, before_ms: float) -> list[str]:
     """Take out all entries of reservations that ended before that time: their identities."""
-    with jsonlines.locked(path):
+    with jsonlines.file_lock(path):
         known = read(path)
         gone = [r.id for r in known.reservations() if r.ends_ms < before_ms]
         if gone:
-            jsonlines.replace(path, jsonlines.encode(known.without(gone)))
+            jsonlines.replace_file(path, jsonlines.encode(known.without(gone)))
         return gone
 
 
@@ -95,7 +95,7 @@
 
     def load(self, index: int) -> Saved:
         """What the last save says, nothing if there is none; ValueError if it is none of this gateway's."""
-        data = jsonlines.content(self._path)
+        data = jsonlines.read_or_empty(self._path)
         if not data:
             return {}
         try:
@@ -109,7 +109,7 @@
 
     def save(self, index: int, parts: Saved) -> None:
         """All of it is on disk when this returns; OSError: nobody knows."""
-        jsonlines.replace(self._path, msgspec.json.encode(_Parts(1, index, parts)))
+        jsonlines.replace_file(self._path, msgspec.json.encode(_Parts(1, index, parts)))
 
     def close(self) -> None:
         """Another process may have it; harmless twice."""
--- a/troutdock/reservations/service.py
+++ b/troutdock/reservations/service.py
@@ -78,7 +78,7 @@
     def __init__(self, terms: Terms) -> None:
         """The file is read here for the first time; ValueError or OSError if it can't be."""
         self._terms = terms
-        self._mark = jsonlines.mark(self._terms.file)
+        self._mark = jsonlines.file_stamp(self._terms.file)
         self._entries = files.read(terms.file)
         self._folder = files.PartsFolder(terms.folder)
         self._engine: Engine | None = None
@@ -252,7 +252,7 @@
         if now - self._read_at < self._terms.reread_s:
             return
         self._read_at = now
-        mark = jsonlines.mark(self._terms.file)
+        mark = jsonlines.file_stamp(self._terms.file)
         if mark == self._mark:
             return
         try:
--- a/troutdock/routing/route.py
+++ b/troutdock/routing/route.py
@@ -10,12 +10,12 @@
 
 import re2
 
-from troutdock.routing.target import BadTarget, plain_host, plain_path
+from troutdock.routing.target import InvalidTarget, normalize_host, normalize_path
 
-MOST_PATTERN = 1000  # characters
+MAX_PATTERN_CHARS = 1000  # characters
 
 
-class BadRoute(ValueError):
+class InvalidRoute(ValueError):
     """A route that can't be, and why."""
 
 
@@ -29,7 +29,7 @@
     headers: Mapping[str, str] = {}
 
 
-class How(Enum):
+class Comparison(Enum):
     """How a value is compared."""
 
     IS = "is"
@@ -39,47 +39,47 @@
     ABSENT = "absent"
 
 
-def compiled(pattern: str) -> Any:
+def compile_pattern(pattern: str) -> Any:
     """A pattern in linear time, whatever is matched against it; BadRoute names what is wrong."""
-    if len(pattern) > MOST_PATTERN:
-        raise BadRoute(f"a pattern of more than {MOST_PATTERN} characters")
+    if len(pattern) > MAX_PATTERN_CHARS:
+        raise InvalidRoute(f"a pattern of more than {MAX_PATTERN_CHARS} characters")
     options = re2.Options()
     options.log_errors = False
     try:
         return re2.compile(pattern, options)
     except re2.error as error:
         said = error.args[0].decode() if isinstance(error.args[0], bytes) else str(error)
-        raise BadRoute(f"pattern {pattern!r}: {said}") from error
+        raise InvalidRoute(f"pattern {pattern!r}: {said}") from error
 
 
 @dataclass(frozen=True, slots=True)
-class Value:
+class Condition:
     """A condition on a header or a parameter of the query."""
 
     where: str  # "header" or "query"
     name: str
-    how: How
+    how: Comparison
     value: str = ""
     _program: Any = field(default=None, compare=False, repr=False)
 
     def __post_init__(self) -> None:
-        if self.how is How.PATTERN:
-            object.__setattr__(self, "_program", compiled(self.value))
+        if self.how is Comparison.PATTERN:
+            object.__setattr__(self, "_program", compile_pattern(self.value))
 
-    def holds(self, request: Request) -> bool:
+    def matches(self, request: Request) -> bool:
         """The request fits it; of a parameter that comes several times the first counts."""
         if self.where == "header":
             found = request.headers.get(self.name)
         else:
             pairs = parse_qsl(request.query, keep_blank_values=True)
             found = next((value for name, value in pairs if name == self.name), None)
-        if self.how is How.ABSENT or found is None:
-            return self.how is How.ABSENT and found is None
-        if self.how is How.PRESENT:
+        if self.how is Comparison.ABSENT or found is None:
+            return self.how is Comparison.ABSENT and found is None
+        if self.how is Comparison.PRESENT:
             return True
-        if self.how is How.IS:
+        if self.how is Comparison.IS:
             return found == self.value
-        if self.how is How.PREFIX:
+        if self.how is Comparison.PREFIX:
             return found.startswith(self.value)
         return bool(self._program.fullmatch(found))
 
@@ -101,43 +101,43 @@
     kind: PathKind
     value: str
 
-    def holds(self, path: str) -> bool:
+    def matches(self, path: str) -> bool:
         """A plain path fits it."""
         if self.kind is PathKind.EXACT:
             return path == self.value
         if self.kind is PathKind.PATTERN:
-            return bool(compiled(self.value).fullmatch(path))
+            return bool(compile_pattern(self.value).fullmatch(path))
         return path == self.value or path.startswith(self.value + "/")
 
 
 def exact(path: str) -> Path:
     """This path and no other; BadRoute if it is not in its plain form."""
-    return Path(PathKind.EXACT, _plain(path))
+    return Path(PathKind.EXACT, _require_normalized(path))
 
 
 def prefix(path: str) -> Path:
     """This path and all below it, by whole segments."""
-    return Path(PathKind.PREFIX, _plain(path).removesuffix("/"))
+    return Path(PathKind.PREFIX, _require_normalized(path).removesuffix("/"))
 
 
 def pattern(text: str) -> Path:
     """All paths that this describes as a whole, in RE2's syntax."""
-    compiled(text)
+    compile_pattern(text)
     return Path(PathKind.PATTERN, text)
 
 
-def _plain(path: str) -> str:
+def _require_normalized(path: str) -> str:
     try:
-        plain = plain_path(path)
-    except BadTarget as error:
-        raise BadRoute(f"{path!r} can never match: {error}") from error
-    if plain != path:
-        raise BadRoute(f"{path!r} can never match: its plain form is {plain!r}")
+        normalized = normalize_path(path)
+    except InvalidTarget as error:
+        raise InvalidRoute(f"{path!r} can never match: {error}") from error
+    if normalized != path:
+        raise InvalidRoute(f"{path!r} can never match: its plain form is {normalized!r}")
     return path
 
 
 @dataclass(frozen=True, slots=True)
-class Part:
+class WeightedPool:
     """A pool's part of a split."""
 
     pool: str
@@ -179,9 +179,9 @@
     paths: tuple[Path, ...] = ()
     hosts: tuple[str, ...] = ()
     methods: frozenset[str] = frozenset()
-    values: tuple[Value, ...] = ()
-    to: tuple[Part, ...] = ()
-    mirrors: tuple[Part, ...] = ()
+    values: tuple[Condition, ...] = ()
+    to: tuple[WeightedPool, ...] = ()
+    mirrors: tuple[WeightedPool, ...] = ()
     rewrite: Rewrite = Rewrite()
     cls: str = ""
 
@@ -195,33 +195,35 @@
         """Beside host and path: a route with more of them goes before one with fewer."""
         return len(self.values) + bool(self.methods)
 
-    def misses(self, request: Request) -> str:
+    def mismatch(self, request: Request) -> str:
         """Why the request does not fit the conditions; empty if it does."""
         if self.methods and request.method not in self.methods:
             return f"method {request.method} is not {', '.join(sorted(self.methods))}"
         for value in self.values:
-            if not value.holds(request):
+            if not value.matches(request):
                 return f"not so: {value}"
         return ""
 
 
-def checked(route: Route) -> Route:
+def validate_route(route: Route) -> Route:
     """The route, if it can match and lead anywhere; BadRoute if not."""
     if not route.to or any(part.weight < 0 for part in route.to) or not sum(part.weight for part in route.to):
-        raise BadRoute("to: no pool with a weight")
+        raise InvalidRoute("to: no pool with a weight")
     if any(not 0 < part.weight <= 100 for part in route.mirrors):
-        raise BadRoute("mirror: a percentage beyond 0 to 100")
+        raise InvalidRoute("mirror: a percentage beyond 0 to 100")
     if not route.paths:
-        raise BadRoute("match: no path, prefix or pattern")
+        raise InvalidRoute("match: no path, prefix or pattern")
     for host in route.hosts:
         try:
-            if plain_host(host.removeprefix("*.")) != host.removeprefix("*.") or not host:
-                raise BadRoute(f"host {host!r} can never match: hosts are written small, without port")
-        except BadTarget as error:
-            raise BadRoute(f"host {host!r}: {error}") from error
-    said: dict[tuple[str, str], Value] = {}
+            if normalize_host(host.removeprefix("*.")) != host.removeprefix("*.") or not host:
+                raise InvalidRoute(f"host {host!r} can never match: hosts are written small, without port")
+        except InvalidTarget as error:
+            raise InvalidRoute(f"host {host!r}: {error}") from error
+    said: dict[tuple[str, str], Condition] = {}
     for value in route.values:
         known = said.setdefault((value.where, value.name), value)
-        if known != value and (How.ABSENT in (known.how, value.how) or known.how is value.how is How.IS):
-            raise BadRoute(f"it can never match: {known}, and {value}")
+        if known != value and (
+            Comparison.ABSENT in (known.how, value.how) or known.how is value.how is Comparison.IS
+        ):
+            raise InvalidRoute(f"it can never match: {known}, and {value}")
     return route
--- a/troutdock/routing/split.py
+++ b/troutdock/routing/split.py
@@ -12,22 +12,24 @@
 
 from xxhash import xxh3_64_intdigest
 
-from troutdock.routing.route import Part
+from troutdock.routing.route import WeightedPool
 
 
-def _drawn(name: str, key: str) -> float:
+def _hash_fraction(name: str, key: str) -> float:
     """Above 0, below 1."""
     return (xxh3_64_intdigest(f"{key}\0{name}".encode()) + 0.5) / 2**64
 
 
-def choose(parts: Sequence[Part], key: str) -> str:
+def choose_pool(parts: Sequence[WeightedPool], key: str) -> str:
     """The pool of whoever has this key: a customer, or a request's id where there is none."""
     if len(parts) == 1:
         return parts[0].pool
     live = [part for part in parts if part.weight > 0]
-    return min(live, key=lambda part: (-log(_drawn(part.pool, key)) / part.weight, part.pool)).pool
+    return min(live, key=lambda part: (-log(_hash_fraction(part.pool, key)) / part.weight, part.pool)).pool
 
 
-def mirrored(mirrors: Sequence[Part], request_id: str) -> list[str]:
+def select_mirrors(mirrors: Sequence[WeightedPool], request_id: str) -> list[str]:
     """Pools that get a copy of this request."""
-    return [part.pool for part in mirrors if 100 * _drawn("mirror " + part.pool, request_id) < part.weight]
+    return [
+        part.pool for part in mirrors if 100 * _hash_fraction("mirror " + part.pool, request_id) < part.weight
+    ]
--- a/troutdock/routing/table.py
+++ b/troutdock/routing/table.py
@@ -22,19 +22,19 @@
 import re2
 from immutables import Map
 
-from troutdock.routing.route import BadRoute, Path, PathKind, Request, Route, checked
+from troutdock.routing.route import InvalidRoute, Path, PathKind, Request, Route, validate_route
 
 Bucket = tuple[Route, ...]  # of one host and path, in the order in which they are tried
 
 
-class Found(NamedTuple):
+class RouteMatch(NamedTuple):
     """The route that a request takes, and by which of its paths."""
 
     route: Route
     path: Path
 
 
-class Paths:
+class HostRoutes:
     """The routes of one host."""
 
     def __init__(
@@ -56,17 +56,17 @@
         automaton.Compile()
         return automaton, texts
 
-    def find(self, request: Request) -> Found | None:
+    def find(self, request: Request) -> RouteMatch | None:
         """The first route that the request fits."""
         path, prefixes = request.path, self._prefixes
         if (bucket := self._exact.get(path)) is not None and (route := _first(bucket, request)) is not None:
-            return Found(route, Path(PathKind.EXACT, path))
+            return RouteMatch(route, Path(PathKind.EXACT, path))
         if (automaton := self._automaton) is not None:
             texts = [automaton[1][n] for n in automaton[0].Match(path) or ()]
             found = [(route, text) for text in texts for route in self._patterns[text]]
-            for route, text in sorted(found, key=lambda pair: (_rank(pair[0]), pair[1])):
-                if not route.misses(request):
-                    return Found(route, Path(PathKind.PATTERN, text))
+            for route, text in sorted(found, key=lambda pair: (_precedence(pair[0]), pair[1])):
+                if not route.mismatch(request):
+                    return RouteMatch(route, Path(PathKind.PATTERN, text))
         if prefixes:
             end = len(path)
             while end >= 0:
@@ -74,11 +74,11 @@
                 if (bucket := prefixes.get(start)) is not None and (
                     route := _first(bucket, request)
                 ) is not None:
-                    return Found(route, Path(PathKind.PREFIX, start))
+                    return RouteMatch(route, Path(PathKind.PREFIX, start))
                 end = path.rfind("/", 0, end)
         return None
 
-    def change(self, path: Path, route: Route, there: bool) -> Paths:
+    def with_path(self, path: Path, route: Route, there: bool) -> HostRoutes:
         """With a route at this path, or without it."""
         kinds = {
             PathKind.EXACT: self._exact,
@@ -86,10 +86,10 @@
             PathKind.PATTERN: self._patterns,
         }
         kinds[path.kind] = _changed(kinds[path.kind], path.value, route, there)
-        return Paths(kinds[PathKind.EXACT], kinds[PathKind.PREFIX], kinds[PathKind.PATTERN])
+        return HostRoutes(kinds[PathKind.EXACT], kinds[PathKind.PREFIX], kinds[PathKind.PATTERN])
 
     @property
-    def empty(self) -> bool:
+    def is_empty(self) -> bool:
         """No route is left."""
         return not (self._exact or self._prefixes or self._patterns)
 
@@ -97,15 +97,15 @@
 def _first(bucket: Bucket, request: Request) -> Route | None:
     """The first one whose conditions hold."""
     for route in bucket:
-        if not (route.methods or route.values) or not route.misses(request):
+        if not (route.methods or route.values) or not route.mismatch(request):
             return route
     return None
 
 
-NONE = Paths(Map(), Map(), Map())
+EMPTY = HostRoutes(Map(), Map(), Map())
 
 
-def _rank(route: Route) -> tuple[int, int]:
+def _precedence(route: Route) -> tuple[int, int]:
     return -route.conditions, route.order
 
 
@@ -115,52 +115,52 @@
         rest.append(route)
     if not rest:
         return buckets.delete(value) if value in buckets else buckets
-    return buckets.set(value, tuple(sorted(rest, key=_rank)))
+    return buckets.set(value, tuple(sorted(rest, key=_precedence)))
 
 
-class Table:
+class RouteTable:
     """An immutable set of routes; make one with Table.of()."""
 
-    def __init__(self, routes: Map[str, Route], hosts: Map[str, Paths]) -> None:
+    def __init__(self, routes: Map[str, Route], hosts: Map[str, HostRoutes]) -> None:
         self.routes, self._hosts = routes, hosts  # hosts: exact, `*.rest`, and "" for any
 
     @classmethod
-    def of(cls, routes: Iterable[Route]) -> Table:
+    def of(cls, routes: Iterable[Route]) -> RouteTable:
         """BadRoute names the first one that can't be, and a name that is there twice."""
         raw: dict[str, dict[PathKind, dict[str, list[Route]]]] = {}
         known: dict[str, Route] = {}
         for route in routes:
             if route.id in known:
-                raise BadRoute(f"{route.id}: it is there twice")
-            known[checked(route).id] = route
+                raise InvalidRoute(f"{route.id}: it is there twice")
+            known[validate_route(route).id] = route
             for host in route.places:
                 kinds = raw.setdefault(host, {kind: {} for kind in PathKind})
                 for path in dict.fromkeys(route.paths):
                     kinds[path.kind].setdefault(path.value, []).append(route)
 
         def buckets(rows: dict[str, list[Route]]) -> Map[str, Bucket]:
-            return Map({value: tuple(sorted(bucket, key=_rank)) for value, bucket in rows.items()})
+            return Map({value: tuple(sorted(bucket, key=_precedence)) for value, bucket in rows.items()})
 
         hosts = {
-            host: Paths(
+            host: HostRoutes(
                 *(buckets(kinds[kind]) for kind in (PathKind.EXACT, PathKind.PREFIX, PathKind.PATTERN))
             )
             for host, kinds in raw.items()
         }
         return cls(Map(known), Map(hosts))
 
-    def with_route(self, route: Route) -> Table:
+    def with_route(self, route: Route) -> RouteTable:
         """With this one, in place of the one of its name if there is one."""
         table = self.without(route.id)
         hosts = table._hosts
-        for host in checked(route).places:
-            paths = hosts.get(host, NONE)
+        for host in validate_route(route).places:
+            paths = hosts.get(host, EMPTY)
             for path in route.paths:
-                paths = paths.change(path, route, True)
+                paths = paths.with_path(path, route, True)
             hosts = hosts.set(host, paths)
-        return Table(table.routes.set(route.id, route), hosts)
+        return RouteTable(table.routes.set(route.id, route), hosts)
 
-    def without(self, id: str) -> Table:
+    def without(self, id: str) -> RouteTable:
         """Without the one of this name; the same table if there is none."""
         route = self.routes.get(id)
         if route is None:
@@ -169,23 +169,23 @@
         for host in route.places:
             paths = hosts[host]
             for path in route.paths:
-                paths = paths.change(path, route, False)
-            hosts = hosts.delete(host) if paths.empty else hosts.set(host, paths)
-        return Table(self.routes.delete(id), hosts)
+                paths = paths.with_path(path, route, False)
+            hosts = hosts.delete(host) if paths.is_empty else hosts.set(host, paths)
+        return RouteTable(self.routes.delete(id), hosts)
 
-    def find(self, request: Request) -> Found | None:
+    def find(self, request: Request) -> RouteMatch | None:
         """The route that a request takes; None: there is none."""
-        for host in hosts_of(request.host):
+        for host in host_lookup_keys(request.host):
             paths = self._hosts.get(host)
             if paths is not None and (found := paths.find(request)) is not None:
                 return found
         return None
 
-    def never(self) -> list[tuple[str, str]]:
+    def unreachable(self) -> list[tuple[str, str]]:
         """Routes that no request can take: their name, and that of the one that takes all of theirs."""
         first: dict[tuple[object, ...], Route] = {}
         taken: dict[str, list[str]] = {}
-        for route in sorted(self.routes.values(), key=_rank):
+        for route in sorted(self.routes.values(), key=_precedence):
             same = (route.methods, frozenset(route.values))
             for host in route.places:
                 for path in dict.fromkeys(route.paths):
@@ -200,7 +200,7 @@
         return sorted(whole, key=lambda row: self.routes[row[0]].order)
 
 
-def hosts_of(host: str) -> Iterator[str]:
+def host_lookup_keys(host: str) -> Iterator[str]:
     """Where routes of a plain host stand: its own, its wildcards, the longest first, and those of any."""
     if host:
         yield host
@@ -221,9 +221,9 @@
     why: str
 
 
-def in_order(routes: Iterable[Route], request: Request) -> list[tuple[Route, str, Path]]:
+def evaluation_order(routes: Iterable[Route], request: Request) -> list[tuple[Route, str, Path]]:
     """Each route by each of its hosts and paths, in the order in which a request tries them."""
-    hosts = list(hosts_of(request.host))
+    hosts = list(host_lookup_keys(request.host))
     kinds = list(PathKind)
     rows = [
         (route, host, path)
@@ -236,19 +236,19 @@
         route, host, path = row
         place = hosts.index(host) if host in hosts else len(hosts)
         size = len(path.value) if path.kind is PathKind.PREFIX else 0
-        return place, kinds.index(path.kind), -size, *_rank(route), path.value
+        return place, kinds.index(path.kind), -size, *_precedence(route), path.value
 
     return sorted(rows, key=key)
 
 
 def explain(routes: Iterable[Route], request: Request) -> Iterator[Verdict]:
     """Each route of the request's host that goes before the one it takes, and why not; then that one."""
-    hosts = list(hosts_of(request.host))
-    for route, host, path in in_order(routes, request):
+    hosts = list(host_lookup_keys(request.host))
+    for route, host, path in evaluation_order(routes, request):
         if host not in hosts:
             return
-        if path.holds(request.path):
-            why = route.misses(request)
+        if path.matches(request.path):
+            why = route.mismatch(request)
         elif path.kind is PathKind.PATTERN:
             why = f"path {request.path} is not as {path.value}"
         else:
--- a/troutdock/routing_service/reader.py
+++ b/troutdock/routing_service/reader.py
@@ -21,9 +21,9 @@
     single_valued,
 )
 from troutdock.routing.route import Request
-from troutdock.routing.split import choose, mirrored
-from troutdock.routing.table import Table
-from troutdock.routing.target import BadTarget, plain, plain_host
+from troutdock.routing.split import choose_pool, select_mirrors
+from troutdock.routing.table import RouteTable
+from troutdock.routing.target import InvalidTarget, normalize_target, normalize_host
 
 _UNITS = re.compile(rb"\d{1,6}(\.\d{1,9})?")
 # without HEAD, whose answers have lengths and no bodies
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Customers:
+class CustomerHeaders:
     """Which headers tell whose a request is, in lower case. default_plan: of those that name none."""
 
     account: bytes = b"account"
@@ -40,10 +40,10 @@
     default_plan: str = ""
 
 
-class View(NamedTuple):
+class RoutingSnapshot(NamedTuple):
     """What holds now: one value, so that a reload swaps all of it in one step. pools: numbers by name."""
 
-    table: Table
+    table: RouteTable
     pools: Mapping[str, int]
 
 
@@ -57,7 +57,7 @@
     return int.from_bytes(blake2b(account, digest_size=8).digest(), "big") & ((1 << 33) - 1)
 
 
-class _Told(Mapping[str, str]):
+class _DecodedHeaders(Mapping[str, str]):
     """Headers as routes ask for them: few are, of many that come."""
 
     __slots__ = ("_seen",)
@@ -78,7 +78,9 @@
 class RoutedReader:
     """In place of http.request.Reader, where an operator's file has routes."""
 
-    def __init__(self, view: View, settings: Settings, customers: Customers, mirror: Mirror) -> None:
+    def __init__(
+        self, view: RoutingSnapshot, settings: Settings, customers: CustomerHeaders, mirror: Mirror
+    ) -> None:
         self.view, self._settings, self._customers, self._mirror = view, settings, customers, mirror
         self._classes = {cls.name: number for number, cls in enumerate(settings.classes)}
         self._plans = {plan.name.encode(): number for number, plan in enumerate(settings.plans)}
@@ -95,11 +97,11 @@
         if method not in METHODS:
             raise BadRequest(405, "no such method here")
         try:
-            target = plain(url.decode("latin-1"))
-            host = plain_host(seen.get(b"host", b"").decode("latin-1"))
-        except BadTarget as error:
+            target = normalize_target(url.decode("latin-1"))
+            host = normalize_host(seen.get(b"host", b"").decode("latin-1"))
+        except InvalidTarget as error:
             raise BadRequest(400, str(error)) from error
-        told = _Told(seen)
+        told = _DecodedHeaders(seen)
         found = view.table.find(Request(method.decode(), host, target.path, target.query, told))
         if found is None:
             raise BadRequest(404, "no route")
@@ -125,7 +127,7 @@
         if left is not None and (not SECONDS.fullmatch(left) or float(left) <= 0):
             raise BadRequest(400, "request-timeout is senseless")
         left_ms = cls.deadline_ms if left is None else float(left) * 1000
-        pool = choose(route.to, account.decode("latin-1"))
+        pool = choose_pool(route.to, account.decode("latin-1"))
         arrival = RequestArrived(
             0,
             customer_number(account),
@@ -151,7 +153,7 @@
         request = HttpRequest(seen.get(b"request-id", b""), head, body, arrival, repeatable)
         if route.mirrors and cls.effect is Effect.SAFE:
             whose = (seen.get(b"request-id", b"") + account).decode("latin-1")
-            for mirror in mirrored(route.mirrors, whose):
+            for mirror in select_mirrors(route.mirrors, whose):
                 self._mirror(mirror, request)
         return request
 
--- a/troutdock/routing_service/run.py
+++ b/troutdock/routing_service/run.py
@@ -14,58 +14,62 @@
 
 from troutdock.daemon import Service, serve
 from troutdock.platform.config import Config
-from troutdock.routing_service.service import Routed, Terms
+from troutdock.routing_service.service import RoutingFrontend, RoutingOptions
 
 log = logging.getLogger("troutdock")
 
 
-COLLECT_AFTER = 10_000  # objects more than before: requests leave no cycles, as under RELAY_CONFIG
-SWITCH_S = 0.001  # how long the thread that reads keeps the interpreter from the loop
+GC_THRESHOLD = 10_000  # objects more than before: requests leave no cycles, as under RELAY_CONFIG
+GC_SWITCH_S = 0.001  # how long the thread that reads keeps the interpreter from the loop
 
 
-_one_at_a_time = asyncio.Lock()  # for reloads: each reads what the file is when its turn comes
+_reload_lock = asyncio.Lock()  # for reloads: each reads what the file is when its turn comes
 
 
-class Anew(Protocol):
+class ReloadedDeployment(Protocol):
     """A deployment that has been read again."""
 
     @property
-    def terms(self) -> Terms: ...
+    def terms(self) -> RoutingOptions: ...
 
 
-def run(config: Config, terms: Terms, reread: Callable[[], Anew | list[str]]) -> None:
+def run(config: Config, terms: RoutingOptions, reread: Callable[[], ReloadedDeployment | list[str]]) -> None:
     """Serve until SIGTERM or SIGINT. reread: the deployment for SIGHUP, or what is wrong with it."""
     logging.basicConfig(level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s", stream=sys.stderr)
     gc.freeze()
-    gc.set_threshold(COLLECT_AFTER, 20, 20)
+    gc.set_threshold(GC_THRESHOLD, 20, 20)
     uvloop.run(_run(config, terms, reread))
 
 
-async def _run(config: Config, terms: Terms, reread: Callable[[], Anew | list[str]]) -> None:
-    loop, stop, routed = asyncio.get_running_loop(), asyncio.Event(), Routed(terms, config.sockets)
+async def _run(
+    config: Config, terms: RoutingOptions, reread: Callable[[], ReloadedDeployment | list[str]]
+) -> None:
+    loop, stop, routed = asyncio.get_running_loop(), asyncio.Event(), RoutingFrontend(terms, config.sockets)
     for signum in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signum, stop.set)
     reading: list[asyncio.Task[None]] = []
 
     def serving(service: Service) -> None:
         def again() -> None:
-            reading.append(loop.create_task(take_over(routed, reread)))
+            reading.append(loop.create_task(reload_deployment(routed, reread)))
 
         loop.add_signal_handler(signal.SIGHUP, again)
 
-    await serve(config, stop, serving, beside=[routed])
+    await serve(config, stop, serving, components=[routed])
 
 
-async def take_over(routed: Routed, reread: Callable[[], Anew | list[str]]) -> None:
+async def reload_deployment(
+    routed: RoutingFrontend, reread: Callable[[], ReloadedDeployment | list[str]]
+) -> None:
     """Routes and pools of the file as it is now, read beside the loop; a bad one changes nothing."""
-    async with _one_at_a_time:
-        await _take_over(routed, reread)
+    async with _reload_lock:
+        await _reload(routed, reread)
 
 
-async def _take_over(routed: Routed, reread: Callable[[], Anew | list[str]]) -> None:
+async def _reload(routed: RoutingFrontend, reread: Callable[[], ReloadedDeployment | list[str]]) -> None:
     switch = sys.getswitchinterval()
     gc.disable()  # of many routes the objects are many, and looking for cycles among them would stop the loop
-    sys.setswitchinterval(SWITCH_S)
+    sys.setswitchinterval(GC_SWITCH_S)
     try:
         found = await asyncio.to_thread(reread)
     finally:
--- a/troutdock/routing_service/service.py
+++ b/troutdock/routing_service/service.py
@@ -18,23 +18,23 @@
 from troutdock.http.request import HttpRequest
 from troutdock.http.response import Response
 from troutdock.http.transport import HttpAttempt, HttpTransport
-from troutdock.overload.lag import Lag
+from troutdock.overload.lag import EventLoopLag
 from troutdock.platform.discovery import backend_id
-from troutdock.routing_service.reader import Customers, RoutedReader, View
+from troutdock.routing_service.reader import CustomerHeaders, RoutedReader, RoutingSnapshot
 from troutdock.routing.route import Route
-from troutdock.routing.table import Table
+from troutdock.routing.table import RouteTable
 
 log = logging.getLogger("troutdock")
 
-SWEEP_S = 0.25
-AT_ONCE = 200  # routes of an old table that are let go in one turn of the loop
-MIRRORED = 32  # copies on their way at once to one pool; more are left out
-MIRROR_S = 5.0  # how long one is waited for
-MIRROR_SOCKETS = 16  # connections to one mirrored pool
+SWEEP_INTERVAL_S = 0.25
+ROUTES_FREED_PER_PASS = 200  # routes of an old table that are let go in one turn of the loop
+MAX_MIRRORED_REQUESTS = 32  # copies on their way at once to one pool; more are left out
+MIRROR_TIMEOUT_S = 5.0  # how long one is waited for
+MAX_MIRROR_CONNECTIONS = 16  # connections to one mirrored pool
 
 
 @dataclass(frozen=True, slots=True)
-class PoolTerms:
+class PoolOptions:
     """servers: host:port. connect_s, idle_s: see http.transport."""
 
     name: str
@@ -44,73 +44,75 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class RoutingOptions:
     """What the operator asks for."""
 
-    pools: tuple[PoolTerms, ...]
-    table: Table
-    customers: Customers
+    pools: tuple[PoolOptions, ...]
+    table: RouteTable
+    customers: CustomerHeaders
 
 
 class _Pool:
     """One pool's connections, and what is on the way to it as a copy."""
 
-    def __init__(self, terms: PoolTerms, sockets: int, engine: Engine, lag: Lag) -> None:
+    def __init__(self, terms: PoolOptions, sockets: int, engine: Engine, lag: EventLoopLag) -> None:
         self.terms = terms
         self.transport = HttpTransport(
             sockets, terms.connect_s, terms.idle_s, engine.attempt_ended, lag=lag, streams=engine
         )
         self.number = engine.add_pool(self.transport)
-        self.copies: HttpTransport | None = None
-        self.copying = self._turn = 0
+        self.mirror_transport: HttpTransport | None = None
+        self.mirrors_in_flight = self._turn = 0
 
-    def follow(self, engine: Engine, servers: tuple[str, ...]) -> None:
+    def set_servers(self, engine: Engine, servers: tuple[str, ...]) -> None:
         """These are its servers from now on."""
         endpoints = {backend_id(server): parse_address(server) for server in servers}
         entries = [BackendEntry(id, BackendState.READY) for id in endpoints]
         engine.fleet_updated(FleetUpdate(ListKind.FULL, entries, pool=self.number), endpoints)
-        if self.copies is not None:
+        if self.mirror_transport is not None:
             for id, address in endpoints.items():
-                self.copies.place(id, address)
+                self.mirror_transport.place(id, address)
 
-    def copy(self, request: HttpRequest) -> None:
+    def mirror(self, request: HttpRequest) -> None:
         """Send one, and forget what comes of it."""
-        if self.copying >= MIRRORED or not self.terms.servers:
+        if self.mirrors_in_flight >= MAX_MIRRORED_REQUESTS or not self.terms.servers:
             return
-        if self.copies is None:
-            self.copies = HttpTransport(MIRROR_SOCKETS, self.terms.connect_s, self.terms.idle_s, self._copied)
+        if self.mirror_transport is None:
+            self.mirror_transport = HttpTransport(
+                MAX_MIRROR_CONNECTIONS, self.terms.connect_s, self.terms.idle_s, self._mirror_ended
+            )
             for server in self.terms.servers:
-                self.copies.place(backend_id(server), parse_address(server))
+                self.mirror_transport.place(backend_id(server), parse_address(server))
         self._turn += 1
         backend = backend_id(self.terms.servers[self._turn % len(self.terms.servers)])
-        attempt = HttpAttempt(None, 0, backend, request.message(MIRROR_S * 1000), 0.0)
-        self.copying += 1
-        self.copies.start(attempt)
-        asyncio.get_running_loop().call_later(MIRROR_S, self._forget, attempt)
+        attempt = HttpAttempt(None, 0, backend, request.message(MIRROR_TIMEOUT_S * 1000), 0.0)
+        self.mirrors_in_flight += 1
+        self.mirror_transport.start(attempt)
+        asyncio.get_running_loop().call_later(MIRROR_TIMEOUT_S, self._cancel_mirror, attempt)
 
-    def _copied(self, attempt: HttpAttempt, outcome: Outcome, response: Response | None) -> None:
-        self.copying -= 1
+    def _mirror_ended(self, attempt: HttpAttempt, outcome: Outcome, response: Response | None) -> None:
+        self.mirrors_in_flight -= 1
 
-    def _forget(self, attempt: HttpAttempt) -> None:
-        if not attempt.over and self.copies is not None:
-            self.copies.give_up(attempt)
-            self.copying -= 1
+    def _cancel_mirror(self, attempt: HttpAttempt) -> None:
+        if not attempt.over and self.mirror_transport is not None:
+            self.mirror_transport.give_up(attempt)
+            self.mirrors_in_flight -= 1
 
     def sweep(self) -> None:
         self.transport.sweep()
-        if self.copies is not None:
-            self.copies.sweep()
+        if self.mirror_transport is not None:
+            self.mirror_transport.sweep()
 
     def close(self) -> None:
         self.transport.close()
-        if self.copies is not None:
-            self.copies.close()
+        if self.mirror_transport is not None:
+            self.mirror_transport.close()
 
 
-class Routed:
+class RoutingFrontend:
     """It belongs to the event loop that is running when it is attached; daemon.Front."""
 
-    def __init__(self, terms: Terms, sockets: int) -> None:
+    def __init__(self, terms: RoutingOptions, sockets: int) -> None:
         """sockets: of the process; the half that is for servers is split evenly among the pools."""
         self._terms, self._sockets = terms, sockets
         self._pools: dict[str, _Pool] = {}
@@ -121,26 +123,26 @@
     def attach(self, host: Host) -> None:
         """Requests go by the routes from now on."""
         self._host = host
-        self._follow(self._terms)
+        self._apply(self._terms)
         self.reader = RoutedReader(self._view(), host.engine.settings, self._terms.customers, self._mirror)
         host.server.reader = self.reader
         self._sweep()
 
-    def reload(self, terms: Terms) -> None:
+    def reload(self, terms: RoutingOptions) -> None:
         """Other routes and pools, in one step; what is under way ends as it began."""
         assert self.reader is not None
-        self._follow(terms)
+        self._apply(terms)
         old, self._terms = list(self._terms.table.routes.values()), terms
         self.reader.view = self._view()
-        self._let_go(old)
+        self._free_routes(old)
 
-    def _let_go(self, old: list[Route]) -> None:
+    def _free_routes(self, old: list[Route]) -> None:
         """The end of ten thousand routes at once would stop the loop for 30 ms: a few in each turn."""
-        del old[-AT_ONCE:]
+        del old[-ROUTES_FREED_PER_PASS:]
         if old:
-            asyncio.get_running_loop().call_soon(self._let_go, old)
+            asyncio.get_running_loop().call_soon(self._free_routes, old)
 
-    def _follow(self, terms: Terms) -> None:
+    def _apply(self, terms: RoutingOptions) -> None:
         host = self._host
         assert host is not None
         each = max(8, (self._sockets // 2 - 24) // max(1, len(terms.pools)))
@@ -151,23 +153,23 @@
             elif known.terms.servers == pool.servers:
                 continue
             known.terms = pool
-            known.follow(host.engine, pool.servers)
+            known.set_servers(host.engine, pool.servers)
         named = [pool.name for pool in terms.pools]
         for name, known in self._pools.items():
             if name not in named and known.terms.servers:
-                known.terms = PoolTerms(name, (), known.terms.connect_s, known.terms.idle_s)
-                known.follow(host.engine, ())
+                known.terms = PoolOptions(name, (), known.terms.connect_s, known.terms.idle_s)
+                known.set_servers(host.engine, ())
 
-    def _view(self) -> View:
-        return View(self._terms.table, {name: pool.number for name, pool in self._pools.items()})
+    def _view(self) -> RoutingSnapshot:
+        return RoutingSnapshot(self._terms.table, {name: pool.number for name, pool in self._pools.items()})
 
     def _mirror(self, pool: str, request: HttpRequest) -> None:
-        self._pools[pool].copy(request)
+        self._pools[pool].mirror(request)
 
     def _sweep(self) -> None:
         for pool in self._pools.values():
             pool.sweep()
-        self._sweeping = asyncio.get_running_loop().call_later(SWEEP_S, self._sweep)
+        self._sweeping = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def start(self, engine: Engine) -> None:
         """It has begun with attach."""
