--- a/tests/handover/test_handover.py
+++ b/tests/handover/test_handover.py
@@ -333,9 +333,13 @@
                 assert await tier.end(number - 1) == 0
                 assert await let_in(100 * number) <= 1
             newer, back = [(tmp_path / f"{n}.log").read_text() for n in (1, 2)]
-            assert "not known here" not in newer and "took over" in newer and "took over" in back
-            assert "not known here, or not there: weather, customers.mood" in back
-            assert "the successor has left out: weather, customers.mood" in newer
+            assert (
+                "unknown or missing parts of the state" not in newer
+                and "took over" in newer
+                and "took over" in back
+            )
+            assert "unknown or missing parts of the state: weather, customers.mood" in back
+            assert "the successor ignored unknown parts of the state: weather, customers.mood" in newer
             client.writer.close()
 
     run(test())
--- a/tests/handover/test_link.py
+++ b/tests/handover/test_link.py
@@ -287,10 +287,10 @@
     async def test() -> None:
         older, newer = Older(tmp_path), Newer()
         assert await newer.link.connect(str(tmp_path))
-        asyncio.get_running_loop().remove_reader(newer.link._wire.sock.fileno())  # it hangs
+        asyncio.get_running_loop().remove_reader(newer.link._socket.sock.fileno())  # it hangs
         assert not await older.link.end()
         assert older.log == ["retired", "untouched"]
-        newer.link._wire._read()
+        newer.link._socket._read()
         await until(lambda: newer.log[-1:] == ["owner"])
         assert older.log[2:] == ["retired", "owned"]
         older.link.close()
@@ -343,7 +343,7 @@
         older.link.close()
 
     run(test())
-    assert "'weather' is of a newer program" in caplog.text
+    assert "ignored message 'weather' of a newer build" in caplog.text
 
 
 def test_versions_without_a_common_one_part_with_a_reason(tmp_path: Path) -> None:
--- a/troutdock/daemon.py
+++ b/troutdock/daemon.py
@@ -188,7 +188,7 @@
             return str(error), ()
         log.info("took over from a predecessor: %d bytes of state", len(state))
         if left_out:
-            log.warning("not known here, or not there: %s", ", ".join(left_out))
+            log.warning("unknown or missing parts of the state: %s", ", ".join(left_out))
         return "", tuple(name for name in left_out if not name.startswith("no "))
 
     def become_owner(self, without_state: bool) -> None:
--- a/troutdock/handover/__init__.py
+++ b/troutdock/handover/__init__.py
@@ -1,1 +1,1 @@
-"""An upgrade's handover: what the older process knows, and its clients' connections, go to the newer one."""
+"""Hand-over at an upgrade: transfers the state and the client connections of a process to its successor."""
--- a/troutdock/handover/link.py
+++ b/troutdock/handover/link.py
@@ -1,7 +1,7 @@
-"""The handover on sockets: a Unix socket in a folder that both processes share, and the roles behind it.
+"""Hand-over over a Unix socket in a directory that both processes share; drives the state machines in roles.
 
-Only a process of the same user is listened to (unix(7), SO_PEERCRED), and one that listens there in a
-predecessor's place is asked for the same. Whatever is no message ends its link, which is then as cut.
+Both sides accept only a peer process of the same user (unix(7), SO_PEERCRED). An invalid message ends its
+link, which is then handled as closed.
 """
 
 from __future__ import annotations
@@ -39,15 +39,15 @@
 log = logging.getLogger("troutdock")
 
 SOCKET_NAME = "troutdock-handover"
-CONNECT_RETRY_S = 0.02  # until a socket is asked again whose process is about to end
-MAX_PENDING_LINKS = 8  # that have said nothing yet
+CONNECT_RETRY_S = 0.02  # between attempts to connect to a process that is about to end
+MAX_PENDING_LINKS = 8  # links other than the successor's; beyond that the oldest is closed
 _CREDENTIALS = struct.Struct("=iII")  # pid, uid, gid
 
 
 @contextlib.contextmanager
-def _short_path(folder: str) -> Iterator[str]:
-    """A path of the socket that is short enough for any folder (108 bytes are the most)."""
-    fd = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
+def _short_path(directory: str) -> Iterator[str]:
+    """Yields a path of the socket that fits into sockaddr_un (108 bytes), however long directory is."""
+    fd = os.open(directory, os.O_RDONLY | os.O_DIRECTORY)
     try:
         yield f"/proc/self/fd/{fd}/{SOCKET_NAME}"
     finally:
@@ -60,7 +60,10 @@
 
 
 class MessageSocket:
-    """One end of a link: messages and descriptors, in order, until it is cut; cut is told once."""
+    """One end of a link: sends and receives messages and descriptors, in order.
+
+    Calls on_closed once when the link ends, unless it was closed by close().
+    """
 
     def __init__(
         self,
@@ -75,25 +78,28 @@
         self._loop.add_reader(sock.fileno(), self._read)
 
     def send(self, message: Message, passed: socket.socket | None = None, now: bool = False) -> bool:
-        """Write it as soon as there is room, or now or never; false where that can't be."""
+        """Sends a message as soon as the socket is writable, or with now immediately or not at all.
+
+        Returns false if the message is not and will not be sent.
+        """
         if self.closed or (now and self._out):
             return False
         self._out.append((message, passed))
-        there = self._write()
+        writable = self._write()
         if now and self._out:
             self._out.clear()
             return False
-        return there
+        return writable
 
     def close_when_sent(self) -> None:
-        """Close once all is written; the other side's end is not waited for."""
+        """Closes the link once all messages are written, without waiting for the peer."""
         self._ending = True
         self._write()
 
     def abort(self) -> None:
-        """Cut it. What the other side sends from now on fails there; what has come before is read first.
+        """Aborts the link: messages that the peer sends from now on fail there; earlier ones are read first.
 
-        So the two agree: a message that could be sent has been taken in, also by the side that gave up.
+        So both sides agree: a message that could be sent is processed, also by the side that aborts.
         """
         if self.closed or self._aborting:
             return
@@ -103,7 +109,7 @@
         self._read()
 
     def close(self) -> None:
-        """Close at once; cut is not told."""
+        """Closes the link immediately, without calling on_closed."""
         if not self.closed:
             self.closed = True
             self._loop.remove_reader(self.sock.fileno())
@@ -127,7 +133,7 @@
                 return True
             except OSError as error:
                 log.warning("handover: %s", error)
-                self._loop.call_soon(self.abort)  # not within whoever sends
+                self._loop.call_soon(self.abort)  # not from within the sender's call
                 return False
             self._out.popleft()
         if self._writing and not self.closed:
@@ -148,15 +154,15 @@
                     self._on_closed(self)
                     return
                 if flags & socket.MSG_TRUNC:
-                    raise ProtocolError("a message is too long")
+                    raise ProtocolError("message too long")
                 message = decode(packet)
                 if isinstance(message, str):
-                    log.warning("handover: a message %r is of a newer program, and left out", message)
+                    log.warning("handover: ignored message %r of a newer build", message)
                 self._receive(self, message, passed.pop() if len(passed) == 1 else None)
             except BlockingIOError:
                 return
             except ConnectionResetError:
-                continue  # the other side has ended with something unread; what it had sent is still here
+                continue  # the peer closed with unread data; what it sent can still be read
             except (OSError, ProtocolError) as error:
                 log.warning("handover: %s", error)
                 self.abort()
@@ -166,37 +172,37 @@
 
 
 class PredecessorHost(Protocol):
-    """What a predecessor gives away; the daemon is one."""
+    """Host of a predecessor, implemented by the daemon."""
 
     def begin_handover(self) -> tuple[bytes, PredecessorStatus]:
-        """Let nothing new in: the state, and what this process holds to its end."""
+        """Stops accepting new work; returns the state and the status of this process."""
 
     def ownership_transferred(self) -> None:
-        """The successor is the owner; connections may be given."""
+        """The successor owns the budgets; connections may be passed to it."""
 
     def successor_lost(self, state_unused: bool, returned: Iterable[TransferredConnection]) -> None:
-        """There is no successor any more; connections that nobody has are back."""
+        """The successor is gone. state_unused: it never owned the state. returned: unacknowledged."""
 
     def set_out_of_service(self, out_of_service: bool) -> None:
-        """The successor's operator takes the ingress out of service, or puts it back."""
+        """Applies an operator call at the successor: out of service, or back in service."""
 
 
 class PredecessorLink:
-    """The older process's end: waits for a successor, and gives it all when this process is to end."""
+    """The predecessor's end: waits for a successor and hands over when this process is to end."""
 
-    def __init__(self, folder: str, host: PredecessorHost, program: str = "") -> None:
-        """OSError if the folder can't be used."""
+    def __init__(self, directory: str, host: PredecessorHost, program: str = "") -> None:
+        """Listens for successors; raises OSError if the directory cannot be used."""
         self.role = Predecessor(program)
         self._host = host
         self._loop = asyncio.get_running_loop()
         self._links: list[MessageSocket] = []
         self._response_timer: asyncio.TimerHandle | None = None
-        self.handover_decided = asyncio.Event()  # the successor has the state, or there is none
+        self.handover_decided = asyncio.Event()  # the successor owns the state, or there is no successor
         self._listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET | socket.SOCK_NONBLOCK)
         try:
-            with _short_path(folder) as path:
+            with _short_path(directory) as path:
                 with contextlib.suppress(FileNotFoundError):
-                    os.unlink(path)  # a predecessor's, which has given all to this one, or has died
+                    os.unlink(path)  # of a predecessor that has handed over or died
                 self._listener.bind(path)
                 os.chmod(path, 0o600)
             self._listener.listen(2 * MAX_PENDING_LINKS)
@@ -207,11 +213,11 @@
 
     @property
     def successor_owns(self) -> bool:
-        """A successor is the owner of all budgets, and takes connections."""
+        """True if a successor owns all budgets and accepts connections."""
         return self.role.phase is PredecessorPhase.SUCCESSOR_OWNS
 
     async def end(self) -> bool:
-        """This process is to end: give the state to a successor; true once that is the owner."""
+        """Hands the state over before this process ends. Returns true if a successor owns it."""
         self.handover_decided.clear()
         self._do(self.role.end())
         if self.role.phase is PredecessorPhase.SENDING_STATE:
@@ -219,18 +225,18 @@
         return self.successor_owns
 
     def pass_connection(self, item: TransferredConnection) -> bool:
-        """Pass a connection on; it is this process's no longer. False: there is nobody to take it."""
+        """Passes a connection to the successor, which then owns it. Returns false without a successor."""
         if self.successor_owns:
             self._do(self.role.pass_connection(item))
             return True
         return False
 
     def report_attempt(self, settled: AttemptSettled) -> None:
-        """What an attempt of this process has come to."""
+        """Reports the outcome of an attempt of this process to the successor."""
         self._do(self.role.report_attempt(settled))
 
     async def finish(self) -> None:
-        """All is given, acknowledged and told, or there is nobody to take it."""
+        """Waits up to RESPONSE_TIMEOUT_S until all is sent and acknowledged, or the successor is gone."""
         self._do(self.role.finish())
         for _ in range(int(RESPONSE_TIMEOUT_S / 0.005)):
             if self.role.phase is not PredecessorPhase.SUCCESSOR_OWNS:
@@ -238,7 +244,7 @@
             await asyncio.sleep(0.005)
 
     def close(self) -> None:
-        """No successor is waited for any more."""
+        """Closes the listening socket and all links."""
         if self._listener.fileno() >= 0:
             self._loop.remove_reader(self._listener.fileno())
             self._listener.close()
@@ -253,7 +259,7 @@
             return
         sock.setblocking(False)
         if not _same_user(sock):
-            log.warning("handover: a process of another user is turned away")
+            log.warning("handover: rejected a process of another user")
             sock.close()
             return
         silent = [link for link in self._links if link is not self.role.successor]
@@ -264,7 +270,7 @@
     def _received(self, link: MessageSocket, message: Message | str, passed: Any) -> None:
         if passed is not None:
             passed.close()
-            raise ProtocolError("a descriptor from a successor")
+            raise ProtocolError("unexpected descriptor from a successor")
         self._do(self.role.receive(link, message))
 
     def _link_closed(self, link: MessageSocket) -> None:
@@ -288,7 +294,7 @@
                     self._remove(link)
                 case roles.Abort(link):
                     assert isinstance(link, MessageSocket)
-                    log.warning("handover: the successor has not taken over in %.0f s", RESPONSE_TIMEOUT_S)
+                    log.warning("handover: the successor did not take over within %.0f s", RESPONSE_TIMEOUT_S)
                     link.abort()
                 case roles.OutOfServiceRequested(out):
                     self._host.set_out_of_service(out)
@@ -299,9 +305,11 @@
                     self._do(self.role.send_state(*self._host.begin_handover()))
                 case roles.OwnershipTransferred(error, left_out):
                     if error:
-                        log.warning("the successor has started from nothing: %s", error)
+                        log.warning("the successor started without the state: %s", error)
                     if left_out:
-                        log.warning("the successor has left out: %s", ", ".join(left_out))
+                        log.warning(
+                            "the successor ignored unknown parts of the state: %s", ", ".join(left_out)
+                        )
                     self._response_received()
                     self._host.ownership_transferred()
                 case roles.ReleaseConnection(connection):
@@ -320,75 +328,79 @@
 
 
 class SuccessorHost(Protocol):
-    """Who takes over; the daemon is one."""
+    """Host of a successor, implemented by the daemon."""
 
     def import_state(self, state: bytes, holds: PredecessorStatus) -> tuple[str, tuple[str, ...]]:
-        """Go on from a state: why that can't be, or nothing; and what of it is not known here."""
+        """Imports a state. Returns an error text, empty on success, and the names of unknown parts."""
 
     def become_owner(self, without_state: bool) -> None:
-        """All is this process's from now on: take clients. alone: without knowing what was spent before."""
+        """Takes ownership and accepts clients. without_state: earlier consumption is unknown."""
 
     def adopt(self, item: TransferredConnection) -> None:
-        """A client's connection, with what has come on it."""
+        """Takes over a client connection with its received bytes."""
 
     def settle(self, settled: AttemptSettled) -> None:
-        """What an attempt of the predecessor has come to."""
+        """Applies the outcome of an attempt of the predecessor."""
 
     def predecessor_ended(self) -> None:
-        """The predecessor has ended."""
+        """Handles the end of the predecessor."""
 
 
 class SuccessorLink:
-    """The successor's end."""
+    """The successor's end of the link."""
 
     def __init__(self, host: SuccessorHost, program: str = "") -> None:
         self.role = Successor(program)
         self._host = host
         self._loop = asyncio.get_running_loop()
-        self._wire: MessageSocket | None = None
-        self._folder = ""
+        self._socket: MessageSocket | None = None
+        self._directory = ""
         self._response_received = asyncio.Event()
         self._accepted = False
         self._reconnecting: asyncio.Task[None] | None = None
-        self.finished = asyncio.Event()  # nothing more comes
+        self.finished = asyncio.Event()  # nothing more will arrive
 
     @property
     def standing_by(self) -> bool:
-        """The predecessor serves until it is told to end."""
+        """True while the predecessor serves and this process waits to take over."""
         return self.role.phase is SuccessorPhase.STANDBY or self._reconnecting is not None
 
     @property
     def superseded(self) -> bool:
-        """Another successor stands by: this one is not needed."""
+        """True if another successor has replaced this one."""
         return self.role.phase is SuccessorPhase.SUPERSEDED
 
-    async def connect(self, folder: str) -> bool:
-        """Find a predecessor and stand by; false where there is none, and then this process is the owner."""
-        self._folder, self._accepted = folder, False
+    async def connect(self, directory: str) -> bool:
+        """Connects to a predecessor and stands by.
+
+        Returns:
+            False if there is no predecessor: then this process is the owner.
+        """
+        self._directory, self._accepted = directory, False
         try:
             async with asyncio.timeout(RESPONSE_TIMEOUT_S):
-                while not await self._connect_once(folder):
+                while not await self._connect_once(directory):
                     await asyncio.sleep(
                         CONNECT_RETRY_S
-                    )  # it is about to end, and its successor will listen here
+                    )  # the listener is about to end; its successor will listen here
         except TimeoutError:
             self._do(self.role.timed_out())
         except (FileNotFoundError, ConnectionRefusedError):
             pass
         except OSError as error:
-            log.warning("handover: nothing is taken over: %s", error)
+            log.warning("handover: no takeover: %s", error)
         if not self._accepted:
             self.finished.set()
-        return self._accepted  # whatever has come since
+        return self._accepted  # may have changed while waiting
 
-    async def _connect_once(self, folder: str) -> bool:
-        """True once there is an answer that stays; OSError if nobody listens."""
+    async def _connect_once(self, directory: str) -> bool:
+        """Connects once. Returns true if this process was accepted; raises OSError if nobody listens."""
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET | socket.SOCK_NONBLOCK)
         try:
-            with _short_path(folder) as path:
-                sock.connect(path)  # at once, or there is no room in its queue
+            with _short_path(directory) as path:
+                sock.connect(path)  # immediately, or BlockingIOError if the backlog is full
             if not _same_user(sock):
-                raise PermissionError("a process of another user listens there")
+                raise PermissionError("the socket belongs to a process of another user")
         except BlockingIOError:
             sock.close()
             return False
@@ -398,30 +410,30 @@
         self.role = Successor(self.role.program)
         self._response_received.clear()
         self._accepted = False
-        self._wire = MessageSocket(sock, self._received, self._link_closed)
+        self._socket = MessageSocket(sock, self._received, self._link_closed)
         self._do(self.role.connected())
         await self._response_received.wait()
         return self._accepted
 
     async def _reconnect(self) -> None:
-        """The link has broken: the predecessor may live all the same."""
-        waits = await self.connect(self._folder)
+        """Reconnects after the link broke, as the predecessor may still be alive."""
+        accepted = await self.connect(self._directory)
         self._reconnecting = None
-        if not waits:
-            log.warning("the predecessor has died: going on without what it knew")
+        if not accepted:
+            log.warning("the predecessor has died: continuing without its state")
             self._host.become_owner(True)
 
     def request_out_of_service(self, out_of_service: bool) -> None:
-        """The operator's word, for the predecessor."""
+        """Forwards an operator call to the predecessor."""
         self._do(self.role.request_out_of_service(out_of_service))
 
     def close(self) -> None:
-        """Take no more."""
+        """Closes the link."""
         if self._reconnecting is not None:
             self._reconnecting.cancel()
             self._reconnecting = None
-        if self._wire is not None:
-            self._wire.close()
+        if self._socket is not None:
+            self._socket.close()
         self.finished.set()
 
     def _received(self, link: MessageSocket, message: Message | str, passed: Any) -> None:
@@ -439,18 +451,18 @@
         for effect in effects:
             match effect:
                 case roles.Send(_, message):
-                    if self._wire is not None:
-                        self._wire.send(message)
+                    if self._socket is not None:
+                        self._socket.send(message)
                 case roles.SendOrAbort(_, message):
-                    there = self._wire is not None and self._wire.send(message, now=True)
-                    self._do(self.role.send_result(there))
-                    if not there and self._wire is not None:
-                        self._wire.abort()
+                    sent = self._socket is not None and self._socket.send(message, now=True)
+                    self._do(self.role.send_result(sent))
+                    if not sent and self._socket is not None:
+                        self._socket.abort()
                 case roles.Close():
-                    if self._wire is not None:
-                        self._wire.close()
+                    if self._socket is not None:
+                        self._socket.close()
                 case roles.StandingBy(program):
-                    log.info("standing by for a predecessor%s", f", {program}" if program else "")
+                    log.info("standing by as successor%s", f", {program}" if program else "")
                     self._accepted = True
                     self._response_received.set()
                 case roles.ImportState(state, holds):
@@ -458,13 +470,13 @@
                 case roles.BecomeOwner():
                     self._host.become_owner(False)
                 case roles.ProceedAlone(why):
-                    log.warning("handover: the predecessor gives nothing: %s", why)
+                    log.warning("handover: no takeover from the predecessor: %s", why)
                     self._response_received.set()
                 case roles.Reconnect():
                     self._reconnecting = self._loop.create_task(self._reconnect())
                 case roles.Superseded():
-                    log.warning("another successor stands by: this process takes no clients")
-                    self._accepted = True  # it is not needed, but it is not the owner either
+                    log.warning("replaced by another successor: this process accepts no clients")
+                    self._accepted = True  # replaced, but not the owner either
                     self._response_received.set()
                     self.finished.set()
                 case roles.AdoptConnection(item):
@@ -475,7 +487,7 @@
                     self._host.settle(settled)
                 case roles.PredecessorEnded(done):
                     if not done:
-                        log.warning("the predecessor has ended before it had said all")
+                        log.warning("the predecessor ended before it had sent everything")
                     self.finished.set()
                     self._host.predecessor_ended()
                 case _:
--- a/troutdock/handover/protocol.py
+++ b/troutdock/handover/protocol.py
@@ -1,35 +1,36 @@
-"""What an older process and its successor say to one another at an upgrade (no I/O).
-
-The socket is SOCK_SEQPACKET: a message is a packet, whole and in order, or there is none. Each is a tagged
-struct in MessagePack; unknown fields are skipped, missing ones have defaults, and a message of an unknown
-tag is left out and said in the log. So each side may be the newer program.
-
-    from the successor                       when
-    Hello      who it is                     first
-    Wish       its operator's word           any time while it stands by
-    Took       it has the state, or not      once, after StateEnd; from a Took without error it is the owner
-    Ack        how many connections it has   after Took, each time it has read some
-
-    from the older process
-    Welcome    it may stand by               once, after Hello
-    Sorry      it may not, and why           in place of Welcome, or later; then the end
-    State      a piece of the state          once it is told to end, as often as it takes
-    StateEnd   the state is whole            once, with length and checksum to prove it
-    Bytes      a piece of a message          before the Passed that they belong to
-    Passed     a client's connection         with one descriptor
-    Told       what an attempt has come to   any time after Took
-    Done       nothing more comes            last
-
-    limit                                    value
-    one message                              PIECE + 512 bytes
-    the state                                MAX_STATE bytes
-    connections not acknowledged             WINDOW
-    a message's bytes with its connection    MAX_MESSAGE bytes
-    Hello to Welcome, StateEnd to Took       ANSWER_S seconds
-
-VERSION grows when a side that does not know of a change would act wrongly on it; two programs understand
-each other if the ranges OLDEST to VERSION meet. Version 1 was untyped; its program and this one take nothing
-over from one another, and the newer starts as after a crash.
+"""Messages between a process and its successor at an upgrade (no I/O).
+
+The socket is SOCK_SEQPACKET: each message is one packet, delivered complete and in order. A message is a
+tagged struct in MessagePack. Unknown fields are ignored, missing fields have defaults, and a message with an
+unknown tag is skipped and logged. So either side may run the newer build.
+
+    from the successor (tag)                      sent
+    Hello (hello)                 identification  first
+    SetOutOfService (wish)        operator call   at any time while it stands by
+    StateAck (took)               state imported  once, after StateEnd; the sender then owns the budgets
+    ConnectionAck (ack)           connections     after StateAck, each time it has received some
+                                  received
+
+    from the predecessor (tag)
+    Welcome (welcome)             may stand by    once, after Hello
+    Rejection (sorry)             may not         instead of Welcome, or later; the link is closed after it
+    StateChunk (state)            part of state   once the process is told to end, as many as needed
+    StateEnd (state_end)          end of state    once, with length and checksum
+    DataChunk (bytes)             received bytes  before the PassedConnection that they belong to
+    PassedConnection (passed)     a connection    with one file descriptor
+    AttemptReport (told)          attempt result  at any time after the state
+    Done (done)                   end             last
+
+    limit                                         value
+    one message                                   CHUNK_BYTES + 512 bytes
+    the state                                     MAX_STATE_BYTES
+    unacknowledged connections                    MAX_UNACKED_CONNECTIONS
+    bytes passed with one connection              MAX_MESSAGE_BYTES
+    Hello to Welcome, StateEnd to StateAck        RESPONSE_TIMEOUT_S
+
+VERSION is incremented when a peer that does not know a change would act wrongly on it. Two builds understand
+each other if their ranges OLDEST_VERSION to VERSION overlap. Version 1 was untyped; there is no hand-over
+between its build and this one, and the newer process starts as after a crash.
 """
 
 from __future__ import annotations
@@ -42,24 +43,22 @@
 from troutdock.admission.interface import AttemptSettled
 
 VERSION, OLDEST_VERSION = 2, 2
-CHUNK_BYTES = (
-    32 * 1024
-)  # bytes of the state or of a message in one packet: a few fit into the socket's buffer
+CHUNK_BYTES = 32 * 1024  # payload of one packet; several packets fit into the socket's buffer
 MAX_PACKET_BYTES = CHUNK_BYTES + 512
-MAX_STATE_BYTES = 16 * 1024 * 1024  # bytes: 20,000 remembered payments and 40,000 customers take some 9 MB
-MAX_MESSAGE_BYTES = 64 * 1024 * 1024  # bytes: no budget for clients' bodies is larger
-MAX_UNACKED_CONNECTIONS = (
-    32  # descriptors that two processes hold at once; more would strain the one limit on both
-)
-RESPONSE_TIMEOUT_S = 1.0  # the platform waits 6 s for a successor's yes, and for 3 s at an end
+MAX_STATE_BYTES = (
+    16 * 1024 * 1024
+)  # 20,000 remembered idempotent requests and 40,000 customers take about 9 MB
+MAX_MESSAGE_BYTES = 64 * 1024 * 1024  # no request body budget is larger
+MAX_UNACKED_CONNECTIONS = 32  # open in both processes at once, which share one limit on descriptors
+RESPONSE_TIMEOUT_S = 1.0  # the platform waits 6 s until a successor is ready, and 3 s for a process to end
 
 
 class ProtocolError(Exception):
-    """The other side said what no program of a known version says."""
+    """The peer sent a message that no known protocol version allows."""
 
 
 class Hello(msgspec.Struct, frozen=True, tag="hello"):
-    """A process that would be the successor; versions that it speaks."""
+    """A process asks to become the successor. version, oldest: the range of versions that it supports."""
 
     version: int = VERSION
     oldest: int = OLDEST_VERSION
@@ -67,49 +66,50 @@
 
 
 class SetOutOfService(msgspec.Struct, frozen=True, tag="wish"):
-    """The successor's operator takes the ingress out of service, or puts it back."""
+    """An operator call at the successor: takes the ingress out of service, or puts it back."""
 
     out_of_service: bool
 
 
 class StateAck(msgspec.Struct, frozen=True, tag="took"):
-    """The state has been taken; or not: then the successor has started from nothing, for that reason."""
+    """The successor owns the budgets. error: why it could not import the state and started without it."""
 
     error: str = ""
     left_out: tuple[str, ...] = ()
 
 
 class ConnectionAck(msgspec.Struct, frozen=True, tag="ack"):
-    """Connections that have come, in all."""
+    """Total number of connections received."""
 
     count: int
 
 
 class Welcome(msgspec.Struct, frozen=True, tag="welcome"):
-    """The successor may stand by; the version that both speak from here on."""
+    """The successor may stand by. version: the version that both sides use from here on."""
 
     version: int = VERSION
     program: str = ""
 
 
 class Rejection(msgspec.Struct, frozen=True, tag="sorry"):
-    """The successor may not stand by any longer. superseded: another one does in its place."""
+    """The successor may not stand by. superseded: another process has replaced it as successor."""
 
     reason: str = ""
     superseded: bool = False
 
 
 class StateChunk(msgspec.Struct, frozen=True, tag="state"):
-    """A piece of the state."""
+    """A part of the state."""
 
     data: bytes
 
 
 class PredecessorStatus(msgspec.Struct, frozen=True):
-    """What else the older process has, which the successor is to know.
+    """Status of the predecessor that is not part of the state.
 
-    out_of_service: an operator has taken the ingress out. bodies, streams: bytes of clients' long bodies and
-    long answers that it holds to its end, of budgets that are one for both.
+    out_of_service: an operator has taken the ingress out of service. bodies, streams: bytes of long request
+    bodies and number of streamed responses that the predecessor holds until it ends. They count against
+    budgets that both processes share.
     """
 
     out_of_service: bool = False
@@ -118,7 +118,7 @@
 
 
 class StateEnd(msgspec.Struct, frozen=True, tag="state_end"):
-    """The state is whole: its length, its CRC-32, and what else the older process has."""
+    """End of the state: its length, its CRC-32 checksum, and the status of the predecessor."""
 
     length: int
     checksum: int
@@ -126,15 +126,15 @@
 
 
 class DataChunk(msgspec.Struct, frozen=True, tag="bytes"):
-    """A piece of what a client has sent."""
+    """A part of the bytes received from a client."""
 
     data: bytes
 
 
 class PassedConnection(msgspec.Struct, frozen=True, tag="passed"):
-    """A client's connection; the bytes before it are the beginning of its next message, or more.
+    """A client connection. The DataChunks before it hold its received, unanswered bytes.
 
-    began_ms: when the message began that is not whole. arrived_ms: when those came that are. 0: none.
+    began_ms: when the incomplete message began. arrived_ms: when the complete ones arrived. 0: there is none.
     """
 
     length: int = 0
@@ -143,13 +143,13 @@
 
 
 class AttemptReport(msgspec.Struct, frozen=True, tag="told"):
-    """What an attempt has come to."""
+    """The outcome of an attempt of the predecessor."""
 
     settled: AttemptSettled
 
 
 class Done(msgspec.Struct, frozen=True, tag="done"):
-    """The older process has nothing more to give."""
+    """The predecessor has sent everything."""
 
 
 Message = (
@@ -172,12 +172,16 @@
 
 
 def encode(message: Message) -> bytes:
-    """One packet."""
+    """Encodes a message as one packet."""
     return _encode(message)
 
 
 def decode(packet: bytes) -> Message | str:
-    """The message, or the tag of one that is not known here; ProtocolError if it is neither."""
+    """Decodes a packet. Returns the tag, cut to 40 characters, if the message type is unknown.
+
+    Raises:
+        ProtocolError: the packet is not a message.
+    """
     try:
         return _decoder.decode(packet)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -188,28 +192,28 @@
         tag = raw.get("type") if isinstance(raw, dict) else None
         if isinstance(tag, str) and not any(tag == kind.__struct_config__.tag for kind in Message.__args__):
             return tag[:40]
-        raise ProtocolError(f"no message: {error}") from error
+        raise ProtocolError(f"invalid message: {error}") from error
 
 
 def common_version(hello: Hello) -> int | None:
-    """The newest version that both sides speak."""
+    """Returns the newest version that both sides support, or None."""
     newest = min(VERSION, hello.version)
     return newest if newest >= max(OLDEST_VERSION, hello.oldest) else None
 
 
 def pack_state(state: Any) -> bytes:
-    """The state as bytes."""
+    """Encodes the state."""
     return msgspec.msgpack.encode(state)
 
 
 def unpack_state(data: bytes) -> Any:
-    """And back; ProtocolError if it is none."""
+    """Decodes the state; raises ProtocolError if that is not possible."""
     try:
         return _any.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise ProtocolError(f"the state can't be read: {error}") from error
+        raise ProtocolError(f"cannot decode the state: {error}") from error
 
 
 def checksum(data: bytes) -> int:
-    """CRC-32."""
+    """Returns the CRC-32 checksum."""
     return zlib.crc32(data)
--- a/troutdock/handover/roles.py
+++ b/troutdock/handover/roles.py
@@ -1,39 +1,40 @@
-"""Who owns what during an upgrade: the older process's part and its successor's (no I/O).
-
-Theory of operation. The older process is the owner of all budgets and connections until it is told to end.
-
-    Predecessor   event                          next       effects
-    ALONE         hello                          AWAITED    Welcome (Sorry if no version is common); told to
-                                                            end before that: as AWAITED, end, at once
-    AWAITED       hello of another               AWAITED    Sorry, superseded, to the first; Welcome
-    AWAITED       wish                           AWAITED    Wished
-    AWAITED       cut                            ALONE      -
-    AWAITED       end                            GIVING     Retire; the host answers with state()
-    GIVING        took                           FOLLOWED   Owned: connections may be given
-    GIVING        late                           GIVING     Shut: what has been sent to it is still read
-    GIVING        cut                            ALONE      Lost, untouched
-    FOLLOWED      ack                            FOLLOWED   more of what waits
-    FOLLOWED      done() and all acknowledged    OVER       Done
-    FOLLOWED      cut                            ALONE      Lost, with the connections that nobody has
-
-    Successor     event                          next       effects
-    ASKING        welcome                        STANDBY    Ready
-    ASKING        sorry, cut, late               ALONE      Alone; the host may ask anew, on another link
-    STANDBY       sorry, superseded              SUPERSEDED Superseded
-    STANDBY       cut                            ASKING     Again: the host asks anew, and if nobody listens
-                                                            there any more the predecessor has died
-    STANDBY       state, state_end               TAKING     Take; the host answers with took()
-    TAKING        took() could be sent           OWNER      Owner
-    TAKING        it could not                   ASKING     Again
-    OWNER         passed, told                   OWNER      Adopt, Settle
-    OWNER         done, cut                      ALONE      Ended
-
-Two rules. A budget changes hands by Took and by nothing else, a connection by its Ack: both are Decide, sent
-at once or not at all, and what they decide is done only once they are. And who gives up on a link shuts its
-receiving side first and then takes in what is there, so that a Took or an Ack has come or can't be sent.
-What was sent and not acknowledged has not been read from, and goes back to whom it came from.
-
-Links and connections are the host's; here they are only passed through.
+"""Ownership during an upgrade: the state machines of the predecessor and of its successor (no I/O).
+
+Theory of operation. The predecessor owns all budgets and connections until it is told to end.
+
+    Predecessor      event                      next             effects
+    STANDALONE       hello                      SUCCESSOR_READY  Welcome (Rejection without a common version);
+                                                                 then end() at once if it was called before
+    SUCCESSOR_READY  hello on another link      SUCCESSOR_READY  Rejection (superseded) to the first, Welcome
+    SUCCESSOR_READY  wish                       SUCCESSOR_READY  OutOfServiceRequested
+    SUCCESSOR_READY  link closed                STANDALONE       -
+    SUCCESSOR_READY  end()                      SENDING_STATE    BeginHandover; the host calls send_state()
+    SENDING_STATE    took                       SUCCESSOR_OWNS   OwnershipTransferred
+    SENDING_STATE    timed_out()                SENDING_STATE    Abort: data received so far is still read
+    SENDING_STATE    link closed                STANDALONE       SuccessorLost, state unused
+    SUCCESSOR_OWNS   ack                        SUCCESSOR_OWNS   sends more of the waiting connections
+    SUCCESSOR_OWNS   finish(), all acknowledged FINISHED         Done
+    SUCCESSOR_OWNS   link closed                STANDALONE       SuccessorLost, unacked connections
+
+    Successor        event                      next             effects
+    CONNECTING       welcome                    STANDBY          StandingBy
+    CONNECTING       sorry, closed, timed_out() STANDALONE       ProceedAlone; the host may retry
+    STANDBY          sorry, superseded          SUPERSEDED       Superseded
+    STANDBY          link closed                CONNECTING       Reconnect: if nobody listens any more, the
+                                                                 predecessor has died
+    STANDBY          state, state_end           IMPORTING        ImportState; the host calls state_imported()
+    IMPORTING        StateAck sent              OWNER            BecomeOwner
+    IMPORTING        StateAck could not be sent CONNECTING       Reconnect
+    OWNER            passed, told               OWNER            AdoptConnection, SettleAttempt
+    OWNER            done, link closed          STANDALONE       PredecessorEnded
+
+Invariants. The budgets change their owner only by StateAck, and a connection only by its ConnectionAck. Both
+are sent by SendOrAbort, immediately or not at all, and the successor acts on them only after they are sent.
+A side that abandons a link shuts down its receiving direction first and then reads the remaining data, so a
+StateAck or ConnectionAck has either been received or cannot be sent any more. A connection that was sent and
+not acknowledged has not been read from; it returns to the predecessor.
+
+Links and connections belong to the host and are opaque here.
 """
 
 from __future__ import annotations
@@ -72,12 +73,12 @@
 Link = Hashable
 
 
-# ---- effects: what the host is to do, in order
+# ---- effects: actions that the host performs, in order
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Write a message to a link, with a connection's descriptor or none."""
+    """Send a message on a link, optionally with the descriptor of a connection."""
 
     link: Link
     message: Message
@@ -86,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendOrAbort:
-    """Write a message now or never, and answer with Successor.said; if it can't be, give up on the link."""
+    """Send a message immediately and report by Successor.send_result; if that fails, abort the link."""
 
     link: Link
     message: Message
@@ -94,33 +95,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Close:
-    """End a link."""
+    """Close a link after its pending messages."""
 
     link: Link
 
 
 @dataclass(frozen=True, slots=True)
 class Abort:
-    """Give up on a link: take nothing more from it, but read what it holds already; then it is cut."""
+    """Abandon a link: shut down its receiving direction, read the data that has arrived, then close it."""
 
     link: Link
 
 
 @dataclass(frozen=True, slots=True)
 class OutOfServiceRequested:
-    """The operator of the successor wants the ingress out of service, or back."""
+    """An operator call at the successor takes the ingress out of service, or puts it back."""
 
     out_of_service: bool
 
 
 @dataclass(frozen=True, slots=True)
 class BeginHandover:
-    """Let nothing new in, and answer with Predecessor.state."""
+    """Stop accepting connections and requests, and answer by Predecessor.send_state."""
 
 
 @dataclass(frozen=True, slots=True)
 class OwnershipTransferred:
-    """The successor is the owner of all budgets. error: why it could not use the state."""
+    """The successor owns all budgets. error: why it could not use the state. left_out: its unknown parts."""
 
     error: str
     left_out: tuple[str, ...]
@@ -128,14 +129,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseConnection:
-    """The other side has the connection: the descriptor here may be closed."""
+    """The other process owns the connection: close the descriptor here."""
 
     connection: Any
 
 
 @dataclass(frozen=True, slots=True)
 class SuccessorLost:
-    """There is no successor any more. untouched: it never had the state. returned: nobody has these."""
+    """The successor is gone. state_unused: it never owned the state. returned: unacknowledged connections."""
 
     state_unused: bool
     returned: tuple[TransferredConnection, ...]
@@ -143,14 +144,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StandingBy:
-    """The successor stands by."""
+    """This process stands by as successor. program: version of the predecessor's build."""
 
     program: str
 
 
 @dataclass(frozen=True, slots=True)
 class ImportState:
-    """Go on from this state, and answer with Successor.took."""
+    """Import this state, and answer by Successor.state_imported."""
 
     data: bytes
     holds: PredecessorStatus
@@ -158,43 +159,43 @@
 
 @dataclass(frozen=True, slots=True)
 class BecomeOwner:
-    """All budgets are this process's: take clients."""
+    """This process owns all budgets: accept clients."""
 
 
 @dataclass(frozen=True, slots=True)
 class ProceedAlone:
-    """The predecessor gives nothing."""
+    """There is no hand-over from the predecessor. why: the reason."""
 
     why: str
 
 
 @dataclass(frozen=True, slots=True)
 class Reconnect:
-    """The link to the predecessor has ended: ask anew; if it has died, all is this process's."""
+    """The link to the predecessor was closed: reconnect; if it has died, this process becomes the owner."""
 
 
 @dataclass(frozen=True, slots=True)
 class Superseded:
-    """Another successor stands by in place of this one, which is not needed."""
+    """Another successor has replaced this process."""
 
 
 @dataclass(frozen=True, slots=True)
 class AdoptConnection:
-    """A client's connection, and what it has sent of a message or more."""
+    """Take over a client connection with its received bytes."""
 
     item: TransferredConnection
 
 
 @dataclass(frozen=True, slots=True)
 class SettleAttempt:
-    """What an attempt of the predecessor has come to."""
+    """Apply the outcome of an attempt of the predecessor."""
 
     settled: AttemptSettled
 
 
 @dataclass(frozen=True, slots=True)
 class PredecessorEnded:
-    """The predecessor has ended. done: it had said all."""
+    """The predecessor has ended. done: it had sent everything."""
 
     done: bool
 
@@ -223,7 +224,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TransferredConnection:
-    """A connection to be given, with what it has sent."""
+    """A client connection to be passed to the successor, with its received bytes."""
 
     connection: Any
     data: bytes = b""
@@ -232,7 +233,7 @@
 
 
 class PredecessorPhase(Enum):
-    """What the older process is at."""
+    """State of the hand-over in the predecessor."""
 
     STANDALONE = "alone"
     SUCCESSOR_READY = "a successor stands by"
@@ -243,24 +244,24 @@
 
 @dataclass(slots=True)
 class Predecessor:
-    """The older process's part. Each method returns what is to be done."""
+    """State machine of the predecessor. Each method returns the effects to perform."""
 
     program: str = ""
     phase: PredecessorPhase = PredecessorPhase.STANDALONE
     successor: Link = None
     _waiting: deque[TransferredConnection] = field(default_factory=deque)
-    _unacked: deque[TransferredConnection] = field(default_factory=deque)  # not acknowledged
-    _acked_count: int = 0  # connections acknowledged
-    _ending_requested: bool = False  # told to end
-    _all_submitted: bool = False  # nothing more will be given or told
+    _unacked: deque[TransferredConnection] = field(default_factory=deque)  # sent, not acknowledged
+    _acked_count: int = 0  # number of acknowledged connections
+    _ending_requested: bool = False  # end() was called
+    _all_submitted: bool = False  # finish() was called
 
     @property
     def has_pending(self) -> bool:
-        """Something is still to be given or acknowledged."""
+        """True while a connection waits to be sent or acknowledged."""
         return bool(self._waiting or self._unacked)
 
     def receive(self, link: Link, message: Message | str) -> list[Effect]:
-        """A message has come; ProtocolError if it makes no sense now: the host then closes the link."""
+        """Handles a message. ProtocolError if it is invalid in this phase: the host then closes the link."""
         match message:
             case Hello():
                 return self._hello(link, message)
@@ -269,12 +270,12 @@
             ):
                 return [OutOfServiceRequested(out)]
             case SetOutOfService() | str() if link == self.successor:
-                return []  # too late, or of a newer program
+                return []  # too late, or sent by a newer build
             case StateAck(error, left_out) if (
                 link == self.successor and self.phase is PredecessorPhase.SENDING_STATE
             ):
                 self.phase = PredecessorPhase.SUCCESSOR_OWNS
-                return [OwnershipTransferred(error, left_out), *self._more()]
+                return [OwnershipTransferred(error, left_out), *self._send_waiting()]
             case ConnectionAck(count) if (
                 link == self.successor and self.phase is PredecessorPhase.SUCCESSOR_OWNS
             ):
@@ -286,25 +287,28 @@
                     for _ in range(count - self._acked_count)
                 ]
                 self._acked_count = count
-                return closed + self._more()
+                return closed + self._send_waiting()
         raise ProtocolError(f"{message!r:.60} while {self.phase.value}")
 
     def _hello(self, link: Link, hello: Hello) -> list[Effect]:
         version = common_version(hello)
         if self.phase not in (PredecessorPhase.STANDALONE, PredecessorPhase.SUCCESSOR_READY):
-            return [Send(link, Rejection("another one takes over")), Close(link)]
+            return [Send(link, Rejection("another process is taking over")), Close(link)]
         if version is None:
-            theirs = f"no common version with {hello.oldest} to {hello.version}"
-            return [Send(link, Rejection(theirs)), Close(link)]
+            reason = f"no common version with {hello.oldest} to {hello.version}"
+            return [Send(link, Rejection(reason)), Close(link)]
         before, self.successor, self.phase = self.successor, link, PredecessorPhase.SUCCESSOR_READY
-        told: list[Effect] = []
+        effects: list[Effect] = []
         if before is not None and before != link:
-            told = [Send(before, Rejection("another successor stands by", superseded=True)), Close(before)]
-        told.append(Send(link, Welcome(version, self.program)))
-        return told + self.end() if self._ending_requested else told
+            effects = [
+                Send(before, Rejection("replaced by another successor", superseded=True)),
+                Close(before),
+            ]
+        effects.append(Send(link, Welcome(version, self.program)))
+        return effects + self.end() if self._ending_requested else effects
 
     def end(self) -> list[Effect]:
-        """This process has been told to end."""
+        """Starts the hand-over, now or once there is a successor: this process is to end."""
         self._ending_requested = True
         if self.phase is not PredecessorPhase.SUCCESSOR_READY:
             return []
@@ -312,7 +316,7 @@
         return [BeginHandover()]
 
     def send_state(self, data: bytes, holds: PredecessorStatus) -> list[Effect]:
-        """The state, in answer to Retire."""
+        """Sends the state, in answer to BeginHandover."""
         pieces = [
             Send(self.successor, StateChunk(data[at : at + CHUNK_BYTES]))
             for at in range(0, len(data), CHUNK_BYTES)
@@ -320,17 +324,17 @@
         return [*pieces, Send(self.successor, StateEnd(len(data), checksum(data), holds))]
 
     def timed_out(self) -> list[Effect]:
-        """The successor has not said in time that it has the state."""
+        """Handles that no StateAck arrived in time."""
         return [Abort(self.successor)] if self.phase is PredecessorPhase.SENDING_STATE else []
 
     def pass_connection(self, item: TransferredConnection) -> list[Effect]:
-        """Pass a connection on, after those before it; only while FOLLOWED."""
+        """Passes a connection on, in order; only in SUCCESSOR_OWNS."""
         assert self.phase is PredecessorPhase.SUCCESSOR_OWNS
         self._waiting.append(item)
-        return self._more()
+        return self._send_waiting()
 
     def report_attempt(self, settled: AttemptSettled) -> list[Effect]:
-        """What an attempt has come to; nobody is told where there is no successor."""
+        """Reports the outcome of an attempt to the successor, if there is one."""
         return (
             [Send(self.successor, AttemptReport(settled))]
             if self.phase in (PredecessorPhase.SENDING_STATE, PredecessorPhase.SUCCESSOR_OWNS)
@@ -338,12 +342,12 @@
         )
 
     def finish(self) -> list[Effect]:
-        """Nothing more will be given or told."""
+        """Announces that no connection and no report will follow."""
         self._all_submitted = True
-        return self._more()
+        return self._send_waiting()
 
     def link_closed(self, link: Link) -> list[Effect]:
-        """A link has ended."""
+        """Handles the end of a link."""
         if link != self.successor or self.phase is PredecessorPhase.FINISHED:
             return []
         before, self.phase, self.successor = self.phase, PredecessorPhase.STANDALONE, None
@@ -354,7 +358,7 @@
         self._waiting.clear()
         return [SuccessorLost(before is PredecessorPhase.SENDING_STATE, returned)]
 
-    def _more(self) -> list[Effect]:
+    def _send_waiting(self) -> list[Effect]:
         effects: list[Effect] = []
         while self._waiting and len(self._unacked) < MAX_UNACKED_CONNECTIONS:
             item = self._waiting.popleft()
@@ -373,7 +377,7 @@
 
 
 class SuccessorPhase(Enum):
-    """What the successor is at."""
+    """State of the hand-over in the successor."""
 
     CONNECTING = "asking"
     STANDBY = "standing by"
@@ -385,7 +389,7 @@
 
 @dataclass(slots=True)
 class Successor:
-    """The newer process's part, on its one link. Each method returns what is to be done."""
+    """State machine of the successor, on one link. Each method returns the effects to perform."""
 
     program: str = ""
     phase: SuccessorPhase = SuccessorPhase.CONNECTING
@@ -393,23 +397,23 @@
     _state: bytearray = field(default_factory=bytearray)
     _data: bytearray = field(default_factory=bytearray)
     _received_count: int = 0
-    _unconfirmed: TransferredConnection | None = None  # it is this process's once its Ack is sent
+    _unconfirmed: TransferredConnection | None = None  # owned by this process once its ConnectionAck is sent
 
     def connected(self) -> list[Effect]:
-        """The link is up."""
+        """Handles that the link is established."""
         return [Send(self.link, Hello(program=self.program))]
 
     def request_out_of_service(self, out_of_service: bool) -> list[Effect]:
-        """The operator's word while the predecessor still serves."""
+        """Forwards an operator call while the predecessor still serves."""
         return (
             [Send(self.link, SetOutOfService(out_of_service))] if self.phase is SuccessorPhase.STANDBY else []
         )
 
     def receive(self, message: Message | str, connection: Any = None) -> list[Effect]:
-        """A message has come; ProtocolError if it makes no sense now: the host then closes the link."""
+        """Handles a message. ProtocolError if it is invalid in this phase: the host then closes the link."""
         match message:
             case str():
-                return []  # of a newer program: to be left out
+                return []  # sent by a newer build
             case Welcome(_, program) if self.phase is SuccessorPhase.CONNECTING:
                 self.phase = SuccessorPhase.STANDBY
                 return [StandingBy(program)]
@@ -420,23 +424,23 @@
                 if superseded:
                     self.phase = SuccessorPhase.SUPERSEDED
                     return [Superseded(), Close(self.link)]
-                return [*self._alone(reason), Close(self.link)]
+                return [*self._proceed_alone(reason), Close(self.link)]
             case StateChunk(data) if self.phase is SuccessorPhase.STANDBY:
                 self._state += data
                 if len(self._state) > MAX_STATE_BYTES:
-                    raise ProtocolError(f"a state of over {MAX_STATE_BYTES} bytes")
+                    raise ProtocolError(f"state exceeds {MAX_STATE_BYTES} bytes")
                 return []
             case StateEnd(length, check, holds) if self.phase is SuccessorPhase.STANDBY:
                 data = bytes(self._state)
                 self._state.clear()
                 if (length, check) != (len(data), checksum(data)):
-                    raise ProtocolError(f"the state is not whole: {len(data)} of {length} bytes")
+                    raise ProtocolError(f"state incomplete: {len(data)} of {length} bytes")
                 self.phase = SuccessorPhase.IMPORTING
                 return [ImportState(data, holds)]
             case DataChunk(data) if self.phase is SuccessorPhase.OWNER:
                 self._data += data
                 if len(self._data) > MAX_MESSAGE_BYTES:
-                    raise ProtocolError(f"a message of over {MAX_MESSAGE_BYTES} bytes")
+                    raise ProtocolError(f"message exceeds {MAX_MESSAGE_BYTES} bytes")
                 return []
             case PassedConnection(length, began_ms, arrived_ms) if (
                 self.phase is SuccessorPhase.OWNER and connection is not None
@@ -444,7 +448,7 @@
                 data = bytes(self._data)
                 self._data.clear()
                 if length != len(data):
-                    raise ProtocolError(f"a connection with {len(data)} of {length} bytes")
+                    raise ProtocolError(f"connection with {len(data)} of {length} bytes")
                 self._received_count += 1
                 self._unconfirmed = TransferredConnection(connection, data, began_ms, arrived_ms)
                 return [SendOrAbort(self.link, ConnectionAck(self._received_count))]
@@ -456,37 +460,37 @@
         raise ProtocolError(f"{message!r:.60} while {self.phase.value}")
 
     def state_imported(self, error: str, left_out: tuple[str, ...]) -> list[Effect]:
-        """The host's answer to Take."""
+        """Handles the result of ImportState. error: why the import failed, or empty."""
         return [SendOrAbort(self.link, StateAck(error, left_out))]
 
-    def send_result(self, there: bool) -> list[Effect]:
-        """The host's answer to Decide: whether it could be sent."""
+    def send_result(self, sent: bool) -> list[Effect]:
+        """Handles the result of SendOrAbort: whether the message could be sent."""
         item, self._unconfirmed = self._unconfirmed, None
-        if self.phase is SuccessorPhase.IMPORTING and there:
+        if self.phase is SuccessorPhase.IMPORTING and sent:
             self.phase = SuccessorPhase.OWNER
             return [BecomeOwner()]
         if item is not None:
-            return [AdoptConnection(item) if there else ReleaseConnection(item.connection)]
+            return [AdoptConnection(item) if sent else ReleaseConnection(item.connection)]
         return []
 
     def timed_out(self) -> list[Effect]:
-        """The predecessor has not answered in time."""
+        """Handles that the predecessor did not respond in time."""
         if self.phase is not SuccessorPhase.CONNECTING:
             return []
-        return [*self._alone("it did not answer in time"), Close(self.link)]
+        return [*self._proceed_alone("it did not respond in time"), Close(self.link)]
 
     def link_closed(self) -> list[Effect]:
-        """The link has ended."""
+        """Handles the end of the link."""
         if self.phase is SuccessorPhase.OWNER:
             self.phase = SuccessorPhase.STANDALONE
             return [PredecessorEnded(False)]
         if self.phase is SuccessorPhase.CONNECTING:
-            return self._alone("it has ended")
+            return self._proceed_alone("it has ended")
         if self.phase in (SuccessorPhase.STANDBY, SuccessorPhase.IMPORTING):
             self.phase = SuccessorPhase.CONNECTING
             return [Reconnect()]
         return []
 
-    def _alone(self, why: str) -> list[Effect]:
+    def _proceed_alone(self, why: str) -> list[Effect]:
         self.phase = SuccessorPhase.STANDALONE
         return [ProceedAlone(why)]
--- a/troutdock/overload/__init__.py
+++ b/troutdock/overload/__init__.py
@@ -1,1 +1,1 @@
-"""What the ingress makes of its own limits: how late it is, whom it turns away then, and for how long."""
+"""Overload of the ingress itself: event loop lag, load shedding switches, detection of retry storms."""
