--- a/tests/routing_service/test_deployment.py
+++ b/tests/routing_service/test_deployment.py
@@ -421,7 +421,7 @@
                 0
             ] == 200
             await reload_deployment(w.routed, lambda: moved)
-            assert w.routed.reader.view.table is before.table and "the old deployment stays" in caplog.text  # type: ignore[union-attr]
+            assert w.routed.reader.view.table is before.table and "keeping the old deployment" in caplog.text  # type: ignore[union-attr]
 
     run(test())
 
@@ -490,7 +490,7 @@
             assert await ask("/a") == 404 and "route one: other paths" in log.read_text()
             file.write_text("nonsense: 1\n")
             child.send_signal(signal.SIGHUP)
-            while "the old deployment stays" not in log.read_text():
+            while "keeping the old deployment" not in log.read_text():
                 await asyncio.sleep(0.02)
             assert await ask("/n") == 200
             child.send_signal(signal.SIGTERM)
--- a/tests/test_robustness.py
+++ b/tests/test_robustness.py
@@ -442,7 +442,7 @@
             pass
         path.write_text("{")
         process.send_signal(signal.SIGHUP)
-        while b"the old configuration stays" not in await process.stderr.readline():
+        while b"keeping the old configuration" not in await process.stderr.readline():
             pass
         path.write_text(json.dumps(config | {"discovery": second.address}))
         process.send_signal(signal.SIGHUP)
@@ -505,7 +505,7 @@
         served.stop()
 
     run(test())
-    assert "the watch has ended and is started anew" in caplog.text
+    assert "the watch ended unexpectedly and is restarted" in caplog.text
 
 
 # ---- the counter
--- a/troutdock/__init__.py
+++ b/troutdock/__init__.py
@@ -1,3 +1,3 @@
-"""troutdock: an admission ingress on real sockets, round the decisions of troutdock.admission."""
+"""troutdock: an admission control ingress; the decisions are made in troutdock.admission."""
 
 __version__ = "0.2.0"
--- a/troutdock/__main__.py
+++ b/troutdock/__main__.py
@@ -1,4 +1,4 @@
-"""Start, signals and the end: python -m troutdock, configured by the file that RELAY_CONFIG names."""
+"""Entry point and signal handling: python -m troutdock, configured by the file that RELAY_CONFIG names."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 log = logging.getLogger("troutdock")
 
-# Objects more than before, until the collector of cycles looks. Requests and connections leave no cycles, so
-# it finds little; with far more the few that others leave (tasks that failed, say) would pile up.
+# Allocations until a garbage collection. Requests and connections leave no reference cycles, so it finds
+# little; with a far higher threshold the few cycles of others (failed tasks, for example) would accumulate.
 GC_THRESHOLD = 10_000
 
 
 class ReloadHandler:
-    """SIGHUP: the file is read again. Those that come before the service is there are not lost."""
+    """Reloads the configuration on SIGHUP, also if the signal arrives before the service runs."""
 
     def __init__(self) -> None:
         self._service: Service | None = None
@@ -35,17 +35,17 @@
         signal.signal(signal.SIGHUP, lambda *_: self.request())
 
     def request(self) -> None:
-        """Read the file now, or as soon as there is a service to tell; a bad one changes nothing."""
+        """Reloads the file now, or once the service runs; an invalid file changes nothing."""
         self._requested = self._service is None
         if self._service is None:
             return
         try:
             self._service.reload(load_config(self._path))
         except ConfigError as error:
-            log.error("the old configuration stays: %s", error)
+            log.error("keeping the old configuration: %s", error)
 
     def attach(self, service: Service, path: str) -> None:
-        """From now on the service is told."""
+        """Sets the service to reload."""
         self._service, self._path = service, path
         asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, self.request)
         if self._requested:
@@ -66,14 +66,16 @@
 
 
 def _components(config: Config, path: str | None) -> list[Component]:
-    """What the operator's file asks for; nothing of it is loaded without one. ConfigError in one line."""
+    """Returns the components of the operator's file; without a file nothing is imported."""
     if not path:
         return []
     try:
         from troutdock.operator.components import parts_of
         from troutdock.operator.reader import OperatorError, read_operator
     except ImportError as error:
-        raise ConfigError(f"TROUTDOCK_OPERATOR needs the extra operator: no {error.name} here") from error
+        raise ConfigError(
+            f"TROUTDOCK_OPERATOR needs the extra operator: module {error.name} not found"
+        ) from error
     try:
         return parts_of(config.name, read_operator(Path(path)), config.settings)
     except OperatorError as error:
@@ -81,7 +83,7 @@
 
 
 def main() -> int:
-    """Exit 0 after a drain, 2 with one plain line on a bad configuration, 1 if it can't serve."""
+    """Runs the daemon. Exit status 0 after a drain, 2 for an invalid configuration, 1 if it cannot serve."""
     reloads = ReloadHandler()
     logging.basicConfig(level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s", stream=sys.stderr)
     try:
--- a/troutdock/daemon.py
+++ b/troutdock/daemon.py
@@ -1,8 +1,8 @@
 """The daemon: an ingress behind a listening socket, from its start to the end of its drain.
 
-With a socket that the platform holds there may be another process at it: see troutdock/handover/roles.py for
-who owns what. This is the host of both roles, PredecessorHost while it is the older process and SuccessorHost
-while it is the newer one.
+If the platform holds the socket, another process may share it: see troutdock/handover/roles.py for the rules
+of ownership. Service is the host of both roles: PredecessorHost in the older process, SuccessorHost in the
+newer one.
 """
 
 from __future__ import annotations
@@ -35,28 +35,28 @@
 
 log = logging.getLogger("troutdock")
 
-RETIRED_CLASS_GRACE_S = 3.0  # a class that is gone is still taken for so long, as clients hear of it later
+RETIRED_CLASS_GRACE_S = 3.0  # removed classes are still accepted, as clients learn of the change later
 
 
 class Component(Protocol):
-    """What runs beside the ingress because the operator's file asks for it."""
+    """A component that runs next to the ingress, as configured in the operator's file."""
 
     def start(self, engine: Engine) -> None:
-        """The loop runs: offer the engine what this is for."""
+        """Starts the component, on the running event loop, and registers it with the engine."""
 
     async def close(self) -> None:
-        """The ingress has drained: end in order."""
+        """Stops the component after the ingress has drained."""
 
     def books(self) -> Books:
-        """What operators may see and add to at their door."""
+        """Returns the component's calls of the management API."""
 
 
 @runtime_checkable
 class Frontend(Component, Protocol):
-    """One that takes clients or reaches backends by itself."""
+    """A component that accepts clients or reaches backends itself."""
 
     def attach(self, host: Service) -> None:
-        """Before the clients come. ValueError or OSError if that can't be."""
+        """Attaches to the service before it accepts clients; raises ValueError or OSError on failure."""
 
 
 class Service:
@@ -65,7 +65,7 @@
     def __init__(
         self, config: Config, listener: socket.socket | None = None, components: Sequence[Component] = ()
     ) -> None:
-        """listener: the clients' listening socket, where the platform holds it."""
+        """listener: the listening socket for clients, if the platform holds it."""
         self._config, self._listener, self._components = config, listener, components
         self.ingress = Ingress(config)
         self._server = Server(
@@ -92,47 +92,45 @@
         self._retire_timer: asyncio.TimerHandle | None = None
         self._to_successor: PredecessorLink | None = None
         self._from_predecessor: SuccessorLink | None = None
-        self._exported_state: Any = None  # that was given to a successor, until that has said that it uses it
-        self._requested_out_of_service: bool | None = (
-            None  # of this process's operator while it stood by: out of service, or in
-        )
-        self._predecessor_status = PredecessorStatus()  # what the predecessor has
+        self._exported_state: Any = None  # sent to a successor that has not acknowledged it
+        self._requested_out_of_service: bool | None = None  # operator's request during standby
+        self._predecessor_status = PredecessorStatus()
 
-    # ---- what fronts beside this one need
+    # ---- for frontends
 
     @property
     def engine(self) -> Engine:
-        """The one of all fronts."""
+        """The engine shared by all frontends."""
         return self.ingress.engine
 
     @property
     def server(self) -> Server:
-        """The clients' listener."""
+        """The listener for clients."""
         return self._server
 
     @property
     def transport(self) -> HttpTransport:
-        """The way to the backends."""
+        """The transport to the backends."""
         return self.ingress.transport
 
     @property
     def lag(self) -> EventLoopLag:
-        """This process's own."""
+        """The lag of this process."""
         return self.ingress.lag
 
     @property
     def times_s(self) -> tuple[float, float]:
-        """For a connection to come up; until a backend closes an idle one."""
+        """Connect timeout, and idle time after which backends close connections, in seconds."""
         return self._config.connect_timeout_s, self._config.idle_s
 
     @property
     def ready(self) -> bool:
-        """It takes clients, or will the moment its predecessor is told to end, which takes them till then."""
+        """True if it accepts clients, or will as soon as its predecessor, which still serves, ends."""
         standing_by = self._from_predecessor is not None and self._from_predecessor.standing_by
         return self.ingress.engine.ready if standing_by else self._server.healthy
 
     def _in_service(self, wanted: bool) -> bool:
-        """An operator's call, which counts for whoever takes the clients."""
+        """Handles an operator call, which applies to the process that accepts the clients."""
         if self._from_predecessor is not None and self._from_predecessor.standing_by:
             self._requested_out_of_service = not wanted
             self._from_predecessor.request_out_of_service(not wanted)
@@ -141,7 +139,7 @@
         return away.put_back(now) if wanted else away.take_out(now)
 
     async def run(self, stop: asyncio.Event, serving: Callable[[Service], object]) -> None:
-        """Serve until stop is set, then drain; serving is told once the door is open."""
+        """Serves until stop is set, then drains; serving is called once the service is started."""
         if self._config.management is not None:
             self.management = await self._management_server.listen(self._config.management)
         await self.ingress.start()
@@ -154,7 +152,7 @@
             self._from_predecessor = SuccessorLink(self, __version__)
         if self._from_predecessor is None or not await self._from_predecessor.connect(tempfile.gettempdir()):
             self.become_owner(False)
-        sweep = Background("the sweep of clients", self._sweep)
+        sweep = Background("client connection sweep", self._sweep)
         serving(self)
         await stop.wait()
         log.info("draining")
@@ -162,7 +160,7 @@
             await self._to_successor.end()
         before = self._from_predecessor
         if before is not None and (before.standing_by or before.superseded):
-            before.close()  # it was never the owner of anything
+            before.close()  # this process never owned anything
         await self._server.drain(lambda: before is not None and not before.finished.is_set())
         self._management_server.close()
         if self._to_successor is not None:
@@ -179,12 +177,12 @@
     # ---- as a successor: SuccessorHost
 
     def import_state(self, state: bytes, holds: PredecessorStatus) -> tuple[str, tuple[str, ...]]:
-        """Go on from a state: why that can't be, or nothing; and what of it is not known here."""
+        """Imports a state. Returns an error text, empty on success, and the names of unknown parts."""
         self._predecessor_status = holds
         try:
             left_out = self.ingress.engine.import_state(unpack_state(state))
         except (ProtocolError, ValueError) as error:
-            log.warning("the predecessor's state is of no use: %s", error)
+            log.warning("cannot import the predecessor's state: %s", error)
             return str(error), ()
         log.info("took over from a predecessor: %d bytes of state", len(state))
         if left_out:
@@ -192,12 +190,12 @@
         return "", tuple(name for name in left_out if not name.startswith("no "))
 
     def become_owner(self, without_state: bool) -> None:
-        """All is this process's from now on: take clients. alone: without knowing what was spent before."""
+        """Takes ownership and accepts clients. without_state: earlier consumption is unknown."""
         if without_state:
             self.ingress.engine.resume()
             self._predecessor_status = PredecessorStatus(
                 self._predecessor_status.out_of_service
-            )  # what it held has gone with it
+            )  # the rest ended with the predecessor
         self._server.open()
         self._server.reserve_predecessor_share(
             self._predecessor_status.bodies, self._predecessor_status.streams
@@ -212,7 +210,7 @@
             try:
                 self._to_successor = PredecessorLink(tempfile.gettempdir(), self, __version__)
             except OSError as error:
-                log.warning("a successor can take nothing over: %s", error)
+                log.warning("no hand-over to a successor is possible: %s", error)
         log.info(
             "%s: serving on %s:%d, %d backends known",
             self._config.name,
@@ -221,15 +219,15 @@
         )
 
     def adopt(self, item: TransferredConnection) -> None:
-        """A client's connection, with what has come on it."""
+        """Takes over a client connection with its received bytes."""
         self._server.adopt(item)
 
     def settle(self, settled: AttemptSettled) -> None:
-        """What an attempt of the predecessor has come to."""
+        """Applies the outcome of an attempt of the predecessor."""
         self.ingress.engine.attempt_settled(settled)
 
     def predecessor_ended(self) -> None:
-        """The predecessor has ended, and what it held of the budgets is free."""
+        """Handles the end of the predecessor: releases its share of the budgets."""
         self._server.reserve_predecessor_share(
             -self._predecessor_status.bodies, -self._predecessor_status.streams
         )
@@ -238,7 +236,7 @@
     # ---- as a predecessor: PredecessorHost
 
     def begin_handover(self) -> tuple[bytes, PredecessorStatus]:
-        """Let nothing new in: the state, and what this process holds to its end."""
+        """Stops accepting new work; returns the state and the status of this process."""
         log.info("a successor takes over")
         assert self._to_successor is not None
         self._server.begin_handover()
@@ -247,24 +245,24 @@
         return pack_state(self._exported_state), PredecessorStatus(out, *self._server.unreleased_share())
 
     def ownership_transferred(self) -> None:
-        """The successor is the owner; connections may be given."""
+        """Starts passing connections to the successor, which owns the budgets."""
         assert self._to_successor is not None
         self._exported_state = None
         self._server.hand_over_to(self._to_successor)
 
     def successor_lost(self, untouched: bool, returned: Iterable[TransferredConnection]) -> None:
-        """There is no successor any more; connections that nobody has are back."""
-        log.warning("the successor has ended; what is left is this process's again")
+        """Resumes after the successor is gone, with the connections that it did not acknowledge."""
+        log.warning("the successor has ended; this process resumes")
         self.ingress.engine.resume(self._exported_state if untouched else None)
         self._exported_state = None
         self._server.cancel_handover(returned)
 
     def set_out_of_service(self, out_of_service: bool) -> None:
-        """The successor's operator takes the ingress out of service, or puts it back."""
+        """Applies an operator call at the successor: out of service, or back in service."""
         self._in_service(not out_of_service)
 
     def reload(self, config: Config) -> None:
-        """Go over to a new configuration as a whole; ConfigError if it is not whole, and nothing changes."""
+        """Applies a new configuration; ConfigError if it is incomplete, and then nothing changes."""
         settings = self.ingress.reload(require_keys_of(config, self._config))
         self._config = config
         self._server.reader = Reader(settings, retired=True)
@@ -274,7 +272,7 @@
             RETIRED_CLASS_GRACE_S, self._retire, settings
         )
         log.info(
-            "configured anew: %d classes, %d plans, %d attempts",
+            "reloaded: %d classes, %d plans, %d attempts",
             settings.live_classes,
             len(settings.plans),
             settings.max_attempts,
@@ -296,5 +294,5 @@
     listener: socket.socket | None = None,
     components: Sequence[Component] = (),
 ) -> None:
-    """Serve until stop is set, then drain."""
+    """Serves until stop is set, then drains."""
     await Service(config, listener, components).run(stop, serving)
--- a/troutdock/ingress.py
+++ b/troutdock/ingress.py
@@ -1,6 +1,6 @@
-"""An ingress without its clients: the engine, its transport, the list of backends and the counter.
+"""The core of an ingress: the engine, its transport, the list of backends and the counter.
 
-The daemon puts listening sockets before it, the library a method call.
+Clients reach it through the listening sockets of the daemon, or through method calls of the library.
 """
 
 from __future__ import annotations
@@ -25,17 +25,17 @@
 
 log = logging.getLogger("troutdock")
 
-SWEEP_INTERVAL_S = 0.25  # how often connections that have stood too long are looked for
-RESERVED_SOCKETS = 48  # of the process: listening, discovery, counter, event loop, standard streams
+SWEEP_INTERVAL_S = 0.25  # interval of the check for expired connections
+RESERVED_SOCKETS = 48  # listening, discovery, counter, event loop, standard streams
 
 
 def max_connections_per_side(config: Config) -> int:
-    """The bound on clients' connections, and that on backends' connections."""
+    """Returns the limit on client connections, which is also the limit on backend connections."""
     return (config.sockets - RESERVED_SOCKETS) // 2
 
 
 class Ingress:
-    """It belongs to the event loop that is running when it is made."""
+    """Core of an ingress. It belongs to the event loop that runs when it is created."""
 
     def __init__(self, config: Config) -> None:
         self._config, self.settings = config, config.settings
@@ -58,7 +58,7 @@
             self.counter = Counter(config.counter, timeout_s, self.engine.count_answered)
             self.engine.set_counter(self.counter)
         self.peers: PeerSocket | None = None
-        self._peers_unavailable = False  # their address could not be had yet
+        self._peers_unavailable = False  # the address could not be bound yet
         if config.peers is not None and settings.peers and settings.gateways > 1:
             self.peers = PeerSocket(
                 config.peers, settings.index, settings.peer_in_per_s, self.engine.peer_message_received
@@ -66,7 +66,7 @@
             self.engine.set_peers(self.peers)
         known, endpoints = config.known
         self.engine.fleet_updated(known, endpoints)
-        self._discovery: Discovery | None = None  # without one the list stays as it is
+        self._discovery: Discovery | None = None  # None: the list is fixed
         if config.discovery is not None:
             self._watch_schedule = WatchSchedule(settings.gateways, known.version, Random(config.seed))
             self._discovery = Discovery(
@@ -83,26 +83,26 @@
         self._sampler: asyncio.TimerHandle | None = None
 
     async def start(self) -> None:
-        """Watch the list and connect to the counter; returns once that has been tried."""
+        """Starts discovery and connects to the counter; returns after the first connection attempt."""
         self._open_peers()
         if self._discovery is not None:
-            self._discovery_task = Background("the watch of discovery", self._discovery.run)
+            self._discovery_task = Background("discovery watch", self._discovery.run)
         if (counter := self.counter) is not None:
             attempted = asyncio.Event()
-            self._counter_task = Background("the counter's connection", lambda: counter.run(attempted))
+            self._counter_task = Background("counter connection", lambda: counter.run(attempted))
             await attempted.wait()
-        self._sweep_task = Background("the sweep", self._sweep_connections)
+        self._sweep_task = Background("connection sweep", self._sweep_connections)
         self._sample()
 
     def reload(self, config: Config) -> Settings:
-        """Go over to the settings and addresses of a new configuration; the settings as they hold now."""
+        """Applies a new configuration. Returns the settings in effect."""
         before, self._config = self._config, config
         settings = config.settings
         if settings.counter != self.settings.counter:
-            log.warning("configured anew: whether there is a counter changes with a restart only")
+            log.warning("reload: adding or removing the counter needs a restart")
             settings = replace(settings, counter=self.settings.counter)
         if config.sockets != before.sockets or config.listen != before.listen:
-            log.warning("configured anew: limits and the clients' address change with a restart only")
+            log.warning("reload: a change of limits or of the listening address needs a restart")
         self.settings = merge_settings(self.settings, settings)
         self.engine.reconfigure(self.settings)
         self.transport.set_timeouts(config.connect_timeout_s, config.idle_s)
@@ -113,7 +113,7 @@
             and config.discovery is not None
             and ((config.discovery, config.list_reader) != (before.discovery, before.list_reader))
         ):
-            log.info("configured anew: discovery at %s:%d", *config.discovery)
+            log.info("reload: discovery at %s:%d", *config.discovery)
             self._discovery.set_source(config.discovery, config.list_reader)
             if self._discovery_task is not None:
                 self._discovery_task.restart()
@@ -124,7 +124,7 @@
         return self.settings
 
     async def close(self) -> None:
-        """End what runs beside the calls, and drop idle connections."""
+        """Stops the background tasks and closes idle connections."""
         for task in (self._discovery_task, self._counter_task, self._sweep_task):
             if task is not None:
                 await task.stop()
@@ -137,17 +137,17 @@
         self.transport.close()
 
     def _open_peers(self) -> None:
-        """Listen to peers; the address may be a predecessor's until that has ended, so it is tried for."""
+        """Binds the address for peers; called repeatedly, as a predecessor may hold it until it ends."""
         if self.peers is not None and not self.peers.is_open:
             try:
                 self.peers.open()
             except OSError as error:
                 if not self._peers_unavailable:
-                    log.warning("peers: nothing is told or heard yet: %s", error)
+                    log.warning("peers: cannot send or receive digests yet: %s", error)
                 self._peers_unavailable = True
             else:
                 if self._peers_unavailable:
-                    log.info("peers: heard from now on")
+                    log.info("peers: receiving digests")
                 self._peers_unavailable = False
 
     def _sample(self) -> None:
--- a/troutdock/jsonlines.py
+++ b/troutdock/jsonlines.py
@@ -1,6 +1,7 @@
-"""Files and messages of JSON lines, each a named tuple: read whole, with the place of what is wrong.
+"""Files and messages in JSON lines, each line a named tuple; errors name the file and line.
 
-A file is written whole or not at all, and those who change it take turns (locked), also of several processes.
+A file is replaced atomically, and writers exclude one another by a lock file (file_lock), also in several
+processes.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 
 def decode(data: bytes, kind: type[Row], place: object = "line") -> Iterator[tuple[int, Row]]:
-    """Each line's number and row; ValueError names the place and the line that is wrong."""
+    """Yields the line number and row of each line; ValueError names the place and the invalid line."""
     for number, line in enumerate(data.splitlines(), 1):
         if line.strip():
             try:
@@ -31,31 +32,31 @@
 def fold_lines(
     data: bytes,
     kind: type[Row],
-    none: Result,
+    empty: Result,
     add: Callable[[Result, list[Row]], Result],
     place: object = "line",
 ) -> Result:
-    """All lines added to nothing; ValueError names the place and the first line that is wrong."""
+    """Adds all lines to an empty result; ValueError names the place and the first invalid line."""
     rows = list(decode(data, kind, place))
     try:
-        return add(none, [row for _, row in rows])
+        return add(empty, [row for _, row in rows])
     except ValueError as error:
-        whole, cause = none, error
+        result, cause = empty, error
     for number, row in rows:
         try:
-            whole = add(whole, [row])
+            result = add(result, [row])
         except ValueError as error:
             raise ValueError(f"{place}:{number}: {error}") from error
     raise ValueError(f"{place}: {cause}")
 
 
 def encode(rows: Iterable[tuple[object, ...]]) -> bytes:
-    """One line for each."""
+    """Encodes each row as one line."""
     return b"".join(msgspec.json.encode(list(row)) + b"\n" for row in rows)
 
 
 def read_or_empty(path: Path) -> bytes:
-    """A file's bytes, none if there is no file."""
+    """Returns the content of a file, empty if it does not exist."""
     try:
         return path.read_bytes()
     except FileNotFoundError:
@@ -63,7 +64,7 @@
 
 
 def file_stamp(path: Path) -> tuple[int, int, int]:
-    """Another one whenever the file has changed; of none it is zeros."""
+    """Returns a stamp that changes whenever the file changes; zeros without a file."""
     try:
         stat = path.stat()
     except OSError:
@@ -72,7 +73,7 @@
 
 
 def replace_file(path: Path, data: bytes) -> None:
-    """Put this in the file's place in one step, and on disk; OSError leaves the old one."""
+    """Replaces the file atomically and durably; on OSError the old content remains."""
     part = path.with_name(path.name + ".part")
     with part.open("wb") as file:
         file.write(data)
@@ -88,7 +89,7 @@
 
 @contextmanager
 def file_lock(path: Path) -> Iterator[None]:
-    """Nobody else who asks for it changes the file meanwhile; blocks until that is so."""
+    """Holds the exclusive lock of the file; blocks until it is available."""
     with path.with_name(path.name + ".lock").open("ab") as lock:
         fcntl.flock(lock, fcntl.LOCK_EX)
         yield
--- a/troutdock/membership/__init__.py
+++ b/troutdock/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who else is there: the way of a digest from one ingress to the others."""
+"""Membership: digests between the ingresses, and the schedule of discovery calls."""
--- a/troutdock/membership/datagrams.py
+++ b/troutdock/membership/datagrams.py
@@ -1,8 +1,8 @@
-"""Digests to and from peers as UDP datagrams, as PROTOCOL has it: the decision module words and reads them.
+"""Digests to and from peers as UDP datagrams (PROTOCOL); the decision module encodes and decodes them.
 
-What is dropped here is counted and, the first time for each sender, logged: a datagram from an address that
-is no peer's, one that is too long, and what comes faster than this ingress takes in. Nothing grows with
-what strangers send: at most STRANGERS of them are told apart.
+Dropped datagrams are counted and, the first time for each sender, logged: from an unknown address, too long,
+or above the intake rate of this ingress. Memory does not grow with unknown senders: at most
+MAX_LOGGED_SENDERS are remembered.
 """
 
 from __future__ import annotations
@@ -18,46 +18,44 @@
 
 log = logging.getLogger("troutdock")
 
-MAX_DATAGRAM_BYTES = 256  # bytes of a datagram; a longer one is against the protocol
-MAX_READS_PER_PASS = 64  # datagrams that are read before other work has its turn
-MAX_LOGGED_SENDERS = 64  # senders that are logged by name
-INTAKE_MARGIN = (
-    2.0  # times the intake a second that is let through: the platform drops what is more than the intake
-)
+MAX_DATAGRAM_BYTES = 256  # longer datagrams violate the protocol
+MAX_READS_PER_PASS = 64  # then other work of the event loop runs
+MAX_LOGGED_SENDERS = 64  # senders for whom a drop is logged
+INTAKE_MARGIN = 2.0  # multiple of the intake rate that is accepted: the platform already drops above the rate
 
 
 @dataclass(frozen=True, slots=True)
 class PeerAddresses:
-    """Where digests go and come from."""
+    """Addresses for digests."""
 
     listen: Address
-    addresses: tuple[Address, ...]  # by gateway, this one's own among them
-    broadcast: Address | None  # one datagram to it reaches all; None: each peer gets its own
+    addresses: tuple[Address, ...]  # by gateway index, including this one
+    broadcast: Address | None  # reaches all peers; None: send to each peer
 
 
 class PeerSocket:
-    """The socket that digests come and go by; it belongs to the loop that is running when it is opened."""
+    """The UDP socket for digests. It belongs to the event loop that runs when it is opened."""
 
     def __init__(
-        self, peers: PeerAddresses, index: int, intake_per_s: float, heard: Callable[[int, bytes], None]
+        self, peers: PeerAddresses, index: int, intake_per_s: float, on_datagram: Callable[[int, bytes], None]
     ) -> None:
-        """index: this ingress's own number. heard: who is told a sender's number and its datagram."""
-        self._peers, self._index, self._on_datagram = peers, index, heard
+        """index: of this ingress. on_datagram: is called with the sender's index and the datagram."""
+        self._peers, self._index, self._on_datagram = peers, index, on_datagram
         self._indexes = {address: n for n, address in enumerate(peers.addresses)}
         self._max_per_s = max(1.0, INTAKE_MARGIN * intake_per_s)
         self._tokens, self._refilled_at = self._max_per_s, 0.0
         self._socket: socket.socket | None = None
         self._logged: set[Address] = set()
-        self.dropped: Counter[str] = Counter()  # by cause
+        self.dropped: Counter[str] = Counter()  # count by reason
         self.address = peers.listen
 
     @property
     def is_open(self) -> bool:
-        """There is a socket to hear and to tell by."""
+        """True if the socket is open."""
         return self._socket is not None
 
     def open(self) -> None:
-        """Listen; OSError if the address can't be had."""
+        """Binds the socket; raises OSError if the address is not available."""
         self._loop = asyncio.get_running_loop()
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
@@ -70,14 +68,14 @@
         self._loop.add_reader(sock, self._readable)
 
     def close(self) -> None:
-        """Hear and tell nothing more; harmless when it is closed."""
+        """Closes the socket; idempotent."""
         if self._socket is not None:
             self._loop.remove_reader(self._socket)
             self._socket.close()
             self._socket = None
 
     def tell(self, gateway: int | None, body: bytes) -> None:
-        """Send to one gateway, or to all others; what can't be sent is lost, as any datagram may be."""
+        """Sends to one gateway, or to all others (None). A failed send is counted and not retried."""
         if self._socket is None:
             return
         if gateway is not None:
@@ -100,7 +98,7 @@
                 body, sender = self._socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except (BlockingIOError, InterruptedError):
                 return
-            except OSError as error:  # an earlier datagram found nobody listening
+            except OSError as error:  # ICMP error: nobody listened at the address of an earlier datagram
                 self.dropped["not delivered"] += 1
                 log.debug("peers: %r", error)
                 continue
@@ -114,7 +112,7 @@
         if number is None:
             self._drop("from no peer", sender)
         elif number == self._index:
-            return  # its own, where one to everybody comes back
+            return  # own datagram, returned by the broadcast address
         elif len(body) > MAX_DATAGRAM_BYTES:
             self._drop("too long", sender)
         elif self._tokens < 1:
--- a/troutdock/membership/watch.py
+++ b/troutdock/membership/watch.py
@@ -1,22 +1,23 @@
-"""When a client of discovery calls, for what, and how long it waits (no I/O, no clock).
-
-Theory of operation. Discovery is one service for a whole fleet, and serves so many calls a second. To go on
-with a watch costs it nothing, to begin one is a call, and a call that it turns away costs it as well. What
-one client does at once, many do together: so each keeps its own calls to a part of what the fleet may make.
-
-    behind     no answer yet since the start or another address: the first call is made at once, as what
-               discovery had to tell by then counts as told to who could have asked
-    current    the last call was answered: the next one follows at once, as a watch goes on for 200 ms only
-    lost       the call failed, or what came made no sense: once more within those 200 ms, then in longer and
-               longer pauses; discovery may be down, and calls to one that is down cost it nothing
-    refused    discovery turned the call away: pauses of a slot for each gateway, longer with each refusal
-
-Bound: a gateway that is refused calls once in FIRST_S to LONGEST_S, or in its slots where the fleet is small;
-so all together call no more than 1 / SLOT_S times a second up to FIRST_S / SLOT_S gateways, and beyond that
-number no more than one in FIRST_S each. Longer pauses would leave drains unheard, see LONGEST_S.
-
-The version is kept as long as it is worth something: with it the answer holds what has changed, without it
-the whole list, which is the dearest call of all. It is given up where an answer does not fit to it.
+"""Schedule of a discovery client: when to call, from which version, and the timeout (no I/O, no clock).
+
+Theory of operation. Discovery is one service for a whole fleet with a limited rate of calls. Continuing a
+watch is free, starting one costs a call, and a rejected call costs as much. Many clients may act at the same
+moment, so each limits its own calls to its share of the fleet's rate.
+
+    STARTING      no response since the start or a change of address: the first call is made at once, as
+                  discovery counts its changes up to then as delivered to every client that could have called
+    CURRENT       the last call was answered: the next one follows at once, as a watch lasts 200 ms only
+    UNREACHABLE   the call failed or the response was invalid: one retry within those 200 ms, then backoff;
+                  calls to a discovery that is down cost it nothing
+    REJECTED      discovery rejected the call: backoff of a slot for each gateway, longer with each rejection
+
+Bound: a rejected gateway calls once in MAX_FIRST_BACKOFF_S to MAX_BACKOFF_S, or once in its slots in a small
+fleet. So all gateways together call at most 1 / CALL_SLOT_S times a second up to
+MAX_FIRST_BACKOFF_S / CALL_SLOT_S gateways, and beyond that number at most once in MAX_FIRST_BACKOFF_S each.
+Longer backoff would miss drains, see MAX_BACKOFF_S.
+
+The version is kept while it is valid: with it the response holds only changes, without it the complete list,
+which is the most expensive call. It is discarded if a response is inconsistent with it.
 """
 
 from __future__ import annotations
@@ -25,31 +26,26 @@
 from enum import Enum
 from random import Random
 
-POLL_HOLD_MS = 1000  # how long a call of the watch waits for news: only its end shows a silent connection
-# Beyond the wait: discovery answers what it takes on within 2 s, and what is left costs it too. What a call
-# that waits was to bring counts as told 2 s after that wait, and binds 0.5 s later: by then the next call has
-# to be through, so no more than 2.2. With 2.5 a gateway was blind for some 50 ms too long.
+POLL_HOLD_MS = 1000  # long poll; only its end reveals a dead connection
+# Beyond the hold time: discovery answers accepted calls within 2 s, and an abandoned call costs it too.
+# Changes that a held call should have returned count as delivered 2 s after the hold time and take effect
+# 0.5 s later. The next call must be complete by then, hence at most 2.2; with 2.5 a gateway was about 50 ms
+# too late.
 RESPONSE_TIMEOUT_S = 2.2
-EFFECTIVE_S = 2.5  # beyond the wait of a call that is never answered: what it was to bring
-RETRY_DELAY_S = 0.1  # after a failure of a current watch; with the time to connect it stays within the 200 ms
-MAX_RETRY_DELAY_S = (
-    2.0  # the longest pause where discovery is silent: it costs nothing, and its return is to be seen
-)
+EFFECTIVE_S = 2.5  # beyond the hold time of an unanswered call: its changes take effect
+RETRY_DELAY_S = 0.1  # first retry; with the time to connect it stays within the 200 ms
+MAX_RETRY_DELAY_S = 2.0  # unreachable: calls cost nothing, and recovery must be noticed
 CALL_SLOT_S, MAX_CALL_SLOT_S = (
     0.05,
     0.25,
-)  # of the fleet's calls after a refusal: the first pause, the longest
-MAX_FIRST_BACKOFF_S = 2.0  # the most that the first pause may be: a discovery that refuses has work for 2 s
-MAX_BACKOFF_S = (
-    4.0  # and the longest: with the 2 s for an answer, what is told 6 s late at most is heard in time
-)
-BACKOFF_GROWTH = (
-    3.0  # decorrelated jitter: the next pause is drawn from the shortest to so many times the one before
-)
+)  # per gateway, after a rejection: first and longest backoff
+MAX_FIRST_BACKOFF_S = 2.0  # a discovery that rejects calls has work for 2 s
+MAX_BACKOFF_S = 4.0  # with the 2 s for a response, changes are received within the allowed 6 s
+BACKOFF_GROWTH = 3.0  # decorrelated jitter: drawn between the minimum and 3 times the previous delay
 
 
 class WatchState(Enum):
-    """What the client knows of discovery."""
+    """State of the client with respect to discovery."""
 
     STARTING = "behind"
     CURRENT = "current"
@@ -59,47 +55,47 @@
 
 @dataclass(frozen=True, slots=True)
 class NextCall:
-    """The next call: after a pause, for what is newer than a version (None: the whole list)."""
+    """The next call: delay, the version after which changes are requested (None: complete list), timeout."""
 
     delay_s: float
     version: int | None
-    hold_ms: int  # 0: without a version nothing is waited for
-    timeout_s: float  # from the call to its answer
+    hold_ms: int  # 0 without a version: no long poll
+    timeout_s: float  # from the request to its response
 
 
 class WatchSchedule:
-    """One client's course; tell it what became of each call, then ask it for the next."""
+    """Schedule of one client: receives the result of each call and returns the next call."""
 
     def __init__(self, gateways: int, version: int | None, random: Random) -> None:
-        """gateways: that call the same discovery, this one among them. version: of the list that is known."""
+        """gateways: number that use the same discovery, including this one. version: of the known list."""
         self._random = random
         self.version, self.state, self._pause_s = version, WatchState.STARTING, 0.0
         self.set_gateways(gateways)
 
     def set_gateways(self, gateways: int) -> None:
-        """Other settings: so many gateways share discovery."""
+        """Sets the number of gateways that share discovery."""
         self._first_s = min(MAX_FIRST_BACKOFF_S, gateways * CALL_SLOT_S)
         self._longest_s = min(MAX_BACKOFF_S, gateways * MAX_CALL_SLOT_S)
 
     def source_changed(self) -> None:
-        """Another discovery: versions of the one before mean nothing there."""
+        """Handles a change to another discovery, where the known version is meaningless."""
         self.version, self.state, self._pause_s = None, WatchState.STARTING, 0.0
 
     def next_call(self) -> NextCall:
-        """The next call."""
+        """Returns the next call."""
         hold_ms = 0 if self.version is None else POLL_HOLD_MS
         return NextCall(self._pause_s, self.version, hold_ms, hold_ms / 1000 + RESPONSE_TIMEOUT_S)
 
     def answered(self, version: int) -> None:
-        """A list came, and this is its version."""
+        """Handles a response with a list of this version."""
         self.state, self.version, self._pause_s = WatchState.CURRENT, version, 0.0
 
     def closed(self) -> None:
-        """The connection ended with the answer: a new one is made within the watch's 200 ms."""
+        """Handles a connection closed after a response: reconnect within the 200 ms of the watch."""
         self._pause_s = RETRY_DELAY_S
 
     def rejected(self) -> None:
-        """Discovery turned the call away: all who call are too many."""
+        """Handles a rejected call: discovery is overloaded."""
         if self.state is not WatchState.REJECTED:
             self.state, self._pause_s = WatchState.REJECTED, self._first_s
         self._pause_s = self._random.uniform(
@@ -107,7 +103,7 @@
         )
 
     def failed(self) -> None:
-        """No answer, or the connection broke."""
+        """Handles a timeout or a broken connection."""
         if self.state is not WatchState.UNREACHABLE:
             self.state, self._pause_s = WatchState.UNREACHABLE, RETRY_DELAY_S
         else:
@@ -116,6 +112,6 @@
             )
 
     def inconsistent(self) -> None:
-        """What came does not fit to what is known, or was not taken in: the whole list holds what it said."""
+        """Handles a response that is inconsistent or was not applied: requests the complete list next."""
         self.version = None
         self.failed()
--- a/troutdock/platform/__init__.py
+++ b/troutdock/platform/__init__.py
@@ -1,1 +1,1 @@
-"""What the platform tells and offers: configuration, discovery, the counter, the time."""
+"""Services of the platform: configuration, discovery, the shared counter, the clock."""
--- a/troutdock/platform/background.py
+++ b/troutdock/platform/background.py
@@ -1,4 +1,4 @@
-"""Tasks that have to go on for as long as the program does."""
+"""Tasks that run as long as the process."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 log = logging.getLogger("troutdock")
 
-RESTART_DELAY_S = 0.1  # before a task that has failed is started anew
+RESTART_DELAY_S = 0.1  # before a failed task is restarted
 
 
 class Background:
-    """Keeps a task running: guards against work that ends in silence, whatever ended it."""
+    """Keeps a task running: restarts it and logs an error when it ends for any reason."""
 
     def __init__(self, name: str, work: Callable[[], Coroutine[Any, Any, None]]) -> None:
         self._name, self._work = name, work
@@ -29,21 +29,21 @@
     def _on_done(self, task: asyncio.Task[None]) -> None:
         if task.cancelled() or self._stopped:
             return
-        log.error("%s has ended and is started anew", self._name, exc_info=task.exception())
+        log.error("%s ended unexpectedly and is restarted", self._name, exc_info=task.exception())
         self._loop.call_later(RESTART_DELAY_S, self._restart_after, task)
 
     def _restart_after(self, ended: asyncio.Task[None]) -> None:
-        if ended is self._task:  # else it was restarted meanwhile
+        if ended is self._task:  # otherwise it has been restarted already
             self._start()
 
     def restart(self) -> None:
-        """Drop what is under way and begin anew at once."""
+        """Cancels the running task and starts a new one immediately."""
         before = self._task
         self._start()
         before.cancel()
 
     async def stop(self) -> None:
-        """End for good; returns once the task has."""
+        """Stops the task permanently; returns once it has ended."""
         self._stopped = True
         self._task.cancel()
         await asyncio.wait({self._task})
--- a/troutdock/platform/clock.py
+++ b/troutdock/platform/clock.py
@@ -1,4 +1,4 @@
-"""The time, as all ingresses of a deployment read it."""
+"""The clock shared by all ingresses of a deployment."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 class SystemClock:
     """Monotonic milliseconds on the scale of Unix time.
 
-    The gateway names counters after the minute it is, and all ingresses must name them alike; so the
-    scale is the one that the machines share, fixed at the start so that no later step of it is felt.
+    The gateway names counters by the minute, and all ingresses must use the same names, hence Unix time. The
+    offset to the monotonic clock is fixed at the start, so later clock steps have no effect.
     """
 
     def __init__(self) -> None:
         self._offset = time.time() - time.monotonic()
 
     def now(self) -> float:
-        """Milliseconds."""
+        """Returns the time in milliseconds."""
         return (self._offset + time.monotonic()) * 1000
--- a/troutdock/platform/config.py
+++ b/troutdock/platform/config.py
@@ -1,4 +1,4 @@
-"""What the platform tells an ingress: the file that RELAY_CONFIG names."""
+"""The configuration of an ingress: the file that RELAY_CONFIG names."""
 
 from __future__ import annotations
 
@@ -18,13 +18,11 @@
 
 MIN_SOCKETS = 64
 MIN_MEMORY_MB = 24
-MAX_BUFFERED_RESPONSES = (
-    48  # of the greatest length, in all of the memory: an answer is held until it is whole
-)
+MAX_BUFFERED_RESPONSES = 48  # of maximum size, in all memory: responses are buffered until complete
 
 
 class ConfigError(ValueError):
-    """The configuration can't be used; the message says why, on one line."""
+    """The configuration is invalid; the message gives the reason on one line."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,23 +30,23 @@
     """The configuration of one ingress."""
 
     name: str
-    listen: Address | None  # None: the library, which listens nowhere
+    listen: Address | None  # None: the library, which does not listen
     discovery: Address | None  # None: the list of backends never changes
     counter: Address | None
     seed: int = field(compare=False)
     list_reader: ListReader
-    known: tuple[FleetUpdate, Endpoints]  # the list of backends as this ingress last had it
+    known: tuple[FleetUpdate, Endpoints]  # the last known list of backends
     settings: Settings
     sockets: int
-    max_answer: int  # bytes of a backend's answer
+    max_answer: int  # bytes of a backend's response
     connect_timeout_s: float
     damping: Damping
-    idle_s: float  # a backend closes a connection that has stood idle this long
-    bodies: int = MIN_BODY_BUDGET  # bytes of clients' long bodies that are held, all together
-    streams: int = MIN_STREAMS  # long answers that are passed on at once
-    peers: PeerAddresses | None = None  # None: nothing is told or heard
-    management: Address | None = None  # where operators call
-    keys: frozenset[str] = field(default=frozenset(), compare=False)  # that the file has, see keys_of
+    idle_s: float  # backends close connections that are idle this long
+    bodies: int = MIN_BODY_BUDGET  # budget in bytes for long request bodies
+    streams: int = MIN_STREAMS  # concurrently streamed responses
+    peers: PeerAddresses | None = None  # None: no digests are sent or received
+    management: Address | None = None  # address of the management API
+    keys: frozenset[str] = field(default=frozenset(), compare=False)  # present in the file, see key_paths
 
 
 _PLATFORM_KEYS = (
@@ -58,11 +56,11 @@
     "counter",
     "limits",
     "settings",
-)  # what it writes in every file
+)  # keys that the platform writes in every file
 
 
 def key_paths(value: object, path: str = "") -> Iterator[str]:
-    """The paths of all keys; of a list of objects those that each of them has."""
+    """Yields the paths of all keys; for a list of objects, the keys that all of them have."""
     if isinstance(value, dict):
         for key, item in value.items():
             inner = f"{path}.{key}" if path else str(key)
@@ -73,14 +71,14 @@
 
 
 def require_keys_of(config: Config, running: Config) -> Config:
-    """The new configuration; ConfigError if it lacks a key of the running one: it was half written."""
+    """Returns the new configuration; ConfigError if it lacks a key of the running one (truncated file)."""
     if lacking := sorted(running.keys - config.keys):
         raise ConfigError(f"{lacking[0]} is missing, which the running configuration has")
     return config
 
 
 def flatten(value: object, path: str = "") -> Iterator[str]:
-    """Nested settings as the simulator's path=value lines: simulator_wire.parse_settings validates both."""
+    """Yields nested settings as the simulator's path=value lines, for simulator_wire.parse_settings."""
     match value:
         case dict():
             for key, item in value.items():
@@ -107,7 +105,7 @@
 
 
 def read_peers(raw: dict[str, object], gateways: int) -> PeerAddresses | None:
-    """Where digests come and go, if the file says so; ValueError names the key that can't be used."""
+    """Parses the addresses for digests, if configured; ValueError names the invalid key."""
 
     def address(key: str, value: object) -> Address:
         try:
@@ -130,7 +128,7 @@
 
 
 def read_config(text: str) -> Config:
-    """Validate all that the ingress uses; ConfigError names what is wrong."""
+    """Parses and validates the configuration; ConfigError names what is invalid."""
     try:
         raw = json.loads(text)
         settings = raw["settings"]
@@ -141,7 +139,7 @@
         memory_mb = float(raw.get("limits", {}).get("memory_mb", 64))
         if not MIN_MEMORY_MB <= memory_mb < 1e9:
             raise ConfigError(f"limits.memory_mb: {memory_mb:g} is below {MIN_MEMORY_MB}")
-        told = parse_settings("\n".join(flatten(settings)))
+        parsed_settings = parse_settings("\n".join(flatten(settings)))
         list_reader = ListReader(settings.get("zones", ()), settings.get("machine_types", ()))
         known = raw.get("known") or {"rev": 0, "all": True, "targets": []}
         return Config(
@@ -152,7 +150,7 @@
             seed=int(raw.get("seed", "0"), 16),
             list_reader=list_reader,
             known=list_reader.read(known, cached=True),
-            settings=told,
+            settings=parsed_settings,
             sockets=sockets,
             max_answer=max(MAX_BODY, int(memory_mb * 1024 * 1024 / MAX_BUFFERED_RESPONSES)),
             connect_timeout_s=float(permissions.get("dial_timeout", 250)) / 1000,
@@ -160,7 +158,7 @@
             bodies=body_budget_bytes(memory_mb),
             streams=max_streams_for(memory_mb),
             damping=read_damping(raw.get("damping", {})),
-            peers=read_peers(raw, told.gateways),
+            peers=read_peers(raw, parsed_settings.gateways),
             management=parse_address(raw["management"]) if raw.get("management") else None,
             keys=frozenset(key_paths({name: raw[name] for name in _PLATFORM_KEYS if name in raw})),
         )
@@ -171,7 +169,7 @@
 
 
 def load_config(path: str) -> Config:
-    """Read the file; ConfigError if that can't be done."""
+    """Reads the file; ConfigError if it is unreadable or invalid."""
     try:
         return read_config(Path(path).read_text(encoding="utf-8"))
     except (OSError, ValueError) as error:
--- a/troutdock/platform/counter.py
+++ b/troutdock/platform/counter.py
@@ -1,4 +1,4 @@
-"""The shared counter: RESP2 calls, one behind another on one connection."""
+"""Client of the shared counter: pipelined RESP2 calls on one connection."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 log = logging.getLogger("troutdock")
 
 CONNECT_TIMEOUT_S = 0.5
-RECONNECT_DELAY_S = 0.2  # before the next connection, after one that could not be made or that was of no use
-FIRST_REPLY_TIMEOUT_S = 0.25  # a first call unanswered for so long shows a connection that nobody serves
+RECONNECT_DELAY_S = 0.2  # after a failed or useless connection
+FIRST_REPLY_TIMEOUT_S = 0.25  # without a reply to the first call, the connection is considered dead
 SILENCE_FACTOR, MAX_SILENCE_S = (
     8.0,
     1.0,
-)  # later ones: times what replies take, a time-out at least and this at most
-DECAY = 0.98  # what a prompt reply leaves of the time that slower ones took
-MAX_PENDING_CALLS = 1000  # unanswered on one connection
+)  # later: factor on the reply time, at least the time-out and at most MAX_SILENCE_S
+DECAY = 0.98  # decay of the reply time for each faster reply
+MAX_PENDING_CALLS = 1000  # pending on one connection
 
-# The two replies that a call may get. They are read here, as a general reader of RESP sets memory aside for
-# whatever a reply promises, and waits for it.
+# The two replies that a call may get. They are parsed here because a general RESP parser allocates memory for
+# whatever length a reply announces, and waits for it.
 _REPLY = re.compile(rb"\$(\d{1,2})\r\n([^\r\n]{1,99})\r\n|-([^\r\n]{1,99})\r\n")
 _PARTIAL_REPLY = re.compile(rb"\$(\d{1,2})?(\r|\r\n[^\r\n]{0,99}\r?)?|-[^\r\n]{0,99}\r?")
 _NUMBER = re.compile(rb"[+-]?\d+(\.\d*)?([eE][+-]?\d{1,3})?")
@@ -33,11 +33,11 @@
 
 
 class CounterProtocolError(ValueError):
-    """The peer sent what no counter says; after that no reply can be matched to its call."""
+    """The peer violated the protocol; later replies cannot be matched to their calls."""
 
 
 class PendingCall:
-    """One call on its way."""
+    """A call without a result."""
 
     __slots__ = ("answer", "name", "started", "timed_out")
 
@@ -47,7 +47,7 @@
 
 
 class ReplyTime:
-    """What replies of the counter take, late ones among them: near the most, fading with each quicker one."""
+    """Reply time of the counter, including late replies: a maximum that decays with faster replies."""
 
     def __init__(self) -> None:
         self.seconds = 0.0
@@ -57,7 +57,7 @@
 
 
 class Connection(asyncio.Protocol):
-    """One connection to the counter, and the calls that it still owes a reply."""
+    """One connection to the counter, and the calls that await a reply on it."""
 
     def __init__(
         self,
@@ -74,28 +74,28 @@
         )
         self._loop = asyncio.get_running_loop()
         self._made_at = self._last_reply_at = self._loop.time()
-        self._calls: deque[PendingCall] = deque()  # in the order of their replies
-        self._waiting: deque[PendingCall] = deque()  # those of them that are still waited for
+        self._calls: deque[PendingCall] = deque()  # in the order of their replies, timed out ones included
+        self._waiting: deque[PendingCall] = deque()  # those that have not timed out
         self._timer: asyncio.TimerHandle | None = None
-        self._pending = b""  # of a reply that is not complete
+        self._pending = b""  # bytes of an incomplete reply
         self._replied = self._retired = False
         self._lost_outcome = (
             Outcome.TIMEOUT
-        )  # the calls that are out when it ends; RESET: most likely never read
+        )  # outcome of calls pending at the end; RESET: most likely never read
         self._transport: asyncio.Transport | None = None
 
     @property
     def was_useful(self) -> bool:
-        """It was replied to, however badly, or stood for a while: a new one is worth trying at once."""
+        """True if it got any reply or lasted for a while: reconnect immediately."""
         return self._replied or self._loop.time() - self._made_at > RECONNECT_DELAY_S
 
     @property
     def up(self) -> bool:
-        """It can take calls."""
+        """True if it accepts calls."""
         return self._transport is not None and not self._transport.is_closing()
 
     def call(self, call: PendingCall, command: bytes) -> bool:
-        """Write one call; false if too many are unanswered: nothing is written then."""
+        """Sends a call. Returns false, without sending, if too many calls are pending."""
         if len(self._calls) >= MAX_PENDING_CALLS or self._transport is None:
             return False
         self._transport.write(command)
@@ -109,28 +109,28 @@
         return True
 
     def retire(self) -> None:
-        """Close once every call has its reply or is no longer waited for."""
+        """Closes the connection once every call has its reply or has timed out."""
         self._retired = True
         if not self._waiting and self._transport is not None:
             self._transport.abort()
 
     def drop(self) -> None:
-        """Close at once."""
+        """Closes the connection immediately."""
         if self._transport is not None:
             self._transport.abort()
 
     def _check_timeouts(self) -> None:
-        """Whatever has waited too long may have been added; its late answer is read and dropped.
+        """Times out calls, which may have been added; their late replies are read and discarded.
 
-        Guards against a connection that nobody serves any more while the counter is sound: calls on it are
-        lost, and what they were to add with them. A counter that is slow as a whole shows in its pace, and
-        the first reply on a connection has longer, so such a one is not met with ever new connections. It
-        could hurt where prompt replies are held up for longer than a time-out: those calls may be added.
+        Also detects a dead connection while the counter is healthy: calls on it, with their amounts, are
+        lost. A slow counter raises the reply time, and the first reply on a connection is given longer, so a
+        slow counter does not cause repeated reconnects. The detection is wrong if usually fast replies are
+        delayed for longer than the timeout: those calls may be added although they are reported as lost.
         """
         self._timer = None
         now = self._loop.time() + 0.0005
         if self._pending and self._waiting and self._waiting[0].started + self._timeout_s <= now:
-            self._lost_outcome = Outcome.TIMEOUT  # what is replied to has been added
+            self._lost_outcome = Outcome.TIMEOUT  # the call that is being answered has been added
             return self._abort_silent(" within a reply")
         if (
             self._calls
@@ -150,7 +150,7 @@
             self._timer = self._loop.call_at(max(min(due, silent_at), now), self._check_timeouts)
 
     def _silence_timeout(self) -> float:
-        """How long no reply at all is borne with."""
+        """Returns how long the connection may be silent before it is aborted."""
         return max(
             self._timeout_s,
             min(MAX_SILENCE_S, SILENCE_FACTOR * self._reply_time.seconds)
@@ -159,14 +159,14 @@
         )
 
     def _abort_silent(self, how: str) -> None:
-        log.warning("counter: silent%s", how)
+        log.warning("counter: no reply%s", how)
         if self._transport is not None:
             self._transport.abort()
 
     # ---- called by the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's is none by name
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's class is not a subclass
 
     def data_received(self, data: bytes) -> None:
         if self._transport is None or self._transport.is_closing():
@@ -179,7 +179,7 @@
             if self._pending and _PARTIAL_REPLY.fullmatch(self._pending) is None:
                 raise CounterProtocolError(repr(self._pending[:32]))
         except CounterProtocolError as error:
-            log.warning("counter: nonsense: %s", error)
+            log.warning("counter: invalid reply: %s", error)
             self._replied = self._replied or bool(self._calls)
             self._transport.abort()
         else:
@@ -187,7 +187,7 @@
                 self.retire()
 
     def _process_reply(self, found: re.Match[bytes]) -> None:
-        """The reply to the oldest call."""
+        """Handles the reply to the oldest call."""
         size, total_text, error = found.groups()
         outcome, total = Outcome.FULL, 0.0
         if error is None:
@@ -195,9 +195,11 @@
                 raise CounterProtocolError(repr(found[0]))
             outcome, total = Outcome.OK, float(total_text)
         elif _ERROR_NOT_ADDED.fullmatch(error) is None:
-            raise CounterProtocolError(repr(found[0]))  # a spoilt error does not say that nothing was added
+            raise CounterProtocolError(
+                repr(found[0])
+            )  # an unknown error does not prove that nothing was added
         if not self._calls or not abs(total) < float("inf"):
-            raise CounterProtocolError(f"{found[0]!r} to {len(self._calls)} calls")
+            raise CounterProtocolError(f"{found[0]!r} with {len(self._calls)} pending calls")
         if error is not None and error.startswith(b"ERR"):
             log.warning("counter: %r", error)
         self._replied = True
@@ -209,7 +211,7 @@
             self._on_completed(call, outcome, total)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """What was called may have been added."""
+        """Completes pending calls, which may have been added."""
         self._transport = None
         if self._timer is not None:
             self._timer.cancel()
@@ -221,7 +223,7 @@
 
 
 class Counter:
-    """Keeps a connection to the counter; every call gets exactly one answer."""
+    """Keeps a connection to the counter; every call gets exactly one result."""
 
     def __init__(
         self, address: Address | None, timeout_s: float, answered: Callable[[CounterReply], None]
@@ -229,18 +231,18 @@
         self._address, self._timeout_s, self._answered = address, timeout_s, answered
         self._loop = asyncio.get_running_loop()
         self._connection: Connection | None = None
-        self._unanswered: dict[int, deque[PendingCall]] = {}  # by name, in the order of the calls
-        self._reconnect_needed = asyncio.Event()  # a new connection
+        self._unanswered: dict[int, deque[PendingCall]] = {}  # by counter name, in the order of the calls
+        self._reconnect_needed = asyncio.Event()
         self._reply_time = ReplyTime()
         self._down = False
 
     @property
     def up(self) -> bool:
-        """There is a connection for calls."""
+        """True if there is a connection that accepts calls."""
         return self._connection is not None and self._connection.up
 
     async def run(self, attempted: asyncio.Event) -> None:
-        """Keep a connection up; tried is set when the first try has ended, well or badly."""
+        """Keeps a connection open. attempted: is set when the first attempt has succeeded or failed."""
         while self._address is not None:
             self._reconnect_needed.clear()
             try:
@@ -251,7 +253,7 @@
                     )
             except (OSError, TimeoutError) as error:
                 if not self._down:
-                    log.warning("counter: can't connect: %r", error)
+                    log.warning("counter: cannot connect: %r", error)
                 self._down = True
                 attempted.set()
                 await asyncio.sleep(RECONNECT_DELAY_S)
@@ -260,7 +262,7 @@
             if before is not None:
                 before.retire()
             if self._down:
-                log.info("counter: back")
+                log.info("counter: connected again")
             self._down = False
             attempted.set()
             await self._reconnect_needed.wait()
@@ -270,12 +272,12 @@
         await asyncio.Event().wait()
 
     def close(self) -> None:
-        """Drop the connection; calls that are out have their answers as for any lost one."""
+        """Closes the connection; pending calls complete as on a lost connection."""
         if self._connection is not None:
             self._connection.drop()
 
     def set_address(self, address: Address | None) -> None:
-        """The counter is elsewhere; run is to be started anew. The old connection serves until then."""
+        """Changes the address; the caller restarts run. The old connection is used until then."""
         self._address = address
 
     def _lost(self, connection: Connection) -> None:
@@ -284,7 +286,7 @@
             self._reconnect_needed.set()
 
     def call(self, name: int, amount: float, ttl_ms: float) -> None:
-        """Add to a number; the answer comes later, never within this call."""
+        """Adds to a counter; the result is reported later, never within this call."""
         call = PendingCall(name, self._loop.time())
         self._unanswered.setdefault(name, deque()).append(call)
         if self._connection is None or not self._connection.up:
@@ -303,7 +305,7 @@
             self._loop.call_soon(self._complete, call, Outcome.FULL, 0.0)
 
     def _complete(self, call: PendingCall, outcome: Outcome, total: float) -> None:
-        """Answers for one name are told in the order of its calls: a new connection may overtake the old."""
+        """Reports results for one name in call order: a new connection may overtake the old one."""
         call.answer = CounterReply(call.name, outcome, (self._loop.time() - call.started) * 1000, total)
         calls = self._unanswered[call.name]
         while calls and (answer := calls[0].answer) is not None:
--- a/troutdock/platform/discovery.py
+++ b/troutdock/platform/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: the list of backends and the calls that keep it fresh; membership.watch says when."""
+"""Discovery client: reads the list of backends and follows its changes (schedule: membership.watch)."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 CONNECT_TIMEOUT_S = 1.0
 MAX_LIST_BYTES = 4 * 1024 * 1024
 STATES = {"active": BackendState.READY, "leaving": BackendState.DRAINING, "left": BackendState.GONE}
-UNKNOWN_INDEX = 0xFFFF  # the number of a zone or kind that the settings don't name
+UNKNOWN_INDEX = 0xFFFF  # index of a zone or machine type that the settings do not name
 
 Endpoints = dict[BackendId, Address]
 OnFleetUpdate = Callable[[FleetUpdate, Endpoints], None]
 
 
 def backend_id(uid: str) -> BackendId:
-    """The same number for a backend at every ingress and after every restart."""
+    """Returns a number for a backend that is the same at every ingress and after every restart."""
     return int.from_bytes(blake2b(uid.encode(), digest_size=6).digest(), "big")
 
 
 class ListReader:
-    """Reads discovery's lists into the gateway's form."""
+    """Converts discovery's lists to fleet updates."""
 
     def __init__(self, zones: Iterable[str], kinds: Iterable[str]) -> None:
         self._zones = {name: number for number, name in enumerate(zones)}
@@ -45,7 +45,7 @@
     __hash__ = None  # type: ignore[assignment]
 
     def read(self, raw: Any, cached: bool = False) -> tuple[FleetUpdate, Endpoints]:
-        """ValueError if the list is not in discovery's form: none of it is believed then."""
+        """Parses a list; raises ValueError if any part of it is invalid."""
         try:
             entries, endpoints = [], {}
             for target in raw["targets"]:
@@ -74,11 +74,11 @@
 
 
 class DiscoveryRejected(Exception):
-    """Discovery answers, and it says no."""
+    """Discovery responded with an error status."""
 
 
 class Discovery:
-    """Watches the agent and tells every change."""
+    """Watches discovery and reports every change."""
 
     def __init__(
         self,
@@ -86,21 +86,21 @@
         reader: ListReader,
         watch: WatchSchedule,
         on_update: OnFleetUpdate,
-        on_polled: Callable[[bool], None] = lambda heard: None,
+        on_polled: Callable[[bool], None] = lambda answered: None,
     ) -> None:
-        """told: of every change. watched: whether the last call was answered, after each."""
+        """on_update: is called with every change. on_polled: after each call, whether it was answered."""
         self._address, self._read, self._on_update, self._on_polled = address, reader, on_update, on_polled
         self._schedule = watch
         self._down = False
 
     def set_source(self, address: Address, reader: ListReader) -> None:
-        """Another agent is to be asked, for the whole list; run is to be started anew."""
+        """Changes the discovery address; the caller restarts run, which requests the complete list."""
         self._address, self._read = address, reader
         self._schedule.source_changed()
 
     async def run(self) -> None:
-        """Watch for ever; while the agent is silent or talks nonsense the last list holds."""
-        self._on_polled(False)  # until it says something
+        """Watches forever; while discovery is unreachable or invalid, the last list stays in use."""
+        self._on_polled(False)  # until the first response
         while True:
             writer, watch = None, self._schedule
             await asyncio.sleep(watch.next_call().delay_s)
@@ -129,20 +129,20 @@
             log.warning("discovery: %r", error)
         self._down = True
 
-    async def _call(self, ask: NextCall, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-        """One call; true if the connection can take the next."""
-        watch = "" if ask.version is None else f"?from={ask.version}&hold_ms={ask.hold_ms}"
+    async def _call(self, call: NextCall, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
+        """Makes one call. Returns true if the connection can be reused."""
+        watch = "" if call.version is None else f"?from={call.version}&hold_ms={call.hold_ms}"
         writer.write(f"GET /v1/servers{watch} HTTP/1.1\r\nHost: discovery\r\n\r\n".encode())
-        async with asyncio.timeout(ask.timeout_s):
+        async with asyncio.timeout(call.timeout_s):
             response = await self._response(reader)
         if response.status != 200:
             raise DiscoveryRejected(f"answered {response.status}")
         try:
             update, endpoints = self._read.read(json.loads(response.body))
         except (ValueError, RecursionError) as error:  # the latter for JSON of great depth
-            raise ValueError(f"no list: {error!r}") from error
-        if update.kind is ListKind.CHANGES and (ask.version is None or update.version < ask.version):
-            raise ValueError(f"changes up to version {update.version} do not fit")
+            raise ValueError(f"invalid list: {error!r}") from error
+        if update.kind is ListKind.CHANGES and (call.version is None or update.version < call.version):
+            raise ValueError(f"unexpected changes up to version {update.version}")
         if self._down:
             log.info("discovery: back, at version %d", update.version)
             self._down = False
@@ -150,7 +150,7 @@
             try:
                 self._on_update(update, endpoints)
             except Exception:
-                self._schedule.inconsistent()  # it is to hear the whole list again
+                self._schedule.inconsistent()  # requests the complete list again
                 raise
         self._schedule.answered(update.version)
         self._on_polled(True)
@@ -161,4 +161,4 @@
         while data := await reader.read(65536):
             if (response := parser.feed(data)) is not None:
                 return response
-        raise ConnectionResetError("closed before its answer was whole")
+        raise ConnectionResetError("connection closed before the response was complete")
--- a/troutdock/platform/inherited.py
+++ b/troutdock/platform/inherited.py
@@ -1,4 +1,4 @@
-"""What the platform hands to a process by its environment: the clients' socket, the operators' address."""
+"""Inherited from the platform by environment variables: the listening socket and the management address."""
 
 from __future__ import annotations
 
@@ -11,9 +11,10 @@
 
 
 def inherited_socket(environ: Mapping[str, str]) -> socket.socket | None:
-    """The listening socket that RELAY_SOCKET_FD names by its descriptor; None where it names none.
+    """Returns the listening socket whose descriptor RELAY_SOCKET_FD names, or None if it is not set.
 
-    ConfigError if it is no listening TCP socket: whoever started this process meant another one.
+    Raises:
+        ConfigError: it is not a listening TCP socket.
     """
     if not (text := environ.get("RELAY_SOCKET_FD")):
         return None
@@ -34,7 +35,7 @@
 
 
 def management_address(text: str) -> Address:
-    """The operators' address of RELAY_MANAGEMENT; ConfigError if it is none."""
+    """Parses the management address of RELAY_MANAGEMENT; ConfigError if it is invalid."""
     try:
         return parse_address(text)
     except ValueError as error:
--- a/troutdock/routing/__init__.py
+++ b/troutdock/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Which pool a request goes to: targets made plain, routes compiled, splits that stick (no I/O)."""
+"""Selection of the pool for a request: normalized targets, compiled routes, sticky splits (no I/O)."""
--- a/troutdock/routing/route.py
+++ b/troutdock/routing/route.py
@@ -1,4 +1,4 @@
-"""Routes: what a request has to be, and where it goes then (no I/O)."""
+"""Routes: conditions on a request, and the pools for matching requests (no I/O)."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 from troutdock.routing.target import InvalidTarget, normalize_host, normalize_path
 
-MAX_PATTERN_CHARS = 1000  # characters
+MAX_PATTERN_CHARS = 1000
 
 
 class InvalidRoute(ValueError):
-    """A route that can't be, and why."""
+    """A route is invalid; the message gives the reason."""
 
 
 class Request(NamedTuple):
-    """What is matched. host, path: in their plain form. headers: names in lower case. query: as it came."""
+    """The matched parts of a request. host, path: normalized. headers: names in lower case. query: raw."""
 
     method: str
     host: str
@@ -30,7 +30,7 @@
 
 
 class Comparison(Enum):
-    """How a value is compared."""
+    """Kind of comparison of a condition."""
 
     IS = "is"
     PREFIX = "prefix"
@@ -40,21 +40,21 @@
 
 
 def compile_pattern(pattern: str) -> Any:
-    """A pattern in linear time, whatever is matched against it; BadRoute names what is wrong."""
+    """Compiles a pattern with RE2, which matches in linear time; InvalidRoute if it is invalid."""
     if len(pattern) > MAX_PATTERN_CHARS:
-        raise InvalidRoute(f"a pattern of more than {MAX_PATTERN_CHARS} characters")
+        raise InvalidRoute(f"pattern longer than {MAX_PATTERN_CHARS} characters")
     options = re2.Options()
     options.log_errors = False
     try:
         return re2.compile(pattern, options)
     except re2.error as error:
-        said = error.args[0].decode() if isinstance(error.args[0], bytes) else str(error)
-        raise InvalidRoute(f"pattern {pattern!r}: {said}") from error
+        reason = error.args[0].decode() if isinstance(error.args[0], bytes) else str(error)
+        raise InvalidRoute(f"pattern {pattern!r}: {reason}") from error
 
 
 @dataclass(frozen=True, slots=True)
 class Condition:
-    """A condition on a header or a parameter of the query."""
+    """A condition on a header or a query parameter."""
 
     where: str  # "header" or "query"
     name: str
@@ -67,7 +67,7 @@
             object.__setattr__(self, "_program", compile_pattern(self.value))
 
     def matches(self, request: Request) -> bool:
-        """The request fits it; of a parameter that comes several times the first counts."""
+        """True if the request satisfies it; of a repeated query parameter the first value counts."""
         if self.where == "header":
             found = request.headers.get(self.name)
         else:
@@ -88,7 +88,7 @@
 
 
 class PathKind(Enum):
-    """In the order in which they are looked at."""
+    """Kinds of paths, in order of evaluation."""
 
     EXACT = "path"
     PATTERN = "pattern"
@@ -96,13 +96,13 @@
 
 
 class Path(NamedTuple):
-    """value of a prefix: without a slash at its end; it matches whole segments."""
+    """A path condition. A prefix has no trailing slash and matches complete segments."""
 
     kind: PathKind
     value: str
 
     def matches(self, path: str) -> bool:
-        """A plain path fits it."""
+        """True if a normalized path matches."""
         if self.kind is PathKind.EXACT:
             return path == self.value
         if self.kind is PathKind.PATTERN:
@@ -111,17 +111,17 @@
 
 
 def exact(path: str) -> Path:
-    """This path and no other; BadRoute if it is not in its plain form."""
+    """Matches this path only; InvalidRoute if it is not normalized."""
     return Path(PathKind.EXACT, _require_normalized(path))
 
 
 def prefix(path: str) -> Path:
-    """This path and all below it, by whole segments."""
+    """Matches this path and all below it, by complete segments."""
     return Path(PathKind.PREFIX, _require_normalized(path).removesuffix("/"))
 
 
 def pattern(text: str) -> Path:
-    """All paths that this describes as a whole, in RE2's syntax."""
+    """Matches all paths that fully match this RE2 pattern."""
     compile_pattern(text)
     return Path(PathKind.PATTERN, text)
 
@@ -138,7 +138,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightedPool:
-    """A pool's part of a split."""
+    """A pool of a split, with its weight."""
 
     pool: str
     weight: float = 1.0
@@ -146,21 +146,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Rewrite:
-    """prefix: in place of what the route's prefix or path matched, None for none. set, remove: headers."""
+    """Changes to the forwarded request. prefix: replaces the matched prefix or path. set, remove: headers."""
 
     prefix: str | None = None
     set: tuple[tuple[str, str], ...] = ()
     remove: tuple[str, ...] = ()
 
     def path(self, path: str, matched: Path) -> str:
-        """The path that goes on."""
+        """Returns the forwarded path."""
         if self.prefix is None:
             return path
         rest = path[len(matched.value) :] if matched.kind is PathKind.PREFIX else ""
         return self.prefix.removesuffix("/") + rest if rest else self.prefix or "/"
 
     def headers(self, headers: list[tuple[bytes, bytes]]) -> list[tuple[bytes, bytes]]:
-        """The headers that go on, names in lower case."""
+        """Returns the forwarded headers, names in lower case."""
         gone = {name.encode() for name in self.remove} | {name.encode() for name, _ in self.set}
         kept = [pair for pair in headers if pair[0] not in gone]
         return kept + [(name.encode(), value.encode()) for name, value in self.set]
@@ -168,10 +168,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """order: in the file, the first 0. hosts: exact, or `*.` and the rest. Without hosts or methods: any.
+    """A route.
 
-    to: pools by weight; a customer keeps its part. mirrors: pools that get a copy of so many percent of what
-    is safe; what they answer counts for nothing.
+    order: position in the file, from 0. hosts: exact names or wildcards `*.rest`. No hosts or methods: any.
+    to: pools by weight; a customer stays with its pool. mirrors: pools that get copies of a percentage
+    (weight) of the safe requests; their responses are ignored.
     """
 
     id: str
@@ -187,26 +188,26 @@
 
     @property
     def places(self) -> tuple[str, ...]:
-        """Its hosts, each once; an empty one stands for any."""
+        """The hosts without duplicates; an empty string stands for any host."""
         return tuple(dict.fromkeys(self.hosts)) or ("",)
 
     @property
     def conditions(self) -> int:
-        """Beside host and path: a route with more of them goes before one with fewer."""
+        """Number of conditions besides host and path: a route with more precedes one with fewer."""
         return len(self.values) + bool(self.methods)
 
     def mismatch(self, request: Request) -> str:
-        """Why the request does not fit the conditions; empty if it does."""
+        """Returns why the request does not satisfy the conditions; empty if it does."""
         if self.methods and request.method not in self.methods:
             return f"method {request.method} is not {', '.join(sorted(self.methods))}"
         for value in self.values:
             if not value.matches(request):
-                return f"not so: {value}"
+                return f"condition not met: {value}"
         return ""
 
 
 def validate_route(route: Route) -> Route:
-    """The route, if it can match and lead anywhere; BadRoute if not."""
+    """Returns the route if it can match and has a pool; raises InvalidRoute otherwise."""
     if not route.to or any(part.weight < 0 for part in route.to) or not sum(part.weight for part in route.to):
         raise InvalidRoute("to: no pool with a weight")
     if any(not 0 < part.weight <= 100 for part in route.mirrors):
@@ -219,9 +220,9 @@
                 raise InvalidRoute(f"host {host!r} can never match: hosts are written small, without port")
         except InvalidTarget as error:
             raise InvalidRoute(f"host {host!r}: {error}") from error
-    said: dict[tuple[str, str], Condition] = {}
+    seen: dict[tuple[str, str], Condition] = {}
     for value in route.values:
-        known = said.setdefault((value.where, value.name), value)
+        known = seen.setdefault((value.where, value.name), value)
         if known != value and (
             Comparison.ABSENT in (known.how, value.how) or known.how is value.how is Comparison.IS
         ):
--- a/troutdock/routing/split.py
+++ b/troutdock/routing/split.py
@@ -1,8 +1,8 @@
-"""Which pool of a split a customer has, so that a change of weights moves no more than it must (no I/O).
+"""Assigns customers to the pools of a split, with minimal movement when weights change (no I/O).
 
-Weighted rendezvous hashing (Schindelhauer and Schomaker, "Weighted Distributed Hash Tables", 2005): each part
-draws a number for the customer, which depends on nothing else, and the least of -ln(u) / weight has it. A
-weight that grows takes customers from the others, and moves none among them.
+Weighted rendezvous hashing (Schindelhauer and Schomaker, "Weighted Distributed Hash Tables", 2005): each pool
+gets a hash u of its name and the customer, and the pool with the smallest -ln(u) / weight is chosen. A pool
+whose weight grows gains customers from the others; none move among the others.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 
 
 def _hash_fraction(name: str, key: str) -> float:
-    """Above 0, below 1."""
+    """Returns a hash as a fraction between 0 and 1, exclusive."""
     return (xxh3_64_intdigest(f"{key}\0{name}".encode()) + 0.5) / 2**64
 
 
 def choose_pool(parts: Sequence[WeightedPool], key: str) -> str:
-    """The pool of whoever has this key: a customer, or a request's id where there is none."""
+    """Returns the pool for a key: a customer, or a request ID without one."""
     if len(parts) == 1:
         return parts[0].pool
     live = [part for part in parts if part.weight > 0]
@@ -29,7 +29,7 @@
 
 
 def select_mirrors(mirrors: Sequence[WeightedPool], request_id: str) -> list[str]:
-    """Pools that get a copy of this request."""
+    """Returns the pools that get a copy of this request."""
     return [
         part.pool for part in mirrors if 100 * _hash_fraction("mirror " + part.pool, request_id) < part.weight
     ]
--- a/troutdock/routing_service/__init__.py
+++ b/troutdock/routing_service/__init__.py
@@ -1,1 +1,1 @@
-"""Routes and pools at work in the daemon: which pool a request goes to, and the pools themselves."""
+"""Routing in the daemon: assigns requests to pools by the operator's routes, and manages the pools."""
--- a/troutdock/routing_service/reader.py
+++ b/troutdock/routing_service/reader.py
@@ -1,4 +1,4 @@
-"""A client's request read by its route: its class, its pool, its customer, and its form for a server."""
+"""Parses client requests by their route: class, pool, customer, and the forwarded request."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 from troutdock.routing.target import InvalidTarget, normalize_target, normalize_host
 
 _UNITS = re.compile(rb"\d{1,6}(\.\d{1,9})?")
-# without HEAD, whose answers have lengths and no bodies
+# without HEAD, whose responses have a length but no body
 METHODS = frozenset((b"GET", b"POST", b"PUT", b"PATCH", b"DELETE"))
 
 
 @dataclass(frozen=True, slots=True)
 class CustomerHeaders:
-    """Which headers tell whose a request is, in lower case. default_plan: of those that name none."""
+    """Header names that identify the customer, in lower case. default_plan: for requests without a plan."""
 
     account: bytes = b"account"
     plan: bytes = b"plan"
@@ -41,7 +41,7 @@
 
 
 class RoutingSnapshot(NamedTuple):
-    """What holds now: one value, so that a reload swaps all of it in one step. pools: numbers by name."""
+    """The routes in effect: one value, so that a reload replaces it atomically. pools: numbers by name."""
 
     table: RouteTable
     pools: Mapping[str, int]
@@ -51,14 +51,14 @@
 
 
 def customer_number(account: bytes) -> int:
-    """33 bits for an account: those of 16 hex digits that fit as they are, others hashed."""
+    """Returns a 33-bit number for an account: the value of 16 hex digits if it fits, else a hash."""
     if ACCOUNT.fullmatch(account) and (number := int(account, 16)) < 1 << 33:
         return number
     return int.from_bytes(blake2b(account, digest_size=8).digest(), "big") & ((1 << 33) - 1)
 
 
 class _DecodedHeaders(Mapping[str, str]):
-    """Headers as routes ask for them: few are, of many that come."""
+    """Headers decoded on access, as routes look at few of them."""
 
     __slots__ = ("_seen",)
 
@@ -76,7 +76,7 @@
 
 
 class RoutedReader:
-    """In place of http.request.Reader, where an operator's file has routes."""
+    """Replaces http.request.Reader if the operator's file has routes."""
 
     def __init__(
         self, view: RoutingSnapshot, settings: Settings, customers: CustomerHeaders, mirror: Mirror
@@ -86,7 +86,7 @@
         self._plans = {plan.name.encode(): number for number, plan in enumerate(settings.plans)}
 
     def read(self, method: bytes, url: bytes, headers: Headers, body: bytes | list[bytes]) -> HttpRequest:
-        """The request; BadRequest if it takes no route, or a part is missing or senseless."""
+        """Parses a request; BadRequest if no route matches, or a part is missing or invalid."""
         view, settings, names = self.view, self._settings, self._customers
         length = len(body) if isinstance(body, bytes) else sum(map(len, body))
         if isinstance(body, list) and length <= UNBUDGETED_BODY_BYTES:
@@ -101,8 +101,8 @@
             host = normalize_host(seen.get(b"host", b"").decode("latin-1"))
         except InvalidTarget as error:
             raise BadRequest(400, str(error)) from error
-        told = _DecodedHeaders(seen)
-        found = view.table.find(Request(method.decode(), host, target.path, target.query, told))
+        decoded = _DecodedHeaders(seen)
+        found = view.table.find(Request(method.decode(), host, target.path, target.query, decoded))
         if found is None:
             raise BadRequest(404, "no route")
         route = found.route
@@ -158,5 +158,5 @@
         return request
 
     def waited(self, url: bytes, headers: Headers, waited_ms: float) -> RequestQueued | None:
-        """None: a request is read before it is turned away, as its class is its route's."""
+        """Returns None: the class depends on the route, so a request is parsed before it is rejected."""
         return None
--- a/troutdock/routing_service/run.py
+++ b/troutdock/routing_service/run.py
@@ -19,22 +19,22 @@
 log = logging.getLogger("troutdock")
 
 
-GC_THRESHOLD = 10_000  # objects more than before: requests leave no cycles, as under RELAY_CONFIG
-GC_SWITCH_S = 0.001  # how long the thread that reads keeps the interpreter from the loop
+GC_THRESHOLD = 10_000  # allocations until a collection: requests leave no reference cycles, see __main__
+GC_SWITCH_S = 0.001  # longest time for which the reading thread blocks the event loop
 
 
-_reload_lock = asyncio.Lock()  # for reloads: each reads what the file is when its turn comes
+_reload_lock = asyncio.Lock()  # serializes reloads; each reads the file when it starts
 
 
 class ReloadedDeployment(Protocol):
-    """A deployment that has been read again."""
+    """A deployment that has been read again at a reload."""
 
     @property
     def terms(self) -> RoutingOptions: ...
 
 
 def run(config: Config, terms: RoutingOptions, reread: Callable[[], ReloadedDeployment | list[str]]) -> None:
-    """Serve until SIGTERM or SIGINT. reread: the deployment for SIGHUP, or what is wrong with it."""
+    """Serves until SIGTERM or SIGINT. reread: returns the deployment for SIGHUP, or its errors."""
     logging.basicConfig(level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s", stream=sys.stderr)
     gc.freeze()
     gc.set_threshold(GC_THRESHOLD, 20, 20)
@@ -61,24 +61,24 @@
 async def reload_deployment(
     routed: RoutingFrontend, reread: Callable[[], ReloadedDeployment | list[str]]
 ) -> None:
-    """Routes and pools of the file as it is now, read beside the loop; a bad one changes nothing."""
+    """Reloads routes and pools, reading the file in a thread; an invalid file changes nothing."""
     async with _reload_lock:
         await _reload(routed, reread)
 
 
 async def _reload(routed: RoutingFrontend, reread: Callable[[], ReloadedDeployment | list[str]]) -> None:
     switch = sys.getswitchinterval()
-    gc.disable()  # of many routes the objects are many, and looking for cycles among them would stop the loop
+    gc.disable()  # a collection over the objects of many routes would block the event loop
     sys.setswitchinterval(GC_SWITCH_S)
     try:
         found = await asyncio.to_thread(reread)
     finally:
         sys.setswitchinterval(switch)
-        gc.freeze()  # what was made meanwhile lasts; the next look for cycles would go through it at once
+        gc.freeze()  # the new objects are long-lived; the next collection would scan them
         gc.enable()
     if isinstance(found, list):
         for line in found:
-            log.error("the old deployment stays: %s", line)
+            log.error("keeping the old deployment: %s", line)
         return
     routed.reload(found.terms)
     log.info("reloaded: %d routes, %d pools", len(found.terms.table.routes), len(found.terms.pools))
--- a/troutdock/routing_service/service.py
+++ b/troutdock/routing_service/service.py
@@ -1,7 +1,7 @@
-"""The pools of an operator's file beside the daemon, each with its servers; routes swapped in one step.
+"""The pools of an operator's file, each with its servers; a reload replaces the routes atomically.
 
-A pool that a reload brings is added, one that it drops is told as gone: its servers get nothing new, and what
-is under way ends under the old table. A pool of the same name keeps what is known of servers that stay.
+A reload adds new pools and drains removed ones: their servers get no new requests, and requests in progress
+end under the old table. A pool that keeps its name keeps its knowledge of the servers that remain.
 """
 
 from __future__ import annotations
@@ -27,10 +27,10 @@
 log = logging.getLogger("troutdock")
 
 SWEEP_INTERVAL_S = 0.25
-ROUTES_FREED_PER_PASS = 200  # routes of an old table that are let go in one turn of the loop
-MAX_MIRRORED_REQUESTS = 32  # copies on their way at once to one pool; more are left out
-MIRROR_TIMEOUT_S = 5.0  # how long one is waited for
-MAX_MIRROR_CONNECTIONS = 16  # connections to one mirrored pool
+ROUTES_FREED_PER_PASS = 200  # routes of an old table freed in one pass of the event loop
+MAX_MIRRORED_REQUESTS = 32  # concurrent copies to one pool; further ones are skipped
+MIRROR_TIMEOUT_S = 5.0
+MAX_MIRROR_CONNECTIONS = 16  # to one mirrored pool
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingOptions:
-    """What the operator asks for."""
+    """The pools and routes of the operator's file."""
 
     pools: tuple[PoolOptions, ...]
     table: RouteTable
@@ -53,7 +53,7 @@
 
 
 class _Pool:
-    """One pool's connections, and what is on the way to it as a copy."""
+    """The connections of one pool, including those for mirrored requests."""
 
     def __init__(self, terms: PoolOptions, sockets: int, engine: Engine, lag: EventLoopLag) -> None:
         self.terms = terms
@@ -65,7 +65,7 @@
         self.mirrors_in_flight = self._turn = 0
 
     def set_servers(self, engine: Engine, servers: tuple[str, ...]) -> None:
-        """These are its servers from now on."""
+        """Sets the servers of the pool."""
         endpoints = {backend_id(server): parse_address(server) for server in servers}
         entries = [BackendEntry(id, BackendState.READY) for id in endpoints]
         engine.fleet_updated(FleetUpdate(ListKind.FULL, entries, pool=self.number), endpoints)
@@ -74,7 +74,7 @@
                 self.mirror_transport.place(id, address)
 
     def mirror(self, request: HttpRequest) -> None:
-        """Send one, and forget what comes of it."""
+        """Sends a copy of the request and ignores the response."""
         if self.mirrors_in_flight >= MAX_MIRRORED_REQUESTS or not self.terms.servers:
             return
         if self.mirror_transport is None:
@@ -110,10 +110,10 @@
 
 
 class RoutingFrontend:
-    """It belongs to the event loop that is running when it is attached; daemon.Front."""
+    """Routing as a frontend of the daemon. It belongs to the event loop that runs when it is attached."""
 
     def __init__(self, terms: RoutingOptions, sockets: int) -> None:
-        """sockets: of the process; the half that is for servers is split evenly among the pools."""
+        """sockets: limit of the process; the half for servers is divided evenly among the pools."""
         self._terms, self._sockets = terms, sockets
         self._pools: dict[str, _Pool] = {}
         self._host: Host | None = None
@@ -121,7 +121,7 @@
         self._sweeping: asyncio.TimerHandle | None = None
 
     def attach(self, host: Host) -> None:
-        """Requests go by the routes from now on."""
+        """Routes requests from now on."""
         self._host = host
         self._apply(self._terms)
         self.reader = RoutedReader(self._view(), host.engine.settings, self._terms.customers, self._mirror)
@@ -129,7 +129,7 @@
         self._sweep()
 
     def reload(self, terms: RoutingOptions) -> None:
-        """Other routes and pools, in one step; what is under way ends as it began."""
+        """Replaces routes and pools atomically; requests in progress end under the old routes."""
         assert self.reader is not None
         self._apply(terms)
         old, self._terms = list(self._terms.table.routes.values()), terms
@@ -137,7 +137,7 @@
         self._free_routes(old)
 
     def _free_routes(self, old: list[Route]) -> None:
-        """The end of ten thousand routes at once would stop the loop for 30 ms: a few in each turn."""
+        """Frees routes in batches: ten thousand at once would block the event loop for 30 ms."""
         del old[-ROUTES_FREED_PER_PASS:]
         if old:
             asyncio.get_running_loop().call_soon(self._free_routes, old)
@@ -172,15 +172,15 @@
         self._sweeping = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def start(self, engine: Engine) -> None:
-        """It has begun with attach."""
+        """Does nothing: attach has started everything."""
 
     async def close(self) -> None:
-        """The ingress has drained."""
+        """Closes all pools after the drain."""
         if self._sweeping is not None:
             self._sweeping.cancel()
         for pool in self._pools.values():
             pool.close()
 
     def books(self) -> dict[tuple[bytes, bytes], Callable[[bytes], Awaitable[tuple[int, bytes]]]]:
-        """Nothing to see yet."""
+        """Returns no management calls."""
         return {}
