--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -220,7 +220,11 @@
         Route("post", 3, (exact("/a/b"),), methods=frozenset({"POST"}), to=TO),
     ]
     said = [(v.route.id, v.why) for v in explain(made, Request("GET", "y.de", "/a/b"))]
-    assert said == [("post", "method GET is not POST"), ("v2", "condition not met: header v is 2"), ("all", "")]
+    assert said == [
+        ("post", "method GET is not POST"),
+        ("v2", "condition not met: header v is 2"),
+        ("all", ""),
+    ]
 
 
 def test_rewrites_change_path_and_headers() -> None:
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -200,7 +200,7 @@
         ({"limits": {"sockets": 9}}, "sockets"),
         ({"damping": {"turn_of": False}}, "damping.turn_of: no such switch"),
         ({"damping": {"turn_away": 1}}, "damping.turn_away: 1"),
-        ({"damping": []}, "damping: an object"),
+        ({"damping": []}, "damping: expected an object"),
         ({"settings": 3}, "int"),
         ({"settings": SETTINGS | {"balancers": -1}}, "gateways"),
         ({"known": {"rev": 1}}, "targets"),
--- a/troutdock/handover/protocol.py
+++ b/troutdock/handover/protocol.py
@@ -211,7 +211,7 @@
     try:
         return _any.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise ProtocolError(f"cannot decode the state: {error}") from error
+        raise ProtocolError(f"the state can't be read: {error}") from error
 
 
 def checksum(data: bytes) -> int:
--- a/troutdock/handover/roles.py
+++ b/troutdock/handover/roles.py
@@ -293,7 +293,7 @@
     def _hello(self, link: Link, hello: Hello) -> list[Effect]:
         version = common_version(hello)
         if self.phase not in (PredecessorPhase.STANDALONE, PredecessorPhase.SUCCESSOR_READY):
-            return [Send(link, Rejection("another process is taking over")), Close(link)]
+            return [Send(link, Rejection("another one takes over")), Close(link)]
         if version is None:
             reason = f"no common version with {hello.oldest} to {hello.version}"
             return [Send(link, Rejection(reason)), Close(link)]
@@ -301,7 +301,7 @@
         effects: list[Effect] = []
         if before is not None and before != link:
             effects = [
-                Send(before, Rejection("replaced by another successor", superseded=True)),
+                Send(before, Rejection("another successor stands by", superseded=True)),
                 Close(before),
             ]
         effects.append(Send(link, Welcome(version, self.program)))
--- a/troutdock/routing/table.py
+++ b/troutdock/routing/table.py
@@ -1,16 +1,16 @@
-"""All routes, compiled: which one a request takes, in time that hardly grows with their number (no I/O).
+"""Compiled route table: finds the route of a request in time nearly independent of their number (no I/O).
 
-Theory of operation. Of all routes that a request fits, the one is taken that is first by this:
+Theory of operation. Among all matching routes, the first in this order is chosen:
 
-    1  its host: an exact one, then wildcards, the longest first, then none
-    2  its path: an exact one, then patterns, then prefixes, the longest first
-    3  conditions beside these: more before fewer
-    4  its place in the file
+    1  host: exact, then wildcards (longest first), then none
+    2  path: exact, then patterns, then prefixes (longest first)
+    3  number of further conditions: more before fewer
+    4  position in the file
 
-Hosts and paths are looked up, not tried: an exact host is one look, wildcards one for each label, an exact
-path one, prefixes one for each segment, and all patterns of a host are one automaton (RE2's Set). What is
-left, the routes of one host and path, is gone through by 3 and 4. A table never changes; with_route() and
-without() give another one, which shares all but the way to what has changed.
+Hosts and paths are found by lookup: one lookup for an exact host, one for each label for wildcards, one for
+an exact path, one for each segment for prefixes, and one automaton (RE2's Set) for all patterns of a host.
+The remaining routes, of one host and path, are tried in the order of 3 and 4. A table is immutable; with_route()
+and without() return a new one that shares the unchanged parts (persistent maps).
 """
 
 from __future__ import annotations
@@ -24,11 +24,11 @@
 
 from troutdock.routing.route import InvalidRoute, Path, PathKind, Request, Route, validate_route
 
-Bucket = tuple[Route, ...]  # of one host and path, in the order in which they are tried
+Bucket = tuple[Route, ...]  # routes of one host and path, in order of evaluation
 
 
 class RouteMatch(NamedTuple):
-    """The route that a request takes, and by which of its paths."""
+    """The route of a request, and the path of the route that matched."""
 
     route: Route
     path: Path
@@ -44,7 +44,7 @@
 
     @cached_property
     def _automaton(self) -> tuple[Any, list[str]] | None:
-        """All patterns at once, made when the first path is matched; none without patterns."""
+        """Matches all patterns at once; built at the first match. None without patterns."""
         texts = list(self._patterns)
         if not texts:
             return None
@@ -57,7 +57,7 @@
         return automaton, texts
 
     def find(self, request: Request) -> RouteMatch | None:
-        """The first route that the request fits."""
+        """Returns the first matching route of this host."""
         path, prefixes = request.path, self._prefixes
         if (bucket := self._exact.get(path)) is not None and (route := _first(bucket, request)) is not None:
             return RouteMatch(route, Path(PathKind.EXACT, path))
@@ -79,7 +79,7 @@
         return None
 
     def with_path(self, path: Path, route: Route, there: bool) -> HostRoutes:
-        """With a route at this path, or without it."""
+        """Returns a copy with a route at this path, or without it."""
         kinds = {
             PathKind.EXACT: self._exact,
             PathKind.PREFIX: self._prefixes,
@@ -90,12 +90,12 @@
 
     @property
     def is_empty(self) -> bool:
-        """No route is left."""
+        """True if there are no routes."""
         return not (self._exact or self._prefixes or self._patterns)
 
 
 def _first(bucket: Bucket, request: Request) -> Route | None:
-    """The first one whose conditions hold."""
+    """Returns the first route whose conditions are met."""
     for route in bucket:
         if not (route.methods or route.values) or not route.mismatch(request):
             return route
@@ -119,14 +119,14 @@
 
 
 class RouteTable:
-    """An immutable set of routes; make one with Table.of()."""
+    """An immutable set of routes; create it with RouteTable.of()."""
 
     def __init__(self, routes: Map[str, Route], hosts: Map[str, HostRoutes]) -> None:
-        self.routes, self._hosts = routes, hosts  # hosts: exact, `*.rest`, and "" for any
+        self.routes, self._hosts = routes, hosts  # keys of hosts: exact, `*.rest`, and "" for any
 
     @classmethod
     def of(cls, routes: Iterable[Route]) -> RouteTable:
-        """BadRoute names the first one that can't be, and a name that is there twice."""
+        """Builds a table; raises InvalidRoute for the first invalid route or duplicate name."""
         raw: dict[str, dict[PathKind, dict[str, list[Route]]]] = {}
         known: dict[str, Route] = {}
         for route in routes:
@@ -150,7 +150,7 @@
         return cls(Map(known), Map(hosts))
 
     def with_route(self, route: Route) -> RouteTable:
-        """With this one, in place of the one of its name if there is one."""
+        """Returns a table with this route, replacing the one of the same name."""
         table = self.without(route.id)
         hosts = table._hosts
         for host in validate_route(route).places:
@@ -161,7 +161,7 @@
         return RouteTable(table.routes.set(route.id, route), hosts)
 
     def without(self, id: str) -> RouteTable:
-        """Without the one of this name; the same table if there is none."""
+        """Returns a table without the route of this name; the same table if there is none."""
         route = self.routes.get(id)
         if route is None:
             return self
@@ -174,7 +174,7 @@
         return RouteTable(self.routes.delete(id), hosts)
 
     def find(self, request: Request) -> RouteMatch | None:
-        """The route that a request takes; None: there is none."""
+        """Returns the route of a request, or None."""
         for host in host_lookup_keys(request.host):
             paths = self._hosts.get(host)
             if paths is not None and (found := paths.find(request)) is not None:
@@ -182,7 +182,7 @@
         return None
 
     def unreachable(self) -> list[tuple[str, str]]:
-        """Routes that no request can take: their name, and that of the one that takes all of theirs."""
+        """Returns routes that can never match: their name, and the name of a route that precedes them."""
         first: dict[tuple[object, ...], Route] = {}
         taken: dict[str, list[str]] = {}
         for route in sorted(self.routes.values(), key=_precedence):
@@ -201,7 +201,7 @@
 
 
 def host_lookup_keys(host: str) -> Iterator[str]:
-    """Where routes of a plain host stand: its own, its wildcards, the longest first, and those of any."""
+    """Yields the lookup keys of a normalized host: itself, its wildcards (longest first), and any host."""
     if host:
         yield host
         rest = host.partition(".")[2]
@@ -211,18 +211,18 @@
     yield ""
 
 
-# ---- the same said plainly, for explain and as what the compiled table is tested against
+# ---- reference implementation, for explain and to test the compiled table against
 
 
 class Verdict(NamedTuple):
-    """Why a route is not the one; empty: it is."""
+    """Why a route does not match; empty if it does."""
 
     route: Route
     why: str
 
 
 def evaluation_order(routes: Iterable[Route], request: Request) -> list[tuple[Route, str, Path]]:
-    """Each route by each of its hosts and paths, in the order in which a request tries them."""
+    """Returns each route with each of its hosts and paths, in order of evaluation."""
     hosts = list(host_lookup_keys(request.host))
     kinds = list(PathKind)
     rows = [
@@ -242,7 +242,7 @@
 
 
 def explain(routes: Iterable[Route], request: Request) -> Iterator[Verdict]:
-    """Each route of the request's host that goes before the one it takes, and why not; then that one."""
+    """Yields the routes of the request's host that precede its route, with reasons; then that route."""
     hosts = list(host_lookup_keys(request.host))
     for route, host, path in evaluation_order(routes, request):
         if host not in hosts:
--- a/troutdock/routing/target.py
+++ b/troutdock/routing/target.py
@@ -1,13 +1,13 @@
-"""A request's target and host in one plain form, so that no two readers of it can disagree (no I/O).
+"""Normalization of the request target and host, so that all recipients interpret them alike (no I/O).
 
-What is matched is what is sent on. A form that a server might read in another way than this ingress is
-either made plain or refused:
+The normalized form is both matched and forwarded. A form that a server might interpret differently from this
+ingress is either normalized or rejected:
 
-    made plain   an absolute form, empty segments, dot segments, percent-codes of unreserved characters, the
-                 case of codes and hosts, a host's last dot and port
-    refused      an encoded slash, backslash or NUL, also encoded twice; a backslash, a fragment, a control or
-                 a byte beyond ASCII; dot segments that climb above the root or hide behind a semicolon; codes
-                 that are none
+    normalized   absolute form, empty segments, dot segments, percent-encoded unreserved characters, the case
+                 of escapes and hosts, a trailing dot and the port of a host
+    rejected     an encoded slash, backslash or NUL, also double-encoded; a backslash, a fragment, a control
+                 character or a non-ASCII byte; dot segments above the root or followed by a semicolon;
+                 invalid percent escapes
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 _ABSOLUTE = re.compile(r"(?i:https?)://([^/?#]*)(.*)", re.S)
 _FORBIDDEN = re.compile(r"[^!-~]|[\\#]")
-# as most come: nothing to make plain, nothing to refuse
+# fast path for most targets: already normalized and valid
 _NORMALIZED = re.compile(r"((?:/[A-Za-z0-9_~-][A-Za-z0-9_~.-]*)+/?|/)(?:\?([!-\"$-\[\]-~]*))?")
 _PERCENT_ESCAPE = re.compile(r"%(..?)?", re.S)
 _ENCODED_SEPARATOR = re.compile(r"%(?:2F|5C|00)|%25(?:2F|5C|2E|00|25)", re.I)
@@ -26,15 +26,15 @@
 _UNRESERVED = frozenset("ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-._~")
 
 
-HOST_CACHE_SIZE = 1024  # whose plain form is remembered
+HOST_CACHE_SIZE = 1024
 
 
 class InvalidTarget(ValueError):
-    """It might be read in more than one way."""
+    """The target or host is invalid or ambiguous."""
 
 
 class Target(NamedTuple):
-    """host: empty if the target names none. path: begins with a slash. query: without its question mark."""
+    """host: empty if the target has none. path: begins with a slash. query: without the question mark."""
 
     host: str
     path: str
@@ -50,7 +50,7 @@
 
 
 def normalize_path(path: str) -> str:
-    """The path in its plain form; BadTarget if there is none."""
+    """Returns the normalized path; raises InvalidTarget if it is invalid."""
     if not path.startswith("/"):
         raise InvalidTarget("a path begins with a slash")
     path = _PERCENT_ESCAPE.sub(_decode_escape, path)
@@ -70,14 +70,14 @@
         elif segment not in ("", "."):
             kept.append(segment)
             continue
-        if last:  # what ended with a slash, or a dot segment, is a folder
+        if last:  # a trailing slash or dot segment leaves a trailing slash
             kept.append("")
     return "/" + "/".join(kept)
 
 
 @lru_cache(HOST_CACHE_SIZE)
 def normalize_host(host: str) -> str:
-    """A Host header or an authority without its port; BadTarget if it is none."""
+    """Returns the normalized host of a Host header or authority, without port; InvalidTarget if invalid."""
     name = host.strip().lower()
     if "@" in name:
         raise InvalidTarget("a host with somebody's name before it")
@@ -95,7 +95,7 @@
 
 
 def normalize_target(raw: str) -> Target:
-    """A request's target, in origin or absolute form (RFC 9112, 3.2); BadTarget if it has no plain form."""
+    """Normalizes a request target in origin or absolute form (RFC 9112, 3.2); InvalidTarget if invalid."""
     if (simple := _NORMALIZED.fullmatch(raw)) is not None:
         return Target("", simple[1], simple[2] or "")
     if _FORBIDDEN.search(raw):
