--- a/tests/handover/test_handover.py
+++ b/tests/handover/test_handover.py
@@ -1,4 +1,4 @@
-"""The handover over loopback: connections that go on in another process, and partners that die or talk nonsense."""
+"""Hand-over over loopback: connections continue in another process; peers die or send invalid messages."""
 
 from __future__ import annotations
 
@@ -99,7 +99,7 @@
     return request("vat-filing", number, body=body)
 
 
-# what a client has sent when the older process is told to end, and the rest
+# bytes a client has sent when the predecessor is told to end, and the rest
 BEGUN = {
     "within the first line": (posted(1, "ab")[:9], posted(1, "ab")[9:], [b"ab"]),
     "within the head": (posted(1, "ab")[:60], posted(1, "ab")[60:], [b"ab"]),
@@ -151,7 +151,7 @@
 
 
 def test_a_ceiling_is_not_filled_twice_by_two_processes(tmp_path: Path) -> None:
-    """Eight units at once and one a second later; four processes by themselves let in four times that."""
+    """Burst of eight units, then one a second; four independent processes would admit four times that."""
 
     async def test() -> None:
         async with upgrade(tmp_path) as tier:
@@ -177,13 +177,13 @@
                 client.writer.close()
             assert (
                 2 * served <= 8 + (time.monotonic() - began) * 1.0 + 2
-            )  # the last one is let in by its guess
+            )  # the last one is admitted by its estimate
 
     run(test())
 
 
 def test_successors_that_die_before_the_older_one_is_told_to_end_cost_nothing(tmp_path: Path) -> None:
-    """Three in a row, by SIGKILL after their yes; then one that lives."""
+    """Three successors are killed by SIGKILL after they were ready; the fourth survives."""
 
     async def test() -> None:
         async with upgrade(tmp_path) as tier:
@@ -223,9 +223,9 @@
             await tier.start()
             assert (
                 await tier.call(1, "POST", "out-of-service") == 200
-            )  # at the door of the one that stands by
+            )  # at the management address of the standby process
             assert await healthy(tier, False)
-            assert await tier.call(1, "GET", "ready") == 200  # it stands by all the same
+            assert await tier.call(1, "GET", "ready") == 200  # still standing by
             assert await tier.end(0) == 0
             assert await healthy(tier, False) and await tier.call(1, "GET", "ready") == 503
             await tier.start()
@@ -271,7 +271,7 @@
 
 
 def test_a_budget_for_bodies_is_one_for_both_processes(tmp_path: Path) -> None:
-    """2 MiB of it: while the older one has a body of 1.5 out, the newer one has room for half of one."""
+    """A budget of 2 MiB: while the predecessor holds a body of 1.5 MiB, the successor has 0.5 MiB left."""
 
     async def test() -> None:
         held = Held(lambda data: len(data) > 1_000_000)
@@ -295,7 +295,7 @@
     run(test())
 
 
-# a program of the next version: it speaks one more, and its state holds more of each customer
+# a build of the next version: supports one more protocol version, and its state has more customer fields
 NEWER = """
 from troutdock.admission import snapshot
 from troutdock.handover import protocol, roles
@@ -313,7 +313,7 @@
 
 
 def test_an_older_and_a_newer_program_take_over_from_each_other(tmp_path: Path) -> None:
-    """Up and back: connections and a spent quota go over both times, and what is left out is in both logs."""
+    """Upgrade and downgrade: connections and used quota carry over; both logs name the unknown parts."""
 
     async def test() -> None:
         async with upgrade(tmp_path) as tier:
@@ -359,7 +359,7 @@
 
 
 def test_settings_that_change_while_a_successor_stands_by_hold_after_it(tmp_path: Path) -> None:
-    """SIGHUP a hundred times in a second at both; what the newer one has read is in force in the end."""
+    """SIGHUP a hundred times a second at both processes; the successor's configuration is in force at the end."""
 
     async def test() -> None:
         async with upgrade(tmp_path) as tier:
@@ -388,7 +388,7 @@
 
 
 async def healthy(tier: Upgrade, expected: bool) -> bool:
-    """What the clients' address says on health."""
+    """The status of the health check on the clients' address."""
     client = Client(*await asyncio.open_connection(*tier.address))
     status = (await client.ask(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"))[0]
     client.writer.close()
@@ -413,7 +413,7 @@
 def test_what_a_predecessor_holds_of_the_budgets_is_free_once_it_is_gone_however_it_goes() -> None:
     async def test() -> None:
         async with world(answer()) as w:
-            for alone in (False, True):  # followed to its end; or dead before it was
+            for alone in (False, True):  # the predecessor ended normally; or died before
                 assert w.service.import_state(b"no state", PredecessorStatus(bodies=7, streams=1))[0]
                 w.service.become_owner(alone)
                 assert (w.service._server.bodies.used, w.service._server.streams) == (
@@ -426,8 +426,8 @@
     run(test())
 
 
-class Heir:
-    """Takes what it is given, or nothing."""
+class FakeSuccessor:
+    """A successor link that collects the connections passed to it."""
 
     def __init__(self) -> None:
         self.items: list[TransferredConnection] = []
@@ -438,11 +438,11 @@
 
 
 def test_what_was_left_to_a_successor_that_dies_is_answered_here_after_all() -> None:
-    """Whole messages that waited for it, whole ones that were on their way to it, and one that had begun."""
+    """Complete requests kept for the successor, complete ones on their way to it, and an incomplete one."""
 
     async def test() -> None:
         async with world(*[answer()] * 6) as w:
-            server, heir = w.service._server, Heir()
+            server, heir = w.service._server, FakeSuccessor()
             waiting, passed, begun, pipelined, spoilt = [await w.client() for _ in range(5)]
             begun.writer.write(posted(3, "ab")[:-1])
             await until(lambda: any(c.in_message for c in server._clients))
@@ -455,7 +455,7 @@
             ]  # where it would be late one day
             spoilt.writer.write(
                 posted(7, "g") + b"nonsense\r\n\r\n"
-            )  # can't go over: answered here, in order
+            )  # cannot be passed on: answered here, in order
             assert [(await spoilt.answer())[0] for _ in range(2)] == [200, 400]
             server.cancel_handover()
             assert (await waiting.answer())[0] == 200
@@ -463,7 +463,7 @@
             server.begin_handover()
             server.hand_over_to(heir)
             passed.writer.write(posted(2, "b" * 70_000))
-            await until(lambda: len(heir.items) == 3)  # one began behind another: not before it is whole
+            await until(lambda: len(heir.items) == 3)  # a pipelined request is passed on only when complete
             pipelined.writer.write(b"f")
             await until(lambda: len(heir.items) == 4 and len(server._clients) <= 1)
             assert server.bodies.used == 0
--- a/tests/handover/test_link.py
+++ b/tests/handover/test_link.py
@@ -1,4 +1,4 @@
-"""The handover on real sockets: a partner that ends after any message, talks nonsense, says nothing, or is another's."""
+"""Hand-over on real sockets: a peer ends after any message, sends invalid data, is silent, or of another user."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 class Older:
-    """Everything that a predecessor's process does, as far as it can be seen here."""
+    """A fake predecessor host that records its calls."""
 
     def __init__(self, folder: Path, state: bytes = STATE) -> None:
         self.state, self.log, self.returned = state, [], []
@@ -64,7 +64,7 @@
 
 
 class Newer:
-    """And a successor's."""
+    """A fake successor host that records its calls."""
 
     def __init__(self) -> None:
         self.log: list[Any] = []
@@ -102,7 +102,7 @@
 
 def test_a_whole_upgrade_over_a_long_path(tmp_path: Path) -> None:
     async def test() -> None:
-        folder = tmp_path / ("x" * 100) / ("y" * 100)  # longer than such a socket's name may be
+        folder = tmp_path / ("x" * 100) / ("y" * 100)  # longer than the path of a Unix socket may be
         folder.mkdir(parents=True)
         older, newer = Older(folder), Newer()
         assert await newer.link.connect(str(folder))
@@ -135,7 +135,7 @@
     run(test())
 
 
-# what a successor says, in turn, and what the older process is left as when it ends after so many of them
+# messages of a successor in order, and the predecessor's log if it ends after the first n of them
 SAYS: list[tuple[Message, list[Any]]] = [
     (Hello(), []),
     (SetOutOfService(False), [("wished", False)]),
@@ -164,7 +164,7 @@
             if isinstance(message, StateAck):
                 for _, given in pairs:
                     older.link.pass_connection(TransferredConnection(given, b"begun"))
-        if said == 2:  # it ends with the state on its way
+        if said == 2:  # it ends while the state is being sent
             ending = asyncio.create_task(older.link.end())
             await until(lambda: older.log[-1:] == ["retired"])
         await asyncio.sleep(0.01)
@@ -234,7 +234,7 @@
         sock.close()
         await until(newer.link.finished.is_set)
         if said == 0:
-            assert not await asking and newer.log == []  # it is told that there is none
+            assert not await asking and newer.log == []  # there is no predecessor
         elif said < 6:
             await until(lambda: newer.log == ["alone"])
         else:
@@ -259,7 +259,7 @@
 def test_nonsense_ends_its_link_and_nothing_else(tmp_path: Path, nonsense: bytes) -> None:
     async def test() -> None:
         older = Older(tmp_path)
-        others = [dialled(tmp_path) for _ in range(link.MAX_PENDING_LINKS)]  # that say nothing
+        others = [dialled(tmp_path) for _ in range(link.MAX_PENDING_LINKS)]  # silent
         bad = dialled(tmp_path)
         bad.send(nonsense)
         assert await packet(bad) is None
@@ -269,7 +269,7 @@
         late = Newer()
         asking = asyncio.create_task(late.link.connect(str(tmp_path)))
         await asyncio.sleep(0.05)
-        older.link.close()  # as its process does at its end
+        older.link.close()  # as at the end of its process
         newer.link.close()
         assert not await asking and late.log == []
         for sock in [*others, bad]:
@@ -281,7 +281,7 @@
 def test_a_successor_that_does_not_take_the_state_in_time_is_not_the_owner(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It wakes up later, and asks anew; then it is."""
+    """The successor hangs, reconnects later, and then becomes the owner."""
     monkeypatch.setattr(link, "RESPONSE_TIMEOUT_S", 0.05)
 
     async def test() -> None:
--- a/tests/handover/test_roles.py
+++ b/tests/handover/test_roles.py
@@ -1,4 +1,4 @@
-"""Both parts of an upgrade against each other: any message cut, any death, and one owner of everything."""
+"""Model test of predecessor and successor: with any lost link or process, everything has one owner."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
     SuccessorPhase,
 )
 
-STATE = bytes(range(256)) * 300  # three pieces
+STATE = bytes(range(256)) * 300  # three chunks
 
 
 class Upgrade(RuleBasedStateMachine):
@@ -60,18 +60,16 @@
         self.alive = {"older": True, "newer": True}
         self.shut = {"older": False, "newer": False}
         self.retired = self.owns = False
-        self.took = False  # the newer one has been the owner, dead or alive
+        self.took = False  # the successor has become the owner, dead or alive
         self.link = 0
-        self.asks = True  # the newer one has to find the older one
+        self.asks = True  # the successor has to connect
         self.names = 0
         self.told: list[int] = []
         self.heard: list[int] = []
-        self.at_older: dict[int, bytes] = {}  # connections that it reads from, and what has come on them
+        self.at_older: dict[int, bytes] = {}  # connections that it reads from, and their received bytes
         self.at_newer: dict[int, bytes] = {}
         self.all: dict[int, bytes] = {}
-        self.asked: dict[
-            int, str
-        ] = {}  # requests without an answer, by connection: who has read it, "" for nobody
+        self.asked: dict[int, str] = {}  # unanswered requests by connection: who has read it, "" for nobody
         self.answered: dict[int, int] = {}
         self.requests: dict[int, int] = {}
         self.find()
@@ -81,7 +79,7 @@
     @precondition(lambda self: self.asks and self.alive["newer"])
     @rule()
     def find(self) -> None:
-        """Ask on a new link; if nobody listens there the older one has died."""
+        """Connects on a new link; if nobody listens, the predecessor has died."""
         self.asks = False
         if not self.alive["older"]:
             self.owns = True
@@ -90,7 +88,7 @@
         self.newer = Successor()
         self.to_newer.clear()
         self.shut = {"older": False, "newer": False}
-        while self.to_older:  # of the link before
+        while self.to_older:  # of the previous link
             self.read_older(self.link - 1)
         self.done_older(self.older.link_closed(self.link - 1))
         self.newer_does(self.newer.connected())
@@ -114,7 +112,7 @@
                     for item in returned:
                         assert item.connection not in self.at_older
                         self.at_older[item.connection] = item.data
-                    self.owns = False  # as if it had died; if not, the older one's ceilings are empty
+                    self.owns = False  # as if it had died; otherwise the predecessor's ceilings are empty
                 case roles.Abort(link) | roles.Close(link):
                     if link == self.link:
                         self.give_up("older")
@@ -148,7 +146,7 @@
                     self.give_up("newer")
 
     def give_up(self, side: str) -> None:
-        """Shut, read what is there, end."""
+        """Shuts down the receiving direction, reads the remaining messages, and closes the link."""
         if self.shut[side]:
             return
         self.shut[side] = True
@@ -157,7 +155,7 @@
                 self.read_older()
             self.done_older(self.older.link_closed(self.link))
         else:
-            self.to_newer.clear()  # what is not acknowledged goes back
+            self.to_newer.clear()  # unacknowledged connections return
             self.newer_does(self.newer.link_closed())
 
     def read_older(self, link: int = 0) -> None:
@@ -172,7 +170,7 @@
         elif self.shut["older"] or not self.alive["older"]:
             self.give_up("newer")
 
-    # ---- what may happen
+    # ---- events
 
     @rule(times=st.integers(1, 12))
     def older_reads(self, times: int) -> None:
@@ -195,7 +193,7 @@
     @precondition(lambda self: self.all)
     @rule(pick=st.integers(0, 1000))
     def a_client_asks(self, pick: int) -> None:
-        """It asks again only once it has its answer."""
+        """A client sends the next request only after the response."""
         name = sorted(self.all)[pick % len(self.all)]
         if name not in self.asked:
             self.asked[name] = ""
@@ -203,7 +201,7 @@
 
     @rule(side=st.sampled_from(["older", "newer"]))
     def requests_are_read(self, side: str) -> None:
-        """By whoever holds the connection; an older process that has retired leaves them where they are."""
+        """By the owner of the connection; a predecessor that has begun the hand-over leaves them unread."""
         if self.alive[side] and not (side == "older" and self.retired):
             for name in self.asked.keys() & (self.at_older if side == "older" else self.at_newer).keys():
                 assert self.asked[name] in ("", side)
@@ -268,14 +266,14 @@
                 self.at_newer.clear()
                 self.owns = False
 
-    # ---- what must hold
+    # ---- invariants
 
     @invariant()
     def one_owner_of_every_budget(self) -> None:
-        if self.alive["older"]:  # else the newer one is it, or will be once it asks anew
-            # it is not retired, or the newer one has it, or its Took is still to be read, or the state to come
+        if self.alive["older"]:  # otherwise the successor is, or will be once it reconnects
+            # not retired, or the successor owns it, or its StateAck is unread, or the state is on its way
             on_the_way = self.older.phase is PredecessorPhase.SENDING_STATE
-            died = self.took and not self.alive["newer"]  # and the older one has not noticed yet
+            died = self.took and not self.alive["newer"]  # not noticed by the predecessor yet
             assert (not self.retired) + self.owns == 1 or (on_the_way and not self.owns) or died
 
     @invariant()
@@ -321,7 +319,7 @@
     assert u.owns and u.retired
     u.older_reads(9)
     u.pass_connection(True)
-    assert len(u.at_older) == 100  # each owes an answer
+    assert len(u.at_older) == 100  # each owes a response
     u.requests_are_answered("older")
     u.pass_connection(True)
     u.an_attempt_ends()
--- a/tests/handover/test_snapshot.py
+++ b/tests/handover/test_snapshot.py
@@ -1,4 +1,4 @@
-"""What a gateway knows, given to another: one owner of each budget, and whole or not at all."""
+"""Snapshots passed from one gateway to the next: one owner of each budget, restored completely or not at all."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
 def test_bucket_and_ceiling_are_those_of_one_gateway_however_often_it_is_replaced(
     steps: list[tuple[float, int]], replaced: int
 ) -> None:
-    """The same requests at one gateway and at a row of successors: what is let in of each customer is alike."""
+    """The same requests at one gateway and at a chain of successors: each customer gets the same admissions."""
     one, row = made(), made()
     now, number = START + OLD, 1
     for g in (one, row):
@@ -72,7 +72,7 @@
         mine, theirs = one.customers[9], row.customers[9]
         assert mine.cap_tokens >= -1e-6 and theirs.cap_tokens >= -1e-6
         assert theirs.filled_at == mine.filled_at
-    # all that was ever let in, of both: never more than the ceiling gave since the start
+    # admissions of both gateways: never more than the ceiling allows since the start
     gave = PLUS.ceiling_burst + (now - START) / 1000 * PLUS.ceiling_rate
     assert row.customers[9].answers <= gave
 
@@ -162,7 +162,7 @@
     snapshot.take(g)
     snapshot.resume(g, START + OLD)
     assert g.customers[9].cap_tokens == 0
-    assert lets_in(g, START + OLD + 1000, 40, 5000) <= 20  # what the ceiling gives in that second
+    assert lets_in(g, START + OLD + 1000, 40, 5000) <= 20  # the ceiling's allowance in that second
 
 
 def broken(state: Any, path: list[Any], value: Any) -> Any:
@@ -219,7 +219,7 @@
 
 
 def test_a_state_of_another_version_is_read_as_far_as_it_is_known() -> None:
-    """A newer program's state holds more, an older one's less; both are said, and the rest is taken."""
+    """State of a newer build has more fields, of an older one fewer; both are reported, the rest is restored."""
     g = made()
     lets_in(g, START + OLD, 3)
     state = snapshot.take(g)
@@ -242,7 +242,7 @@
 
 
 def test_what_a_retired_gateway_still_sends_or_refuses_of_a_payment_is_known_to_the_next() -> None:
-    """Sent only now: a retry past the nodes' window is failed. Refused unsent: a retry is as good as new."""
+    """Sent only now: a retry past the backends' window fails. Rejected unsent: a retry counts as new."""
     for sent, kind in ((True, Fail), (False, Send)):
         g = made(counter=True, counter_timeout_ms=50, plans=(replace(PLUS, ceiling_rate=0, ceiling_burst=0),))
         arrival = request(1, 1, width=1)
@@ -255,7 +255,7 @@
         g.customers[9].tokens, g.customers[9].debt = 0.0, 1.0
         (count,) = [
             a for a in g.handle(START + OLD + 1, arrival) if isinstance(a, CounterAdd)
-        ]  # held for its answer
+        ]  # waits for its response
         heir = passed_on(g)
         counted += count.amount if sent else 1000.0
         for action in g.handle(START + OLD + 2, CounterReply(count.name, Outcome.OK, 1.0, counted)):
@@ -270,7 +270,7 @@
 
 
 def test_a_report_of_what_is_not_known_ends_nothing_else() -> None:
-    """Two gateways further on a number may be another's; a class may be gone, a backend have started anew."""
+    """Two gateways later an index may be reused, a class removed, or a backend restarted."""
     first, second = made(), made()
     first.handle(START + OLD, request(5, width=1))
     second = passed_on(first)
@@ -281,9 +281,7 @@
     unknown = AttemptSettled(
         6, 0, Outcome.OK, 1, cls="read", customer=9, plan="plus", true_units=1.5, units=0.5
     )
-    (told,) = second.handle(
-        START + OLD + 5, unknown
-    )  # of the first one, and none that the second has heard of
+    (told,) = second.handle(START + OLD + 5, unknown)  # of the first one; none received by the second
     before = [s.value for b in third.backends.values() for s in b.slowness]
     third.handle(START + OLD + 5, told)
     assert sum(len(b.out) for b in third.backends.values()) == 2 and third.customers[9].answers == 1
@@ -297,7 +295,7 @@
 
 @given(st.lists(st.sampled_from(["send", "ok", "fail", "replace", "end"]), max_size=40), st.randoms())
 def test_load_and_units_follow_what_is_out_through_any_row_of_gateways(steps: list[str], dice: Any) -> None:
-    """Each gateway tells the next; the last one's load is what is out anywhere, and its use is all use."""
+    """Each gateway reports to the next; the last one counts all load and all use."""
     row, out, now, number, answered = [made()], {}, START + OLD, 0, 0
     sends: dict[int, int] = {}
 
@@ -324,7 +322,7 @@
             outcome = Outcome.OK if step == "ok" else Outcome.CONNECT_FAILED
             answered += outcome is Outcome.OK
             act(owner, ended(mine, backend, outcome, attempt, took=40.0, units=1.5))
-        elif step == "end" and len(row) > 1:  # all that went before have ended
+        elif step == "end" and len(row) > 1:  # all earlier ones have ended
             for mine in [m for m, (owner, *_) in out.items() if owner < len(row) - 1]:
                 del out[mine]
             snapshot.forget(row[-1])
--- a/tests/membership/test_datagrams.py
+++ b/tests/membership/test_datagrams.py
@@ -1,4 +1,4 @@
-"""Digests over loopback sockets, good and bad, and what the configuration says of peers."""
+"""Valid and invalid digests over loopback sockets, and the configuration of peers."""
 
 from __future__ import annotations
 
@@ -48,10 +48,8 @@
                 for _ in range(200):
                     peer.sendto(b"flood", address)
                 await until(lambda: len(heard) + ways.dropped["too many"] == 201)
-                assert (
-                    10 < len(heard) < 100
-                )  # twice what is taken in, and what came free while they were read
-            assert len(caplog.records) == 2  # a line for each of the two senders
+                assert 10 < len(heard) < 100  # twice the intake rate, plus the tokens refilled while reading
+            assert len(caplog.records) == 2  # one line for each of the two senders
             ways.tell(None, b"to all")
             ways.tell(1, b"to one")
             peer.settimeout(5)
@@ -118,7 +116,7 @@
 
 
 def test_a_successor_hears_peers_once_the_address_is_free() -> None:
-    """At an upgrade two processes have the same addresses for a while."""
+    """During an upgrade two processes are configured with the same address."""
 
     async def test() -> None:
         before = bound()
--- a/tests/membership/test_watch.py
+++ b/tests/membership/test_watch.py
@@ -1,4 +1,4 @@
-"""The client of discovery, by itself and forty at a time before a discovery that serves some calls a second."""
+"""The schedule of discovery clients: one alone, and forty with a discovery of limited rate."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 )
 
 GATEWAYS = 40
-SLOW = Service(lines_per_s=240.0)  # a call from each takes it 6.7 s, as the operators' slowest
+SLOW = Service(lines_per_s=240.0)  # one call from each gateway takes it 6.7 s, as the slowest in operation
 
 
 def happens(event: str, f: Fleet) -> None:
-    """All start in the same moment; most are killed and come back at once; discovery is silent for 5 s."""
+    """All start at once; most are killed and return at once; discovery is silent for 5 s."""
     if event != "start":
         f.until_current(60)
     if event == "mass kill":
@@ -38,7 +38,11 @@
         f.discovery.down = False
 
 
-EVENTS = {"start": 20.0, "mass kill": 20.0, "outage": 25.0}  # and the seconds by which all are to know
+EVENTS = {
+    "start": 20.0,
+    "mass kill": 20.0,
+    "outage": 25.0,
+}  # and the deadline in seconds for all gateways to know
 
 
 @pytest.mark.parametrize("event", EVENTS)
@@ -57,7 +61,7 @@
 
 @pytest.mark.parametrize("event", EVENTS)
 def test_the_client_as_it_was_keeps_discovery_down(event: str) -> None:
-    """The rig can fail: the same events end with most of the fleet blind."""
+    """Checks the simulation: with the naive client the same events leave most of the fleet without updates."""
     f = Fleet(GATEWAYS, SLOW, 1, Impatient)
     happens(event, f)
     assert f.until_current(20.0) == inf
@@ -68,12 +72,12 @@
 def test_where_all_calls_are_refused_the_fleet_keeps_to_its_slots(gateways: int) -> None:
     f = Fleet(gateways, Service(refuses=frozenset(range(gateways))), 1)
     f.time.run(60)
-    f.discovery.begun[0] -= gateways  # the first of each
+    f.discovery.begun[0] -= gateways  # the first call of each
     assert max(f.discovery.begun.values()) <= 2 * max(1 / CALL_SLOT_S, gateways / MAX_FIRST_BACKOFF_S)
     assert sum(f.discovery.begun[s] for s in range(30, 60)) / 30 <= max(
         1 / CALL_SLOT_S, gateways / MAX_FIRST_BACKOFF_S
     )
-    assert f.discovery.begun.total() >= 10 * gateways  # and nobody gives up
+    assert f.discovery.begun.total() >= 10 * gateways  # and all keep calling
 
 
 def test_one_that_is_always_refused_neither_gives_up_nor_is_in_the_others_way() -> None:
@@ -84,7 +88,7 @@
 
 
 def test_a_lone_gateway_is_as_quick_as_ever() -> None:
-    """A watch that breaks goes on within its 200 ms, and the first call is made at once."""
+    """A broken watch continues within 200 ms, and the first call is made immediately."""
     watch = WatchSchedule(1, 5, Random(1))
     assert watch.next_call() == NextCall(0.0, 5, 1000, 3.2)
     watch.answered(6)
@@ -110,22 +114,22 @@
     for step in course:
         before = watch.version
         steps[step]()
-        assert step != "r" or watch.version == before  # what is known is still worth something
+        assert step != "r" or watch.version == before  # the known version stays valid
         ask = watch.next_call()
         assert 0 <= ask.delay_s <= MAX_BACKOFF_S
         assert (ask.version is None) == (ask.hold_ms == 0)
-        assert ask.timeout_s >= ask.hold_ms / 1000 + 2  # what discovery has taken on is waited for
+        assert ask.timeout_s >= ask.hold_ms / 1000 + 2  # waits for calls that discovery has accepted
         assert step != "a" or (ask.delay_s, watch.state) == (0, WatchState.CURRENT)
         assert step != "f" or ask.delay_s >= RETRY_DELAY_S
 
 
 @pytest.mark.parametrize("gateways", [3, 40, 200])
 def test_a_watch_that_falls_silent_is_begun_anew_before_what_it_was_to_bring_binds(gateways: int) -> None:
-    """A send to a backend that drains came 0.58 s after that was told: 2.5 s of patience, and a pause of 0.1 s."""
+    """Guards against sends to a draining backend, seen 0.58 s late with a timeout of 2.5 s and a pause of 0.1 s."""
     watch = WatchSchedule(gateways, 7, Random(1))
     watch.answered(8)
     silent = watch.next_call()
     watch.failed()
     assert (
         silent.timeout_s + watch.next_call().delay_s < silent.hold_ms / 1000 + EFFECTIVE_S - 0.1
-    )  # to connect, and the answer's way
+    )  # connect time and latency of the response
--- a/tests/overload/test_jam.py
+++ b/tests/overload/test_jam.py
@@ -1,4 +1,4 @@
-"""A jam teaches nothing of what work takes: else the queue that the fleet is allowed grows with the jam itself."""
+"""Congestion does not raise the estimated service time; else the permitted queue would grow with it."""
 
 from __future__ import annotations
 
@@ -13,4 +13,4 @@
         backend.out[1, 0] = START, before, pile, 0, START + 60_000
         g.handle(START + 9000, ended(1, 1, took=9000.0))
         assert (pool.unit_ms[0] > before) == learns, pile
-        assert backend.slowness[0].now(START + 9000) > 1  # that it is slow is known either way
+        assert backend.slowness[0].now(START + 9000) > 1  # the slowness is known in both cases
--- a/tests/overload/test_lag.py
+++ b/tests/overload/test_lag.py
@@ -1,4 +1,4 @@
-"""The lag of a loop, in simulated time."""
+"""Event loop lag in simulated time."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Clockwork:
-    """A loop whose sampler fires so much later than it is due."""
+    """A loop whose sampler fires late by given amounts."""
 
     def __init__(self) -> None:
         self.now = 1000.0
@@ -37,7 +37,7 @@
 
 
 def test_an_overdue_sample_is_notable_before_it_fires() -> None:
-    """What is read between a long pass and the sampler has waited for that pass."""
+    """Data read between a long pass and the next sample has waited for that pass."""
     c = Clockwork()
     c.now += EVERY_MS + 30
     assert c.lag.significant and c.lag.now_ms == 0
@@ -46,7 +46,7 @@
 
 
 def test_a_loop_that_stays_late_stays_notable() -> None:
-    """Sawtooth: each second pass is prompt."""
+    """Sawtooth: every second pass is short."""
     c = Clockwork()
     for n in range(40):
         c.fire(30 * (n % 2))
--- a/tests/overload/test_storm.py
+++ b/tests/overload/test_storm.py
@@ -1,4 +1,4 @@
-"""Storms are recognised by their signs, told once, and told to be over; in simulated time."""
+"""Retry storms are detected by their signs, and their start and end are reported once; simulated time."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Watch:
-    """A watch of an ingress with 400 places, a second at a time."""
+    """A detector of an ingress with 400 client connection slots, advanced by one second at a time."""
 
     def __init__(self, old: bool = True) -> None:
         self.lines: list[str] = []
@@ -105,7 +105,7 @@
         w.second(rejected=rejected)
     assert len(w.lines) == 3 and "60% refused" in w.lines[-1]
     seconds = int(w.lines[-1].partition("should end in ")[2].split()[0])
-    assert 8 <= seconds <= 20  # it falls by 6 points a second: 10 s, and the calm ones
+    assert 8 <= seconds <= 20  # decreases by 6 points a second: 10 s, plus the calm checks
 
 
 def test_looks_that_come_too_often_or_late_are_no_matter() -> None:
@@ -113,7 +113,7 @@
     before = w.sums
     w.watch.update(w.now + 10, replace(before, requests=400, rejected=400), 0.0)
     assert w.lines == []
-    w.now += 4000  # the process stood still
+    w.now += 4000  # the process was stopped
     w.sums = replace(before, requests=200 * 5, rejected=0)
     w.watch.update(w.now, w.sums, 0.0)
     assert w.lines == []
--- a/tests/overload/test_waited.py
+++ b/tests/overload/test_waited.py
@@ -1,4 +1,4 @@
-"""Who is turned away once this process itself is late: the module's part, and its effect in simulated time."""
+"""Rejection of requests that waited too long for this process: the decisions, and their effect over time."""
 
 from __future__ import annotations
 
@@ -29,11 +29,11 @@
 
 
 def bound_ms(g: Gateway, now: float = START, **what: object) -> float:
-    """The wait from which on such a request is turned away, found by asking."""
+    """Returns the shortest wait at which such a request is rejected."""
     for ms in range(1, 2000):
         if g.handle(now, waited(float(ms), **what)):  # type: ignore[arg-type]
             return ms
-    raise AssertionError("nothing is turned away")
+    raise AssertionError("no request is rejected")
 
 
 def test_nothing_that_waited_little_is_turned_away_and_all_that_waited_long_is() -> None:
@@ -71,7 +71,7 @@
 
 
 def test_return_times_are_the_customers_own_appointments() -> None:
-    """They lie one behind the other, as DIBA has them, and another customer's do not stand behind them."""
+    """Retry times are spaced in sequence (DIBA), independently for each customer."""
     g = made(marks_retry=True)
     times = [g.handle(START, waited(700, plan=0))[0].retry_after_ms for _ in range(4)]  # type: ignore[union-attr]
     assert times == sorted(times) and len({*times}) == 4
@@ -95,16 +95,16 @@
 
 
 class Loop:
-    """An event loop under load in simulated time: each pass handles what has come during the last one."""
+    """An event loop under load in simulated time: each pass handles the arrivals of the previous pass."""
 
     SERVED_MS, REFUSED_MS = 0.25, 0.04  # CPU; about what is measured
 
     def __init__(self, sheds: bool = True, retries: int = 0) -> None:
         self.gateway, self.sheds, self.retries, self.random = made(), sheds, retries, Random(3)
         self.now, self.debt = START, 0.0
-        self.waiting: deque[tuple[float, int]] = deque()  # when each came, and how often it may come again
-        self.coming: list[tuple[float, int]] = []  # those that come back
-        self.served: list[tuple[float, float]] = []  # when, after what wait
+        self.waiting: deque[tuple[float, int]] = deque()  # arrival time, remaining retries
+        self.coming: list[tuple[float, int]] = []  # future retries
+        self.served: list[tuple[float, float]] = []  # time, wait
         self.refused: list[float] = []
 
     def arrive(self, until: float, rate: Callable[[float], float]) -> None:
@@ -136,7 +136,7 @@
                     self.served.append((self.now, self.now - came))
 
     def goodput(self, since: float, aim_ms: float = 400.0) -> float:
-        """Served in time, a second."""
+        """Requests served in time, per second."""
         return sum(at > since and wait < aim_ms for at, wait in self.served) / (self.now - since) * 1000
 
 
@@ -164,7 +164,9 @@
     drowned = Loop(sheds=False)
     drowned.run(1000, lambda now: 0.5 * CAPACITY)
     drowned.run(6000, lambda now: times * CAPACITY)
-    assert drowned.goodput(START + 2000) < 0.3 * share * CAPACITY  # without it nearly all is late
+    assert (
+        drowned.goodput(START + 2000) < 0.3 * share * CAPACITY
+    )  # without the rejections nearly all responses are late
 
 
 def test_full_service_within_a_second_of_the_end() -> None:
@@ -186,14 +188,14 @@
 
 
 def test_clients_that_come_back_at_once_leave_half_of_the_service() -> None:
-    """Each may come three times, and heeds nothing."""
+    """Clients retry up to three times and ignore Retry-After."""
     loop = Loop(retries=2)
     loop.run(8000, lambda now: 1.5 * CAPACITY)
     assert loop.goodput(START + 3000) > 0.5 * CAPACITY
 
 
 def test_nobody_is_locked_out() -> None:
-    """Each class is served in each second, the one of less worth less."""
+    """Each class is served in every second, the class of lower priority less."""
     g, served = made(), {0: 0, 1: 0}
     random = Random(5)
     for n in range(4000):
--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -1,4 +1,4 @@
-"""Routes compiled equal routes said plainly; targets have one form; splits stick."""
+"""The route table equals its reference implementation; targets normalize uniquely; splits are sticky."""
 
 from __future__ import annotations
 
@@ -336,7 +336,7 @@
     assert normalize_host(host) == name
 
 
-# ---- splits
+# ---- splits of a route
 
 
 def test_a_weight_that_changes_moves_its_share_and_nobody_else() -> None:
--- a/tests/routing_service/test_deployment.py
+++ b/tests/routing_service/test_deployment.py
@@ -1,4 +1,4 @@
-"""A deployment's file: what is wrong with it, what it does in service, and how it changes."""
+"""A deployment file: its errors, its effect in service, and its reload."""
 
 from __future__ import annotations
 
@@ -293,7 +293,7 @@
 
 @asynccontextmanager
 async def deployed(tmp_path: Path, text: str, **pools: list[Script]) -> AsyncIterator[World]:
-    """Servers by pool, and the deployment before them: {a} in the text is pool a's list."""
+    """Starts servers by pool and the deployment; {a} in the text stands for the server list of pool a."""
     w = World()
     w.pools = {name: [Peer(script) for script in scripts] for name, scripts in pools.items()}
     for peers in w.pools.values():
--- a/tests/support/counting.py
+++ b/tests/support/counting.py
@@ -1,4 +1,4 @@
-"""The shared counter as its callers see it."""
+"""The client of the shared counter and a parser of its calls."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 async def read_call(reader: asyncio.StreamReader) -> bytes:
-    """One RESP2 array of bulk strings."""
+    """Reads a RESP2 array of bulk strings."""
     parts = []
     for _ in range(int((await reader.readuntil())[1:])):
         size = int((await reader.readuntil())[1:])
@@ -20,7 +20,7 @@
 
 
 class Counting:
-    """A counter's client and the answers it gave."""
+    """A counter client that records its replies."""
 
     def __init__(self, peer: Peer, timeout_s: float = 5.0) -> None:
         self.answers: list[CounterReply] = []
--- a/tests/support/upgrade.py
+++ b/tests/support/upgrade.py
@@ -1,4 +1,4 @@
-"""Processes that share a listening socket, as at an upgrade."""
+"""Processes that share a listening socket, as during an upgrade."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 
 
 class Upgrade:
-    """Processes that share a listening socket; each has an operators' address of its own."""
+    """Processes that share a listening socket; each has its own management address."""
 
     def __init__(self, node: Peer, where: Path, operator: Path | None = None, **extra: object) -> None:
-        """operator: the operator's file, where there is one."""
+        """operator: the operator's file, if any."""
         self.socket = socket.create_server(("127.0.0.1", 0), backlog=128)
         self.address = self.socket.getsockname()
         self.where, self.node, self.operator, self.extra = where, node, operator, extra
         self.children: list[tuple[subprocess.Popen[bytes], tuple[str, int]]] = []
 
     async def start(self, prelude: str = "") -> int:
-        """One more process; returns its number once it says that it takes clients. prelude: what it runs first."""
+        """Starts a process; returns its number once it is ready. prelude: Python code that it runs first."""
         number = len(self.children)
         management = free_address()
         config = {
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Several real ingress processes: killed and restarted together, and filled by connections that never ask."""
+"""Several ingress processes: killed and restarted together, and filled by connections without requests."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Tier:
-    """Ingresses as processes over the same nodes."""
+    """Ingress processes with the same backends."""
 
     def __init__(self, nodes: list[Peer], where: Path, count: int = 2, **extra: Any) -> None:
         self.addresses = [free_address() for _ in range(count)]
@@ -73,7 +73,7 @@
 
 
 async def comes_back(tier: Tier, number: int) -> None:
-    """A client that asks again until it is served, and is told nothing but to come back."""
+    """A client that retries until it is served; every other response must ask it to retry."""
     for turn in range(50):
         told = await tier.ask(
             tier.addresses[(number + turn) % 2],
@@ -95,7 +95,9 @@
 
         async def book(peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
             key = data.partition(b"idempotency-key: ")[2].partition(b"\r\n")[0]
-            books[key] = books.get(key, 0) + 1  # the window of these nodes is over by any retry
+            books[key] = (
+                books.get(key, 0) + 1
+            )  # the deduplication window of these backends is over before any retry
             held.set()
             await asyncio.sleep(10)
 
@@ -109,7 +111,7 @@
             await held.wait()
             assert set(tier.end()) == {-signal.SIGKILL}
             await asyncio.wait({first})
-            assert first.exception() is not None  # no answer: the client has to come back
+            assert first.exception() is not None  # no response: the client has to retry
             for node in nodes:
                 node.script = answer()
             await tier.start()
@@ -126,7 +128,7 @@
 
 
 def test_places_held_by_connections_that_never_ask_are_had_back(tmp_path: Path) -> None:
-    """40 places, and 100 connections that stay silent at each ingress, with every damping and with none."""
+    """40 connection slots and 100 silent connections at each ingress, with all damping enabled and disabled."""
 
     async def test() -> None:
         node = Peer(answer())
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,4 +1,4 @@
-"""The ingress among its peers: bad input, drain, restart, discovery, counter, limits."""
+"""The ingress with its environment: bad input, drain, restart, discovery, counter, limits."""
 
 from __future__ import annotations
 
@@ -276,7 +276,7 @@
 
 
 def test_the_program_serves_ends_at_sigterm_and_serves_again_from_what_was_known(tmp_path: Path) -> None:
-    """Discovery is not there at all: the last known list is enough."""
+    """Without discovery, the last known list is used."""
 
     async def test() -> None:
         backend = Peer(answer())
@@ -361,7 +361,7 @@
 
 
 def lists(*answers: Any) -> Any:
-    """A script for discovery: one answer for each call, then silence."""
+    """A script for discovery: one response for each call, then silence."""
     left = list(answers)
 
     async def script(peer: Peer, request: bytes, writer: asyncio.StreamWriter) -> None:
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -1,4 +1,4 @@
-"""Answers that never come, or stop half way, on connections that stay open."""
+"""Responses that never arrive or stop midway, on connections that stay open."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 COPIES: dict[str, Any] = {"second_copies": True, "classes": (SAFE, KEYED_ALL, UNSAFE)}
 HALF = b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"
-LONG = "20.000"  # a client's time that no attempt may take
+LONG = "20.000"  # a client deadline longer than any attempt may take
 
 
 async def half(peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
@@ -33,7 +33,7 @@
 
 
 def first_only(script: Any) -> Any:
-    """A fleet whose first request of all meets the script; the rest is answered."""
+    """A fleet where the first request gets the script; all others are answered."""
     met: list[bytes] = []
 
     async def either(peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
@@ -44,7 +44,7 @@
 
 
 def hasten(w: Any) -> None:
-    """Let the gateway believe that work takes little: an attempt is overdue soon."""
+    """Gives the gateway a low service time estimate, so that attempts are overdue early."""
     w.service.ingress.engine._gateway.pools[0].unit_ms = [5.0] * 3
     w.service.ingress.engine._gateway.pools[0].mean_work = 5.0
 
@@ -52,7 +52,7 @@
 @pytest.mark.parametrize("cls", ["ledger-read", "payment-book"])
 @pytest.mark.parametrize("script", [silence, half])
 def test_what_may_be_repeated_is_answered_elsewhere_long_before_its_time_is_up(cls: str, script: Any) -> None:
-    """Found in issue 7: it was waited for until the client's time was up, on one dead connection."""
+    """Issue 7: on one dead connection the gateway waited until the client's deadline."""
 
     async def test() -> None:
         loop, fleet = asyncio.get_running_loop(), first_only(script)
@@ -70,9 +70,7 @@
                 if b"request-id" in line.lower()
             }
             assert len(ids) == 1
-            await until(
-                lambda: sum(b.closed for b in w.backends) == 1
-            )  # the silent one is waited for no more
+            await until(lambda: sum(b.closed for b in w.backends) == 1)  # the silent one has been abandoned
 
     run(test())
 
@@ -99,7 +97,7 @@
 
 
 def test_a_silent_connection_does_not_keep_requests_from_its_backend() -> None:
-    """The backend answers on its other connections meanwhile: the one that is silent tells nothing of it."""
+    """The backend responds on other connections: the silent one says nothing about its health."""
 
     async def test() -> None:
         async with world(first_only(silence)) as w:
@@ -125,7 +123,7 @@
 
 
 def test_a_counter_connection_that_falls_silent_is_left_and_its_calls_are_known_as_lost() -> None:
-    """Found in issue 7: each silence lasted a quarter of a second, and what was to be counted in it never was."""
+    """Issue 7: each silence lasted a quarter of a second, and the calls during it were never counted."""
 
     async def test() -> None:
         async def once(peer: Peer, call: bytes, writer: asyncio.StreamWriter) -> None:
@@ -151,7 +149,7 @@
 
 
 def test_a_counter_that_is_slow_keeps_its_connection() -> None:
-    """Its calls are added, only late: told as lost, they would be added twice."""
+    """Its calls are added late; reported as lost, they would be added twice."""
 
     async def test() -> None:
         async def late(peer: Peer, call: bytes, writer: asyncio.StreamWriter) -> None:
@@ -209,7 +207,7 @@
     assert g.asking == pytest.approx(0.7)
 
 
-# ---- the module by itself
+# ---- the decision module alone
 
 
 def start(g: Any, number: int, cls: int, now: float = START) -> tuple[Send, SetTimer | None]:
@@ -241,7 +239,7 @@
 
 @pytest.mark.parametrize("cls", [0, 1])
 def test_a_request_is_refused_only_once_no_attempt_is_out(cls: int) -> None:
-    """Rule 2: what is out may still run; a refusal beside it would promise too much, and might lose its answer."""
+    """Rule 2: a pending attempt may still run; a rejection would deny that and could lose its response."""
     g = gateway(1, 2, **COPIES)
     send, timer = start(g, 1, cls)
     assert timer is not None
@@ -271,7 +269,7 @@
 
 
 def test_an_attempt_cut_short_after_it_was_overdue_is_a_sign_against_its_backend() -> None:
-    """Else a machine that has vanished would get a request and a copy elsewhere again and again."""
+    """Otherwise a vanished machine would get a request, with a copy elsewhere, again and again."""
     g = gateway(1, 2, **COPIES)
     for n in range(4):
         now = START + n * 5000
--- a/troutdock/routing/table.py
+++ b/troutdock/routing/table.py
@@ -9,8 +9,8 @@
 
 Hosts and paths are found by lookup: one lookup for an exact host, one for each label for wildcards, one for
 an exact path, one for each segment for prefixes, and one automaton (RE2's Set) for all patterns of a host.
-The remaining routes, of one host and path, are tried in the order of 3 and 4. A table is immutable; with_route()
-and without() return a new one that shares the unchanged parts (persistent maps).
+The remaining routes, of one host and path, are tried in the order of 3 and 4. A table is immutable;
+with_route() and without() return a new one that shares the unchanged parts (persistent maps).
 """
 
 from __future__ import annotations
