--- a/troutdock/daemon.py
+++ b/troutdock/daemon.py
@@ -83,10 +83,10 @@
         self._management_server = Door(
             {
                 b"/control/ready": (b"GET", lambda: self.ready),
-                b"/control/out-of-service": (b"POST", lambda: self._in_service(False)),
-                b"/control/in-service": (b"POST", lambda: self._in_service(True)),
+                b"/control/out-of-service": (b"POST", lambda: self._set_in_service(False)),
+                b"/control/in-service": (b"POST", lambda: self._set_in_service(True)),
             },
-            {call: does for part in components for call, does in part.books().items()},
+            {call: handler for component in components for call, handler in component.books().items()},
         )
         self.management: Address | None = None
         self._retire_timer: asyncio.TimerHandle | None = None
@@ -129,24 +129,24 @@
         standing_by = self._from_predecessor is not None and self._from_predecessor.standing_by
         return self.ingress.engine.ready if standing_by else self._server.healthy
 
-    def _in_service(self, wanted: bool) -> bool:
+    def _set_in_service(self, wanted: bool) -> bool:
         """Handles an operator call, which applies to the process that accepts the clients."""
         if self._from_predecessor is not None and self._from_predecessor.standing_by:
             self._requested_out_of_service = not wanted
             self._from_predecessor.request_out_of_service(not wanted)
             return True
-        away, now = self._server.availability, time.monotonic()
-        return away.put_back(now) if wanted else away.take_out(now)
+        availability, now = self._server.availability, time.monotonic()
+        return availability.put_back(now) if wanted else availability.take_out(now)
 
     async def run(self, stop: asyncio.Event, serving: Callable[[Service], object]) -> None:
         """Serves until stop is set, then drains; serving is called once the service is started."""
         if self._config.management is not None:
             self.management = await self._management_server.listen(self._config.management)
         await self.ingress.start()
-        for part in self._components:
-            if isinstance(part, Frontend):
-                part.attach(self)
-            part.start(self.ingress.engine)
+        for component in self._components:
+            if isinstance(component, Frontend):
+                component.attach(self)
+            component.start(self.ingress.engine)
         self.address = self._server.listen(self._listen, self._listener, hold=True)
         if self._listener is not None:
             self._from_predecessor = SuccessorLink(self, __version__)
@@ -158,19 +158,19 @@
         log.info("draining")
         if self._to_successor is not None:
             await self._to_successor.end()
-        before = self._from_predecessor
-        if before is not None and (before.standing_by or before.superseded):
-            before.close()  # this process never owned anything
-        await self._server.drain(lambda: before is not None and not before.finished.is_set())
+        predecessor = self._from_predecessor
+        if predecessor is not None and (predecessor.standing_by or predecessor.superseded):
+            predecessor.close()  # this process never owned anything
+        await self._server.drain(lambda: predecessor is not None and not predecessor.finished.is_set())
         self._management_server.close()
         if self._to_successor is not None:
             await self._to_successor.finish()
             self._to_successor.close()
-        if before is not None:
-            before.close()
+        if predecessor is not None:
+            predecessor.close()
         await sweep.stop()
-        for part in self._components:
-            await part.close()
+        for component in self._components:
+            await component.close()
         await self.ingress.close()
         log.info("drained")
 
@@ -241,8 +241,10 @@
         assert self._to_successor is not None
         self._server.begin_handover()
         self._exported_state = self.ingress.engine.export_state(self._to_successor.report_attempt)
-        out = self._server.availability.state is State.OUT_OF_SERVICE
-        return pack_state(self._exported_state), PredecessorStatus(out, *self._server.unreleased_share())
+        out_of_service = self._server.availability.state is State.OUT_OF_SERVICE
+        return pack_state(self._exported_state), PredecessorStatus(
+            out_of_service, *self._server.unreleased_share()
+        )
 
     def ownership_transferred(self) -> None:
         """Starts passing connections to the successor, which owns the budgets."""
@@ -259,7 +261,7 @@
 
     def set_out_of_service(self, out_of_service: bool) -> None:
         """Applies an operator call at the successor: out of service, or back in service."""
-        self._in_service(not out_of_service)
+        self._set_in_service(not out_of_service)
 
     def reload(self, config: Config) -> None:
         """Applies a new configuration; ConfigError if it is incomplete, and then nothing changes."""
--- a/troutdock/jsonlines.py
+++ b/troutdock/jsonlines.py
@@ -80,11 +80,11 @@
         file.flush()
         os.fsync(file.fileno())
     part.rename(path)
-    folder = os.open(path.parent, os.O_RDONLY)
+    directory = os.open(path.parent, os.O_RDONLY)
     try:
-        os.fsync(folder)
+        os.fsync(directory)
     finally:
-        os.close(folder)
+        os.close(directory)
 
 
 @contextmanager
--- a/troutdock/platform/discovery.py
+++ b/troutdock/platform/discovery.py
@@ -52,8 +52,10 @@
                 entry = self._entry(target)
                 entries.append(entry)
                 endpoints[entry.backend] = parse_address(target["endpoint"])
-            whole = ListKind.CACHED if cached else ListKind.FULL
-            return FleetUpdate(whole if raw["all"] else ListKind.CHANGES, entries, int(raw["rev"])), endpoints
+            complete_kind = ListKind.CACHED if cached else ListKind.FULL
+            return FleetUpdate(
+                complete_kind if raw["all"] else ListKind.CHANGES, entries, int(raw["rev"])
+            ), endpoints
         except (KeyError, TypeError, AttributeError, OverflowError) as error:
             raise ValueError(f"not a list of backends: {error!r}") from error
 
--- a/troutdock/platform/inherited.py
+++ b/troutdock/platform/inherited.py
@@ -21,17 +21,17 @@
     try:
         fd = int(text)
         os.fstat(fd)
-        held = socket.socket(fileno=fd)
+        sock = socket.socket(fileno=fd)
     except (ValueError, OSError) as error:
         raise ConfigError(f"RELAY_SOCKET_FD: {text!r} is no socket: {error}") from error
     try:
-        listens = held.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
+        listens = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
     except OSError:
         listens = 0
-    if held.type != socket.SOCK_STREAM or not listens:
-        held.detach()
+    if sock.type != socket.SOCK_STREAM or not listens:
+        sock.detach()
         raise ConfigError(f"RELAY_SOCKET_FD: {text} is no listening socket")
-    return held
+    return sock
 
 
 def management_address(text: str) -> Address:
--- a/troutdock/routing/route.py
+++ b/troutdock/routing/route.py
@@ -187,7 +187,7 @@
     cls: str = ""
 
     @property
-    def places(self) -> tuple[str, ...]:
+    def host_keys(self) -> tuple[str, ...]:
         """The hosts without duplicates; an empty string stands for any host."""
         return tuple(dict.fromkeys(self.hosts)) or ("",)
 
--- a/troutdock/routing/table.py
+++ b/troutdock/routing/table.py
@@ -133,7 +133,7 @@
             if route.id in known:
                 raise InvalidRoute(f"{route.id}: it is there twice")
             known[validate_route(route).id] = route
-            for host in route.places:
+            for host in route.host_keys:
                 kinds = raw.setdefault(host, {kind: {} for kind in PathKind})
                 for path in dict.fromkeys(route.paths):
                     kinds[path.kind].setdefault(path.value, []).append(route)
@@ -153,7 +153,7 @@
         """Returns a table with this route, replacing the one of the same name."""
         table = self.without(route.id)
         hosts = table._hosts
-        for host in validate_route(route).places:
+        for host in validate_route(route).host_keys:
             paths = hosts.get(host, EMPTY)
             for path in route.paths:
                 paths = paths.with_path(path, route, True)
@@ -166,7 +166,7 @@
         if route is None:
             return self
         hosts = self._hosts
-        for host in route.places:
+        for host in route.host_keys:
             paths = hosts[host]
             for path in route.paths:
                 paths = paths.with_path(path, route, False)
@@ -187,17 +187,19 @@
         taken: dict[str, list[str]] = {}
         for route in sorted(self.routes.values(), key=_precedence):
             same = (route.methods, frozenset(route.values))
-            for host in route.places:
+            for host in route.host_keys:
                 for path in dict.fromkeys(route.paths):
                     before = first.setdefault((host, path, *same), route)
                     if before is not route:
                         taken.setdefault(route.id, []).append(before.id)
 
-        def places(route: Route) -> int:
-            return len(route.places) * len(dict.fromkeys(route.paths))
+        def key_count(route: Route) -> int:
+            return len(route.host_keys) * len(dict.fromkeys(route.paths))
 
-        whole = [(id, names[0]) for id, names in taken.items() if len(names) == places(self.routes[id])]
-        return sorted(whole, key=lambda row: self.routes[row[0]].order)
+        unreachable = [
+            (id, names[0]) for id, names in taken.items() if len(names) == key_count(self.routes[id])
+        ]
+        return sorted(unreachable, key=lambda row: self.routes[row[0]].order)
 
 
 def host_lookup_keys(host: str) -> Iterator[str]:
@@ -228,7 +230,7 @@
     rows = [
         (route, host, path)
         for route in routes
-        for host in route.places
+        for host in route.host_keys
         for path in dict.fromkeys(route.paths)
     ]
 
