--- a/tests/grpc_front/test_grpc_front.py
+++ b/tests/grpc_front/test_grpc_front.py
@@ -710,7 +710,7 @@
         peer = await s.client()
         call = peer.open(request_headers(), message())
         await call.ended.wait()
-        s.world.service._in_service(False)
+        s.world.service._set_in_service(False)
         await until(lambda: bool(peer.goaways))
         await until(lambda: peer.closed.is_set())
 
