--- a/troutdock/membership/watch.py
+++ b/troutdock/membership/watch.py
@@ -35,10 +35,8 @@
 EFFECTIVE_S = 2.5  # beyond the hold time of an unanswered call: its changes take effect
 RETRY_DELAY_S = 0.1  # first retry; with the time to connect it stays within the 200 ms
 MAX_RETRY_DELAY_S = 2.0  # unreachable: calls cost nothing, and recovery must be noticed
-CALL_SLOT_S, MAX_CALL_SLOT_S = (
-    0.05,
-    0.25,
-)  # per gateway, after a rejection: first and longest backoff
+# Per gateway, after a rejection: first and longest backoff.
+CALL_SLOT_S, MAX_CALL_SLOT_S = 0.05, 0.25
 MAX_FIRST_BACKOFF_S = 2.0  # a discovery that rejects calls has work for 2 s
 MAX_BACKOFF_S = 4.0  # with the 2 s for a response, changes are received within the allowed 6 s
 BACKOFF_GROWTH = 3.0  # decorrelated jitter: drawn between the minimum and 3 times the previous delay
--- a/troutdock/overload/storm.py
+++ b/troutdock/overload/storm.py
@@ -65,10 +65,8 @@
             max_clients,
             report,
         )
-        self._last, self._at_start = (
-            RequestCounts(),
-            RequestCounts(),
-        )  # at the last check, and at the start of the storm
+        # At the last check, and at the start of the storm.
+        self._last, self._at_start = RequestCounts(), RequestCounts()
         self._storm_started_at: float | None = None  # None: no storm
         self._calm_checks = self._checks_since_report = 0  # checks without a sign, and without a report
         self._rejected_fraction = self._decrease_per_s = 0.0  # recent fraction, and its smoothed decrease
--- a/troutdock/platform/counter.py
+++ b/troutdock/platform/counter.py
@@ -17,10 +17,8 @@
 CONNECT_TIMEOUT_S = 0.5
 RECONNECT_DELAY_S = 0.2  # after a failed or useless connection
 FIRST_REPLY_TIMEOUT_S = 0.25  # without a reply to the first call, the connection is considered dead
-SILENCE_FACTOR, MAX_SILENCE_S = (
-    8.0,
-    1.0,
-)  # later: factor on the reply time, at least the time-out and at most MAX_SILENCE_S
+# Later: factor on the reply time, at least the time-out and at most MAX_SILENCE_S.
+SILENCE_FACTOR, MAX_SILENCE_S = 8.0, 1.0
 DECAY = 0.98  # decay of the reply time for each faster reply
 MAX_PENDING_CALLS = 1000  # pending on one connection
 
