--- a/tests/reservations/test_reserved_front.py
+++ b/tests/reservations/test_reserved_front.py
@@ -271,7 +271,7 @@
             for part in parts:
                 part.start(w.engine)
                 stack.push_async_callback(part.close)
-                w.service._door.books |= part.books()
+                w.service._management_server.books |= part.books()
             w.parts, w.door = parts, "{}:{}".format(*w.service.management)
             found.append(w)
         yield found
@@ -401,7 +401,7 @@
             assert "released" in (await run_command("reservations", "--all"))[1]
             assert (await run_command("release", "nothing"))[0] == 2
             gone = b.door
-            b.service._door.close()
+            b.service._management_server.close()
             code, out = await run_command(
                 "reserve", "0000000000000009", "5", "--until", end, "--plan", "basis", "--id", "r3"
             )
--- a/troutdock/platform/background.py
+++ b/troutdock/platform/background.py
@@ -1,4 +1,4 @@
-"""Tasks that have to go on for as long as the program does."""
+"""Tasks that run as long as the process."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 log = logging.getLogger("troutdock")
 
-PAUSE_S = 0.1  # before a task that has failed is started anew
+RESTART_DELAY_S = 0.1  # before a failed task is restarted
 
 
 class Background:
-    """Keeps a task running: guards against work that ends in silence, whatever ended it."""
+    """Keeps a task running: restarts it and logs an error when it ends for any reason."""
 
     def __init__(self, name: str, work: Callable[[], Coroutine[Any, Any, None]]) -> None:
         self._name, self._work = name, work
@@ -24,26 +24,26 @@
     def _start(self) -> None:
         if not self._stopped:
             self._task = self._loop.create_task(self._work())
-            self._task.add_done_callback(self._ended)
+            self._task.add_done_callback(self._on_done)
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
+    def _on_done(self, task: asyncio.Task[None]) -> None:
         if task.cancelled() or self._stopped:
             return
-        log.error("%s has ended and is started anew", self._name, exc_info=task.exception())
-        self._loop.call_later(PAUSE_S, self._again, task)
+        log.error("%s ended unexpectedly and is restarted", self._name, exc_info=task.exception())
+        self._loop.call_later(RESTART_DELAY_S, self._restart_after, task)
 
-    def _again(self, ended: asyncio.Task[None]) -> None:
-        if ended is self._task:  # else it was restarted meanwhile
+    def _restart_after(self, ended: asyncio.Task[None]) -> None:
+        if ended is self._task:  # otherwise it has been restarted already
             self._start()
 
     def restart(self) -> None:
-        """Drop what is under way and begin anew at once."""
+        """Cancels the running task and starts a new one immediately."""
         before = self._task
         self._start()
         before.cancel()
 
     async def stop(self) -> None:
-        """End for good; returns once the task has."""
+        """Stops the task permanently; returns once it has ended."""
         self._stopped = True
         self._task.cancel()
         await asyncio.wait({self._task})
