--- a/tests/management/test_door.py
+++ b/tests/management/test_door.py
@@ -89,10 +89,10 @@
         async with managed(answer()) as w:
             held = [await asyncio.open_connection(*w.service.management) for _ in range(3 * MAX_CONNECTIONS)]
             held[-1][1].write(b"GET /control/re")
-            await until(lambda: len(w.service._door.connections) == MAX_CONNECTIONS)
+            await until(lambda: len(w.service._management_server.connections) == MAX_CONNECTIONS)
             for _ in range(3):
                 assert await call(w, "GET", "/control/ready") == 200
-            assert len(w.service._door.connections) < MAX_CONNECTIONS + 1
+            assert len(w.service._management_server.connections) < MAX_CONNECTIONS + 1
             for _, writer in held:
                 writer.close()
 
--- a/troutdock/cli/deployment.py
+++ b/troutdock/cli/deployment.py
@@ -13,9 +13,9 @@
 from troutdock.operator.compiled import Compiled, differences, read_deployment
 from troutdock.operator.deployment import schema as schema_of
 from troutdock.routing.route import Request
-from troutdock.routing.split import choose
+from troutdock.routing.split import choose_pool
 from troutdock.routing.table import explain as explained
-from troutdock.routing.target import plain, plain_host
+from troutdock.routing.target import normalize_target, normalize_host
 
 _FILE = typer.Argument(help="The deployment's YAML file.")
 _JSON = typer.Option(False, "--json", help="Print JSON instead of lines.")
@@ -72,15 +72,17 @@
                 raise ValueError(f"{header!r} is no 'Name: value'")
             header_values[name.strip().lower()] = value.strip()
         parts = urlsplit(url)
-        target = plain(parts.path + ("?" + parts.query if parts.query else "") if parts.scheme else url)
-        host = plain_host(parts.netloc if parts.scheme else header_values.get("host", ""))
+        target = normalize_target(
+            parts.path + ("?" + parts.query if parts.query else "") if parts.scheme else url
+        )
+        host = normalize_host(parts.netloc if parts.scheme else header_values.get("host", ""))
     request = Request(method.upper(), host, target.path, target.query, header_values)
     rows = list(explained(deployment.terms.table.routes.values(), request))
     matched = rows[-1].route if rows and not rows[-1].why else None
     account = header_values.get(deployment.terms.customers.account.decode())
     pool = ""
     if matched is not None:
-        pool = choose(matched.to, account) if account else " or ".join(part.pool for part in matched.to)
+        pool = choose_pool(matched.to, account) if account else " or ".join(part.pool for part in matched.to)
     if as_json:
         before = [{"route": row.route.id, "why": row.why} for row in rows if row.why]
         matched_id = None if matched is None else matched.id
--- a/troutdock/cli/plans.py
+++ b/troutdock/cli/plans.py
@@ -38,15 +38,15 @@
 ) -> None:
     """Assign a plan to a customer from a given time on."""
     from troutdock import jsonlines
-    from troutdock.plans.files import join
-    from troutdock.plans.history import Assignment, checked
+    from troutdock.plans.files import append
+    from troutdock.plans.history import Assignment, validate
 
     with plain_errors():
         require_file_or_doors(file, doors)
         id = identity or secrets.token_hex(8)
-        assignment = checked(Assignment(parse_time_ms(start), id, parse_account(account), plan, who, why))
+        assignment = validate(Assignment(parse_time_ms(start), id, parse_account(account), plan, who, why))
         if file is not None:
-            join(file, [assignment])
+            append(file, [assignment])
         for line in _reservation_warnings(doors, assignment.customer, plan, assignment.valid_from_ms):
             typer.echo(line)
     typer.echo(f"{account}: {plan} from {format_time(assignment.valid_from_ms)} on, as {assignment.id}")
@@ -65,7 +65,7 @@
     import msgspec
 
     from troutdock.reservations.entries import Entries, Entry
-    from troutdock.reservations.commitment_limit import most_of, peak
+    from troutdock.reservations.commitment_limit import max_reserved_rate, peak_rate
 
     try:
         found = msgspec.json.decode(send_request(doors[0], "GET", "/control/reservations"))
@@ -78,8 +78,8 @@
         for r in Entries().add(msgspec.convert(found["entries"], list[Entry])).reservations()
         if r.customer == customer and r.ends_ms > from_ms
     ]
-    allowed = most_of(found["plans"][plan]["rate"], found["plans"][plan]["ceiling"])
-    reserved_peak = peak(reserved, from_ms, float("inf"))
+    allowed = max_reserved_rate(found["plans"][plan]["rate"], found["plans"][plan]["ceiling"])
+    reserved_peak = peak_rate(reserved, from_ms, float("inf"))
     if reserved_peak <= allowed:
         return []
     return [
@@ -122,14 +122,14 @@
 def history(account: str = _CUSTOMER, file: Path | None = _FILE, doors: list[str] = _DOORS) -> None:
     """List all assignments of a customer by start time, merged over all doors."""
     from troutdock.plans.files import parse, read
-    from troutdock.plans.history import Histories
+    from troutdock.plans.history import AssignmentHistory
 
     with plain_errors():
         require_file_or_doors(file, doors)
-        merged = read(file) if file is not None else Histories()
+        merged = read(file) if file is not None else AssignmentHistory()
         for door in doors:
             merged = merged.merge(parse(send_request(door, "GET", _PATH), door))
-        rows = merged.of(parse_account(account))
+        rows = merged.for_customer(parse_account(account))
     for row in rows:
         typer.echo(
             f"{format_time(row.valid_from_ms)}  {row.plan:<12} {row.id}  {row.who}  {row.why}".rstrip()
--- a/troutdock/cli/reservations.py
+++ b/troutdock/cli/reservations.py
@@ -20,9 +20,9 @@
     send_to_all,
     exit_with_error,
 )
-from troutdock.reservations.entries import Entries, Entry, Kind, Reservation, checked
-from troutdock.reservations.files import join, promise, prune, read
-from troutdock.reservations.commitment_limit import Terms, Verdict
+from troutdock.reservations.entries import Entries, Entry, Kind, Reservation, validate
+from troutdock.reservations.files import append, promise, prune, read
+from troutdock.reservations.commitment_limit import CommitmentBounds, CommitmentDecision
 
 _FILE = typer.Option(None, "--file", help="The entries file: JSON lines.")
 _DOORS = typer.Option([], "--door", help="Management address of an ingress, host:port; repeatable.")
@@ -47,7 +47,9 @@
     return merged
 
 
-def _request_reservation(entry: Entry, file: Path | None, doors: list[str], plan: str, terms: Terms) -> None:
+def _request_reservation(
+    entry: Entry, file: Path | None, doors: list[str], plan: str, terms: CommitmentBounds
+) -> None:
     """Requests the reservation at the first door or in the file.
 
     If it is rejected, prints the reason and what could be reserved, and exits with 1.
@@ -60,7 +62,7 @@
         body = msgspec.json.encode({"entry": list(entry), "plan": plan})
         raw = msgspec.json.decode(send_request(doors[0], "POST", _PATH + "/promise", body))
         from_ms = float("inf") if raw["from_ms"] is None else raw["from_ms"]
-        verdict = Verdict(raw["granted"], raw["why"], raw["units"], from_ms)
+        verdict = CommitmentDecision(raw["granted"], raw["why"], raw["units"], from_ms)
     if not verdict.granted:
         ever = verdict.from_ms < float("inf")
         when = f"all of it from {format_time(verdict.from_ms)} on" if ever else "all of it at no later time"
@@ -95,7 +97,7 @@
         require_file_or_doors(file, doors)
         id = identity or secrets.token_hex(8)
         total_gateways = _fetch(doors[0])["gateways"] if doors else gateways or 1
-        entry = checked(
+        entry = validate(
             Entry(
                 id,
                 Kind.RESERVE,
@@ -112,7 +114,7 @@
                 why,
             )
         )
-        _request_reservation(entry, file, doors, plan, Terms(fleet, rate, ceiling))
+        _request_reservation(entry, file, doors, plan, CommitmentBounds(fleet, rate, ceiling))
     typer.echo(
         f"{account}: {units:g} units "
         f"from {format_time(entry.from_ms)} to {format_time(entry.until_ms)}, as {id}"
@@ -147,10 +149,10 @@
             raise ValueError(f"no reservation is known as {reservation!r}")
         id = identity or secrets.token_hex(8)
         end = parse_time_ms(until) if until else known.until_ms
-        entry = checked(
+        entry = validate(
             Entry(id, Kind.EXTEND, reservation, known.customer, units, 0.0, end, who=who, why=why)
         )
-        _request_reservation(entry, file, doors, plan, Terms(fleet, rate, ceiling))
+        _request_reservation(entry, file, doors, plan, CommitmentBounds(fleet, rate, ceiling))
     typer.echo(
         f"{reservation}: {known.units + units:g} units to {format_time(max(end, known.until_ms))}, as {id}"
     )
@@ -173,9 +175,9 @@
             raise ValueError(f"no reservation is known as {reservation!r}")
         id = identity or secrets.token_hex(8)
         now = parse_time_ms("now")
-        entry = checked(Entry(id, Kind.RELEASE, reservation, known.customer, 0.0, now, who=who, why=why))
+        entry = validate(Entry(id, Kind.RELEASE, reservation, known.customer, 0.0, now, who=who, why=why))
         if file is not None:
-            join(file, [entry])
+            append(file, [entry])
     send_to_all(doors, _PATH, jsonlines.encode([entry]), "the same again is harmless")
     typer.echo(f"{reservation}: released, as {id}")
 
@@ -213,7 +215,7 @@
 def _format_row(r: Reservation, now: float) -> str:
     state = "holds" if r.from_ms <= now else "ahead"
     if r.ends_ms <= now:
-        state = "released" if r.over_ms <= now else "over"
+        state = "released" if r.released_ms <= now else "over"
     classes = f" for {', '.join(r.classes)}" if r.classes else ""
     window = f"{format_time(r.from_ms)} to {format_time(r.ends_ms)}"
     return f"{r.id}  {r.customer:016x}  {r.units:g} units{classes}  {window}  {state}"
--- a/troutdock/management/api.py
+++ b/troutdock/management/api.py
@@ -137,7 +137,7 @@
             status, body = await handler(self._body)
         except Exception:  # a failing handler must not stop the ingress: only this request fails
             log.exception("management request %s failed", self._path.decode(errors="replace"))
-            status, body = 500, b"internal error in the ingress\n"
+            status, body = 500, b"an error of the ingress\n"
         log.info("management request %s: status %d", self._path.decode(errors="replace"), status)
         self._answer(status, body)
 
--- a/troutdock/operator/components.py
+++ b/troutdock/operator/components.py
@@ -28,11 +28,13 @@
 
             components.append(Plans(file.plans.file, file.plans.reread_s))
         if (reserved := file.reservations) is not None:
-            from troutdock.reservations.service import Reservations, Terms
+            from troutdock.reservations.service import ReservationOptions, Reservations
 
             components.append(
                 Reservations(
-                    Terms(reserved.file, reserved.folder, reserved.reread_s, reserved.fleet_units_per_s)
+                    ReservationOptions(
+                        reserved.file, reserved.folder, reserved.reread_s, reserved.fleet_units_per_s
+                    )
                 )
             )
         if file.grpc is not None:
@@ -41,12 +43,12 @@
 
             components.append(GrpcComponent(grpc_options(file.grpc, settings)))
         if file.usage is not None:
-            from troutdock.operator.usage import ledger_terms
+            from troutdock.operator.usage import usage_options
             from troutdock.usage.store import StoreError
             from troutdock.usage.service import Usage
 
             try:
-                components.append(Usage(ingress, ledger_terms(file.usage)))
+                components.append(Usage(ingress, usage_options(file.usage)))
             except StoreError as error:
                 raise OSError(str(error)) from error
     except ImportError as error:
--- a/troutdock/operator/usage.py
+++ b/troutdock/operator/usage.py
@@ -1,16 +1,16 @@
-"""Converts the operator's usage section into the terms of the ledger."""
+"""Converts the operator's usage section into the options of the usage component."""
 
 from __future__ import annotations
 
 from troutdock.operator.model import UsageSection
 from troutdock.usage.ledger import Promise
-from troutdock.usage.service import Terms
+from troutdock.usage.service import UsageOptions
 
 
-def ledger_terms(section: UsageSection) -> Terms:
-    """Returns the terms in the ledger's units: seconds and bytes."""
+def usage_options(section: UsageSection) -> UsageOptions:
+    """Returns the options in the ledger's units: seconds and bytes."""
     exports = section.exports
-    return Terms(
+    return UsageOptions(
         Promise(section.promise),
         section.folder,
         section.at_risk_ms,
--- a/troutdock/plans/history.py
+++ b/troutdock/plans/history.py
@@ -1,15 +1,17 @@
-"""Assignments of plans to customers, as a history that every gateway ends with alike (no I/O).
+"""History of plan assignments that converges on all gateways (no I/O).
 
-Theory of operation. All that is known is a set of assignments. It only grows, and the union of two sets does
-not depend on their order (a state-based CRDT: Shapiro et al., "Conflict-free Replicated Data Types", 2011).
-What holds of a customer at a time is the latest assignment that is valid by then, ties broken by identity:
+Theory of operation. The state is a grow-only set of assignments, and the union of two sets does not depend on
+their order (a state-based CRDT: Shapiro et al., "Conflict-free Replicated Data Types", 2011). A customer's
+plan at a time is that of the latest assignment valid by then; ties are broken by id:
 
-    assign a            the set and a; nothing changes if it is there already
-    assign a'           Conflict, if a' has the identity of an a with other content: none ever changes
+    assign a            adds a; no effect if it is already known
+    assign a'           raises ConflictError if a' has the id of a known a with other content: assignments are
+                        immutable
     merge               the union
-    fold before t       of those valid before t only the last one is kept, as no reader asks further back
+    compact before t    keeps only the last of a customer's assignments valid before t, as no reader asks for
+                        earlier times
 
-A history is immutable, and versions share what they have in common: a reader keeps the one it has.
+A history is immutable, and versions share their common structure: a reader keeps its version.
 """
 
 from __future__ import annotations
@@ -20,18 +22,22 @@
 
 from immutables import Map
 
-MOST_TEXT = 200  # characters of who and why: they are for people, and every gateway keeps them
+MAX_TEXT_CHARS = 200  # of each text field: every gateway stores them
 
 
-class Conflict(ValueError):
-    """Two assignments of one identity say different things."""
+class ConflictError(ValueError):
+    """Two assignments have the same id and different content."""
 
 
 class Assignment(NamedTuple):
-    """From valid_from_ms on the customer has the plan; the order of fields is the order of validity.
-
-    valid_from_ms: Unix time in milliseconds. id: its own, given by who made it, never used again.
-    customer: the number that requests name. plan: by name. who, why: for people.
+    """Assigns a plan to a customer from valid_from_ms on. Field order makes assignments sort by validity.
+
+    Attributes:
+        valid_from_ms: Unix time in milliseconds.
+        id: chosen by the creator and never reused.
+        customer: the number that requests carry.
+        plan: name of the plan.
+        who, why: author and reason, for operators.
     """
 
     valid_from_ms: float
@@ -42,97 +48,103 @@
     why: str = ""
 
 
-def checked(assignment: Assignment) -> Assignment:
-    """The assignment, if it makes sense; ValueError that names the field if not."""
+def validate(assignment: Assignment) -> Assignment:
+    """Returns the assignment; raises ValueError that names the field if it is invalid."""
     if not 0 <= assignment.valid_from_ms < float("inf"):
-        raise ValueError(f"valid_from_ms: {assignment.valid_from_ms!r} is no time")
+        raise ValueError(f"valid_from_ms: {assignment.valid_from_ms!r} is not a valid time")
     if not 0 <= assignment.customer < 2**33:
-        raise ValueError(f"customer: {assignment.customer!r} is no customer's number")
+        raise ValueError(f"customer: {assignment.customer!r} is not a customer number")
     for field in ("id", "plan"):
         if not getattr(assignment, field):
             raise ValueError(f"{field} is missing")
     for field in ("id", "plan", "who", "why"):
-        if len(getattr(assignment, field)) > MOST_TEXT:
-            raise ValueError(f"{field}: longer than {MOST_TEXT} characters")
+        if len(getattr(assignment, field)) > MAX_TEXT_CHARS:
+            raise ValueError(f"{field}: longer than {MAX_TEXT_CHARS} characters")
     return assignment
 
 
-class Histories:
-    """Every customer's assignments, in the order of their validity; make one with Histories()."""
+class AssignmentHistory:
+    """The assignments of all customers, ordered by validity; AssignmentHistory() is empty."""
 
-    __slots__ = ("_of", "_seen")
+    __slots__ = ("_by_customer", "_by_id")
 
     def __init__(
-        self, of: Map[int, tuple[Assignment, ...]] | None = None, seen: Map[str, Assignment] | None = None
+        self, of: Map[int, tuple[Assignment, ...]] | None = None, by_id: Map[str, Assignment] | None = None
     ) -> None:
-        self._of: Map[int, tuple[Assignment, ...]] = Map() if of is None else of
-        self._seen: Map[str, Assignment] = Map() if seen is None else seen
+        self._by_customer: Map[int, tuple[Assignment, ...]] = Map() if of is None else of
+        self._by_id: Map[str, Assignment] = Map() if by_id is None else by_id
 
     def __eq__(self, other: object) -> bool:
-        return isinstance(other, Histories) and self._of == other._of
+        return isinstance(other, AssignmentHistory) and self._by_customer == other._by_customer
 
     def __hash__(self) -> int:
-        return hash(self._of)
+        return hash(self._by_customer)
 
     def __len__(self) -> int:
-        return len(self._seen)
+        return len(self._by_id)
 
     def __iter__(self) -> Iterator[Assignment]:
-        for customer in sorted(self._of):
-            yield from self._of[customer]
+        for customer in sorted(self._by_customer):
+            yield from self._by_customer[customer]
+
+    def assign(self, assignments: Iterable[Assignment]) -> AssignmentHistory:
+        """Returns the history with these assignments added.
 
-    def assign(self, assignments: Iterable[Assignment]) -> Histories:
-        """The history with these as well, all or none; Conflict or ValueError names the first bad one."""
-        of, seen = self._of.mutate(), self._seen.mutate()
+        Raises:
+            ConflictError, ValueError: names the first invalid assignment; none is added.
+        """
+        of, by_id = self._by_customer.mutate(), self._by_id.mutate()
         for assignment in assignments:
-            known = seen.get(assignment.id)
+            known = by_id.get(assignment.id)
             if known == assignment:
                 continue
             if known is not None:
-                raise Conflict(f"assignment {assignment.id!r} is known as {known}, and now as {assignment}")
-            seen[checked(assignment).id] = assignment
+                raise ConflictError(
+                    f"assignment {assignment.id!r} is known as {known}; received {assignment}"
+                )
+            by_id[validate(assignment).id] = assignment
             row = list(of.get(assignment.customer, ()))
             insort(row, assignment)
             of[assignment.customer] = tuple(row)
-        return Histories(of.finish(), seen.finish())
+        return AssignmentHistory(of.finish(), by_id.finish())
 
-    def knows(self, assignment: Assignment) -> bool:
-        """It is in there, just so."""
-        return self._seen.get(assignment.id) == assignment
+    def contains(self, assignment: Assignment) -> bool:
+        """Returns whether the history has this assignment with the same content."""
+        return self._by_id.get(assignment.id) == assignment
 
-    def merge(self, other: Histories) -> Histories:
-        """What either knows; Conflict if they contradict each other."""
+    def merge(self, other: AssignmentHistory) -> AssignmentHistory:
+        """Returns the union; raises ConflictError if the histories contradict each other."""
         return self.assign(other)
 
-    def of(self, customer: int) -> tuple[Assignment, ...]:
-        """A customer's assignments, the first valid first."""
-        return self._of.get(customer, ())
+    def for_customer(self, customer: int) -> tuple[Assignment, ...]:
+        """Returns a customer's assignments, ordered by validity."""
+        return self._by_customer.get(customer, ())
 
     def at(self, customer: int, time_ms: float) -> Assignment | None:
-        """The one that holds then; None: no assignment is valid yet, and the request's own word counts."""
-        row = self.of(customer)
-        place = bisect_right(row, time_ms, key=_valid_from)
-        return row[place - 1] if place else None
+        """Returns the assignment in effect at a time; None if there is none yet."""
+        row = self.for_customer(customer)
+        index = bisect_right(row, time_ms, key=_valid_from)
+        return row[index - 1] if index else None
 
     def next_after(self, customer: int, time_ms: float) -> Assignment | None:
-        """The next change after that time; of several at one moment the one that will hold."""
-        row = self.of(customer)
-        place = bisect_right(row, time_ms, key=_valid_from)
-        return self.at(customer, row[place].valid_from_ms) if place < len(row) else None
+        """Returns the next assignment after a time; of several valid from one time, the one in effect."""
+        row = self.for_customer(customer)
+        index = bisect_right(row, time_ms, key=_valid_from)
+        return self.at(customer, row[index].valid_from_ms) if index < len(row) else None
 
-    def fold(self, before_ms: float) -> Histories:
-        """Without what no longer matters: of those valid before then, only each customer's last is kept.
+    def compact(self, before_ms: float) -> AssignmentHistory:
+        """Returns the history with only the last of each customer's assignments valid before a time.
 
-        One that was folded away is no longer known: should it come again, it is taken and folded anew.
+        A removed assignment is no longer known: if it is received again, it is added and removed again.
         """
-        of, seen = self._of.mutate(), self._seen.mutate()
-        for customer, row in self._of.items():
-            place = bisect_right(row, before_ms, key=_valid_from) - 1
-            if place > 0:
-                of[customer] = row[place:]
-                for gone in row[:place]:
-                    del seen[gone.id]
-        return Histories(of.finish(), seen.finish())
+        of, by_id = self._by_customer.mutate(), self._by_id.mutate()
+        for customer, row in self._by_customer.items():
+            index = bisect_right(row, before_ms, key=_valid_from) - 1
+            if index > 0:
+                of[customer] = row[index:]
+                for removed in row[:index]:
+                    del by_id[removed.id]
+        return AssignmentHistory(of.finish(), by_id.finish())
 
 
 def _valid_from(assignment: Assignment) -> float:
--- a/troutdock/platform/inherited.py
+++ b/troutdock/platform/inherited.py
@@ -1,4 +1,4 @@
-"""What the platform hands to a process by its environment: the clients' socket, the operators' address."""
+"""Inherited from the platform by environment variables: the listening socket and the management address."""
 
 from __future__ import annotations
 
@@ -11,30 +11,31 @@
 
 
 def inherited_socket(environ: Mapping[str, str]) -> socket.socket | None:
-    """The listening socket that RELAY_SOCKET_FD names by its descriptor; None where it names none.
+    """Returns the listening socket whose descriptor RELAY_SOCKET_FD names, or None if it is not set.
 
-    ConfigError if it is no listening TCP socket: whoever started this process meant another one.
+    Raises:
+        ConfigError: it is not a listening TCP socket.
     """
     if not (text := environ.get("RELAY_SOCKET_FD")):
         return None
     try:
         fd = int(text)
         os.fstat(fd)
-        held = socket.socket(fileno=fd)
+        sock = socket.socket(fileno=fd)
     except (ValueError, OSError) as error:
         raise ConfigError(f"RELAY_SOCKET_FD: {text!r} is no socket: {error}") from error
     try:
-        listens = held.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
+        listens = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
     except OSError:
         listens = 0
-    if held.type != socket.SOCK_STREAM or not listens:
-        held.detach()
+    if sock.type != socket.SOCK_STREAM or not listens:
+        sock.detach()
         raise ConfigError(f"RELAY_SOCKET_FD: {text} is no listening socket")
-    return held
+    return sock
 
 
 def management_address(text: str) -> Address:
-    """The operators' address of RELAY_MANAGEMENT; ConfigError if it is none."""
+    """Parses the management address of RELAY_MANAGEMENT; ConfigError if it is invalid."""
     try:
         return parse_address(text)
     except ValueError as error:
--- a/troutdock/routing/target.py
+++ b/troutdock/routing/target.py
@@ -1,13 +1,13 @@
-"""A request's target and host in one plain form, so that no two readers of it can disagree (no I/O).
+"""Normalization of the request target and host, so that all recipients interpret them alike (no I/O).
 
-What is matched is what is sent on. A form that a server might read in another way than this ingress is
-either made plain or refused:
+The normalized form is both matched and forwarded. A form that a server might interpret differently from this
+ingress is either normalized or rejected:
 
-    made plain   an absolute form, empty segments, dot segments, percent-codes of unreserved characters, the
-                 case of codes and hosts, a host's last dot and port
-    refused      an encoded slash, backslash or NUL, also encoded twice; a backslash, a fragment, a control or
-                 a byte beyond ASCII; dot segments that climb above the root or hide behind a semicolon; codes
-                 that are none
+    normalized   absolute form, empty segments, dot segments, percent-encoded unreserved characters, the case
+                 of escapes and hosts, a trailing dot and the port of a host
+    rejected     an encoded slash, backslash or NUL, also double-encoded; a backslash, a fragment, a control
+                 character or a non-ASCII byte; dot segments above the root or followed by a semicolon;
+                 invalid percent escapes
 """
 
 from __future__ import annotations
@@ -17,95 +17,95 @@
 from typing import NamedTuple
 
 _ABSOLUTE = re.compile(r"(?i:https?)://([^/?#]*)(.*)", re.S)
-_ODD = re.compile(r"[^!-~]|[\\#]")
-# as most come: nothing to make plain, nothing to refuse
-_PLAIN = re.compile(r"((?:/[A-Za-z0-9_~-][A-Za-z0-9_~.-]*)+/?|/)(?:\?([!-\"$-\[\]-~]*))?")
-_CODE = re.compile(r"%(..?)?", re.S)
-_HIDDEN = re.compile(r"%(?:2F|5C|00)|%25(?:2F|5C|2E|00|25)", re.I)
+_FORBIDDEN = re.compile(r"[^!-~]|[\\#]")
+# fast path for most targets: already normalized and valid
+_NORMALIZED = re.compile(r"((?:/[A-Za-z0-9_~-][A-Za-z0-9_~.-]*)+/?|/)(?:\?([!-\"$-\[\]-~]*))?")
+_PERCENT_ESCAPE = re.compile(r"%(..?)?", re.S)
+_ENCODED_SEPARATOR = re.compile(r"%(?:2F|5C|00)|%25(?:2F|5C|2E|00|25)", re.I)
 _HOST = re.compile(r"(?:[a-z0-9_](?:[a-z0-9_-]{0,62}\.)?)+|\[[0-9a-f:.]+\]")
 _UNRESERVED = frozenset("ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-._~")
 
 
-HOSTS = 1024  # whose plain form is remembered
+HOST_CACHE_SIZE = 1024
 
 
-class BadTarget(ValueError):
-    """It might be read in more than one way."""
+class InvalidTarget(ValueError):
+    """The target or host is invalid or ambiguous."""
 
 
 class Target(NamedTuple):
-    """host: empty if the target names none. path: begins with a slash. query: without its question mark."""
+    """host: empty if the target has none. path: begins with a slash. query: without the question mark."""
 
     host: str
     path: str
     query: str
 
 
-def _decoded(found: re.Match[str]) -> str:
+def _decode_escape(found: re.Match[str]) -> str:
     code = found[1] or ""
     if len(code) != 2 or not all(c in "0123456789abcdefABCDEF" for c in code):
-        raise BadTarget("a percent sign with no code behind it")
+        raise InvalidTarget("a percent sign with no code behind it")
     character = chr(int(code, 16))
     return character if character in _UNRESERVED else "%" + code.upper()
 
 
-def plain_path(path: str) -> str:
-    """The path in its plain form; BadTarget if there is none."""
+def normalize_path(path: str) -> str:
+    """Returns the normalized path; raises InvalidTarget if it is invalid."""
     if not path.startswith("/"):
-        raise BadTarget("a path begins with a slash")
-    path = _CODE.sub(_decoded, path)
-    if _HIDDEN.search(path):
-        raise BadTarget("an encoded slash, backslash, dot or NUL")
+        raise InvalidTarget("a path begins with a slash")
+    path = _PERCENT_ESCAPE.sub(_decode_escape, path)
+    if _ENCODED_SEPARATOR.search(path):
+        raise InvalidTarget("an encoded slash, backslash, dot or NUL")
     kept: list[str] = []
     segments = path.split("/")[1:]
     for number, segment in enumerate(segments):
         last = number == len(segments) - 1
         name = segment.partition(";")[0]
         if name in (".", "..") and name != segment:
-            raise BadTarget("a dot segment behind a semicolon")
+            raise InvalidTarget("a dot segment behind a semicolon")
         if segment == "..":
             if not kept:
-                raise BadTarget("a path that climbs above its root")
+                raise InvalidTarget("a path that climbs above its root")
             kept.pop()
         elif segment not in ("", "."):
             kept.append(segment)
             continue
-        if last:  # what ended with a slash, or a dot segment, is a folder
+        if last:  # a trailing slash or dot segment leaves a trailing slash
             kept.append("")
     return "/" + "/".join(kept)
 
 
-@lru_cache(HOSTS)
-def plain_host(host: str) -> str:
-    """A Host header or an authority without its port; BadTarget if it is none."""
+@lru_cache(HOST_CACHE_SIZE)
+def normalize_host(host: str) -> str:
+    """Returns the normalized host of a Host header or authority, without port; InvalidTarget if invalid."""
     name = host.strip().lower()
     if "@" in name:
-        raise BadTarget("a host with somebody's name before it")
+        raise InvalidTarget("a host with somebody's name before it")
     if not name.startswith("["):
         name, _, port = name.partition(":")
     else:
         name, _, port = name.partition("]")
         name, port = name + "]", port.removeprefix(":")
     if port and not (port.isdigit() and len(port) <= 5):
-        raise BadTarget("a port that is none")
+        raise InvalidTarget("a port that is none")
     name = name.removesuffix(".")
     if name and (len(name) > 253 or not _HOST.fullmatch(name)):
-        raise BadTarget("a host that is none")
+        raise InvalidTarget("a host that is none")
     return name
 
 
-def plain(raw: str) -> Target:
-    """A request's target, in origin or absolute form (RFC 9112, 3.2); BadTarget if it has no plain form."""
-    if (simple := _PLAIN.fullmatch(raw)) is not None:
+def normalize_target(raw: str) -> Target:
+    """Normalizes a request target in origin or absolute form (RFC 9112, 3.2); InvalidTarget if invalid."""
+    if (simple := _NORMALIZED.fullmatch(raw)) is not None:
         return Target("", simple[1], simple[2] or "")
-    if _ODD.search(raw):
-        raise BadTarget("a backslash, a fragment, a space, a control or a byte beyond ASCII")
+    if _FORBIDDEN.search(raw):
+        raise InvalidTarget("a backslash, a fragment, a space, a control or a byte beyond ASCII")
     host = ""
     if (absolute := _ABSOLUTE.fullmatch(raw)) is not None:
-        host, raw = plain_host(absolute[1]), absolute[2] or "/"
+        host, raw = normalize_host(absolute[1]), absolute[2] or "/"
         if not host:
-            raise BadTarget("an absolute form without a host")
+            raise InvalidTarget("an absolute form without a host")
         if raw.startswith("?"):
             raw = "/" + raw
     path, _, query = raw.partition("?")
-    return Target(host, plain_path(path), query)
+    return Target(host, normalize_path(path), query)
