--- a/tests/asgi/test_docs.py
+++ b/tests/asgi/test_docs.py
@@ -1,4 +1,4 @@
-"""The partner's page: its code runs as it stands."""
+"""The code blocks of the integration page run unchanged."""
 
 from __future__ import annotations
 
--- a/tests/asgi/test_forward.py
+++ b/tests/asgi/test_forward.py
@@ -1,4 +1,4 @@
-"""Forward mode, called by hand: bodies, disconnects, cancellation, settings."""
+"""Forward mode, called directly as ASGI: bodies, disconnects, cancellation, settings."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
     run(test())
 
 
-def test_only_the_mounted_paths_are_forwarded_by_whole_parts() -> None:
+def test_only_the_mounted_paths_are_forwarded_by_whole_segments() -> None:
     async def test() -> None:
         seen: list[str] = []
 
@@ -100,7 +100,7 @@
         ({"headers": ((b"idempotency-key", b"x"),)}, 400),
     ],
 )
-def test_what_makes_no_sense_is_answered_as_the_daemon_does(changes: dict[str, Any], status: int) -> None:
+def test_invalid_requests_are_answered_as_by_the_daemon(changes: dict[str, Any], status: int) -> None:
     async def test() -> None:
         async with nodes(answer()) as peers:
             forward = ForwardMiddleware(deployment=deployment(*peers))
@@ -111,17 +111,17 @@
     run(test())
 
 
-def test_a_body_that_is_too_long_late_or_half_is_not_taken() -> None:
+def test_a_body_that_is_too_long_late_or_incomplete_is_rejected() -> None:
     async def test() -> None:
         async with nodes(answer()) as peers:
             forward = ForwardMiddleware(deployment=deployment(*peers), body_timeout_s=0.05, max_body=10)
             path = "/vat-filing/7"
             assert (
                 await ask(forward, b"x" * 11, path=path, body=b"x" * 11)
-            ).status == 413  # told by its length
+            ).status == 413  # by its Content-Length
             assert (await ask(forward, b"x" * 6, b"x" * 5, path=path)).status == 413
             late = Exchange(b"half", b"")
-            late.messages.pop()  # more is to come, and does not
+            late.messages.pop()  # the rest of the body never arrives
             await forward(scope(path), late.receive, late.send)
             assert late.status == 408
             half = Exchange(b"half", stays=False)
@@ -134,7 +134,7 @@
     run(test())
 
 
-def test_a_client_that_leaves_withdraws_its_request() -> None:
+def test_a_client_that_disconnects_withdraws_its_request() -> None:
     async def test() -> None:
         async with nodes(silence) as peers:
             forward = ForwardMiddleware(deployment=deployment(*peers))
@@ -155,7 +155,7 @@
 @pytest.mark.parametrize("cls", NAMES)
 @pytest.mark.parametrize("script", [answer(), sends(b""), NOT_STARTED, silence])
 def test_a_host_that_cancels_at_any_wait_leaves_nothing_behind(cls: str, script: Any) -> None:
-    """Waits in the body, for the attempts, and while the answer is passed on."""
+    """Cancels while it reads the body, waits for attempts, and sends the response."""
 
     async def test() -> None:
         async with nodes(script, script, script) as peers:
@@ -184,7 +184,7 @@
 
 
 async def brief(scope: Scope) -> Facts:
-    """The host's own function, with a wait in it: small requests, and little time."""
+    """Facts from an async function of the host: small requests with a short time-out."""
     await asyncio.sleep(0)
     headers = dict(scope["headers"])
     return Facts(
@@ -197,7 +197,7 @@
     )
 
 
-def test_the_hosts_function_finds_the_facts_and_none_passes_by() -> None:
+def test_the_hosts_function_returns_the_facts_and_none_passes_the_request_on() -> None:
     async def test() -> None:
         passed: list[str] = []
 
@@ -228,7 +228,7 @@
     run(test())
 
 
-def test_a_host_that_is_shut_down_with_requests_out() -> None:
+def test_a_host_that_is_shut_down_with_open_requests() -> None:
     async def test() -> None:
         async with nodes(silence) as peers:
             forward = ForwardMiddleware(
@@ -240,7 +240,7 @@
             engine = engine_of(forward)
             closing = asyncio.create_task(forward.close())
             await asyncio.sleep(0)
-            assert (await ask(forward, path="/vat-filing/7", number=9)).status == 503  # not taken
+            assert (await ask(forward, path="/vat-filing/7", number=9)).status == 503  # not accepted
             await closing
             assert [(await task).status for task in out] == [500] * 3
             assert_settled(engine)
@@ -267,12 +267,12 @@
         ({"app": 7}, "app"),
     ],
 )
-def test_a_bad_setting_is_an_error_when_it_is_built(changes: dict[str, Any], said: str) -> None:
+def test_a_bad_setting_is_an_error_at_construction(changes: dict[str, Any], said: str) -> None:
     with pytest.raises(ConfigError, match=said):
         ForwardMiddleware(**{"app": no_app, "deployment": deployment(), **changes})
 
 
-def test_once_left_it_takes_nothing() -> None:
+def test_after_close_it_accepts_nothing() -> None:
     async def test() -> None:
         async with nodes(answer()) as peers:
             forward = ForwardMiddleware(deployment=deployment(*peers))
--- a/tests/asgi/test_guard.py
+++ b/tests/asgi/test_guard.py
@@ -1,4 +1,4 @@
-"""Guard mode, called by hand: what handlers may do, who ends them, and who is told what."""
+"""Guard mode, called directly as ASGI: responses, cancellation and errors of handlers."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Handler:
-    """An application that counts its runs and does what the test says."""
+    """An application that counts its runs and runs the coroutine of the test."""
 
     def __init__(self, work: Any = None, awaits: int = 0) -> None:
         self.work, self.awaits = work, awaits
@@ -86,7 +86,7 @@
     run(test())
 
 
-def test_beyond_the_quota_it_is_refused_at_once_and_the_handler_does_not_run() -> None:
+def test_beyond_the_quota_a_request_is_refused_at_once_and_the_handler_does_not_run() -> None:
     async def test() -> None:
         handler = Handler()
         guard = guarded(handler)
@@ -102,7 +102,7 @@
 @pytest.mark.parametrize(
     ("by", "left"), [("header", 8 - 3), ("handler", 8 - 5), ("nothing", 8 - 2), ("less than nothing", 8 - 2)]
 )
-def test_units_are_settled_by_what_the_handler_says(by: str, left: float) -> None:
+def test_units_are_settled_by_the_units_of_the_handler(by: str, left: float) -> None:
     async def test() -> None:
         async def work(scope: Scope, receive: Receive, send: Send) -> None:
             told = {"header": b"3", "handler": b"3", "less than nothing": b"-5"}
@@ -122,7 +122,7 @@
 
 
 @pytest.mark.parametrize("cls", NAMES)
-def test_an_exception_is_the_hosts_to_word(cls: str) -> None:
+def test_an_exception_propagates_to_the_host(cls: str) -> None:
     async def test() -> None:
         async def fail(scope: Scope, receive: Receive, send: Send) -> None:
             raise ZeroDivisionError("the handler's own")
@@ -138,7 +138,7 @@
     run(test())
 
 
-def test_an_exception_within_the_answer_goes_up_too() -> None:
+def test_an_exception_within_the_response_propagates_too() -> None:
     async def test() -> None:
         async def fail(scope: Scope, receive: Receive, send: Send) -> None:
             await send({"type": "http.response.start", "status": 200, "headers": []})
@@ -156,7 +156,7 @@
 @pytest.mark.parametrize(
     ("cls", "status"), [("ledger-read", 429), ("payment-book", 429), ("vat-filing", 502)]
 )
-def test_a_handler_that_never_answers_is_ended_in_time(cls: str, status: int) -> None:
+def test_a_handler_that_never_responds_is_cancelled_at_the_deadline(cls: str, status: int) -> None:
     async def test() -> None:
         handler, loop = Handler(hang), asyncio.get_running_loop()
         guard = guarded(handler)
@@ -172,7 +172,7 @@
     run(test())
 
 
-def test_a_handler_that_outlives_its_cancellation_delays_nobody_and_is_not_heard() -> None:
+def test_a_handler_that_ignores_cancellation_delays_nothing_and_its_messages_are_dropped() -> None:
     async def test() -> None:
         go_on = asyncio.Event()
 
@@ -196,7 +196,7 @@
     run(test())
 
 
-def test_an_answer_that_outlasts_its_time_is_broken_off() -> None:
+def test_a_response_that_exceeds_its_deadline_is_aborted() -> None:
     async def test() -> None:
         async def slow(scope: Scope, receive: Receive, send: Send) -> None:
             await send({"type": "http.response.start", "status": 200, "headers": []})
@@ -216,7 +216,7 @@
 
 
 @pytest.mark.parametrize("again", ["http.response.start", "http.response.body"])
-def test_a_handler_that_answers_twice_is_told_so_and_the_first_answer_stands(again: str) -> None:
+def test_a_second_response_is_an_error_and_the_first_one_stands(again: str) -> None:
     async def test() -> None:
         async def twice(scope: Scope, receive: Receive, send: Send) -> None:
             await whole(scope, receive, send)
@@ -255,7 +255,7 @@
     run(test())
 
 
-def test_a_client_that_leaves_ends_its_handler() -> None:
+def test_a_client_that_disconnects_cancels_its_handler() -> None:
     async def test() -> None:
         handler = Handler(hang)
         guard = guarded(handler)
@@ -286,7 +286,7 @@
     run(test())
 
 
-def test_a_client_that_leaves_while_its_body_is_read_is_seen_by_the_handler() -> None:
+def test_a_disconnect_while_the_body_is_read_reaches_the_handler() -> None:
     async def test() -> None:
         seen: list[str] = []
 
@@ -339,7 +339,7 @@
     run(test())
 
 
-def test_what_the_hosts_receive_raises_is_the_handlers_to_see() -> None:
+def test_an_error_of_the_hosts_receive_reaches_the_handler() -> None:
     async def test() -> None:
         async def broken() -> Any:
             raise ZeroDivisionError("the host's own")
@@ -378,7 +378,7 @@
     run(test())
 
 
-def test_work_behind_the_answer_goes_on() -> None:
+def test_work_after_the_response_goes_on() -> None:
     """Background tasks of a framework run in the handler, after its answer: no deadline ends them."""
 
     async def test() -> None:
@@ -414,7 +414,7 @@
             )
             ended = waits < at
             cancels += cancelled
-            assert handler.ended == len(handler.runs)  # a handler's end is waited for
+            assert handler.ended == len(handler.runs)  # the end of each handler was awaited
             assert handler.runs.count(b"%016x" % at) <= 1
             assert_settled(engine_of(guard))
             assert not guard.calls
@@ -428,7 +428,7 @@
 
 @pytest.mark.parametrize("cls", NAMES)
 def test_a_host_that_cancels_while_the_handler_is_at_any_wait(cls: str) -> None:
-    """Each wait of the handler in turn, those while its answer is passed on among them."""
+    """Cancels at each wait of the handler in turn, including those while its response is passed on."""
 
     async def test() -> None:
         at, reached = 0, True
@@ -465,7 +465,7 @@
             assert_settled(engine)
             assert (engine.tally.withdrawn, engine.tally.served) == ((1, 0) if reached else (0, 1))
             await guard.close()
-        assert at == 8  # the last one was met by none
+        assert at == 8  # the run with the last number was not cancelled
 
     run(test())
 
@@ -478,7 +478,7 @@
 # ---- sharing
 
 
-def test_two_instances_let_in_what_one_would() -> None:
+def test_two_instances_admit_as_much_as_one() -> None:
     async def test() -> None:
         alone = Handler(plain)
         one = guarded(alone, deployment=deployment(name="alone"))
@@ -500,7 +500,7 @@
     run(test())
 
 
-def test_an_instance_that_stands_still_does_not_press_the_other() -> None:
+def test_a_stalled_instance_does_not_slow_the_other() -> None:
     async def test() -> None:
         stuck, good = guarded(hang), guarded(Handler())
         waiting = [asyncio.create_task(ask(stuck, number=n, timeout="0.300")) for n in range(12)]
@@ -548,7 +548,7 @@
         ({"headers": ((b"plan", b"plus"),)}, 400),
     ],
 )
-def test_what_makes_no_sense_does_not_reach_the_handler(changes: dict[str, Any], status: int) -> None:
+def test_invalid_requests_do_not_reach_the_handler(changes: dict[str, Any], status: int) -> None:
     async def test() -> None:
         handler = Handler()
         guard = guarded(handler)
@@ -592,6 +592,6 @@
 
 
 @pytest.mark.parametrize("concurrency", [0, -1, float("nan")])
-def test_a_bad_concurrency_is_an_error_when_it_is_built(concurrency: float) -> None:
+def test_a_bad_concurrency_is_an_error_at_construction(concurrency: float) -> None:
     with pytest.raises(ConfigError, match="concurrency"):
         guarded(Handler(), concurrency=concurrency)
--- a/tests/asgi/test_hosts.py
+++ b/tests/asgi/test_hosts.py
@@ -1,4 +1,4 @@
-"""Starlette and FastAPI over real sockets, among middleware of their own that cancels, retries or swallows."""
+"""Starlette and FastAPI over real sockets, with host middleware that cancels, retries or swallows errors."""
 
 from __future__ import annotations
 
@@ -178,16 +178,16 @@
                 assert (await w.ask(ask(path="/api/ledger-read/7?x=1")))[::2] == (200, b"done")
                 assert peers[0].requests[0].startswith(b"GET /ledger-read/7?x=1 HTTP/1.1\r\n")
                 assert (await w.ask(ask(path="/api/nothing")))[0] == 404
-            await forward.close()  # a mounted application is told of no lifespan
+            await forward.close()  # a mounted application gets no lifespan
 
     run(test())
 
 
-# ---- middleware of the host's own
+# ---- middleware of the host
 
 
 class Cancels:
-    """Gives up the application's answer after a while."""
+    """Cancels the application after a time-out."""
 
     def __init__(self, app: Any, after_s: float) -> None:
         self.app, self.after_s = app, after_s
@@ -202,7 +202,7 @@
 
 
 class Retries:
-    """Calls the application again where its answer was an error; answers are held whole."""
+    """Calls the application again after an error response; buffers whole responses."""
 
     def __init__(self, app: Any) -> None:
         self.app = app
@@ -229,7 +229,7 @@
 
 
 class Swallows:
-    """Answers 299 whatever goes wrong."""
+    """Answers 299 after any error."""
 
     def __init__(self, app: Any) -> None:
         self.app = app
@@ -319,7 +319,7 @@
             client.writer.write(ask("vat-filing", 2, Request_Timeout="0.200"))
             head = await client.reader.readuntil(b"\r\n\r\n")
             assert b" 200 " in head
-            assert await ended(client)  # the client can tell that it is not whole
+            assert await ended(client)  # the client can detect that it is incomplete
             assert tally().failed == 2
             settled()
 
@@ -335,7 +335,7 @@
 
 
 async def ended(client: Client) -> bool:
-    """The connection ends without the chunk that says so."""
+    """Whether the connection ends without the final chunk."""
     rest = await client.reader.read()
     return not rest.endswith(b"0\r\n\r\n")
 
@@ -359,7 +359,7 @@
     run(test())
 
 
-def test_a_client_that_leaves_ends_the_handler_over_a_socket() -> None:
+def test_a_client_that_disconnects_cancels_the_handler_over_a_socket() -> None:
     async def test() -> None:
         ends: list[str] = []
 
@@ -396,7 +396,7 @@
 
         async with served(starlette(guard(), routes=[Route("/ledger-read/{n}", work)])) as w:
             assert (await w.ask(ask()))[::2] == (200, b"now")
-            settled()  # the engine waits for the answer alone
+            settled()  # the engine waits only for the response
             await until(lambda: done == [1])
 
     run(test())
@@ -446,7 +446,7 @@
     assert "troutdock: deployment 'tests' is open in this process with other settings" in done.stderr
 
 
-def test_a_host_shut_down_with_requests_out_answers_them_first() -> None:
+def test_a_host_that_shuts_down_answers_open_requests_first() -> None:
     async def test() -> None:
         async def slow(request: Request) -> Any:
             await asyncio.sleep(0.3)
--- a/tests/asgi/test_lifespan.py
+++ b/tests/asgi/test_lifespan.py
@@ -1,4 +1,4 @@
-"""Lifespan: the middleware starts and drains with its host, and says so when it can't."""
+"""Lifespan: the middleware starts and drains with its host, and reports failures."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class App:
-    """An application with a lifespan, and what it saw."""
+    """An application with a lifespan that records its events."""
 
     def __init__(self, fault: str = "") -> None:
         self.fault = fault
@@ -87,8 +87,8 @@
     pass
 
 
-def test_a_start_that_fails_is_said_in_one_line() -> None:
-    """Another loop has the name; and one with other settings."""
+def test_a_failed_start_is_reported_in_one_line() -> None:
+    """The name is open in another loop, or with other settings."""
 
     async def test() -> None:
         made = deployment()
@@ -148,7 +148,7 @@
             )
             await until(lambda: len(peers[0].requests) == 1)
             assert await end() == {"type": "lifespan.shutdown.complete"}
-            assert out.done() and exchange.status == 429  # what was taken had its answer first
+            assert out.done() and exchange.status == 429  # accepted requests were answered first
             assert not shared._entries
 
     run(test())
--- a/tests/library/test_local.py
+++ b/tests/library/test_local.py
@@ -1,4 +1,4 @@
-"""The library: one typed call, its ends, and who shares what."""
+"""The library: one typed call, its results, closing, and sharing of ingresses."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 def run(test: Any) -> None:
-    """On uvloop; and on the standard loop, which a host may use as well."""
+    """Runs the test on uvloop and on the standard event loop; hosts use both."""
     run_on_uvloop(test())
     asyncio.run(asyncio.wait_for(test(), 30))
 
@@ -89,7 +89,7 @@
     run(test)
 
 
-def test_the_headers_of_a_call_go_on_and_those_of_the_protocol_are_worded_anew() -> None:
+def test_the_headers_of_a_call_go_on_and_those_of_the_protocol_are_generated_anew() -> None:
     async def test() -> None:
         async with nodes(answer()) as peers, Ingress(deployment(*peers)) as ingress:
             await ingress.call(
@@ -125,7 +125,7 @@
         ({"facts": Facts("ledger-read", 9, "plus"), "target": "/ledger-read"}, "no body"),
     ],
 )
-def test_a_call_that_makes_no_sense_is_not_taken(changes: dict[str, Any], said: str) -> None:
+def test_an_invalid_call_is_not_accepted(changes: dict[str, Any], said: str) -> None:
     async def test() -> None:
         async with nodes(answer()) as peers, Ingress(deployment(*peers)) as ingress:
             with pytest.raises(BadRequest, match=said):
@@ -135,7 +135,7 @@
     run_on_uvloop(test())
 
 
-def test_an_id_is_open_once() -> None:
+def test_an_id_is_in_progress_only_once() -> None:
     async def test() -> None:
         async with nodes(silence) as peers, Ingress(deployment(*peers)) as ingress:
             first = asyncio.create_task(ingress.call(ask(timeout_s=0.3)))
@@ -163,7 +163,7 @@
                 assert cancelled is not ended
                 assert ingress.tally.taken == before + 1
                 assert_settled(ingress.core.engine)
-            assert at > 2  # at least one wait was met
+            assert at > 2  # at least one wait was cancelled
             sent = sum(len(p.requests) for p in peers)
             await asyncio.sleep(0.03)
             assert sum(len(p.requests) for p in peers) == sent
@@ -173,7 +173,7 @@
 
 @pytest.mark.parametrize("cls", NAMES)
 def test_a_call_cancelled_after_any_event_repeats_nothing_beyond_its_class(cls: str) -> None:
-    """Before the first attempt, with one out, between two, and with the answer on its way."""
+    """Before the first attempt, during one, between two, and while the response arrives."""
 
     async def test() -> None:
         async with nodes(sends(b""), sends(b""), sends(b"")) as peers, Ingress(deployment(*peers)) as ingress:
@@ -206,7 +206,7 @@
 
 
 def test_a_call_cancelled_before_its_first_attempt_is_never_sent() -> None:
-    """The counter holds it; the answer that comes after finds nobody waiting."""
+    """The request waits for the counter; the later answer of the counter has no effect."""
 
     async def test() -> None:
         asked: list[tuple[bytes, asyncio.StreamWriter]] = []
@@ -243,10 +243,10 @@
     run(test)
 
 
-# ---- its end
+# ---- closing
 
 
-def test_closing_waits_for_what_was_taken() -> None:
+def test_closing_waits_for_accepted_requests() -> None:
     async def test() -> None:
         async def slow(peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
             await asyncio.sleep(0.1)
@@ -259,12 +259,12 @@
             await until(lambda: len(peers[0].requests) == 5)
             await ingress.close()
             assert all(isinstance(task.result(), Served) for task in out)
-            await ingress.close()  # harmless
+            await ingress.close()  # a second close has no effect
 
     run(test)
 
 
-def test_closing_fails_what_has_no_answer_after_its_grace() -> None:
+def test_closing_fails_requests_without_an_answer_after_the_grace_period() -> None:
     async def test() -> None:
         async with nodes(silence) as peers:
             ingress = Ingress(deployment(*peers))
@@ -343,7 +343,7 @@
 # ---- sharing
 
 
-def test_who_opens_a_name_twice_shares_its_quota() -> None:
+def test_two_users_of_one_name_share_its_quota() -> None:
     async def test() -> None:
         async with nodes(answer()) as peers:
             one = await shared.join(deployment(*peers))
@@ -404,7 +404,7 @@
     await shared.leave(await shared.join(made))
 
 
-def test_a_loop_that_ended_without_a_word_does_not_keep_the_name() -> None:
+def test_a_closed_loop_does_not_keep_the_name() -> None:
     made = deployment()
     loop = uvloop.new_event_loop()
     loop.run_until_complete(shared.join(made))
@@ -462,7 +462,7 @@
         ({"most_units": "8"}, "most_units"),
     ],
 )
-def test_a_bad_setting_is_named_when_the_deployment_is_made(changes: dict[str, Any], said: str) -> None:
+def test_a_bad_setting_is_named_when_the_deployment_is_created(changes: dict[str, Any], said: str) -> None:
     with pytest.raises(ConfigError, match=said) as error:
         deployment(**changes)
     assert "\n" not in str(error.value)
--- a/tests/library/test_workers.py
+++ b/tests/library/test_workers.py
@@ -1,4 +1,4 @@
-"""Several ingresses of one deployment, as worker processes are: they share through the counter."""
+"""Several ingresses of one deployment, as in worker processes, share quotas through the counter."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
                     for ingress in (one, other):
                         result = await ingress.call(ask("ledger-read", number, "basis", units=1))
                         served += isinstance(result, Served)
-            # a burst of 8, and what both let in before they had heard of each other; unshared it were 16
+            # a burst of 8, and what both admitted before the first exchange; without sharing it would be 16
             assert 6 <= served <= 14
             assert len(totals) == 1  # both called it, by the same name
         counter.stop()
--- a/tests/management/test_door.py
+++ b/tests/management/test_door.py
@@ -1,4 +1,4 @@
-"""The operators' door over loopback, beside clients, and callers that are slow, silent or many."""
+"""The management server over loopback, with client load and with slow, silent or many connections."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
         status = (await Client(reader, writer).ask(f"{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode()))[
             0
         ]
-        assert await reader.read() == b""  # one call per connection
+        assert await reader.read() == b""  # one request per connection
         return status
     finally:
         writer.close()
@@ -31,7 +31,7 @@
     return world(*scripts, management="127.0.0.1:0", **more)
 
 
-def test_ready_is_a_yes_while_clients_are_taken() -> None:
+def test_ready_succeeds_while_clients_are_accepted() -> None:
     async def test() -> None:
         async with managed(answer()) as w:
             assert await call(w, "GET", "/control/ready") == 200
@@ -62,7 +62,7 @@
         (b"GET /control/ready HTTP/1.1\r\nX: " + b"x" * 9000 + b"\r\n\r\n", 413),
     ],
 )
-def test_what_is_no_call_is_a_no_and_changes_nothing(data: bytes, status: int) -> None:
+def test_an_invalid_request_is_rejected_and_changes_nothing(data: bytes, status: int) -> None:
     async def test() -> None:
         async with managed(answer()) as w:
             reader, writer = await asyncio.open_connection(*w.service.management)
@@ -73,7 +73,7 @@
     run(test())
 
 
-def test_the_calls_are_not_to_be_had_at_the_clients_address() -> None:
+def test_commands_are_not_available_at_the_client_address() -> None:
     async def test() -> None:
         async with managed(answer()) as w:
             assert (await w.ask(b"POST /control/out-of-service HTTP/1.1\r\nContent-Length: 0\r\n\r\n"))[
@@ -84,7 +84,7 @@
     run(test())
 
 
-def test_callers_that_say_nothing_keep_nobody_out_and_hold_a_bounded_number_of_places() -> None:
+def test_silent_connections_block_no_request_and_their_number_is_bounded() -> None:
     async def test() -> None:
         async with managed(answer()) as w:
             held = [await asyncio.open_connection(*w.service.management) for _ in range(3 * MAX_CONNECTIONS)]
@@ -99,29 +99,29 @@
     run(test())
 
 
-def test_calls_are_answered_beside_callers_that_hold_on_and_under_all_the_load_that_clients_make() -> None:
-    """More half calls than there are places, each back at once when it is cut; clients that never pause."""
+def test_commands_are_answered_beside_incomplete_requests_and_client_load() -> None:
+    """Twice as many incomplete requests as connections, reopened when aborted; clients send without pause."""
 
     async def test() -> None:
         async with managed(answer()) as w:
             over = asyncio.Event()
 
-            async def holds() -> None:
+            async def hold_incomplete_request() -> None:
                 while not over.is_set():
                     reader, writer = await asyncio.open_connection(*w.service.management)
                     writer.write(b"GET /control/ready HTTP/1.1\r\nHost: ")
                     with contextlib.suppress(OSError):
-                        await reader.read()  # to the cut, which is the door's or the test's end
+                        await reader.read()  # until the server aborts the connection or the test ends
                     writer.close()
 
-            async def asks(number: int) -> None:
+            async def send_requests(number: int) -> None:
                 client = await w.client()
                 while not over.is_set():
                     number += 100
                     assert (await client.ask(request("ledger-read", number)))[0] in (200, 429)
 
-            busy = [asyncio.create_task(holds()) for _ in range(2 * MAX_CONNECTIONS)]
-            busy += [asyncio.create_task(asks(n)) for n in range(16)]
+            busy = [asyncio.create_task(hold_incomplete_request()) for _ in range(2 * MAX_CONNECTIONS)]
+            busy += [asyncio.create_task(send_requests(n)) for n in range(16)]
             for turn in range(40):
                 path, status = (("out-of-service", 200), ("in-service", 200))[turn % 2]
                 assert await asyncio.wait_for(call(w, "POST", f"/control/{path}"), 1.0) == status
@@ -133,7 +133,7 @@
     run(test())
 
 
-def test_a_caller_that_never_ends_its_call_is_told_so(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_incomplete_request_times_out_with_408(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         async with managed(answer()) as w:
             monkeypatch.setattr(api, "REQUEST_TIMEOUT_S", 0.02)
@@ -144,7 +144,7 @@
     run(test())
 
 
-def test_out_of_service_tells_health_ends_connections_with_answers_and_the_idle_ones_later(
+def test_out_of_service_fails_health_closes_connections_after_answers_and_idle_ones_later(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("troutdock.http.listener.OUT_OF_SERVICE_S", 0.1)
@@ -160,7 +160,7 @@
             assert status == 200 and b"connection: close" in head.lower()
             assert await using.reader.read() == b""
             assert await idle.reader.read() == b"" and await silent.reader.read() == b""
-            late = await w.client()  # what the front sends still is served, and told to go
+            late = await w.client()  # a new connection is still served and asked to close
             status, head, _ = await late.ask(request(number=2))
             assert status == 200 and b"connection: close" in head.lower()
             assert (await w.ask(HEALTH))[0] == 503
@@ -192,7 +192,7 @@
     run(test())
 
 
-def test_a_drain_ends_the_door_too() -> None:
+def test_a_drain_closes_the_management_server() -> None:
     async def test() -> None:
         async with managed(silence) as w:
             w.stop.set()
--- a/tests/management/test_inherited.py
+++ b/tests/management/test_inherited.py
@@ -1,4 +1,4 @@
-"""Two processes at one listening socket, as at an upgrade; and what is no such socket."""
+"""Two processes with one inherited listening socket, as during an upgrade; invalid inherited sockets."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
         served: list[int] = []
 
         async def client(number: int) -> None:
-            """Keeps its connection as long as the ingress lets it, and never has to ask twice."""
+            """Keeps its connection until the ingress closes it; no request is sent twice."""
             count, reader, writer = 0, None, None
             while not stop.is_set():
                 if writer is None:
@@ -60,7 +60,7 @@
     run(test())
 
 
-def test_what_is_not_accepted_yet_is_the_successors(tmp_path: Path) -> None:
+def test_connections_not_yet_accepted_go_to_the_successor(tmp_path: Path) -> None:
     async def test() -> None:
         node = Peer(answer())
         await node.start()
@@ -68,7 +68,7 @@
         try:
             await tier.start()
             assert await tier.end(0) == 0
-            reader, writer = await asyncio.open_connection(*tier.address)  # nobody accepts, and nobody resets
+            reader, writer = await asyncio.open_connection(*tier.address)  # neither accepted nor reset
             writer.write(request())
             await tier.start()
             assert (await Client(reader, writer).answer())[0] == 200
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize("text", ["x", "-1", "999999", ""])
-def test_what_is_no_descriptor_is_an_error_that_names_it(text: str) -> None:
+def test_an_invalid_descriptor_is_an_error_that_names_it(text: str) -> None:
     if not text:
         assert inherited_socket({"RELAY_SOCKET_FD": text}) is None and inherited_socket({}) is None
         return
@@ -98,6 +98,6 @@
         management_address("nowhere")
 
 
-def test_a_file_that_is_no_socket_is_an_error(tmp_path: Path) -> None:
+def test_a_file_that_is_not_a_socket_is_an_error(tmp_path: Path) -> None:
     with (tmp_path / "file").open("w") as file, pytest.raises(ConfigError, match="is no socket"):
         inherited_socket({"RELAY_SOCKET_FD": str(file.fileno())})
