--- a/tests/asgi/test_guard.py
+++ b/tests/asgi/test_guard.py
@@ -465,7 +465,7 @@
             assert_settled(engine)
             assert (engine.tally.withdrawn, engine.tally.served) == ((1, 0) if reached else (0, 1))
             await guard.close()
-        assert at == 8  # the run with the last number was not cancelled
+        assert at == 8  # in the last run the handler ended before the cancellation
 
     run(test())
 
--- a/tests/routing_service/test_deployment.py
+++ b/tests/routing_service/test_deployment.py
@@ -143,7 +143,7 @@
 
 
 @pytest.mark.parametrize(("old", "new", "said"), CHANGES, ids=[str(n) for n in range(len(CHANGES))])
-def test_each_error_has_its_place_and_what_was_expected(
+def test_each_error_has_its_location_and_what_was_expected(
     tmp_path: Path, old: str, new: str, said: list[str] | None
 ) -> None:
     assert old in GOOD
@@ -154,7 +154,7 @@
         assert [line.replace(f"{tmp_path}/", "") for line in found] == said
 
 
-def test_all_errors_come_at_once(tmp_path: Path) -> None:
+def test_all_errors_are_reported_together(tmp_path: Path) -> None:
     found = problems(
         tmp_path,
         GOOD.replace("effect: safe", "effect: x")
@@ -168,7 +168,7 @@
     ]
 
 
-def test_includes_are_joined_circles_and_contradictions_named_and_variables_put_in(tmp_path: Path) -> None:
+def test_includes_are_merged_cycles_and_conflicts_reported_and_variables_substituted(tmp_path: Path) -> None:
     (tmp_path / "pools.yaml").write_text(
         "pools:\n  c: {servers: ['${HOST:-127.0.0.1}:${PORT}']}\nroutes:\n  - {name: c, match: {prefix: /c}, class: read, to: c}\n"
     )
@@ -188,7 +188,7 @@
     assert any("listen: it is there already, at" in line and "pools.yaml:2:1" in line for line in said)
 
 
-def test_anchors_that_blow_up_are_bounded(tmp_path: Path) -> None:
+def test_expansion_of_anchors_is_bounded(tmp_path: Path) -> None:
     text = "a: &a [x, x, x, x, x, x, x, x, x, x]\n" + "".join(
         f"{n}: &{n} [{', '.join(['*' + p] * 10)}]\n" for p, n in zip("abcdef", "bcdefg", strict=True)
     )
@@ -198,7 +198,9 @@
 
 
 @given(st.text(max_size=60))
-def test_no_file_does_anything_but_be_refused(tmp_path_factory: pytest.TempPathFactory, text: str) -> None:
+def test_any_invalid_file_is_rejected_with_problems(
+    tmp_path_factory: pytest.TempPathFactory, text: str
+) -> None:
     file = tmp_path_factory.mktemp("x") / "x.yaml"
     file.write_text(text, encoding="utf-8", errors="surrogatepass")
     found = read_deployment(file, {})
@@ -265,7 +267,7 @@
     assert all(c["served"] + c["refused"] + c["failed"] > 0 for c in told.values())
 
 
-# ---- in service
+# ---- serving
 
 
 class World:
@@ -368,7 +370,7 @@
     run(test())
 
 
-def test_a_pool_that_stands_still_neither_delays_nor_refuses_the_others(tmp_path: Path) -> None:
+def test_a_stalled_pool_neither_delays_nor_refuses_the_others(tmp_path: Path) -> None:
     async def test() -> None:
         loop = asyncio.get_running_loop()
         async with deployed(tmp_path, POOLS, a=[silence], b=[answer(b"b")]) as w:
@@ -405,7 +407,7 @@
             kept = dict(health)
             await reload_deployment(w.routed, lambda: moved)
             assert (await w.ask("/z"))[1] == b"b" and (await w.ask("/a"))[0] == 404
-            assert await under_way == (200, b"old")  # it ended under the old table
+            assert await under_way == (200, b"old")  # it completed with the old table
             assert all(
                 health.get(id) is b for id, b in kept.items() if id in health
             )  # b's server is the same one
@@ -426,7 +428,7 @@
     run(test())
 
 
-def test_splits_stick_rewrites_hold_and_mirrors_count_for_nothing(
+def test_splits_are_sticky_rewrites_apply_and_mirrors_are_not_counted(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(routed_service, "MIRROR_TIMEOUT_S", 0.2)
