--- a/benchmarks/control_times.py
+++ b/benchmarks/control_times.py
@@ -120,7 +120,7 @@
     while cluster.now - began < MOST_S:
         cluster.run(STEP_S)
         leads, replica = cluster.primary, cluster.machines[lost].replica
-        if leads is not None and replica is not None and not replica.kept.blank:
+        if leads is not None and replica is not None and not replica.durable.blank:
             primary_replica = cluster.machines[leads].replica
             if primary_replica is not None and replica.status.record == primary_replica.status.record:
                 return cluster.now - began
--- a/benchmarks/hollow/core.py
+++ b/benchmarks/hollow/core.py
@@ -50,7 +50,7 @@
 from troutdock.endpoints.rendezvous import ranked
 from troutdock.config_store.daemon import TICK_S as STORE_TICK_S
 from troutdock.config_store.replica import Replica
-from troutdock.config_store.replica_state import InForce, Save
+from troutdock.config_store.replica_state import Committed, Save
 from troutdock.config_store.replica_state import Send as StoreSend
 
 SYNC_S = 0.005
@@ -181,7 +181,7 @@
                             n, number, len(payload), payload, what, n
                         ),
                     )
-                case InForce(version, body):
+                case Committed(version, body):
                     payload = encode_frame(encode(Config(version, msgspec.Raw(body))))
                     for to in range(CORE):
                         self.count.said("rootstock", "hedgerow", len(payload))
--- a/tests/compatibility/test_data_of_before.py
+++ b/tests/compatibility/test_data_of_before.py
@@ -63,7 +63,7 @@
     expected = json.loads((DATA / "store" / "expected.json").read_text())
     disk = Disk(folder)
     kept = disk.open()
-    assert disk.set_aside is None and kept is not None
+    assert disk.quarantined is None and kept is not None
     found = msgspec.to_builtins(kept)
     assert found["record"] == expected["record"] and kept.body.decode() == expected["body"]
     assert (kept.promised, kept.version, list(kept.voters)) == (9, 9, expected["voters"])
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -40,7 +40,7 @@
     body_digest,
 )
 from troutdock.config_store.replica import Replica, Stage
-from troutdock.config_store.replica_state import Bounds, InForce, Kept, Save, Send
+from troutdock.config_store.replica_state import FaultTolerance, Committed, DurableState, Save, Send
 
 TICK_S = 0.05
 CALL_S = 0.002  # of a call, and of its answer, on the way
@@ -65,7 +65,7 @@
 def make_replica(
     me: str,
     seeds: Sequence[str],
-    kept: Kept | None,
+    kept: DurableState | None,
     first: bool,
     now: float,
     apart: bool = False,
@@ -73,7 +73,7 @@
     lost_at_once: int = 1,
 ) -> Replica:
     """The one place where the simulations construct a replica. lost_at_once: machines."""
-    return Replica(me, seeds, kept, first, now, Bounds(lost_at_once, int(apart), sync_s=SYNC_S), life)
+    return Replica(me, seeds, kept, first, now, FaultTolerance(lost_at_once, int(apart), sync_s=SYNC_S), life)
 
 
 @dataclass
@@ -82,7 +82,7 @@
 
     ip: str
     seeds: list[str]
-    disk: Kept | None = None
+    disk: DurableState | None = None
     replica: Replica | None = None
     life: int = 0
     in_force: int = 0  # the highest that this life has shown
@@ -198,7 +198,7 @@
         machine.replica = make_replica(
             ip, machine.seeds, machine.disk, first, self.now, self.apart, machine.life, self.lost_at_once
         )
-        machine.replica._copies.size = lambda body: self.body_bytes or len(body)  # type: ignore[method-assign]
+        machine.replica._backup_set.body_size = lambda body: self.body_bytes or len(body)  # type: ignore[method-assign]
         machine.dials = dict.fromkeys(s for s in machine.seeds if s != ip)
         machine.links, machine.cut_seen, machine.dials_at = {}, {}, {}
         for other in machine.dials if self.dialled else self.machines:
@@ -221,7 +221,7 @@
 
     def _dial(self, machine: Machine, replica: Replica) -> None:
         """Connections come up and end: to those that are there, and theirs back."""
-        for ip in replica.core:
+        for ip in replica.members:
             if ip != machine.ip and ip in self.machines and ip not in machine.dials:
                 machine.dials[ip] = None
                 replica.meet(ip)
@@ -400,12 +400,12 @@
                 self.kill(machine.ip)
                 return
             if isinstance(action, Save):
-                machine.disk = action.kept
+                machine.disk = action.durable
                 if machine.save_s:
                     machine.hangs_until = max(machine.hangs_until, self.now) + machine.save_s
             elif isinstance(action, Send):
                 self._send(machine, action.to, action.message)
-            elif isinstance(action, InForce):
+            elif isinstance(action, Committed):
                 self._shown(machine, action)
             if machine.crash_after > 0 and isinstance(action, Save | Send):
                 machine.crash_after -= 1
@@ -500,7 +500,7 @@
         if (version, body) in self.refused:
             self.violated("refused, and in force", f"{version}, {body!r}")
 
-    def _shown(self, machine: Machine, action: InForce) -> None:
+    def _shown(self, machine: Machine, action: Committed) -> None:
         if action.version < machine.in_force:
             self.violated("a version goes back", f"{machine.ip} from {machine.in_force} to {action.version}")
         machine.in_force = action.version
--- a/tests/system/test_disks_after_power.py
+++ b/tests/system/test_disks_after_power.py
@@ -22,22 +22,22 @@
 from troutdock.config_store import storage
 from troutdock.config_store.storage import (
     FILE,
-    HISTORY_BYTES,
-    LOG_BYTES,
-    LOGGED,
+    MAX_HISTORY_BYTES,
+    MAX_WAL_BYTES,
+    WAL_MARKER,
     Disk,
     DiskError,
-    record_of_1,
+    upgrade_record_v1,
 )
-from troutdock.config_store.replica import Kept
+from troutdock.config_store.replica import DurableState
 
 WAL = FILE + "-wal"
 Files = dict[str, bytes]
 
 
-def kept(number: int, size: int = 300) -> Kept:
+def kept(number: int, size: int = 300) -> DurableState:
     """Two saves of each body: every other one changes only what was promised."""
-    return Kept(
+    return DurableState(
         number,
         None,
         number // 2,
@@ -49,17 +49,17 @@
     )
 
 
-def state(number: int, size: int = 300) -> Kept:
+def state(number: int, size: int = 300) -> DurableState:
     whole = kept(number, size)
     body = kept(number // 2 * 2, size).body
-    return Kept(number, None, whole.version, body, whole.voters, False, 1, whole.taken)
+    return DurableState(number, None, whole.version, body, whole.voters, False, 1, whole.taken)
 
 
 def files(folder: Path) -> Files:
     return {p.name: p.read_bytes() for p in folder.iterdir()}
 
 
-def opened(folder: Path, found: Files) -> Kept | None:
+def opened(folder: Path, found: Files) -> DurableState | None:
     shutil.rmtree(folder, ignore_errors=True)
     folder.mkdir()
     for name, data in found.items():
@@ -88,19 +88,19 @@
     return bytes(out)
 
 
-def lived(folder: Path) -> list[tuple[Files, Kept | None]]:
+def lived(folder: Path) -> list[tuple[Files, DurableState | None]]:
     """Files and what they hold, after each single step of a life: a commit, or a checkpoint."""
     disk = Disk(folder)
     assert disk.open() is None
-    assert disk._base is not None
-    disk._base.execute("PRAGMA wal_autocheckpoint = 0")
-    steps: list[tuple[Files, Kept | None]] = [(files(folder), None)]
+    assert disk._db is not None
+    disk._db.execute("PRAGMA wal_autocheckpoint = 0")
+    steps: list[tuple[Files, DurableState | None]] = [(files(folder), None)]
     for number in range(1, 25):
         disk.save(state(number, 9000 if number % 5 == 0 else 300))
         last = state(number, 9000 if number % 5 == 0 else 300)
         steps.append((files(folder), last))
         if number % 4 == 0:
-            disk._base.execute("PRAGMA wal_checkpoint(PASSIVE)").fetchall()
+            disk._db.execute("PRAGMA wal_checkpoint(PASSIVE)").fetchall()
             steps.append((files(folder), last))
     disk.close()
     steps.append((files(folder), last))
@@ -112,7 +112,7 @@
     seen = set()
     for (before, old), (after, new) in itertools.pairwise(steps[:-1]):
         changed = [name for name in after if before.get(name) != after[name]]
-        assert len(changed) <= 1 and set(before) == set(after) == {FILE, WAL, LOGGED}, changed
+        assert len(changed) <= 1 and set(before) == set(after) == {FILE, WAL, WAL_MARKER}, changed
         for _ in range(12):
             cut = {
                 name: torn(before[name], after[name], dice) if name in changed else after[name]
@@ -130,7 +130,7 @@
         for name in found:
             left = {n: d for n, d in found.items() if n != name}
             result = opened(tmp_path / "cut", left)
-            if name == LOGGED:
+            if name == WAL_MARKER:
                 assert result == last
             else:
                 assert result is None
@@ -141,14 +141,14 @@
 def watched(folder: Path, monkeypatch: pytest.MonkeyPatch) -> list[Files]:
     """The folder at each of its syncs."""
     found: list[Files] = []
-    true = storage._sync_folder
+    true = storage._fsync_directory
 
     def sync(which: Path) -> None:
         true(which)
         if which == folder:
             found.append(files(folder))
 
-    monkeypatch.setattr(storage, "_sync_folder", sync)
+    monkeypatch.setattr(storage, "_fsync_directory", sync)
     return found
 
 
@@ -177,7 +177,7 @@
     disk.open()
     points += watch
     assert len(points) >= 5
-    disk._base = None
+    disk._db = None
     monkeypatch.undo()
     tried = 0
     for before, after in itertools.pairwise(points):
@@ -200,9 +200,9 @@
         (folder / name).write_bytes(data)
     watch = watched(folder, monkeypatch)
     disk = Disk(folder)
-    assert disk.open() is None and disk.set_aside is not None
+    assert disk.open() is None and disk.quarantined is not None
     points = [bad, *watch]
-    disk._base = None
+    disk._db = None
     monkeypatch.undo()
     for before, after in itertools.pairwise(points):
         for mix in between(before, after):
@@ -260,9 +260,9 @@
     disk, sizes = Disk(tmp_path), []
     disk.open()
     for number in range(2, 1002):
-        disk.save(Kept(5, None, number, b"%d" % number + b"x" * 5000, ("a",), False, 4))
+        disk.save(DurableState(5, None, number, b"%d" % number + b"x" * 5000, ("a",), False, 4))
         sizes.append(size(tmp_path))
-    assert max(sizes[500:]) <= max(sizes[:500]) < HISTORY_BYTES
+    assert max(sizes[500:]) <= max(sizes[:500]) < MAX_HISTORY_BYTES
     disk.close()
     assert size(tmp_path) < 500_000
 
@@ -271,18 +271,17 @@
     disk, sizes = Disk(tmp_path), []
     disk.open()
     for number in range(2, 22):
-        last = Kept(5, None, number, b"%d" % number + b"x" * 11_000_000, ("a",), False, 4)
+        last = DurableState(5, None, number, b"%d" % number + b"x" * 11_000_000, ("a",), False, 4)
         disk.save(last)
         sizes.append(size(tmp_path))
-    disk.save(Kept(6, None, 21, last.body, ("a",), False, 4))
-    assert (tmp_path / WAL).stat().st_size <= LOG_BYTES
-    assert max(sizes[5:]) <= max(sizes[:5]) < HISTORY_BYTES + 35_000_000
+    disk.save(DurableState(6, None, 21, last.body, ("a",), False, 4))
+    assert (tmp_path / WAL).stat().st_size <= MAX_WAL_BYTES
+    assert max(sizes[5:]) <= max(sizes[:5]) < MAX_HISTORY_BYTES + 35_000_000
     disk.close()
     found = Disk(tmp_path)
-    assert found.open() == Kept(6, None, 21, last.body, ("a",), False, 4)
+    assert found.open() == DurableState(6, None, 21, last.body, ("a",), False, 4)
     assert (
-        found._base is not None
-        and found._base.execute("SELECT count(*) FROM configurations").fetchone()[0] == 3
+        found._db is not None and found._db.execute("SELECT count(*) FROM configurations").fetchone()[0] == 3
     )
     found.close()
 
@@ -291,12 +290,12 @@
     disk = Disk(tmp_path)
     disk.open()
     body = b"x" * 2_000_000
-    disk.save(Kept(1, None, 3, body, ("a",), False, 1))
+    disk.save(DurableState(1, None, 3, body, ("a",), False, 1))
     before = (tmp_path / WAL).stat().st_size
     for promised in range(3, 30):
-        disk.save(Kept(promised, None, 3, bytes(bytearray(body)), ("a",), False, 1))
+        disk.save(DurableState(promised, None, 3, bytes(bytearray(body)), ("a",), False, 1))
     assert (tmp_path / WAL).stat().st_size - before <= 27 * 4120  # a page of the state for each
-    other = Kept(30, None, 3, b"another of this number", ("a",), False, 1)
+    other = DurableState(30, None, 3, b"another of this number", ("a",), False, 1)
     disk.save(other)
     disk.close()
     assert Disk(tmp_path).open() == other
@@ -342,7 +341,7 @@
     ],
 )
 def test_a_record_of_schema_1_names_a_list_of_backups(tmp_path: Path, before: str, after: list) -> None:
-    assert json.loads(record_of_1(before) or "") == after
+    assert json.loads(upgrade_record_v1(before) or "") == after
     schema_1(tmp_path, before)
     disk = Disk(tmp_path)
     # where Record still has one backup, the file is brought up to schema 2 and can't be taken in afterwards
@@ -350,7 +349,7 @@
     with contextlib.suppress(DiskError) if one else contextlib.nullcontext():
         disk.open()
     disk.close()
-    assert disk.set_aside is None
+    assert disk.quarantined is None
     base = sqlite3.connect(tmp_path / FILE)
     record, taken = base.execute("SELECT record, taken FROM state").fetchone()
     assert (
@@ -362,12 +361,12 @@
 
 
 def test_a_file_of_schema_1_is_read_whole(tmp_path: Path) -> None:
-    assert record_of_1(None) is None
+    assert upgrade_record_v1(None) is None
     schema_1(tmp_path, None)
     for _ in range(2):
         disk = Disk(tmp_path)
-        assert disk.open() == Kept(5, None, 9, b'{"v":9}', ("a", "b"), False, 4, ())
-        assert disk._base is not None and disk._base.execute(
+        assert disk.open() == DurableState(5, None, 9, b'{"v":9}', ("a", "b"), False, 4, ())
+        assert disk._db is not None and disk._db.execute(
             "SELECT count(*) FROM configurations"
         ).fetchone() == (2,)
         disk.close()
@@ -376,7 +375,7 @@
 def test_a_spoilt_file_of_schema_1_is_set_aside(tmp_path: Path) -> None:
     schema_1(tmp_path, None, "spoilt")
     disk = Disk(tmp_path)
-    assert disk.open() is None and disk.set_aside is not None
+    assert disk.open() is None and disk.quarantined is not None
 
 
 def test_a_spoilt_state_of_schema_1_is_set_aside(tmp_path: Path) -> None:
@@ -386,13 +385,13 @@
     base.commit()
     base.close()
     disk = Disk(tmp_path)
-    assert disk.open() is None and disk.set_aside is not None
+    assert disk.open() is None and disk.quarantined is not None
 
 
 def test_each_commit_is_synced(tmp_path: Path) -> None:
     disk = Disk(tmp_path)
     disk.open()
-    assert disk._base is not None
-    assert disk._base.execute("PRAGMA synchronous").fetchone() == (2,)  # FULL: the log, with each commit
-    assert disk._base.execute("PRAGMA journal_mode").fetchone() == ("wal",)
+    assert disk._db is not None
+    assert disk._db.execute("PRAGMA synchronous").fetchone() == (2,)  # FULL: the log, with each commit
+    assert disk._db.execute("PRAGMA journal_mode").fetchone() == ("wal",)
     disk.close()
--- a/tests/system/test_event_traces.py
+++ b/tests/system/test_event_traces.py
@@ -9,8 +9,8 @@
 from typer.testing import CliRunner
 
 from troutdock.cli.app import app
-from troutdock.config_store.replica import EVENTS, again
-from troutdock.config_store.replica_state import InForce, Log, Save, Send
+from troutdock.config_store.replica import EVENTS, replica_from_trace
+from troutdock.config_store.replica_state import Committed, Log, Save, Send
 from troutdock.rpc.event_trace import read_trace
 from troutdock.rpc.messages import Status
 
@@ -29,13 +29,13 @@
         # the first machine returns without its disk and promises nothing until the others have reported
         (
             "store-first-primary",
-            ["Founded", "To be borne: 1", "Primary under epoch 2", "In force: r5.", ": kept."],
+            ["Founded", "Tolerates losses: 1", "Primary under epoch 2", "In force: r5.", ": kept."],
         ),
         (
             "store-backup-takes-over",
             [
                 "Founded",
-                "To be borne: 1",
+                "Tolerates losses: 1",
                 "Primary under epoch 3",
                 "In force: r5.",
                 "In force: r9.",
@@ -46,7 +46,7 @@
                 ": kept.",
             ],
         ),
-        ("store-wiped", ["No disk of before", "To be borne: 1", "The others have told: epoch 67"]),
+        ("store-wiped", ["No disk of before", "Tolerates losses: 1", "The others have told: epoch 67"]),
     ],
 )
 def test_replaying_a_recorded_failure_gives_the_same_actions(name: str, expected: list[str]) -> None:
@@ -62,16 +62,16 @@
 @pytest.mark.parametrize("name", ["store-first-primary", "store-backup-takes-over", "store-wiped"])
 def test_nothing_is_sent_before_it_is_stored(name: str) -> None:
     parameters, events = read_trace(TRACES / f"{name}.jsonl")
-    replica, saved = again(parameters), None
+    replica, saved = replica_from_trace(parameters), None
     for method, args in events:
         assert method in EVENTS
         for action in getattr(replica, method)(*args) or ():
             if isinstance(action, Save):
-                assert saved is None or action.kept.promised >= saved.promised
-                saved = action.kept
+                assert saved is None or action.durable.promised >= saved.promised
+                saved = action.durable
             elif isinstance(action, Send) and isinstance(action.message, Status) and saved is not None:
                 assert action.message.promised <= saved.promised
-            elif isinstance(action, InForce):
+            elif isinstance(action, Committed):
                 assert saved is not None and saved.version >= action.version
             else:
                 assert isinstance(action, Send | Log)
--- a/tests/system/test_store_bounds.py
+++ b/tests/system/test_store_bounds.py
@@ -6,56 +6,60 @@
 
 import pytest
 
-from troutdock.config_store.voter_changes import not_borne
-from troutdock.config_store.replica_state import Bounds, Kept, Peer, State
+from troutdock.config_store.voter_changes import unmet_tolerance
+from troutdock.config_store.replica_state import FaultTolerance, DurableState, Peer, ReplicaState
 from troutdock.rpc.messages import ReadAck, Record, Status
 
 
 @pytest.mark.parametrize(
     ("bounds", "copies", "voters", "apart"),
     [
-        (Bounds(0), 2, 3, False),
-        (Bounds(1), 2, 3, False),
-        (Bounds(2), 3, 5, False),
-        (Bounds(0, zones=1), 2, 3, True),
-        (Bounds(2, zones=1), 3, 5, True),
-        (Bounds(1, regions=2), 3, 5, True),
+        (FaultTolerance(0), 2, 3, False),
+        (FaultTolerance(1), 2, 3, False),
+        (FaultTolerance(2), 3, 5, False),
+        (FaultTolerance(0, zones=1), 2, 3, True),
+        (FaultTolerance(2, zones=1), 3, 5, True),
+        (FaultTolerance(1, regions=2), 3, 5, True),
     ],
 )
 def test_copies_and_voters_follow_what_is_to_be_borne(
-    bounds: Bounds, copies: int, voters: int, apart: bool
+    bounds: FaultTolerance, copies: int, voters: int, apart: bool
 ) -> None:
-    assert (bounds.copies, bounds.voters, bounds.apart) == (copies, voters, apart)
+    assert (bounds.replica_count, bounds.voter_count, bounds.requires_spread) == (copies, voters, apart)
 
 
-def state_of(bounds: Bounds, voters: list[str], places: list[str], copies: list[str]) -> State:
-    state = State(
-        voters[0], bounds, 1, Kept(blank=False, record=Record(2, copies[0], copies[1:], voters), given=2), 0.0
+def state_of(bounds: FaultTolerance, voters: list[str], places: list[str], copies: list[str]) -> ReplicaState:
+    state = ReplicaState(
+        voters[0],
+        bounds,
+        1,
+        DurableState(blank=False, record=Record(2, copies[0], copies[1:], voters), given=2),
+        0.0,
     )
-    state.places = dict(zip(voters, places, strict=False))
+    state.domains = dict(zip(voters, places, strict=False))
     for ip in voters[1:]:
-        state.peers[ip] = Peer(Status(2, state.kept.record, 0, False, False, True, voters), 0.0, 0.0, 0.0)
+        state.peers[ip] = Peer(Status(2, state.durable.record, 0, False, False, True, voters), 0.0, 0.0, 0.0)
     return state
 
 
 @pytest.mark.parametrize(
     ("bounds", "places", "copies", "said"),
     [
-        (Bounds(1), "abc", 2, ""),
-        (Bounds(1), "ab", 2, "2 voters: changes stop with the loss of 1"),
-        (Bounds(1), "a", 1, "1 of 2 copies"),
-        (Bounds(2), "abc", 3, "3 voters: changes stop with the loss of 2"),
-        (Bounds(2), "abcde", 3, ""),
-        (Bounds(2), "abcde", 2, "2 of 3 copies"),
-        (Bounds(1, zones=1), "aab", 2, "more than half of the voters stand in one place"),
-        (Bounds(1, zones=1), "aab", 2, "copies lie in 1 place"),
-        (Bounds(1, zones=1), "abc", 2, ""),
+        (FaultTolerance(1), "abc", 2, ""),
+        (FaultTolerance(1), "ab", 2, "2 voters: changes stop with the loss of 1"),
+        (FaultTolerance(1), "a", 1, "1 of 2 copies"),
+        (FaultTolerance(2), "abc", 3, "3 voters: changes stop with the loss of 2"),
+        (FaultTolerance(2), "abcde", 3, ""),
+        (FaultTolerance(2), "abcde", 2, "2 of 3 copies"),
+        (FaultTolerance(1, zones=1), "aab", 2, "more than half of the voters stand in one place"),
+        (FaultTolerance(1, zones=1), "aab", 2, "copies lie in 1 place"),
+        (FaultTolerance(1, zones=1), "abc", 2, ""),
     ],
 )
-def test_what_is_not_borne_is_said(bounds: Bounds, places: str, copies: int, said: str) -> None:
+def test_what_is_not_borne_is_said(bounds: FaultTolerance, places: str, copies: int, said: str) -> None:
     voters = [f"10.0.0.{n}" for n in range(1, len(places) + 1)]
     state = state_of(bounds, voters, list(places), voters[:copies])
-    found = not_borne(state, voters[:copies])
+    found = unmet_tolerance(state, voters[:copies])
     assert (said in "; ".join(found)) if said else not found, found
 
 
--- a/tests/system/test_store_exhaustive.py
+++ b/tests/system/test_store_exhaustive.py
@@ -19,7 +19,7 @@
 
 from troutdock.rpc.messages import Read, ReadAck, Write, WriteAck, body_digest
 from troutdock.config_store.replica import Replica, Stage
-from troutdock.config_store.replica_state import InForce, Kept, Save, Send
+from troutdock.config_store.replica_state import Committed, DurableState, Save, Send
 
 IPS = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
 STEP_S = 1.1  # longer than silence
@@ -56,7 +56,7 @@
     def __init__(self, play: Play) -> None:
         self.play = play
         self.now = 0.0
-        self.disks: dict[str, Kept | None] = dict.fromkeys(IPS)
+        self.disks: dict[str, DurableState | None] = dict.fromkeys(IPS)
         self.replicas: dict[str, Replica] = {}
         self.ways: dict[tuple[str, str], list[Any]] = {}
         self.acknowledged, self.lost, self.asked = 0, "", 0
@@ -90,8 +90,8 @@
     def do(self, ip: str, actions: list[Any]) -> None:
         for action in actions:
             if isinstance(action, Save):
-                self.disks[ip] = action.kept
-            elif isinstance(action, InForce):
+                self.disks[ip] = action.durable
+            elif isinstance(action, Committed):
                 assert action.version >= self.shown[ip], "a version goes back"
                 self.shown[ip] = action.version
                 if action.version:
@@ -289,7 +289,7 @@
         actions = super().hear(now, sender, message)
         if newer:
             actions += [
-                InForce(message.version, bytes(message.body)),
+                Committed(message.version, bytes(message.body)),
                 Send(sender, WriteAck(message.number, True)),
             ]
         return actions
--- a/tests/system/test_store_schedules.py
+++ b/tests/system/test_store_schedules.py
@@ -182,7 +182,7 @@
     spare = next(ip for ip in names if ip not in replica.voters)
     out = random.choice([v for v in replica.voters if v != primary])
     cluster.cut = {(x, y): True for x in names for y in names if (x == out) != (y == out)}
-    cluster.run(replica._state.bounds.voter_lost_s - 0.4)
+    cluster.run(replica._state.tolerance.voter_timeout_s - 0.4)
     primary = cluster.primary
     assert primary is not None
     replica = cluster.machines[primary].replica
@@ -216,8 +216,8 @@
     cluster.kill(lost)
     state = replica._state
     del state.peers[lost]  # as where this life began after the machine was gone
-    state.began = cluster.now
-    cluster.run(state.bounds.voter_lost_s - 0.2)
+    state.started_at = cluster.now
+    cluster.run(state.tolerance.voter_timeout_s - 0.2)
     assert lost in replica.voters
     cluster.run(1.0)
     assert lost not in replica.voters
--- a/tests/system/test_store_worst_days.py
+++ b/tests/system/test_store_worst_days.py
@@ -25,7 +25,7 @@
 
 from troutdock.rpc.messages import Read, ReadAck, ReplicateAck, Status, Write, WriteAck
 from troutdock.config_store.replica import Replica, Stage
-from troutdock.config_store.replica_state import InForce, Save, Send
+from troutdock.config_store.replica_state import Committed, Save, Send
 
 WORST_DAYS = int(os.environ.get("WORST_DAYS", "60"))  # schedules of each kind
 
@@ -229,15 +229,15 @@
 
 
 def confirms_what_it_holds(replica: Replica, sender: str, message: Any, actions: list[Any]) -> list[Any]:
-    if isinstance(message, Write) and message.version <= replica.kept.version:
+    if isinstance(message, Write) and message.version <= replica.durable.version:
         return [Send(sender, WriteAck(message.number, True))]
     return actions
 
 
 def reads_its_disk(replica: Replica, sender: str, message: Any, actions: list[Any]) -> list[Any]:
     if isinstance(message, Read):
-        body = msgspec.Raw(replica.kept.body or b"null")
-        return [Send(sender, ReadAck(message.number, replica.kept.version, body))]
+        body = msgspec.Raw(replica.durable.body or b"null")
+        return [Send(sender, ReadAck(message.number, replica.durable.version, body))]
     return actions
 
 
@@ -300,8 +300,8 @@
 
     def ticked(now: float) -> list[Any]:
         actions = tick(now)
-        if replica.kept.version and not shown:
-            shown.append(InForce(replica.kept.version, replica.kept.body))
+        if replica.durable.version and not shown:
+            shown.append(Committed(replica.durable.version, replica.durable.body))
         return [*actions, *shown]
 
     replica.tick = ticked  # type: ignore[method-assign]
@@ -314,12 +314,12 @@
     def ticked(now: float) -> list[Any]:
         actions = tick(now)
         if (
-            replica.kept.record is not None
+            replica.durable.record is not None
             and now > 6.0
             and replica.stage is Stage.IDLE
-            and not replica.kept.blank
+            and not replica.durable.blank
         ):
-            replica.stage, replica._state.epoch = Stage.ACTIVE, replica.kept.record.epoch
+            replica.stage, replica._state.epoch = Stage.ACTIVE, replica.durable.record.epoch
             replica._contact.begin(now)
         return actions
 
--- a/tests/system/test_system_inputs.py
+++ b/tests/system/test_system_inputs.py
@@ -16,7 +16,7 @@
 from troutdock.rpc.messages import Beats, Instance, Instances, MessageError, Record, decode, encode
 from troutdock.rpc.netstring import FrameDecoder, FrameError, encode_frame
 from troutdock.config_store.storage import FILE, Disk, DiskError
-from troutdock.config_store.replica_state import Kept
+from troutdock.config_store.replica_state import DurableState
 
 # ---- netstrings
 
@@ -196,7 +196,7 @@
 
 # ---- the disk
 
-KEPT = Kept(
+KEPT = DurableState(
     5, Record(4, "10.0.0.1", ["10.0.0.2"]), 9, b'{"v":9}' * 40, ("10.0.0.1", "10.0.0.2", "10.0.0.3"), False, 4
 )
 
@@ -204,7 +204,7 @@
 def store(folder: Path) -> None:
     disk = Disk(folder)
     assert disk.open() is None
-    disk.save(Kept(1, None, 3, b'{"v":3}', KEPT.voters, False, 1))
+    disk.save(DurableState(1, None, 3, b'{"v":3}', KEPT.voters, False, 1))
     disk.save(KEPT)
     disk.close()
 
@@ -214,7 +214,7 @@
     disk = Disk(tmp_path)
     assert disk.open() == KEPT
     for version in range(10, 80):
-        disk.save(Kept(5, KEPT.record, version, b"{}", KEPT.voters, False, 4))
+        disk.save(DurableState(5, KEPT.record, version, b"{}", KEPT.voters, False, 4))
     disk.close()
     count = sqlite3.connect(tmp_path / FILE).execute("SELECT count(*) FROM configurations").fetchone()[0]
     assert count <= 32
@@ -251,9 +251,9 @@
     store(tmp_path)
     disk = Disk(tmp_path)
     disk.open()
-    disk._base.execute("PRAGMA query_only = ON")  # type: ignore[union-attr]
+    disk._db.execute("PRAGMA query_only = ON")  # type: ignore[union-attr]
     with pytest.raises(DiskError):
-        disk.save(Kept(6, KEPT.record, 10, b"{}", KEPT.voters, False, 4))
+        disk.save(DurableState(6, KEPT.record, 10, b"{}", KEPT.voters, False, 4))
     with pytest.raises(DiskError):
         disk.save(KEPT)
     assert disk.open() == KEPT
--- a/troutdock/cli/system.py
+++ b/troutdock/cli/system.py
@@ -21,8 +21,8 @@
 from troutdock.proxy.route_table import Table
 from troutdock.rpc.messages import WriteAck
 from troutdock.rpc.event_trace import TraceError, replay_events, read_trace
-from troutdock.config_store.replica import EVENTS, again
-from troutdock.config_store.replica_state import InForce, Log, Send
+from troutdock.config_store.replica import EVENTS, replica_from_trace
+from troutdock.config_store.replica_state import Committed, Log, Send
 from troutdock.cli.common import call, plain_errors
 
 system = typer.Typer(no_args_is_help=True, help="The whole gateway: registries, stores, ingresses.")
@@ -228,7 +228,7 @@
         made, events = read_trace(trace)
         if made.get("machine") != "rootstock":
             raise TraceError(f"{trace.name}, line 1: not a store's trace")
-        replica, now = again(made), float(made["now"])
+        replica, now = replica_from_trace(made), float(made["now"])
         count = 0
         for (_, args), actions in replay_events(replica, events, EVENTS):
             now = next((arg for arg in args if isinstance(arg, float)), now)
@@ -249,7 +249,7 @@
         match action:
             case Log(text):
                 found.append({"at": now, "what": text})
-            case InForce(version, _):
+            case Committed(version, _):
                 found.append({"at": now, "what": f"In force: r{version}."})
             case Send(to, WriteAck(number, ok, why)):
                 found.append({"at": now, "what": f"Call {number} of {to}: {'kept' if ok else why}."})
--- a/troutdock/config_store/__main__.py
+++ b/troutdock/config_store/__main__.py
@@ -17,8 +17,8 @@
 async def main(boot: Boot, path: str) -> int:
     """Until SIGTERM or SIGINT."""
     stop, loop = asyncio.Event(), asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     loop.add_signal_handler(signal.SIGHUP, lambda: None)  # nothing here follows the file
     store = Store(boot, new_incarnation())
     await store.start((boot.ip, boot.port(PORT)))
--- a/troutdock/config_store/replica.py
+++ b/troutdock/config_store/replica.py
@@ -73,52 +73,77 @@
 )
 from troutdock.config_store import replication
 from troutdock.config_store import voter_changes
-from troutdock.config_store.quorum_contact import Contact
-from troutdock.config_store.replication import Copies
-from troutdock.config_store.configuration_requests import Orders, refuse_read, refuse_write
-from troutdock.config_store.replica_state import SILENT_S, Action, Bounds, Kept, Peer, State
-
-FOUNDING_S = 3.0  # from the first start until another than the first seed may lead
-STATUS_S = 0.3  # between two tellings of what one is
-PATIENCE_S = 2.0  # for a primary that is heard to be active again; each further backup in turn has more
-TURN_S = 0.3  # between two backups that might lead
-STEP_S = 0.8  # for all answers of one step: a slow sync is some 140 ms, and a call has 5 s in all
-AGAIN_S = 0.15  # until who has not answered is asked again
-REST_S = 0.35  # after a step that failed, before the next try; the machine's place in the order adds to it
-SETTLE_S = 0.3  # between two changes of members, each of which stops changes for some hundredths
-BETTER_S = 2.0  # until an epoch is begun only because another one would be better placed
-UNHEARD = 64  # epochs that candidates may have asked for while nobody heard of it: one a try
+from troutdock.config_store.quorum_contact import QuorumContact
+from troutdock.config_store.replication import BackupSet
+from troutdock.config_store.configuration_requests import ClientRequests, reject_read, reject_write
+from troutdock.config_store.replica_state import (
+    PEER_TIMEOUT_S,
+    Action,
+    FaultTolerance,
+    DurableState,
+    Peer,
+    ReplicaState,
+)
+
+BOOTSTRAP_WAIT_S = 3.0  # from the first start until another than the first seed may lead
+STATUS_INTERVAL_S = 0.3  # between two tellings of what one is
+PRIMARY_TIMEOUT_S = (
+    2.0  # for a primary that is heard to be active again; each further backup in turn has more
+)
+SUCCESSION_STEP_S = 0.3  # between two backups that might lead
+PHASE_TIMEOUT_S = 0.8  # for all answers of one step: a slow sync is some 140 ms, and a call has 5 s in all
+RESEND_INTERVAL_S = 0.15  # until who has not answered is asked again
+ELECTION_BACKOFF_S = (
+    0.35  # after a step that failed, before the next try; the machine's place in the order adds to it
+)
+MIN_MEMBERSHIP_INTERVAL_S = (
+    0.3  # between two changes of members, each of which stops changes for some hundredths
+)
+REBALANCE_DELAY_S = 2.0  # until an epoch is begun only because another one would be better placed
+MAX_UNSEEN_EPOCHS = 64  # epochs that candidates may have asked for while nobody heard of it: one a try
 
 
 EVENTS = ("tick", "hear", "linked", "meet", "leave", "take")  # a replica's methods that change it
 
 
-def made_of(
-    me: str, seeds: Sequence[str], kept: Kept | None, first_start: bool, now: float, bounds: Bounds, life: int
+def trace_header(
+    me: str,
+    seeds: Sequence[str],
+    durable: DurableState | None,
+    first_start: bool,
+    now: float,
+    tolerance: FaultTolerance,
+    incarnation: int,
 ) -> dict[str, Any]:
     """The first line of a replica's trace; again() makes the replica of it."""
-    disk = msgspec.to_builtins({**asdict(kept), "body": kept.body.decode()}) if kept is not None else None
-    made = {"me": me, "seeds": list(seeds), "kept": disk, "first": first_start, "now": now}
-    return {"machine": "rootstock", **made, "bounds": asdict(bounds), "life": life}
+    stored = (
+        msgspec.to_builtins({**asdict(durable), "body": durable.body.decode()})
+        if durable is not None
+        else None
+    )
+    header = {"me": me, "seeds": list(seeds), "kept": stored, "first": first_start, "now": now}
+    return {"machine": "rootstock", **header, "bounds": asdict(tolerance), "life": incarnation}
 
 
-def again(made: Mapping[str, Any]) -> Replica:
+def replica_from_trace(header: Mapping[str, Any]) -> Replica:
     """The replica that a trace begins with. ValueError, KeyError if its first line is no replica's."""
-    disk = made["kept"]
-    if disk is not None:
-        disk = msgspec.convert({**disk, "body": b""}, Kept, strict=False)
-        disk = replace(disk, body=made["kept"]["body"].encode())
-    bounds = msgspec.convert(made["bounds"], Bounds)
-    return Replica(made["me"], made["seeds"], disk, made["first"], made["now"], bounds, made["life"])
+    stored = header["kept"]
+    if stored is not None:
+        stored = msgspec.convert({**stored, "body": b""}, DurableState, strict=False)
+        stored = replace(stored, body=header["kept"]["body"].encode())
+    tolerance = msgspec.convert(header["bounds"], FaultTolerance)
+    return Replica(
+        header["me"], header["seeds"], stored, header["first"], header["now"], tolerance, header["life"]
+    )
 
 
 class Stage(Enum):
     """What this replica is at."""
 
     IDLE = "idle"
-    ASKS = "asks"
-    RECRUITS = "recruits"
-    SEALS = "seals"
+    PREPARING = "asks"
+    COPYING = "recruits"
+    ACCEPTING = "seals"
     ACTIVE = "active"
 
 
@@ -129,55 +154,62 @@
         self,
         me: str,
         seeds: Sequence[str],
-        kept: Kept | None,
+        durable: DurableState | None,
         first_start: bool,
         now: float,
-        bounds: Bounds | None = None,
-        life: int = 0,
+        tolerance: FaultTolerance | None = None,
+        incarnation: int = 0,
     ) -> None:
         """kept: what the disk holds, None for nothing. first_start: of the whole system."""
         self.me = me
-        state = self._state = State(me, bounds or Bounds(), life, kept or Kept(), now)
-        self._contact = Contact(state)
-        self._copies = Copies(state)
-        self._orders = Orders(state, self._contact)
+        state = self._state = ReplicaState(
+            me, tolerance or FaultTolerance(), incarnation, durable or DurableState(), now
+        )
+        self._contact = QuorumContact(state)
+        self._backup_set = BackupSet(state)
+        self._requests = ClientRequests(state, self._contact)
         self.stage = Stage.IDLE
         self.left = False  # after leave(): what was here is elsewhere, the process may end
         self._leaving = False
-        self._sealed_epoch = 0  # the record under which this life was active last
-        self._sealing_since = self._active_since = -inf
-        self._lacks: list[str] = []  # what operators were told is not borne
-        self._voters_next: list[str] = []  # who is to vote under the next record, where that changes
-        self._yes: dict[str, Record | None] = {}  # who has promised or accepted, and the record each told
-        self._asked_of: set[str] = set()
-        self._step_until = self._again_at = -inf
-        self._rest_until = now + SILENT_S
-        self._told_at = -inf
-        self._promised_to = 0, "", 0  # the epoch that was promised last in this life, to whom, and its life
-        self._tried: list[str] = []  # backups that did not answer in this try
-        self._failed: dict[str, float] = {}  # and when each did not
-        self._told: dict[str, Status] = {}  # since the start, by voters that have not lost their disk
-        self._in_contact = False  # as operators were told
-        self._led_at = now  # an active primary was heard last, or this life began
-        if kept is not None:
-            if kept.version and not kept.digest:  # a disk of before digests were kept
-                state.kept = replace(kept, taken=((kept.version, body_digest(kept.body)),))
-            if kept.record is not None and kept.record.primary == me:
-                self._rest_until = now  # nobody else is to be waited for
+        self._last_active_epoch = 0  # the record under which this life was active last
+        self._accept_sent_at = self._active_since = -inf
+        self._logged_gaps: list[str] = []  # what operators were told is not borne
+        self._next_voters: list[str] = []  # who is to vote under the next record, where that changes
+        self._votes: dict[str, Record | None] = {}  # who has promised or accepted, and the record each told
+        self._prepare_sent_to: set[str] = set()
+        self._phase_deadline = self._resend_at = -inf
+        self._election_not_before = now + PEER_TIMEOUT_S
+        self._status_sent_at = -inf
+        self._last_promise = 0, "", 0  # the epoch that was promised last in this life, to whom, and its life
+        self._excluded_backups: list[str] = []  # backups that did not answer in this try
+        self._backup_failed_at: dict[str, float] = {}  # and when each did not
+        self._peer_statuses: dict[
+            str, Status
+        ] = {}  # since the start, by voters that have not lost their disk
+        self._logged_contact = False  # as operators were told
+        self._primary_seen_at = now  # an active primary was heard last, or this life began
+        if durable is not None:
+            if durable.version and not durable.digest:  # a disk of before digests were kept
+                state.durable = replace(durable, taken=((durable.version, body_digest(durable.body)),))
+            if durable.record is not None and durable.record.primary == me:
+                self._election_not_before = now  # nobody else is to be waited for
         elif first_start and seeds:
             founders = list(dict.fromkeys(seeds))
             record = Record(1, founders[0], founders[1:], founders)
-            state.kept = Kept(voters=tuple(founders), blank=False)
+            state.durable = DurableState(voters=tuple(founders), blank=False)
             state.save(promised=1, record=record, given=int(me in founders))
             if me == founders[0]:
-                self._rest_until = now
+                self._election_not_before = now
             else:
-                self._rest_until = now + FOUNDING_S  # the first seed may start somewhat later
+                self._election_not_before = now + BOOTSTRAP_WAIT_S  # the first seed may start somewhat later
             state.log(f"Founded: {', '.join(founders)}.")
         else:
             state.log("No disk of before: nothing is promised until the others have told.")
-        bounds = state.bounds
-        state.log(f"To be borne: {bounds.losses}; {bounds.copies} copies, {bounds.voters} voters.")
+        tolerance = state.tolerance
+        state.log(
+            f"Tolerates losses: {tolerance.losses}; {tolerance.replica_count} replicas,"
+            f" {tolerance.voter_count} voters."
+        )
 
     # ---- what is asked of it
 
@@ -190,23 +222,23 @@
     def tick(self, now: float) -> list[Action]:
         """Time has gone by: some ten times a second."""
         self._state.now = now
-        if now - self._told_at >= STATUS_S:
-            self._tell()
-        self._orders.tick()
+        if now - self._status_sent_at >= STATUS_INTERVAL_S:
+            self._send_status()
+        self._requests.tick()
         if self.stage is Stage.ACTIVE:
             self._contact.tick()
-            self._say_contact()
-            self._watch()
-        elif self.stage is Stage.RECRUITS:
-            if self._copies.late or not self._copies.backups:
-                self._recruit_others()
-        elif self.stage in (Stage.ASKS, Stage.SEALS):
-            if now > self._step_until:
-                self._rest()
-            elif now > self._again_at:
-                self._ask_again()
-        self._lead_if_due()
-        self._go_if_free()
+            self._log_contact()
+            self._check_members()
+        elif self.stage is Stage.COPYING:
+            if self._backup_set.timed_out or not self._backup_set.backups:
+                self._replace_late_backups()
+        elif self.stage in (Stage.PREPARING, Stage.ACCEPTING):
+            if now > self._phase_deadline:
+                self._back_off()
+            elif now > self._resend_at:
+                self._send_phase_requests()
+        self._start_election_if_due()
+        self._update_left()
         return self.take()
 
     def hear(self, now: float, sender: str, message: Message) -> list[Action]:
@@ -215,40 +247,40 @@
         state.now = now
         match message:
             case Status():
-                self._status(sender, message)
+                self._on_status(sender, message)
             case Prepare():
-                self._prepare(sender, message)
+                self._on_prepare(sender, message)
             case Promise():
-                self._promised(sender, message)
+                self._on_promise(sender, message)
             case Replicate():
-                kept = replication.take(state, sender, message, self._leading(message.epoch))
-                if kept and message.whole and self.stage is not Stage.IDLE:
+                applied = replication.apply_replicate(state, sender, message, self._claims(message.epoch))
+                if applied and message.whole and self.stage is not Stage.IDLE:
                     self._step_down(f"{sender} leads under epoch {message.epoch}")
             case ReplicateAck():
-                self._replicated(sender, message)
+                self._on_replicate_ack(sender, message)
             case Accept():
-                self._accept(sender, message)
+                self._on_accept(sender, message)
             case Accepted():
-                self._accepted(sender, message)
-            case Probe(epoch, number, life):
-                ok = not state.kept.blank and state.kept.promised <= epoch
-                state.send(sender, ProbeAck(epoch, number, ok, life))
+                self._on_accepted(sender, message)
+            case Probe(epoch, number, incarnation):
+                ok = not state.durable.blank and state.durable.promised <= epoch
+                state.send(sender, ProbeAck(epoch, number, ok, incarnation))
             case ProbeAck():
                 if self.stage is Stage.ACTIVE:
-                    self._contact.hear(sender, message)
-                    self._orders.proven()
-                    self._say_contact()
+                    self._contact.on_probe_ack(sender, message)
+                    self._requests.answer_proven_reads()
+                    self._log_contact()
             case Write():
                 if self.stage is Stage.ACTIVE:
-                    self._orders.write(sender, message)
-                    self._replicate()
+                    self._requests.write(sender, message)
+                    self._replicate_next_batch()
                 else:
-                    refuse_write(state, sender, message, "not the primary")
-            case Read(number, life):
+                    reject_write(state, sender, message, "not the primary")
+            case Read(number, incarnation):
                 if self.stage is Stage.ACTIVE:
-                    self._orders.read(sender, message)
+                    self._requests.read(sender, message)
                 else:
-                    refuse_read(state, (sender, number, life), "not the primary")
+                    reject_read(state, (sender, number, incarnation), "not the primary")
             case _:
                 pass
         return self.take()
@@ -258,19 +290,19 @@
         self._state.now = now
         self.meet(peer)
         self._state.send(peer, self.status)
-        if self.stage in (Stage.ASKS, Stage.SEALS):
-            self._ask_again()
+        if self.stage in (Stage.PREPARING, Stage.ACCEPTING):
+            self._send_phase_requests()
         elif self.stage is not Stage.IDLE:
-            self._copies.again(peer)
+            self._backup_set.resend(peer)
         return self.take()
 
-    def meet(self, peer: str, place: str = "") -> None:
+    def meet(self, peer: str, domain: str = "") -> None:
         """Another core machine is there, or may be; or where this one stands: a zone, or a region."""
         state = self._state
-        if place:
-            state.places[peer] = place
+        if domain:
+            state.domains[peer] = domain
         if peer != self.me:
-            state.peers.setdefault(peer, Peer(met_at=state.now))
+            state.peers.setdefault(peer, Peer(discovered_at=state.now))
 
     def leave(self, now: float) -> list[Action]:
         """The process ends in order: its duty, its copy and its vote are handed over.
@@ -281,33 +313,33 @@
         self._leaving = True
         if self.stage is not Stage.IDLE:
             self._step_down("this process ends")
-        self._tell()
-        self._go_if_free()
+        self._send_status()
+        self._update_left()
         return self.take()
 
     @property
     def status(self) -> Status:
         """What this replica is."""
-        state, kept = self._state, self._state.kept
+        state, durable = self._state, self._state.durable
         leads = self.stage is Stage.ACTIVE
         return Status(
-            kept.promised,
-            kept.record,
-            kept.version,
-            leads and self._contact.there,
-            kept.blank,
-            state.holds,
+            durable.promised,
+            durable.record,
+            durable.version,
+            leads and self._contact.established,
+            durable.blank,
+            state.is_up_to_date,
             self.voters,
             self._leaving,
-            kept.digest,
-            state.life,
-            self.stage in (Stage.RECRUITS, Stage.SEALS),
+            durable.digest,
+            state.incarnation,
+            self.stage in (Stage.COPYING, Stage.ACCEPTING),
         )
 
     @property
-    def kept(self) -> Kept:
+    def durable(self) -> DurableState:
         """What is on the disk."""
-        return self._state.kept
+        return self._state.durable
 
     @property
     def epoch(self) -> int:
@@ -322,454 +354,485 @@
     @property
     def backups(self) -> list[str]:
         """Who keeps copies beside the primary, by the newest record known here."""
-        record = self.kept.record
+        record = self.durable.record
         return list(record.backups) if record is not None else []
 
     @property
-    def core(self) -> list[str]:
+    def members(self) -> list[str]:
         """Whom the newest record names: those that this one has to reach, whatever the seeds are now."""
-        return self._state.core
+        return self._state.members
 
     # ---- what others tell
 
-    def _tell(self) -> None:
+    def _send_status(self) -> None:
         state, status = self._state, self.status
-        self._told_at = state.now
+        self._status_sent_at = state.now
         for peer in state.peers:
             state.send(peer, status)
 
-    def _status(self, sender: str, status: Status) -> None:
+    def _on_status(self, sender: str, status: Status) -> None:
         state = self._state
-        peer = state.peers.setdefault(sender, Peer(met_at=state.now))
-        if peer.status is not None and peer.status.life != status.life and self.stage is Stage.ASKS:
-            self._yes.pop(sender, None)  # what its earlier life promised may be forgotten
-        if status.active or peer.led_at == -inf:
-            peer.led_at = state.now
+        peer = state.peers.setdefault(sender, Peer(discovered_at=state.now))
+        if peer.status is not None and peer.status.life != status.life and self.stage is Stage.PREPARING:
+            self._votes.pop(sender, None)  # what its earlier life promised may be forgotten
+        if status.active or peer.active_at == -inf:
+            peer.active_at = state.now
         if status.active:
-            self._led_at = state.now
-        peer.status, peer.heard_at = status, state.now
-        if not state.kept.voters and status.voters:
-            state.kept = replace(state.kept, voters=tuple(status.voters))  # on disk with the next save
+            self._primary_seen_at = state.now
+        peer.status, peer.status_at = status, state.now
+        if not state.durable.voters and status.voters:
+            state.durable = replace(state.durable, voters=tuple(status.voters))  # on disk with the next save
         if not status.blank:
-            self._told[sender] = status
-        if state.kept.blank:
-            self._learn()
-        self._learn_record(status)
+            self._peer_statuses[sender] = status
+        if state.durable.blank:
+            self._recover_promise()
+        self._adopt_newer_record(status)
         if self.stage is Stage.ACTIVE:
             record = status.record
             if status.active and record is not None and record.epoch > state.epoch:
                 self._step_down(f"{sender} leads under epoch {record.epoch}")
-            elif sender in self._copies.backups and self._told_after_active() and not status.holds:
+            elif sender in self._backup_set.backups and self._statuses_are_current() and not status.holds:
                 # its disk was lost and it was back before its silence was noticed
-                self._reform(f"backup {sender} has lost what it was given")
-        elif self.stage is Stage.RECRUITS and not self._copies.backups:
-            self._recruit()
-        self._lead_if_due()
-        self._go_if_free()
+                self._start_new_epoch(f"backup {sender} has lost what it was given")
+        elif self.stage is Stage.COPYING and not self._backup_set.backups:
+            self._copy_to_backups()
+        self._start_election_if_due()
+        self._update_left()
 
-    def _told_after_active(self) -> bool:
+    def _statuses_are_current(self) -> bool:
         """What others tell now was said after they had the record of this epoch."""
-        return self._state.now - self._active_since > SILENT_S
+        return self._state.now - self._active_since > PEER_TIMEOUT_S
 
-    def _learn_record(self, status: Status) -> None:
+    def _adopt_newer_record(self, status: Status) -> None:
         """A newer record than the one here, for who watches and for who is a member by it (rule 7)."""
-        state, record, kept = self._state, status.record, self._state.kept
-        if record is None or kept.blank or (kept.record is not None and record.epoch <= kept.record.epoch):
+        state, record, durable = self._state, status.record, self._state.durable
+        if (
+            record is None
+            or durable.blank
+            or (durable.record is not None and record.epoch <= durable.record.epoch)
+        ):
             return
-        if status.active or (record.epoch >= kept.promised and (state.member(record) or not state.holds)):
-            state.save(promised=max(kept.promised, record.epoch), record=record)
-            self._led(record.primary)
+        if status.active or (
+            record.epoch >= durable.promised and (state.is_complete_for(record) or not state.is_up_to_date)
+        ):
+            state.save(promised=max(durable.promised, record.epoch), record=record)
+            self._mark_active(record.primary)
 
-    def _led(self, peer: str) -> None:
+    def _mark_active(self, peer: str) -> None:
         """It leads under a record that was just learnt: it has the time of one that was heard to lead."""
         if (known := self._state.peers.get(peer)) is not None:
-            known.led_at = self._state.now
+            known.active_at = self._state.now
 
-    def _learn(self) -> None:
+    def _recover_promise(self) -> None:
         """Without a disk of before: enough voters have told what they promised (rule 3)."""
-        state, kept = self._state, self._state.kept
-        if not kept.voters:
+        state, durable = self._state, self._state.durable
+        if not durable.voters:
             return
-        told = [status for peer, status in self._told.items() if peer != self.me]
-        record = max((s.record for s in told if s.record is not None), key=lambda r: r.epoch, default=None)
+        statuses = [status for peer, status in self._peer_statuses.items() if peer != self.me]
+        record = max(
+            (s.record for s in statuses if s.record is not None), key=lambda r: r.epoch, default=None
+        )
         votes = False
-        for voters in state.lists(record):
+        for voters in state.voter_lists(record):
             if self.me in voters:
                 votes = True
-                others = sum(v != self.me and v in self._told for v in voters)
+                others = sum(v != self.me and v in self._peer_statuses for v in voters)
                 if others < len(voters) - len(voters) // 2:  # some majority may not have told
                     return
         if record is None and not votes:
-            state.kept = replace(kept, blank=False)  # it never was one whose promise counted
+            state.durable = replace(durable, blank=False)  # it never was one whose promise counted
             return
-        promised = max((s.promised for s in told), default=0)
+        promised = max((s.promised for s in statuses), default=0)
         if votes:
-            promised += UNHEARD
+            promised += MAX_UNSEEN_EPOCHS
             state.log(f"The others have told: epoch {promised} was promised at most.")
         state.save(promised=promised, record=record, blank=False)
 
     # ---- who leads
 
-    def _lead_if_due(self) -> None:
-        if self.stage is Stage.IDLE and self._state.now >= self._rest_until and self._should_lead():
-            self._ask()
+    def _start_election_if_due(self) -> None:
+        if self.stage is Stage.IDLE and self._state.now >= self._election_not_before and self._should_lead():
+            self._start_election()
 
     def _should_lead(self) -> bool:
         state = self._state
-        record = state.kept.record
-        if self._leaving or record is None or not state.holds or state.leader() is not None:
+        record = state.durable.record
+        if self._leaving or record is None or not state.is_up_to_date or state.leader() is not None:
             return False
-        there = [self.me, *(p for p in state.peers if state.heard(p))]
-        if not state.enough(there, record) or self._another_is_elected(there):
+        alive = [self.me, *(p for p in state.peers if state.is_alive(p))]
+        if not state.has_quorum(alive, record) or self._peer_is_elected(alive):
             return False
-        if state.now - state.began < SILENT_S * 2 and any(
+        if state.now - state.started_at < PEER_TIMEOUT_S * 2 and any(
             status is not None and status.record is not None and status.record.epoch > record.epoch
-            for status in (state.peers[p].status for p in there if p != self.me)
+            for status in (state.peers[p].status for p in alive if p != self.me)
         ):
             return False  # this one was away; who leads now has not been heard yet
-        turn = record.replicas.index(self.me)
-        if turn == 0:
+        rank = record.replicas.index(self.me)
+        if rank == 0:
             return True
-        first = state.peers.get(record.primary)
-        long_ago = first is None or state.now - first.led_at > PATIENCE_S + turn * TURN_S
-        holds = first is not None and first.status is not None and first.status.holds
-        if state.stays(record.primary) and holds and not long_ago:
+        primary = state.peers.get(record.primary)
+        primary_lost = (
+            primary is None or state.now - primary.active_at > PRIMARY_TIMEOUT_S + rank * SUCCESSION_STEP_S
+        )
+        holds = primary is not None and primary.status is not None and primary.status.holds
+        if state.is_available(record.primary) and holds and not primary_lost:
             return False  # else it is there and can't lead (its disk was lost) or has not come to it for long
-        return long_ago or not any(state.stays(b) for b in record.replicas[1:turn])
+        return primary_lost or not any(state.is_available(b) for b in record.replicas[1:rank])
 
-    def _another_is_elected(self, there: list[str]) -> bool:
+    def _peer_is_elected(self, alive: list[str]) -> bool:
         """A majority has promised an epoch to somebody else, who has time for the copies that it gives."""
         state = self._state
-        heard = [state.peers[p].status for p in there if p != self.me]
-        time = PATIENCE_S + 3 * self._copies.allowed_s(state.kept.body)
-        return state.now - self._led_at <= time and any(s is not None and s.elected for s in heard)
+        heard = [state.peers[p].status for p in alive if p != self.me]
+        allowed_s = PRIMARY_TIMEOUT_S + 3 * self._backup_set.timeout_s(state.durable.body)
+        return state.now - self._primary_seen_at <= allowed_s and any(
+            s is not None and s.elected for s in heard
+        )
 
-    def _ask(self, *tried: str) -> None:
+    def _start_election(self, *excluded: str) -> None:
         """Lead a new epoch. tried: machines that are not worth recruiting now."""
-        state, kept = self._state, self._state.kept
-        told = [known.status.promised for known in state.peers.values() if known.status is not None]
-        state.epoch = max([kept.promised, *told]) + 1
-        self.stage, self._step_until = Stage.ASKS, state.now + STEP_S
-        self._tried, self._asked_of = list(tried), set()
+        state, durable = self._state, self._state.durable
+        promised = [known.status.promised for known in state.peers.values() if known.status is not None]
+        state.epoch = max([durable.promised, *promised]) + 1
+        self.stage, self._phase_deadline = Stage.PREPARING, state.now + PHASE_TIMEOUT_S
+        self._excluded_backups, self._prepare_sent_to = list(excluded), set()
         state.save(promised=state.epoch)
-        self._yes = {self.me: kept.record}
-        self._ask_again()
-        self._asked()
+        self._votes = {self.me: durable.record}
+        self._send_phase_requests()
+        self._check_promises()
 
-    def _asked_all(self) -> list[str]:
+    def _phase_participants(self) -> list[str]:
         """Everyone whose word can count in the step that is under way."""
         state = self._state
-        known = [state.kept.record, *self._yes.values()] if self.stage is Stage.ASKS else [state.kept.record]
-        return list(dict.fromkeys(v for record in known for voters in state.lists(record) for v in voters))
+        known = (
+            [state.durable.record, *self._votes.values()]
+            if self.stage is Stage.PREPARING
+            else [state.durable.record]
+        )
+        return list(
+            dict.fromkeys(v for record in known for voters in state.voter_lists(record) for v in voters)
+        )
 
-    def _ask_again(self) -> None:
+    def _send_phase_requests(self) -> None:
         """Who has not answered may not have been linked yet."""
         state = self._state
-        self._again_at = state.now + AGAIN_S
-        record = state.kept.record
-        to = self._asked_all()
-        if self.stage is Stage.SEALS:
-            to += self._copies.backups
+        self._resend_at = state.now + RESEND_INTERVAL_S
+        record = state.durable.record
+        to = self._phase_participants()
+        if self.stage is Stage.ACCEPTING:
+            to += self._backup_set.backups
         for voter in dict.fromkeys(to):
-            if voter != self.me and voter not in self._yes:
-                if self.stage is Stage.ASKS:
-                    self._asked_of.add(voter)
-                    state.send(voter, Prepare(state.epoch, state.life))
+            if voter != self.me and voter not in self._votes:
+                if self.stage is Stage.PREPARING:
+                    self._prepare_sent_to.add(voter)
+                    state.send(voter, Prepare(state.epoch, state.incarnation))
                 elif record is not None:
-                    state.send(voter, Accept(record, state.life))
+                    state.send(voter, Accept(record, state.incarnation))
 
-    def _prepare(self, sender: str, asked: Prepare) -> None:
-        state, kept, epoch = self._state, self._state.kept, asked.epoch
-        if kept.blank:
+    def _on_prepare(self, sender: str, request: Prepare) -> None:
+        state, durable, epoch = self._state, self._state.durable, request.epoch
+        if durable.blank:
             return
-        record = kept.record
+        record = durable.record
         if record is not None and sender != record.primary:
-            leads = record.primary == self.me and self.stage is Stage.ACTIVE and self._contact.there
+            leads = record.primary == self.me and self.stage is Stage.ACTIVE and self._contact.established
             known = state.peers.get(record.primary)
-            status = known.status if known is not None and state.heard(record.primary) else None
+            status = known.status if known is not None and state.is_alive(record.primary) else None
             if leads or (status is not None and status.active and not status.leaving):  # rule 6
-                state.send(sender, Promise(epoch, False, 0, record, asked.life))
+                state.send(sender, Promise(epoch, False, 0, record, request.life))
                 return
-        if (epoch, sender, asked.life) == self._promised_to and epoch == kept.promised:
-            state.send(sender, Promise(epoch, True, epoch, record, asked.life))  # the answer was lost
+        if (epoch, sender, request.life) == self._last_promise and epoch == durable.promised:
+            state.send(sender, Promise(epoch, True, epoch, record, request.life))  # the answer was lost
             return
-        if epoch <= kept.promised:
-            state.send(sender, Promise(epoch, False, kept.promised, record, asked.life))
+        if epoch <= durable.promised:
+            state.send(sender, Promise(epoch, False, durable.promised, record, request.life))
             return
         if self.stage is not Stage.IDLE:
             self._step_down(f"{sender} asks for epoch {epoch}")
         state.save(promised=epoch)
-        self._promised_to = epoch, sender, asked.life
-        self._rest_until = max(self._rest_until, state.now + STEP_S * 2)
-        state.send(sender, Promise(epoch, True, epoch, record, asked.life))
+        self._last_promise = epoch, sender, request.life
+        self._election_not_before = max(self._election_not_before, state.now + PHASE_TIMEOUT_S * 2)
+        state.send(sender, Promise(epoch, True, epoch, record, request.life))
 
-    def _promised(self, sender: str, answer: Promise) -> None:
+    def _on_promise(self, sender: str, answer: Promise) -> None:
         state = self._state
-        if self.stage is not Stage.ASKS or (answer.epoch, answer.life) != (state.epoch, state.life):
+        if self.stage is not Stage.PREPARING or (answer.epoch, answer.life) != (
+            state.epoch,
+            state.incarnation,
+        ):
             return
         if not answer.ok:
             if answer.promised > state.epoch:
                 self._step_down(f"epoch {answer.promised} was promised to another")
             return
-        self._yes[sender] = answer.record
-        for voter in self._asked_all():  # those whom an answer has named as voters
-            if voter not in self._asked_of and voter != self.me:
-                self._asked_of.add(voter)
-                state.send(voter, Prepare(state.epoch, state.life))
-        self._asked()
-
-    def _asked(self) -> None:
+        self._votes[sender] = answer.record
+        for voter in self._phase_participants():  # those whom an answer has named as voters
+            if voter not in self._prepare_sent_to and voter != self.me:
+                self._prepare_sent_to.add(voter)
+                state.send(voter, Prepare(state.epoch, state.incarnation))
+        self._check_promises()
+
+    def _check_promises(self) -> None:
         state = self._state
-        newest = max((r for r in self._yes.values() if r is not None), key=lambda r: r.epoch, default=None)
-        if self.stage is not Stage.ASKS or not state.enough(self._yes, newest):
+        newest = max((r for r in self._votes.values() if r is not None), key=lambda r: r.epoch, default=None)
+        if self.stage is not Stage.PREPARING or not state.has_quorum(self._votes, newest):
             return
-        if newest is None or not state.member(newest):
+        if newest is None or not state.is_complete_for(newest):
             # rule 1: others took over, and what they confirmed may not be here
             state.save(record=newest)
             self._step_down("others hold the newest")
             return
-        if newest != state.kept.record:
+        if newest != state.durable.record:
             state.save(record=newest)  # its voters are those who count from here on
-        self.stage = Stage.RECRUITS
-        self._recruit()
+        self.stage = Stage.COPYING
+        self._copy_to_backups()
 
     # ---- copies
 
-    def _recruit(self) -> None:
+    def _copy_to_backups(self) -> None:
         """Give all that is here to backups: those of before if they are there, else others."""
         state = self._state
-        chosen = voter_changes.backups(state, self._tried)
-        if len(chosen) + 1 < voter_changes.required(state):
-            if state.now > self._step_until + STEP_S:
-                self._rest()
+        chosen = voter_changes.choose_backups(state, self._excluded_backups)
+        if len(chosen) + 1 < voter_changes.required_replicas(state):
+            if state.now > self._phase_deadline + PHASE_TIMEOUT_S:
+                self._back_off()
                 return
-            self._tried, chosen = [], []
-            self._copies.backups = []
+            self._excluded_backups, chosen = [], []
+            self._backup_set.backups = []
             return
-        self._step_until = state.now + STEP_S
-        self._copies.recruit(chosen)
+        self._phase_deadline = state.now + PHASE_TIMEOUT_S
+        self._backup_set.send_snapshots(chosen)
         if not chosen:
-            self._seal()
+            self._propose_record()
 
-    def _recruit_others(self) -> None:
+    def _replace_late_backups(self) -> None:
         """Some backup did not answer: go on with the others if they are enough, else with further ones."""
-        state, copies = self._state, self._copies
-        for backup in list(copies.waits):
-            self._tried.append(backup)
-            self._failed[backup] = state.now
-            copies.drop(backup)
-        if copies.backups and len(copies.backups) + 1 >= voter_changes.required(state):
-            self._seal()
+        state, backup_set = self._state, self._backup_set
+        for backup in list(backup_set.pending):
+            self._excluded_backups.append(backup)
+            self._backup_failed_at[backup] = state.now
+            backup_set.remove(backup)
+        if backup_set.backups and len(backup_set.backups) + 1 >= voter_changes.required_replicas(state):
+            self._propose_record()
         else:
-            self._recruit()
+            self._copy_to_backups()
 
-    def _replicated(self, sender: str, answer: ReplicateAck) -> None:
-        state, copies = self._state, self._copies
-        if self.stage not in (Stage.RECRUITS, Stage.ACTIVE) or not copies.hear(sender, answer):
+    def _on_replicate_ack(self, sender: str, answer: ReplicateAck) -> None:
+        state, backup_set = self._state, self._backup_set
+        if self.stage not in (Stage.COPYING, Stage.ACTIVE) or not backup_set.on_ack(sender, answer):
             return
         if not answer.ok and not answer.lacks:
             if answer.promised > state.epoch:
                 self._step_down(f"{sender} has promised epoch {answer.promised}")
             elif self.stage is Stage.ACTIVE:
-                self._reform(f"{sender} does not keep what it is given")
+                self._start_new_epoch(f"{sender} does not keep what it is given")
             return
-        if copies.waits:
+        if backup_set.pending:
             return
-        if self.stage is Stage.RECRUITS:
-            self._seal()
+        if self.stage is Stage.COPYING:
+            self._propose_record()
         else:
-            self._orders.kept()
-            self._replicate()
+            self._requests.on_committed()
+            self._replicate_next_batch()
 
-    def _replicate(self) -> None:
+    def _replicate_next_batch(self) -> None:
         """The next batch of orders, once the one before is on every copy."""
-        while not self._copies.waits and (batch := self._orders.batch()) is not None:
-            self._copies.replicate(*batch)
-            if not self._copies.waits:  # the only copy is this one
-                self._orders.kept()
+        while not self._backup_set.pending and (batch := self._requests.next_batch()) is not None:
+            self._backup_set.replicate(*batch)
+            if not self._backup_set.pending:  # the only copy is this one
+                self._requests.on_committed()
 
     # ---- the record
 
-    def _seal(self) -> None:
+    def _propose_record(self) -> None:
         state = self._state
-        former = state.kept.record
+        former = state.durable.record
         assert former is not None
-        voters, before = former.voters or list(state.kept.voters), former.before
-        if former.epoch == self._sealed_epoch:  # its voters decide alone: it was active under this machine
-            voters, before = self._voters_next or voters, state.voters if self._voters_next else []
-        self._voters_next = []
-        record = Record(state.epoch, self.me, list(self._copies.backups), voters, before)
-        self.stage, self._step_until = Stage.SEALS, state.now + STEP_S
-        self._sealing_since = state.now
+        voters, before = former.voters or list(state.durable.voters), former.before
+        if (
+            former.epoch == self._last_active_epoch
+        ):  # its voters decide alone: it was active under this machine
+            voters, before = self._next_voters or voters, state.voters if self._next_voters else []
+        self._next_voters = []
+        record = Record(state.epoch, self.me, list(self._backup_set.backups), voters, before)
+        self.stage, self._phase_deadline = Stage.ACCEPTING, state.now + PHASE_TIMEOUT_S
+        self._accept_sent_at = state.now
         state.save(record=record, given=state.epoch)
-        self._yes = {self.me: record}
-        self._ask_again()
-        self._sealed()
+        self._votes = {self.me: record}
+        self._send_phase_requests()
+        self._check_accepted()
 
-    def _accept(self, sender: str, asked: Accept) -> None:
-        state, kept, record = self._state, self._state.kept, asked.record
-        if kept.blank:
+    def _on_accept(self, sender: str, request: Accept) -> None:
+        state, durable, record = self._state, self._state.durable, request.record
+        if durable.blank:
             return
-        if record.epoch < kept.promised or self._leading(record.epoch):
-            state.send(sender, Accepted(record.epoch, False, kept.promised, asked.life))
+        if record.epoch < durable.promised or self._claims(record.epoch):
+            state.send(sender, Accepted(record.epoch, False, durable.promised, request.life))
             return
         if self.stage is not Stage.IDLE:
             self._step_down(f"{record.primary} leads under epoch {record.epoch}")
         state.save(promised=record.epoch, record=record)
-        self._led(record.primary)
-        state.send(sender, Accepted(record.epoch, True, record.epoch, asked.life))
+        self._mark_active(record.primary)
+        state.send(sender, Accepted(record.epoch, True, record.epoch, request.life))
 
-    def _leading(self, epoch: int) -> bool:
+    def _claims(self, epoch: int) -> bool:
         return self.stage is not Stage.IDLE and self._state.epoch >= epoch
 
-    def _accepted(self, sender: str, answer: Accepted) -> None:
+    def _on_accepted(self, sender: str, answer: Accepted) -> None:
         state = self._state
-        if self.stage is not Stage.SEALS or (answer.epoch, answer.life) != (state.epoch, state.life):
+        if self.stage is not Stage.ACCEPTING or (answer.epoch, answer.life) != (
+            state.epoch,
+            state.incarnation,
+        ):
             return
         if not answer.ok:
             if answer.promised > state.epoch:
                 self._step_down(f"{sender} has promised epoch {answer.promised}")
             return
-        self._yes[sender] = None
-        self._sealed()
+        self._votes[sender] = None
+        self._check_accepted()
 
-    def _sealed(self) -> None:
+    def _check_accepted(self) -> None:
         state = self._state
-        if self.stage is not Stage.SEALS or not state.enough(self._yes, state.kept.record):
+        if self.stage is not Stage.ACCEPTING or not state.has_quorum(self._votes, state.durable.record):
             return
         self.stage, self._active_since = Stage.ACTIVE, state.now
-        self._sealed_epoch = state.epoch
-        self._contact.begin(self._sealing_since)
-        backups = ", ".join(self._copies.backups) or "none"
-        state.log(f"Primary under epoch {state.epoch}, backup {backups}, version {state.kept.version}.")
-        self._say_what_is_borne()
-        self._orders.begin()
+        self._last_active_epoch = state.epoch
+        self._contact.begin(self._accept_sent_at)
+        backups = ", ".join(self._backup_set.backups) or "none"
+        state.log(f"Primary under epoch {state.epoch}, backup {backups}, version {state.durable.version}.")
+        self._log_unmet_tolerance()
+        self._requests.begin_epoch()
         self._contact.tick()
-        self._say_contact()
-        self._tell()
+        self._log_contact()
+        self._send_status()
 
-    def _say_what_is_borne(self) -> None:
+    def _log_unmet_tolerance(self) -> None:
         """Operators are told, once for each state, what the places of copies and voters do not bear."""
-        lacks = voter_changes.not_borne(self._state, [self.me, *self._copies.backups])
-        if lacks != self._lacks:
-            self._lacks = lacks
-            text = f"Not borne: {'; '.join(lacks)}." if lacks else "All that is to be borne is borne."
+        gaps = voter_changes.unmet_tolerance(self._state, [self.me, *self._backup_set.backups])
+        if gaps != self._logged_gaps:
+            self._logged_gaps = gaps
+            text = f"Not borne: {'; '.join(gaps)}." if gaps else "All that is to be borne is borne."
             self._state.log(text)
 
-    def _say_contact(self) -> None:
-        there = self._contact.there
-        if there != self._in_contact:
-            self._in_contact = there
-            if not there:
+    def _log_contact(self) -> None:
+        established = self._contact.established
+        if established != self._logged_contact:
+            self._logged_contact = established
+            if not established:
                 self._state.log("No contact with a majority: nothing is confirmed here until there is.")
-                self._tell()
-            elif self._state.now - self._active_since > SILENT_S:
+                self._send_status()
+            elif self._state.now - self._active_since > PEER_TIMEOUT_S:
                 self._state.log("In contact with a majority again.")
-                self._tell()
+                self._send_status()
 
     # ---- what an active primary watches
 
-    def _watch(self) -> None:
+    def _check_members(self) -> None:
         """Copies and voters that are lost are replaced, so that the next loss is borne as well."""
         state = self._state
-        there = [self.me, *(p for p in state.peers if state.heard(p))]
-        if not state.enough(there, state.kept.record):
+        alive = [self.me, *(p for p in state.peers if state.is_alive(p))]
+        if not state.has_quorum(alive, state.durable.record):
             return  # who goes on asking for a new epoch in vain would stop changes that can be kept later
         age = state.now - self._active_since
-        for backup in self._copies.backups:
-            if not state.heard(backup) and age > SILENT_S:
-                self._reform(f"backup {backup} is silent", backup)
+        for backup in self._backup_set.backups:
+            if not state.is_alive(backup) and age > PEER_TIMEOUT_S:
+                self._start_new_epoch(f"backup {backup} is silent", backup)
                 return
-            if state.heard(backup) and not state.stays(backup):
-                self._reform(f"backup {backup} leaves", backup)
+            if state.is_alive(backup) and not state.is_available(backup):
+                self._start_new_epoch(f"backup {backup} leaves", backup)
                 return
-        if self._copies.waits:
-            if self._copies.late:
-                self._reform(f"backup {next(iter(self._copies.waits))} does not answer", *self._copies.waits)
+        if self._backup_set.pending:
+            if self._backup_set.timed_out:
+                self._start_new_epoch(
+                    f"backup {next(iter(self._backup_set.pending))} does not answer",
+                    *self._backup_set.pending,
+                )
             return
-        if age <= SETTLE_S:
+        if age <= MIN_MEMBERSHIP_INTERVAL_S:
             return
-        record = state.kept.record
+        record = state.durable.record
         assert record is not None
-        higher = [p for p in there if p in state.core and p != self.me and self._promises_higher(p)]
+        higher = [p for p in alive if p in state.members and p != self.me and self._has_promised_higher(p)]
         if record.before:
-            self._reform("the new voters decide alone from now on")
+            self._start_new_epoch("the new voters decide alone from now on")
         elif higher:
-            self._reform(f"{higher[0]} has promised a higher epoch")
-        elif not self._contact.there:
-            if state.now - self._contact.proven_at > PATIENCE_S:
-                self._reform("no majority stands by this epoch")
+            self._start_new_epoch(f"{higher[0]} has promised a higher epoch")
+        elif not self._contact.established:
+            if state.now - self._contact.proven_at > PRIMARY_TIMEOUT_S:
+                self._start_new_epoch("no majority stands by this epoch")
         elif (change := voter_changes.next_voters(state)) is not None and (
-            age > BETTER_S or voter_changes.lost(state)
+            age > REBALANCE_DELAY_S or voter_changes.lost_voters(state)
         ):
-            self._voters_next = change[0]
-            self._reform(change[1])
-        elif age > BETTER_S:
-            self._watch_places()
+            self._next_voters = change[0]
+            self._start_new_epoch(change[1])
+        elif age > REBALANCE_DELAY_S:
+            self._improve_placement()
 
-    def _promises_higher(self, peer: str) -> bool:
+    def _has_promised_higher(self, peer: str) -> bool:
         status = self._state.peers[peer].status
         return status is not None and not status.blank and status.promised > self._state.epoch
 
-    def _watch_places(self) -> None:
+    def _improve_placement(self) -> None:
         """More copies, or better places for them, can be had."""
         state = self._state
-        failed = [p for p, at in self._failed.items() if state.now - at < state.bounds.sync_s * 2]
+        failed = [
+            p for p, at in self._backup_failed_at.items() if state.now - at < state.tolerance.sync_s * 2
+        ]
         now, best = (
-            self._copies.backups,
-            voter_changes.backups(state, [p for p in failed if p not in self.backups]),
+            self._backup_set.backups,
+            voter_changes.choose_backups(state, [p for p in failed if p not in self.backups]),
         )
         if len(best) > len(now):
-            self._reform("another copy can be kept")
-        elif state.bounds.apart and voter_changes.places_of(
+            self._start_new_epoch("another copy can be kept")
+        elif state.tolerance.requires_spread and voter_changes.count_domains(
             state, [self.me, *best]
-        ) > voter_changes.places_of(state, [self.me, *now]):
-            self._reform("copies can stand further apart")
+        ) > voter_changes.count_domains(state, [self.me, *now]):
+            self._start_new_epoch("copies can stand further apart")
 
-    def _reform(self, why: str, *lost: str) -> None:
+    def _start_new_epoch(self, reason: str, *lost: str) -> None:
         """Lead a new epoch with other members; what waits to be kept is asked for again by its callers."""
         state = self._state
-        state.log(f"New epoch: {why}.")
-        record = state.kept.record
-        if not self._voters_next and record is not None and not record.before:
-            gone = voter_changes.lost(state)
+        state.log(f"New epoch: {reason}.")
+        record = state.durable.record
+        if not self._next_voters and record is not None and not record.before:
+            gone = voter_changes.lost_voters(state)
             change = voter_changes.next_voters(state) if gone else None
             if change is not None:  # one step for both
-                self._voters_next = change[0]
-        self._orders.drop("a backup was lost")
+                self._next_voters = change[0]
+        self._requests.abort("a backup was lost")
         self.stage = Stage.IDLE
-        self._ask(*lost)
+        self._start_election(*lost)
 
-    def _rest(self) -> None:
+    def _back_off(self) -> None:
         state, voters = self._state, self.voters
         self.stage = Stage.IDLE
-        self._voters_next = []
-        self._orders.drop("no majority answers")
-        place = voters.index(self.me) if self.me in voters else len(voters)
-        self._rest_until = state.now + REST_S + place * 0.15
+        self._next_voters = []
+        self._requests.abort("no majority answers")
+        domain = voters.index(self.me) if self.me in voters else len(voters)
+        self._election_not_before = state.now + ELECTION_BACKOFF_S + domain * 0.15
 
-    def _step_down(self, why: str) -> None:
+    def _step_down(self, reason: str) -> None:
         state, was = self._state, self.stage
         if was is Stage.ACTIVE:
-            state.log(f"Steps down from epoch {state.epoch}: {why}.")
-        self._in_contact = False
-        self._voters_next = []
-        self._orders.drop("not the primary any more")
-        self._rest()
+            state.log(f"Steps down from epoch {state.epoch}: {reason}.")
+        self._logged_contact = False
+        self._next_voters = []
+        self._requests.abort("not the primary any more")
+        self._back_off()
         if was is Stage.ACTIVE:
-            self._rest_until = max(self._rest_until, state.now + SILENT_S)
+            self._election_not_before = max(self._election_not_before, state.now + PEER_TIMEOUT_S)
 
     # ---- the end in order
 
-    def _go_if_free(self) -> None:
+    def _update_left(self) -> None:
         """Who leaves may go once others hold all, the record names them, and a majority stands without it."""
         if self._leaving and not self.left:
-            self.left = self._free()
+            self.left = self._may_leave()
 
-    def _free(self) -> bool:
+    def _may_leave(self) -> bool:
         state = self._state
-        others = [p for p in state.peers if state.stays(p)]
-        if not state.enough(others, state.kept.record):
+        others = [p for p in state.peers if state.is_available(p)]
+        if not state.has_quorum(others, state.durable.record):
             return True  # nobody is left to hand over to: staying on helps nobody
         leader = state.leader()
         if leader is None or leader not in others:
--- a/troutdock/config_store/replica_state.py
+++ b/troutdock/config_store/replica_state.py
@@ -13,12 +13,12 @@
 
 from troutdock.rpc.messages import NO_BODY, Message, Record, Status
 
-SILENT_S = 1.0  # who was not heard for so long is taken for lost: three tellings
-LEDGER = 128  # numbers of configurations that are remembered with their digests
+PEER_TIMEOUT_S = 1.0  # who was not heard for so long is taken for lost: three tellings
+MAX_STORED_DIGESTS = 128  # numbers of configurations that are remembered with their digests
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class FaultTolerance:
     """What is to be borne at once, and the operators' times, in seconds; from the settings file.
 
     machines, zones, regions: that may be lost. sync_s: a machine that is back counts as lost for so long.
@@ -37,31 +37,31 @@
         return max(1, self.machines, self.zones, self.regions)
 
     @property
-    def copies(self) -> int:
+    def replica_count(self) -> int:
         """Machines that hold each confirmed configuration: one is left after all losses."""
         return self.losses + 1
 
     @property
-    def voters(self) -> int:
+    def voter_count(self) -> int:
         """More than half of them are left after all losses."""
         return 2 * self.losses + 1
 
     @property
-    def apart(self) -> bool:
+    def requires_spread(self) -> bool:
         """Copies and voters are to stand in several places, as a whole one may be lost."""
         return bool(self.zones or self.regions)
 
     @property
-    def voter_lost_s(self) -> float:
+    def voter_timeout_s(self) -> float:
         """A voter that was not heard for so long is replaced: well before the next loss may come.
 
         Longer than a restart takes; half of sync_s leaves the other half for the change itself.
         """
-        return max(SILENT_S * 1.5, self.sync_s / 2)
+        return max(PEER_TIMEOUT_S * 1.5, self.sync_s / 2)
 
 
 @dataclass(frozen=True, slots=True)
-class Kept:
+class DurableState:
     """What is on the disk. version 0: no configuration yet.
 
     blank: a disk was lost, and what this one promised is not known yet. given: the epoch under which all that
@@ -84,19 +84,21 @@
         return next((digest for version, digest in reversed(self.taken) if version == self.version), "")
 
 
-def ledger(taken: Iterable[tuple[int, str]], more: Iterable[tuple[int, str]]) -> tuple[tuple[int, str], ...]:
+def merge_digests(
+    taken: Iterable[tuple[int, str]], more: Iterable[tuple[int, str]]
+) -> tuple[tuple[int, str], ...]:
     """Taken numbers with further ones; the lowest are forgotten beyond LEDGER."""
     found = dict(taken)
     for version, digest in more:
         found.setdefault(version, digest)
-    return tuple(sorted(found.items())[-LEDGER:])
+    return tuple(sorted(found.items())[-MAX_STORED_DIGESTS:])
 
 
 @dataclass(slots=True)
 class Save:
     """Write this down and sync it, before any later action is carried out."""
 
-    kept: Kept
+    durable: DurableState
 
 
 @dataclass(slots=True)
@@ -108,7 +110,7 @@
 
 
 @dataclass(slots=True)
-class InForce:
+class Committed:
     """This configuration is on every copy from now on; the version only rises."""
 
     version: int
@@ -122,7 +124,7 @@
     text: str
 
 
-Action = Save | Send | InForce | Log
+Action = Save | Send | Committed | Log
 
 
 @dataclass(slots=True)
@@ -130,19 +132,21 @@
     """What was heard of another replica."""
 
     status: Status | None = None
-    heard_at: float = -inf
-    met_at: float = -inf
-    led_at: float = -inf  # when it last said that it is the active primary, or was met
+    status_at: float = -inf
+    discovered_at: float = -inf
+    active_at: float = -inf  # when it last said that it is the active primary, or was met
 
 
-class State:
+class ReplicaState:
     """One replica's; now is the time of the event that is being handled, seconds of a steady clock."""
 
-    def __init__(self, me: str, bounds: Bounds, life: int, kept: Kept, now: float) -> None:
-        self.me, self.bounds, self.life, self.kept = me, bounds, life, kept
-        self.now = self.began = now
+    def __init__(
+        self, me: str, tolerance: FaultTolerance, incarnation: int, durable: DurableState, now: float
+    ) -> None:
+        self.me, self.tolerance, self.incarnation, self.durable = me, tolerance, incarnation, durable
+        self.now = self.started_at = now
         self.peers: dict[str, Peer] = {}
-        self.places: dict[str, str] = {}  # zones or regions, by machine
+        self.domains: dict[str, str] = {}  # zones or regions, by machine
         self.actions: list[Action] = []
         self.epoch = 0  # under which this one leads, or tries to
 
@@ -150,8 +154,8 @@
 
     def save(self, **changes: object) -> None:
         """Change what is on the disk."""
-        self.kept = replace(self.kept, **changes)  # type: ignore[arg-type]
-        self.actions.append(Save(self.kept))
+        self.durable = replace(self.durable, **changes)  # type: ignore[arg-type]
+        self.actions.append(Save(self.durable))
 
     def send(self, to: str, message: Message) -> None:
         """Tell somebody."""
@@ -163,71 +167,73 @@
 
     # ---- who is there
 
-    def heard(self, peer: str) -> bool:
+    def is_alive(self, peer: str) -> bool:
         """It has told what it is a moment ago."""
         known = self.peers.get(peer)
-        return known is not None and self.now - known.heard_at <= SILENT_S
+        return known is not None and self.now - known.status_at <= PEER_TIMEOUT_S
 
-    def stays(self, peer: str) -> bool:
+    def is_available(self, peer: str) -> bool:
         """It is heard, and does not say that it is about to end."""
-        status = self.peers[peer].status if self.heard(peer) else None
+        status = self.peers[peer].status if self.is_alive(peer) else None
         return status is not None and not status.leaving
 
-    def last_heard(self, peer: str) -> float:
+    def last_seen_at(self, peer: str) -> float:
         """When; for one that was never met, since this life began."""
         known = self.peers.get(peer)
-        return max(known.heard_at, known.met_at) if known is not None else self.began
+        return max(known.status_at, known.discovered_at) if known is not None else self.started_at
 
     def leader(self) -> str | None:
         """Who is heard to be the active primary."""
         found = [
             (known.status.promised, peer)
             for peer, known in self.peers.items()
-            if known.status is not None and known.status.active and self.heard(peer)
+            if known.status is not None and known.status.active and self.is_alive(peer)
         ]
         return max(found)[1] if found else None
 
-    def near(self, peer: str, other: str) -> bool:
+    def shares_domain(self, peer: str, other: str) -> bool:
         """Both stand in one place, and may be lost together."""
-        place = self.places.get(other)
-        return place is not None and self.places.get(peer) == place
+        domain = self.domains.get(other)
+        return domain is not None and self.domains.get(peer) == domain
 
     # ---- whose word counts
 
-    def lists(self, record: Record | None) -> list[list[str]]:
+    def voter_lists(self, record: Record | None) -> list[list[str]]:
         """More than half of each of these decides, where that record is the newest."""
-        voters = record.voters if record is not None and record.voters else list(self.kept.voters)
+        voters = record.voters if record is not None and record.voters else list(self.durable.voters)
         before = record.before if record is not None else []
         return [voters, before] if before and before != voters else [voters]
 
     @property
     def voters(self) -> list[str]:
         """Whose promises count, by the newest record known here."""
-        return self.lists(self.kept.record)[0]
+        return self.voter_lists(self.durable.record)[0]
 
     @property
-    def core(self) -> list[str]:
+    def members(self) -> list[str]:
         """Whom the newest record names: those that this one has to reach, whatever the seeds are now."""
-        record = self.kept.record
+        record = self.durable.record
         named = record.replicas if record is not None else []
-        voters = [v for voters in self.lists(record) for v in voters]
+        voters = [v for voters in self.voter_lists(record) for v in voters]
         return [ip for ip in dict.fromkeys([*voters, *named]) if ip]
 
-    def enough(self, yes: Collection[str] | Mapping[str, object], record: Record | None) -> bool:
+    def has_quorum(self, granted: Collection[str] | Mapping[str, object], record: Record | None) -> bool:
         """More than half of each list is among these."""
-        return all(sum(v in yes for v in voters) > len(voters) // 2 for voters in self.lists(record))
+        return all(
+            sum(v in granted for v in voters) > len(voters) // 2 for voters in self.voter_lists(record)
+        )
 
-    def member(self, record: Record) -> bool:
+    def is_complete_for(self, record: Record) -> bool:
         """All that was confirmed under it, and before it, is here."""
-        return self.me in record.replicas and self.kept.given >= record.epoch
+        return self.me in record.replicas and self.durable.given >= record.epoch
 
     @property
-    def holds(self) -> bool:
+    def is_up_to_date(self) -> bool:
         """This machine has all that was confirmed under the newest record it knows of."""
-        record = self.kept.record
-        return not self.kept.blank and record is not None and self.member(record)
+        record = self.durable.record
+        return not self.durable.blank and record is not None and self.is_complete_for(record)
 
 
-def raw(body: bytes) -> msgspec.Raw:
+def raw_body(body: bytes) -> msgspec.Raw:
     """A body as messages carry it."""
     return msgspec.Raw(body) if body else NO_BODY
--- a/troutdock/config_store/storage.py
+++ b/troutdock/config_store/storage.py
@@ -27,15 +27,15 @@
 import msgspec
 
 from troutdock.rpc.messages import Record
-from troutdock.config_store.replica_state import Kept
+from troutdock.config_store.replica_state import DurableState
 
 FILE = "rootstock.db"
-LOGGED = "rootstock.logged"  # where it is, the database is not whole without its log
-SCHEMA = 2
-HISTORY = 32  # versions that are kept, the newest among them, for operators to look at
-HISTORY_BYTES = 24 * 1024 * 1024  # of their bodies, without the newest's
-LOG_BYTES = 1024 * 1024  # of the log, once what it holds lies in the database too
-_FIRST = (
+WAL_MARKER = "rootstock.logged"  # where it is, the database is not whole without its log
+SCHEMA_VERSION = 2
+MAX_HISTORY = 32  # versions that are kept, the newest among them, for operators to look at
+MAX_HISTORY_BYTES = 24 * 1024 * 1024  # of their bodies, without the newest's
+MAX_WAL_BYTES = 1024 * 1024  # of the log, once what it holds lies in the database too
+_SCHEMA_1 = (
     "CREATE TABLE state (only INTEGER PRIMARY KEY CHECK (only = 1), promised INTEGER NOT NULL,"
     " record TEXT,"
     " version INTEGER NOT NULL, voters TEXT NOT NULL, blank INTEGER NOT NULL, given INTEGER NOT NULL,"
@@ -46,23 +46,23 @@
 )
 
 
-class _Spoilt(sqlite3.DatabaseError):
+class _CorruptionError(sqlite3.DatabaseError):
     """It can't be read as a store."""
 
 
-def _mark(*fields: object) -> str:
+def _row_checksum(*fields: object) -> str:
     """What tells that a row is as it was written: sqlite finds broken pages, not changed bytes."""
     return blake2b(repr(fields).encode(), digest_size=12).hexdigest()
 
 
-def _body_mark(version: int, body: bytes) -> str:
+def _body_checksum(version: int, body: bytes) -> str:
     """The same for a configuration, without a copy of its body."""
     found = blake2b(b"%d:" % version, digest_size=12)
     found.update(body)
     return found.hexdigest()
 
 
-def record_of_1(record: str | None) -> str | None:
+def upgrade_record_v1(record: str | None) -> str | None:
     """A record's JSON of schema 1, [epoch, primary, backup, ...], with a list of backups in third place."""
     if record is None:
         return None
@@ -72,53 +72,53 @@
     return msgspec.json.encode(fields).decode()
 
 
-def _step_0(base: sqlite3.Connection) -> None:
-    for statement in _FIRST:
-        base.execute(statement)
+def _migrate_0(db: sqlite3.Connection) -> None:
+    for statement in _SCHEMA_1:
+        db.execute(statement)
 
 
-def _step_1(base: sqlite3.Connection) -> None:
+def _migrate_1(db: sqlite3.Connection) -> None:
     """Records name a list of backups, `taken` is new, marks of bodies are made without repr."""
-    base.execute("ALTER TABLE state ADD COLUMN taken TEXT NOT NULL DEFAULT '[]'")
-    row = base.execute("SELECT promised, record, version, voters, blank, given, mark FROM state").fetchone()
+    db.execute("ALTER TABLE state ADD COLUMN taken TEXT NOT NULL DEFAULT '[]'")
+    row = db.execute("SELECT promised, record, version, voters, blank, given, mark FROM state").fetchone()
     newest = 0
     if row is not None:
-        *fields, mark = row
-        if _mark(*fields) != mark:
-            raise _Spoilt("malformed: the state does not fit its mark")
-        fields[1], newest = record_of_1(fields[1]), fields[2]
-        base.execute("UPDATE state SET record = ?, mark = ?", (fields[1], _mark(*fields, "[]")))
-    for (version,) in base.execute("SELECT version FROM configurations").fetchall():
-        found = base.execute("SELECT body, mark FROM configurations WHERE version = ?", (version,)).fetchone()
-        if _mark(version, found[0]) == found[1]:
-            mark = _body_mark(version, found[0])
-            base.execute("UPDATE configurations SET mark = ? WHERE version = ?", (mark, version))
+        *fields, checksum = row
+        if _row_checksum(*fields) != checksum:
+            raise _CorruptionError("malformed: the state does not fit its mark")
+        fields[1], newest = upgrade_record_v1(fields[1]), fields[2]
+        db.execute("UPDATE state SET record = ?, mark = ?", (fields[1], _row_checksum(*fields, "[]")))
+    for (version,) in db.execute("SELECT version FROM configurations").fetchall():
+        found = db.execute("SELECT body, mark FROM configurations WHERE version = ?", (version,)).fetchone()
+        if _row_checksum(version, found[0]) == found[1]:
+            checksum = _body_checksum(version, found[0])
+            db.execute("UPDATE configurations SET mark = ? WHERE version = ?", (checksum, version))
         elif version == newest:
-            raise _Spoilt(f"malformed: version {version} is spoilt")
+            raise _CorruptionError(f"malformed: version {version} is spoilt")
         else:
-            base.execute("DELETE FROM configurations WHERE version = ?", (version,))
+            db.execute("DELETE FROM configurations WHERE version = ?", (version,))
 
 
-_STEPS = {0: _step_0, 1: _step_1}
+_MIGRATIONS = {0: _migrate_0, 1: _migrate_1}
 
 
-def _sync_folder(folder: Path) -> None:
+def _fsync_directory(directory: Path) -> None:
     """Names that were made, renamed or removed there last from now on."""
-    handle = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
+    fd = os.open(directory, os.O_RDONLY | os.O_DIRECTORY)
     try:
-        os.fsync(handle)
+        os.fsync(fd)
     finally:
-        os.close(handle)
+        os.close(fd)
 
 
-def _make_folder(folder: Path) -> None:
-    if not folder.is_dir():
-        _make_folder(folder.parent)
-        folder.mkdir(exist_ok=True)
-        _sync_folder(folder.parent)
+def _make_directory(directory: Path) -> None:
+    if not directory.is_dir():
+        _make_directory(directory.parent)
+        directory.mkdir(exist_ok=True)
+        _fsync_directory(directory.parent)
 
 
-def _cannot_be_read(error: sqlite3.DatabaseError) -> bool:
+def _is_corruption(error: sqlite3.DatabaseError) -> bool:
     """The file is at fault, and trying again is of no use."""
     if not isinstance(error, sqlite3.OperationalError):
         return True
@@ -132,110 +132,112 @@
 class Disk:
     """The store's file in a folder. None as the folder: kept in memory only, for tests and for what-if."""
 
-    def __init__(self, folder: Path | None) -> None:
-        self._path = folder / FILE if folder is not None else None
-        self._base: sqlite3.Connection | None = None
+    def __init__(self, directory: Path | None) -> None:
+        self._path = directory / FILE if directory is not None else None
+        self._db: sqlite3.Connection | None = None
         self._version = -1  # of the newest configuration in the file
         self._body = b""
-        self._whole = False  # the last close left all in the database, though LOGGED could not be removed
-        self.set_aside: Path | None = None  # a damaged file's new name
+        self._checkpointed = (
+            False  # the last close left all in the database, though LOGGED could not be removed
+        )
+        self.quarantined: Path | None = None  # a damaged file's new name
 
-    def open(self) -> Kept | None:
+    def open(self) -> DurableState | None:
         """What is kept, None for nothing; DiskError if the disk refuses."""
         try:
             return self._open()
         except sqlite3.DatabaseError as error:
-            if not _cannot_be_read(error):
+            if not _is_corruption(error):
                 self.close()
                 raise DiskError(f"can't be opened: {error}") from error
             try:
-                self._put_aside()
+                self._quarantine()
                 return self._open()
-            except (sqlite3.Error, OSError) as again:
-                raise DiskError(f"can't be opened: {again}") from again
+            except (sqlite3.Error, OSError) as retry_error:
+                raise DiskError(f"can't be opened: {retry_error}") from retry_error
         except (OSError, msgspec.MsgspecError) as error:
             self.close()
             raise DiskError(f"can't be opened: {error}") from error
 
-    def _open(self) -> Kept | None:
+    def _open(self) -> DurableState | None:
         self.close()
         if self._path is not None:
-            _make_folder(self._path.parent)
-            self._check_parts(self._path)
-        base = sqlite3.connect(
+            _make_directory(self._path.parent)
+            self._check_files(self._path)
+        db = sqlite3.connect(
             str(self._path) if self._path is not None else ":memory:",
             isolation_level=None,
             check_same_thread=False,
         )
-        self._base = base
+        self._db = db
         # one process has the file, so there is nothing to share; a commit is one sync of the log
-        base.execute("PRAGMA locking_mode = EXCLUSIVE")
-        base.execute("PRAGMA journal_mode = WAL")
-        base.execute("PRAGMA synchronous = FULL")
-        base.execute("PRAGMA cache_size = -512")
-        base.execute(f"PRAGMA journal_size_limit = {LOG_BYTES}")
-        (found,) = base.execute("PRAGMA quick_check").fetchone()
+        db.execute("PRAGMA locking_mode = EXCLUSIVE")
+        db.execute("PRAGMA journal_mode = WAL")
+        db.execute("PRAGMA synchronous = FULL")
+        db.execute("PRAGMA cache_size = -512")
+        db.execute(f"PRAGMA journal_size_limit = {MAX_WAL_BYTES}")
+        (found,) = db.execute("PRAGMA quick_check").fetchone()
         if found != "ok":
-            raise _Spoilt(f"malformed: {found}")
-        (schema,) = base.execute("PRAGMA user_version").fetchone()
-        if schema > SCHEMA:
-            raise DiskError(f"schema {schema} is newer than this program's {SCHEMA}")
-        while schema < SCHEMA:
-            base.execute("BEGIN IMMEDIATE")
-            _STEPS[schema](base)
+            raise _CorruptionError(f"malformed: {found}")
+        (schema,) = db.execute("PRAGMA user_version").fetchone()
+        if schema > SCHEMA_VERSION:
+            raise DiskError(f"schema {schema} is newer than this program's {SCHEMA_VERSION}")
+        while schema < SCHEMA_VERSION:
+            db.execute("BEGIN IMMEDIATE")
+            _MIGRATIONS[schema](db)
             schema += 1
-            base.execute(f"PRAGMA user_version = {schema}")
-            base.execute("COMMIT")
-        kept = self._read(base)
+            db.execute(f"PRAGMA user_version = {schema}")
+            db.execute("COMMIT")
+        durable = self._read(db)
         if self._path is not None:
-            self._need_log(self._path, base)
-        return kept
+            self._create_wal_marker(self._path, db)
+        return durable
 
-    def _check_parts(self, path: Path) -> None:
+    def _check_files(self, path: Path) -> None:
         """A database without the log that belongs to it is spoilt; what is left of one that is gone, goes."""
-        logged, log = path.with_name(LOGGED), Path(f"{path}-wal")
+        marker, wal = path.with_name(WAL_MARKER), Path(f"{path}-wal")
         if path.exists() and path.stat().st_size:
-            if logged.exists() and not self._whole and not (log.exists() and log.stat().st_size):
-                raise _Spoilt("malformed: the log is missing")
+            if marker.exists() and not self._checkpointed and not (wal.exists() and wal.stat().st_size):
+                raise _CorruptionError("malformed: the log is missing")
             return
-        left = [p for p in (path, log, Path(f"{path}-journal"), Path(f"{path}-shm"), logged) if p.exists()]
-        for each in left:
+        stale = [p for p in (path, wal, Path(f"{path}-journal"), Path(f"{path}-shm"), marker) if p.exists()]
+        for each in stale:
             each.unlink()
-        if left:
-            _sync_folder(path.parent)
-
-    def _need_log(self, path: Path, base: sqlite3.Connection) -> None:
-        self._whole = False
-        base.execute(f"PRAGMA user_version = {SCHEMA}")  # a commit: the log is there, and synced
-        _sync_folder(path.parent)
-        handle = os.open(path.with_name(LOGGED), os.O_WRONLY | os.O_CREAT)
+        if stale:
+            _fsync_directory(path.parent)
+
+    def _create_wal_marker(self, path: Path, db: sqlite3.Connection) -> None:
+        self._checkpointed = False
+        db.execute(f"PRAGMA user_version = {SCHEMA_VERSION}")  # a commit: the log is there, and synced
+        _fsync_directory(path.parent)
+        fd = os.open(path.with_name(WAL_MARKER), os.O_WRONLY | os.O_CREAT)
         try:
-            os.fsync(handle)
+            os.fsync(fd)
         finally:
-            os.close(handle)
-        _sync_folder(path.parent)
+            os.close(fd)
+        _fsync_directory(path.parent)
 
-    def _read(self, base: sqlite3.Connection) -> Kept | None:
+    def _read(self, db: sqlite3.Connection) -> DurableState | None:
         self._version, self._body = -1, b""
-        row = base.execute(
+        row = db.execute(
             "SELECT promised, record, version, voters, blank, given, taken, mark FROM state"
         ).fetchone()
         if row is None:
             return None
-        *fields, mark = row
-        if _mark(*fields) != mark:
-            raise _Spoilt("malformed: the state does not fit its mark")
+        *fields, checksum = row
+        if _row_checksum(*fields) != checksum:
+            raise _CorruptionError("malformed: the state does not fit its mark")
         promised, record, version, voters, blank, given, taken = fields
         body = b""
         if version:
-            kept = base.execute(
+            durable = db.execute(
                 "SELECT body, mark FROM configurations WHERE version = ?", (version,)
             ).fetchone()
-            if kept is None or _body_mark(version, kept[0]) != kept[1]:
-                raise _Spoilt(f"malformed: version {version} is missing or spoilt")
-            body = kept[0]
+            if durable is None or _body_checksum(version, durable[0]) != durable[1]:
+                raise _CorruptionError(f"malformed: version {version} is missing or spoilt")
+            body = durable[0]
         self._version, self._body = version, body
-        return Kept(
+        return DurableState(
             promised,
             msgspec.json.decode(record, type=Record) if record else None,
             version,
@@ -246,85 +248,102 @@
             tuple(msgspec.json.decode(taken, type=list[tuple[int, str]])),
         )
 
-    def _put_aside(self) -> None:
+    def _quarantine(self) -> None:
         self.close()
         if self._path is None:
             return
-        folder = self._path.parent
-        older = [p for p in folder.glob("rootstock.damaged*") if "-" not in p.name]
+        directory = self._path.parent
+        older = [p for p in directory.glob("rootstock.damaged*") if "-" not in p.name]
         numbers = [int(p.suffix[8:]) for p in older if p.suffix[8:].isdigit()]
-        aside = self._path.with_suffix(f".damaged{max(numbers, default=0) + 1}")
-        self._path.rename(aside)
-        _sync_folder(folder)  # before its log: the old name must not come back without it
-        for path in folder.glob(FILE + "-*"):
-            path.rename(Path(str(aside) + path.name[len(FILE) :]))
-        self._path.with_name(LOGGED).unlink(missing_ok=True)
+        target = self._path.with_suffix(f".damaged{max(numbers, default=0) + 1}")
+        self._path.rename(target)
+        _fsync_directory(directory)  # before its log: the old name must not come back without it
+        for path in directory.glob(FILE + "-*"):
+            path.rename(Path(str(target) + path.name[len(FILE) :]))
+        self._path.with_name(WAL_MARKER).unlink(missing_ok=True)
         for path in older:
-            for each in (path, *folder.glob(path.name + "-*")):
+            for each in (path, *directory.glob(path.name + "-*")):
                 each.unlink()
-        _sync_folder(folder)
-        self.set_aside = aside
+        _fsync_directory(directory)
+        self.quarantined = target
 
-    def save(self, kept: Kept) -> None:
+    def save(self, durable: DurableState) -> None:
         """Keep it; DiskError, and nothing is known of what is kept, if the disk refuses."""
-        base = self._base
-        if base is None:
+        db = self._db
+        if db is None:
             raise DiskError("not open")
-        record = msgspec.json.encode(kept.record).decode() if kept.record is not None else None
+        record = msgspec.json.encode(durable.record).decode() if durable.record is not None else None
         try:
-            base.execute("BEGIN IMMEDIATE")
-            if kept.version and (kept.version != self._version or kept.body != self._body):
-                self._make_room(base, kept.version)
-                base.execute(
+            db.execute("BEGIN IMMEDIATE")
+            if durable.version and (durable.version != self._version or durable.body != self._body):
+                self._prune_history(db, durable.version)
+                db.execute(
                     "INSERT INTO configurations VALUES (?, ?, ?, ?)",
-                    (kept.version, kept.body, kept.promised, _body_mark(kept.version, kept.body)),
+                    (
+                        durable.version,
+                        durable.body,
+                        durable.promised,
+                        _body_checksum(durable.version, durable.body),
+                    ),
                 )
-            voters = msgspec.json.encode(list(kept.voters)).decode()
-            taken = msgspec.json.encode(list(kept.taken)).decode()
-            fields = (kept.promised, record, kept.version, voters, int(kept.blank), kept.given, taken)
-            base.execute(
+            voters = msgspec.json.encode(list(durable.voters)).decode()
+            taken = msgspec.json.encode(list(durable.taken)).decode()
+            fields = (
+                durable.promised,
+                record,
+                durable.version,
+                voters,
+                int(durable.blank),
+                durable.given,
+                taken,
+            )
+            db.execute(
                 "INSERT OR REPLACE INTO state"
                 " (only, promised, record, version, voters, blank, given, taken, mark)"
                 " VALUES (1, ?, ?, ?, ?, ?, ?, ?, ?)",
-                (*fields, _mark(*fields)),
+                (*fields, _row_checksum(*fields)),
             )
-            base.execute("COMMIT")
+            db.execute("COMMIT")
         except sqlite3.Error as error:
             self.close()  # what the next commit would say of this one can't be known
             raise DiskError(f"can't be written: {error}") from error
-        self._version, self._body = kept.version, kept.body
+        self._version, self._body = durable.version, durable.body
 
-    def _make_room(self, base: sqlite3.Connection, version: int) -> None:
+    def _prune_history(self, db: sqlite3.Connection, version: int) -> None:
         """For a configuration of this version: none at or above it stays, and no more below than is kept."""
-        below = base.execute(
+        below = db.execute(
             "SELECT version, length(body) FROM configurations WHERE version < ? ORDER BY version DESC",
             (version,),
         ).fetchall()
-        room, last = HISTORY_BYTES, 0
-        for place, (number, size) in enumerate(below, 1):
-            room -= size
-            if place >= HISTORY or room < 0:
+        remaining, last = MAX_HISTORY_BYTES, 0
+        for position, (number, size) in enumerate(below, 1):
+            remaining -= size
+            if position >= MAX_HISTORY or remaining < 0:
                 last = number
                 break
-        base.execute("DELETE FROM configurations WHERE version <= ? OR version >= ?", (last, version))
+        db.execute("DELETE FROM configurations WHERE version <= ? OR version >= ?", (last, version))
 
     def close(self) -> None:
         """Let the file go."""
-        base, self._base = self._base, None
-        if base is None:
+        db, self._db = self._db, None
+        if db is None:
             return
         if self._path is None:
-            base.close()
+            db.close()
             return
-        folder, logged, log = self._path.parent, self._path.with_name(LOGGED), Path(f"{self._path}-wal")
+        directory, marker, wal = (
+            self._path.parent,
+            self._path.with_name(WAL_MARKER),
+            Path(f"{self._path}-wal"),
+        )
         # not needed any more, and lastingly so, before sqlite takes the log away
         with contextlib.suppress(OSError):
-            logged.unlink(missing_ok=True)
-            _sync_folder(folder)
+            marker.unlink(missing_ok=True)
+            _fsync_directory(directory)
         with contextlib.suppress(sqlite3.Error):
-            base.close()
+            db.close()
         with contextlib.suppress(OSError):
-            if logged.exists() and not log.exists():
-                self._whole = True
-                logged.unlink()
-            _sync_folder(folder)
+            if marker.exists() and not wal.exists():
+                self._checkpointed = True
+                marker.unlink()
+            _fsync_directory(directory)
