--- a/troutdock/config_store/__init__.py
+++ b/troutdock/config_store/__init__.py
@@ -1,1 +1,1 @@
-"""The store of configurations: a primary, its backup, and witnesses that keep only epochs."""
+"""Replicated store of configurations: a primary, its backups, and witnesses that only vote on epochs."""
--- a/troutdock/config_store/__main__.py
+++ b/troutdock/config_store/__main__.py
@@ -1,6 +1,6 @@
-"""Start, signals and the end of the store: python -m troutdock.config_store.
+"""Entry point of the configuration store: python -m troutdock.config_store.
 
-The settings are those that TROUTDOCK_BOOT names.
+Reads the settings file named by TROUTDOCK_BOOT and runs until a signal ends the process.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 
 
 async def main(boot: Boot, path: str) -> int:
-    """Until SIGTERM or SIGINT."""
+    """Runs the store until SIGTERM or SIGINT; returns the exit status."""
     stop, loop = asyncio.Event(), asyncio.get_running_loop()
     for signal_number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signal_number, stop.set)
-    loop.add_signal_handler(signal.SIGHUP, lambda: None)  # nothing here follows the file
+    loop.add_signal_handler(signal.SIGHUP, lambda: None)  # ignored: the store does not reload its settings
     store = Store(boot, new_incarnation())
     await store.start((boot.ip, boot.port(PORT)))
     await stop.wait()
--- a/troutdock/config_store/configuration_requests.py
+++ b/troutdock/config_store/configuration_requests.py
@@ -1,21 +1,24 @@
-"""What registries ask: orders to keep a configuration, and reads of the newest (no I/O, no clock).
-
-A configuration is its number and the digest of its body. Of two bodies under one number one at most is ever
-confirmed: numbers with their digests are kept with the configuration, on every copy. An order
-
-- whose number and digest are taken is confirmed again, by whichever machine leads;
-- whose number is taken by another body is told so for good (conflict), as soon as that body is on every
-  copy: while its rival only waits, so does it, as the rival may yet be lost with this machine;
-- below the newest is confirmed once its number is taken for it, and changes nothing; of numbers so old that
-  the ledger has forgotten them it is confirmed without that;
-- above the newest comes into force.
-
-Orders that wait go together in one batch: the highest comes into force, the others are overtaken. What can't
-be said now (no contact, a backup lost) is answered at once, without refusing: the caller asks again,
-anywhere.
-
-A read is answered once a majority has said that the epoch is the newest, to a probe that was sent after it
-came.
+"""Client requests at the primary: writes of configurations and reads of the newest one (no I/O, no clock).
+
+A configuration is identified by its version and the digest of its body. At most one body is ever committed
+under a version: every replica stores the committed versions with their digests next to the newest
+configuration. A write
+
+- whose version and digest are already committed is acknowledged again, by whichever machine leads;
+- whose version is committed with another body is rejected permanently (conflict). If the other body is still
+  being replicated, the rejection waits until that body is on every replica, because it could still be lost
+  with this machine;
+- below the newest version is acknowledged once its version and digest are stored; it does not change the
+  newest configuration. Versions that are so old that their digests were discarded are acknowledged without a
+  check;
+- above the newest version becomes the newest configuration.
+
+Queued writes are replicated as one batch: the highest version becomes the newest configuration, the others
+are superseded. A write that cannot be decided now (no contact with a majority, a backup lost) fails at once
+with a temporary error, and the client may retry at any machine.
+
+A read is answered once a majority of voters has confirmed the epoch in reply to a probe that was sent after
+the read arrived.
 """
 
 from __future__ import annotations
@@ -26,15 +29,15 @@
 from troutdock.config_store.quorum_contact import QuorumContact
 from troutdock.config_store.replica_state import MAX_STORED_DIGESTS, Committed, ReplicaState, raw_body
 
-READ_TIMEOUT_S = 0.8  # for a majority to answer: callers wait a second
-MAX_QUEUED_WRITES = 64  # orders that wait their turn
+READ_TIMEOUT_S = 0.8  # for a majority to answer a probe; clients wait 1 s
+MAX_QUEUED_WRITES = 64
 
-Caller = tuple[str, int, int]  # name, number of its call, its life
+Caller = tuple[str, int, int]  # name, request number, incarnation
 
 
 @dataclass(slots=True)
 class _PendingWrite:
-    """A configuration that is to be kept, who waits for that, and who sent another body under its number."""
+    """A queued configuration, its callers, and the callers that sent another body under the same version."""
 
     version: int
     digest: str
@@ -44,35 +47,35 @@
 
 
 class ClientRequests:
-    """Those of one replica; it takes them while it is the active primary."""
+    """Requests of clients at one replica; used only while the replica is the active primary."""
 
     def __init__(self, state: ReplicaState, contact: QuorumContact) -> None:
         self._state, self._contact = state, contact
         self.committed_version = 0
         self._committed_body = b""
-        self._committed_digests: dict[int, str] = {}  # numbers that are taken on every copy
+        self._committed_digests: dict[int, str] = {}  # by version; stored on every replica
         self._queue: list[_PendingWrite] = []
-        self._batch: list[_PendingWrite] = []  # on its way to the backups
-        self._pending_reads: list[tuple[Caller, float]] = []  # and when each came
+        self._batch: list[_PendingWrite] = []  # being replicated
+        self._pending_reads: list[tuple[Caller, float]] = []  # with the time of arrival
 
-    # ---- orders
+    # ---- writes
 
     def begin_epoch(self) -> None:
-        """This machine is the active primary: what lies here lies on every copy."""
+        """Starts an epoch as the active primary: the stored state of this machine is on every replica."""
         durable = self._state.durable
         self._committed_digests = dict(durable.taken)
         self._commit(durable.version, durable.body)
 
     def write(self, sender: str, write: Write) -> None:
-        """Keep a configuration."""
+        """Queues a write, or answers it at once if it is a duplicate, conflicts or cannot be accepted."""
         caller = sender, write.number, write.life
         body = bytes(write.body)
         digest = body_digest(body)
         if write.digest not in ("", digest):
-            self._answer(caller, "the body does not fit its digest")
+            self._answer(caller, "body does not match its digest")
             return
         if not self._contact.established:
-            self._answer(caller, "no contact with a majority")
+            self._answer(caller, "no contact with a majority of voters")
             return
         committed_digest = self._committed_digests.get(write.version)
         if committed_digest is not None:
@@ -89,12 +92,16 @@
         ):
             self._answer(caller)
         elif len(self._queue) >= MAX_QUEUED_WRITES:
-            self._answer(caller, "too many at once")
+            self._answer(caller, "write queue is full")
         else:
             self._queue.append(_PendingWrite(write.version, digest, body, [caller]))
 
     def next_batch(self) -> tuple[int, bytes, list[tuple[int, str]]] | None:
-        """What is to be replicated next: the newest configuration then, and the numbers that are taken."""
+        """Takes all queued writes as the next batch to replicate.
+
+        Returns the newest version with its body once the batch is applied, and the versions of the batch with
+        their digests; None if a batch is in progress or nothing is queued.
+        """
         if self._batch or not self._queue:
             return None
         self._batch, self._queue = self._queue, []
@@ -106,7 +113,7 @@
         return newest.version, newest.body, taken
 
     def on_committed(self) -> None:
-        """The batch is on every copy."""
+        """Commits the batch, which is stored on every replica now, and answers its callers."""
         batch, self._batch = self._batch, []
         durable = self._state.durable
         self._committed_digests = dict(durable.taken)
@@ -129,15 +136,15 @@
             self._reject_conflict(caller, committed_digest)
 
     def _acknowledge(self, caller: Caller) -> None:
-        """It is on every copy; a machine that reaches no majority says nothing for good all the same."""
-        self._answer(caller, "" if self._contact.established else "no contact with a majority")
+        """Answers a committed write; without contact with a majority, only with a temporary error."""
+        self._answer(caller, "" if self._contact.established else "no contact with a majority of voters")
 
     def _reject_conflict(self, caller: Caller, committed_digest: str) -> None:
         if not self._contact.established:
-            self._answer(caller, "no contact with a majority")
+            self._answer(caller, "no contact with a majority of voters")
             return
         to, number, incarnation = caller
-        why = f"its number is taken by another body, {committed_digest}"
+        why = f"version is already committed with another body, digest {committed_digest}"
         self._state.send(to, WriteAck(number, False, why, incarnation, True, committed_digest))
 
     def _answer(self, caller: Caller, why: str = "") -> None:
@@ -147,13 +154,13 @@
     # ---- reads
 
     def read(self, sender: str, request: Read) -> None:
-        """Tell the newest once the epoch has been proven."""
+        """Queues a read until the epoch is confirmed, and probes the voters at once."""
         self._pending_reads.append(((sender, request.number, request.life), self._state.now))
         self._contact.probe()
         self.answer_proven_reads()
 
     def answer_proven_reads(self) -> None:
-        """More may be known of the epoch: answer the reads that it is enough for."""
+        """Answers the reads that arrived at or before the time for which the epoch is confirmed."""
         proven_at = self._contact.proven_at
         body = raw_body(self._committed_body)
         for (to, number, incarnation), _ in [r for r in self._pending_reads if r[1] <= proven_at]:
@@ -161,17 +168,17 @@
         self._pending_reads = [r for r in self._pending_reads if r[1] > proven_at]
 
     def tick(self) -> None:
-        """Reads that could not be proven in time."""
+        """Rejects reads that were not confirmed in time."""
         now = self._state.now
         expired = [r for r in self._pending_reads if now - r[1] > READ_TIMEOUT_S]
         for caller, _ in expired:
-            reject_read(self._state, caller, "the epoch could not be proven")
+            reject_read(self._state, caller, "no majority confirmed the epoch in time")
         self._pending_reads = [r for r in self._pending_reads if r not in expired]
 
     # ---- the end of an epoch
 
     def abort(self, why: str) -> None:
-        """Nothing that waits can be answered here now; none of it is refused for good."""
+        """Fails all pending requests with a temporary error."""
         for write in (*self._batch, *self._queue):
             for caller in (*write.callers, *write.conflicting):
                 self._answer(caller, why)
@@ -181,11 +188,11 @@
 
 
 def reject_read(state: ReplicaState, caller: Caller, why: str) -> None:
-    """Not here, or not now."""
+    """Fails a read with a temporary error."""
     to, number, incarnation = caller
     state.send(to, ReadAck(number, -1, why=why, life=incarnation))
 
 
 def reject_write(state: ReplicaState, sender: str, write: Write, why: str) -> None:
-    """Not here; never for good."""
+    """Fails a write with a temporary error."""
     state.send(sender, WriteAck(write.number, False, why, write.life))
--- a/troutdock/config_store/daemon.py
+++ b/troutdock/config_store/daemon.py
@@ -1,4 +1,4 @@
-"""The store's loop: links of replicas and registries, the disk, and time, round config_store.replica."""
+"""The store's process: connects the Replica state machine to the network, the disk and the clock."""
 
 from __future__ import annotations
 
@@ -38,16 +38,16 @@
 log = logbook.Logger("rootstock")
 
 ROLE = "rootstock"
-PORT = 1  # of the system's own ports
+PORT = 1  # index in the range of internal ports
 TICK_INTERVAL_S = 0.05
-FLUSH_S = 0.05  # for the last word to leave the process
-SHUTDOWN_RESERVE_S = 0.6  # of the grace: kept for the end itself
-REOPEN_INTERVAL_S = 0.5  # between two tries of a disk that refuses
+FLUSH_S = 0.05  # for the last messages to be sent
+SHUTDOWN_RESERVE_S = 0.6  # part of the grace period that is reserved for closing
+REOPEN_INTERVAL_S = 0.5  # between attempts to open a failing disk
 _REPLICA_MESSAGES = (Status, Prepare, Promise, Replicate, ReplicateAck, Accept, Accepted, Probe, ProbeAck)
 
 
 class Store:
-    """One process of the store; it belongs to the event loop that runs."""
+    """One process of the store; it belongs to the running event loop."""
 
     def __init__(self, boot: Boot, incarnation: int) -> None:
         self._boot = boot
@@ -66,22 +66,22 @@
         )
         self._domains = {boot.ip: self._domain(boot.zone)}
         self._connectors: dict[str, Connector] = {}
-        self._registries: dict[PeerConnection, str] = {}  # and the name that the replica knows each by
+        self._registries: dict[PeerConnection, str] = {}  # with the name by which the replica knows each
         self._callers: dict[
             str, PeerConnection
-        ] = {}  # by that name: an answer goes to the link that asked, or nowhere
+        ] = {}  # by that name: an answer is sent only on the connection of its request
         self._last_caller_number = 0
         self._listener = Listener(self._accept_connection)
         self._timer: asyncio.TimerHandle | None = None
-        self._config = Config(0, NO_BODY)  # in force, as this machine has led it
+        self._config = Config(0, NO_BODY)  # newest committed one that this machine has led
         self._first_start = boot.bootstrap
         self._fresh = False
         trace = boot.values["traceFile"]
         self._trace = Path(trace) if trace else None
-        self._replica_count = 0  # of replicas in this process
+        self._replica_count = 0  # replicas created in this process, for trace file names
 
     async def start(self, address: Address) -> Address:
-        """Open the disk and the door; gives the address."""
+        """Opens the disk and listens on the address; returns the bound address."""
         self._open_disk()
         bound = await self._listener.listen(address)
         for seed in self._seeds:
@@ -94,11 +94,11 @@
         try:
             durable = self._disk.open()
         except DiskError as error:
-            log.error("Disk: {}. It is tried again.", error)
+            log.error("Disk: {}. Retrying.", error)
             loop.call_later(REOPEN_INTERVAL_S, self._open_disk)
             return
         if self._disk.quarantined is not None:
-            log.error("Disk: a damaged file was set aside as {}.", self._disk.quarantined.name)
+            log.error("Disk: a damaged file was renamed to {}.", self._disk.quarantined.name)
             self._disk.quarantined = None
         first_start, self._first_start = self._first_start, False
         now = loop.time()
@@ -115,7 +115,7 @@
         self._execute(self._replica.take())
 
     def _domain(self, zone: str) -> str:
-        """Where a zone's machines may be lost together: the region where the loss of one is to be borne."""
+        """Failure domain of a zone: its region if the loss of a region must be tolerated, else the zone."""
         values = self._boot.values
         return values["zones"].get(zone, zone) if values["faultTolerance.regions"] else zone
 
@@ -125,11 +125,11 @@
         try:
             return record_events(replica, path, header, EVENTS)
         except OSError as error:
-            log.warning("No trace: {}", error)
+            log.warning("Trace file cannot be written: {}", error)
             return replica
 
     def add_peer(self, ip: str, port: int) -> None:
-        """Another machine of the core."""
+        """Connects to another store machine."""
         if ip == self.me or ip in self._connectors:
             return
         self._connectors[ip] = Connector((ip, port), self._hello, self._on_message, self._on_connected)
@@ -184,7 +184,7 @@
         self._timer = loop.call_later(TICK_INTERVAL_S, self._tick)
 
     def _notify_fresh(self) -> None:
-        """Registries are told whether this is the primary, and reaches a majority."""
+        """Notifies registries when this machine becomes, or ceases to be, a primary with a majority."""
         fresh = self._replica is not None and self._replica.status.active
         if fresh != self._fresh:
             self._fresh = fresh
@@ -201,8 +201,10 @@
                     try:
                         self._disk.save(durable)
                     except DiskError as error:
-                        # nothing that follows may be said: it would speak of what was not kept
-                        log.error("Disk: {}. This copy takes no part until it is read again.", error)
+                        # the following messages must not be sent: they depend on state that was not stored
+                        log.error(
+                            "Disk: {}. This replica is inactive until the disk can be read again.", error
+                        )
                         self._replica = None
                         self._notify_fresh()
                         asyncio.get_running_loop().call_later(REOPEN_INTERVAL_S, self._open_disk)
@@ -226,9 +228,9 @@
                     log.info("{}", text)
 
     async def leave(self) -> None:
-        """Hand over what this copy has: its duty, its copy, its vote.
+        """Hands over leadership, data and vote to other machines.
 
-        Returns once that is done, or the grace is nearly over; what it said last is out by then.
+        Returns once that is done or the grace period is nearly over; the last messages are sent by then.
         """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + max(0.0, self._tolerance.grace_s - SHUTDOWN_RESERVE_S)
@@ -237,14 +239,14 @@
         while self._replica is not None and not self._replica.left and loop.time() < deadline:
             await asyncio.sleep(TICK_INTERVAL_S)
         if self._replica is not None and not self._replica.left:
-            log.warning("Grace is over, and not all is handed over.")
+            log.warning("Grace period is over, but the handover is not complete.")
         if self._timer is not None:
             self._timer.cancel()
         self._replica = None
         await asyncio.sleep(FLUSH_S)
 
     def close(self) -> None:
-        """End in order."""
+        """Closes all connections and the disk."""
         if self._timer is not None:
             self._timer.cancel()
         self._listener.close()
--- a/troutdock/config_store/quorum_contact.py
+++ b/troutdock/config_store/quorum_contact.py
@@ -1,10 +1,10 @@
-"""Whether a primary reaches a majority, by probes that voters answer (no I/O, no clock).
+"""Contact of a primary with a majority of voters, established by probes (no I/O, no clock).
 
-A voter says yes to a probe while it has promised no higher epoch. More than half of the voters having said
-yes to probes that were sent at or after some moment means: at that moment no higher epoch could be led. So
-one and the same answer tells that this primary is not cut off, and is the barrier behind which a read is
-answered. What counts is when a probe was *sent*: a process that stood still finds old answers waiting, and
-they are old.
+A voter accepts a probe as long as it has promised no higher epoch. If more than half of the voters have
+accepted probes that were sent at or after time t, no higher epoch could be led at time t. The same
+acknowledgements therefore show that the primary is not cut off, and serve as the barrier before a read is
+answered. Only the time at which a probe was *sent* counts: a process that was suspended finds old
+acknowledgements in its sockets, and these prove nothing about the present.
 """
 
 from __future__ import annotations
@@ -14,37 +14,39 @@
 from troutdock.rpc.messages import Probe, ProbeAck
 from troutdock.config_store.replica_state import ReplicaState
 
-PROBE_INTERVAL_S = 0.3  # between two rounds of probes
-CONTACT_TIMEOUT_S = 1.0  # a primary that has no newer proof than this confirms nothing and claims nothing
-_MAX_PENDING_PROBES = 32  # of probes whose answers are still waited for
+PROBE_INTERVAL_S = 0.3  # between two rounds
+CONTACT_TIMEOUT_S = (
+    1.0  # without a confirmation this recent, a primary acknowledges no writes and does not claim to lead
+)
+_MAX_PENDING_PROBES = 32  # rounds whose acknowledgements still count
 
 
 class QuorumContact:
-    """One primary's, for the epoch that it leads."""
+    """Probes of one primary in the epoch that it leads."""
 
     def __init__(self, state: ReplicaState) -> None:
         self._state = state
         self._last_number = 0
-        self._probe_times: dict[int, float] = {}  # by number of the round
+        self._probe_times: dict[int, float] = {}  # by round: when it was sent
         self._probe_ack_times: dict[
             str, float
-        ] = {}  # by voter: when the newest probe that it said yes to was sent
+        ] = {}  # by voter: when the newest probe that it accepted was sent
         self._probed_at = -inf
-        self.accept_sent_at = -inf  # when the voters were asked to seal the epoch that is led
+        self.accept_sent_at = -inf  # when the current epoch's Accept was sent
 
-    def begin(self, asked_at: float) -> None:
-        """A new epoch is sealed: a majority has written it down after it was asked to, at that time."""
+    def begin(self, accept_sent_at: float) -> None:
+        """Starts an epoch whose record a majority has stored in reply to requests sent at accept_sent_at."""
         self._probe_times.clear()
         self._probe_ack_times.clear()
-        self._probed_at, self.accept_sent_at = -inf, asked_at
+        self._probed_at, self.accept_sent_at = -inf, accept_sent_at
 
     def tick(self) -> None:
-        """Probe when it is time."""
+        """Sends a round of probes if one is due."""
         if self._state.now - self._probed_at >= PROBE_INTERVAL_S:
             self.probe()
 
     def probe(self) -> None:
-        """Ask all voters now."""
+        """Sends a round of probes to all voters."""
         state = self._state
         self._last_number += 1
         self._probed_at = self._probe_times[self._last_number] = state.now
@@ -55,7 +57,7 @@
                 state.send(voter, Probe(state.epoch, self._last_number, state.incarnation))
 
     def on_probe_ack(self, sender: str, answer: ProbeAck) -> None:
-        """A voter's answer."""
+        """Records the acknowledgement of a voter."""
         state = self._state
         if answer.ok and answer.epoch == state.epoch and answer.life == state.incarnation:
             sent_at = self._probe_times.get(answer.number)
@@ -64,7 +66,7 @@
 
     @property
     def proven_at(self) -> float:
-        """The latest moment at which this epoch is known to have been the newest."""
+        """The latest time at which this epoch is known to have been the newest, in seconds."""
         state = self._state
         ack_times = {**self._probe_ack_times, state.me: state.now}
         voter_lists = state.voter_lists(state.durable.record)
@@ -76,5 +78,5 @@
 
     @property
     def established(self) -> bool:
-        """A majority was reached a moment ago."""
+        """Whether a majority confirmed the epoch within CONTACT_TIMEOUT_S."""
         return self._state.now - self.proven_at <= CONTACT_TIMEOUT_S
--- a/troutdock/config_store/replication.py
+++ b/troutdock/config_store/replication.py
@@ -1,8 +1,9 @@
-"""Who keeps what is confirmed: copies that a primary gives, and that a backup takes (no I/O, no clock).
+"""Replication of committed configurations from the primary to its backups (no I/O, no clock).
 
-A primary gives a snapshot when it recruits, and each further batch of orders after that; the next batch
-leaves when every backup has the one before on its disk. A backup that tells the digest of what it has is not
-sent that body again. An answer counts only for the life, the epoch and the batch that it names.
+At the start of an epoch the primary sends each backup a snapshot, and then batches of writes. The next batch
+is sent once every backup has the previous one on disk. The body is left out of a snapshot if the backup has
+reported the same version and digest. An acknowledgement counts only for the incarnation, the epoch and the
+batch number that it names.
 """
 
 from __future__ import annotations
@@ -12,31 +13,31 @@
 from troutdock.rpc.messages import NO_BODY, Replicate, ReplicateAck
 from troutdock.config_store.replica_state import ReplicaState, merge_digests, raw_body
 
-REPLICATE_TIMEOUT_S = 0.8  # for a backup to have a batch on its disk: a slow sync is some 140 ms
-MIN_BYTES_PER_S = 2e6  # a body's way to a backup's disk, bytes a second at the least: it has so much longer
+REPLICATE_TIMEOUT_S = 0.8  # for a backup to store a batch; a slow fsync takes about 140 ms
+MIN_BYTES_PER_S = 2e6  # slowest expected transfer of a body to a backup's disk; extends the timeout
 
 
 class BackupSet:
-    """A primary's view of its backups, for the epoch that it leads or tries to."""
+    """Backups of a primary in the epoch that it leads or tries to lead."""
 
-    body_size = staticmethod(len)  # of a body, in bytes; simulations of large ones have another
+    body_size = staticmethod(len)  # in bytes; simulations replace it to model large bodies
 
     def __init__(self, state: ReplicaState) -> None:
         self._state = state
         self.backups: list[str] = []
-        self.pending: dict[str, None] = {}  # backups that have not answered for the batch that was sent last
+        self.pending: dict[str, None] = {}  # backups that have not acknowledged the last batch
         self._number = 0
-        self._last_batch: Replicate | None = None  # the batch that was sent last; none: a snapshot was
+        self._last_batch: Replicate | None = None  # None after a snapshot
         self._sent_at = state.now
         self._timeout_s = REPLICATE_TIMEOUT_S
 
     @property
     def timed_out(self) -> bool:
-        """A backup has had its time for the batch."""
+        """Whether a backup has not acknowledged the last batch in time."""
         return bool(self.pending) and self._state.now - self._sent_at > self._timeout_s
 
     def timeout_s(self, body: bytes) -> float:
-        """For a backup to have that body on its disk."""
+        """Time that a backup has to store a body, in seconds."""
         return REPLICATE_TIMEOUT_S + self.body_size(body) / MIN_BYTES_PER_S
 
     def _start_batch(self, backups: Iterable[str], body: bytes) -> None:
@@ -46,14 +47,13 @@
         self.pending = dict.fromkeys(backups)
 
     def send_snapshots(self, backups: list[str]) -> None:
-        """Give these machines all that is here; they are the backups from now on."""
+        """Makes these machines the backups and sends them the whole state."""
         self.backups, self._last_batch = list(backups), None
         self._start_batch(backups, self._state.durable.body)
         for backup in backups:
             self._send_snapshot(backup, self._has_body(backup))
 
     def remove(self, backup: str) -> None:
-        """It is no backup any more."""
         self.backups = [b for b in self.backups if b != backup]
         self.pending.pop(backup, None)
 
@@ -79,7 +79,7 @@
         )
 
     def replicate(self, version: int, body: bytes, taken: list[tuple[int, str]]) -> None:
-        """Give all backups one batch, and keep it here. version: the newest configuration with it."""
+        """Sends a batch to all backups and saves it here; version is the newest one after the batch."""
         state = self._state
         is_newer = version > state.durable.version
         self._start_batch(self.backups, body if is_newer else b"")
@@ -94,7 +94,7 @@
         state.save(taken=merge_digests(state.durable.taken, taken), **changes)
 
     def resend(self, peer: str) -> None:
-        """A new way to that machine: what it has not answered may be lost with the one before."""
+        """Sends the last batch again over a new connection; it may have been lost with the previous one."""
         if peer in self.pending:
             if self._last_batch is not None:
                 self._state.send(peer, self._last_batch)
@@ -102,7 +102,10 @@
                 self._send_snapshot(peer, False)
 
     def on_ack(self, sender: str, answer: ReplicateAck) -> bool:
-        """A backup has it, or lacks the body; false: it is no answer to what was sent last."""
+        """Handles an acknowledgement; returns whether it belongs to the last batch.
+
+        A backup that lacks the body gets the snapshot with the body.
+        """
         state = self._state
         if (answer.epoch, answer.number, answer.life) != (state.epoch, self._number, state.incarnation):
             return False
@@ -116,7 +119,14 @@
 
 
 def apply_replicate(state: ReplicaState, sender: str, request: Replicate, is_leader: bool) -> bool:
-    """The backup's side: keep it, or say why not; true once it is kept. leads: this one leads that epoch."""
+    """Applies a batch or a snapshot on a backup and answers it.
+
+    Args:
+        is_leader: whether this replica leads the epoch itself, or tries to.
+
+    Returns:
+        Whether the message was applied.
+    """
     durable = state.durable
     acceptable = (
         request.epoch >= max(durable.promised, durable.given)
@@ -134,7 +144,7 @@
                 _answer(state, sender, request, False, lacks=True)
                 return False
             body = durable.body
-        # a blank machine may hold a copy: it promises nothing by that
+        # a blank machine may store a replica, but makes no promise by that
         changes = {} if durable.blank else {"promised": request.epoch}
         taken = merge_digests((), request.taken)
         changes |= {"version": request.version, "body": body, "given": request.epoch, "taken": taken}
--- a/troutdock/config_store/storage.py
+++ b/troutdock/config_store/storage.py
@@ -1,19 +1,21 @@
-"""What a replica keeps, on sqlite: one writer, synced before it returns.
-
-A file that can't be read as a store is set aside, never read as data: the replica then starts as one whose
-disk was lost, and is given everything anew. Schema versions stand in `user_version`, with a step from each
-to the next.
-
-After a loss of power each name that was made, renamed or removed since its folder was synced may be there or
-not, by itself. The store is two files, the database and its log (`-wal`, which sqlite syncs with each commit,
-and its folder with the first); what was committed may lie in the log alone. So that a database without its
-log never passes for the newest state, a third file, LOGGED, says that there must be one: it is made and
-synced once the log lasts, and goes, with a sync of the folder, before sqlite takes the log away at the end in
-order. A file that is set aside gets its new name, synced, before its log does, and both before a new one is
-made. Where a part is missing the disk counts as lost.
-
-What is kept is bounded: HISTORY configurations, HISTORY_BYTES besides the newest; older ones make room before
-the new one is written; the log is cut to LOG_BYTES after each checkpoint; one damaged file stays.
+"""Durable state of a replica in SQLite: one writer, each commit synced before save() returns.
+
+A file that cannot be read as a store is renamed (quarantined) and never used as data: the replica then starts
+like one whose disk was lost, and gets its state from the others. The schema version is kept in
+`user_version`, with one migration from each version to the next.
+
+After a power loss, each name that was created, renamed or removed since the last fsync of its directory may
+or may not be there, independently of the others. The store consists of two files, the database and its
+write-ahead log (`-wal`, which SQLite syncs with each commit, and its directory with the first). The newest
+commits may be in the log alone. So that a database without its log is never taken for the newest state, a
+third file, WAL_MARKER, tells that the log must exist. The marker is created and synced once the log is
+durable. On an orderly close it is removed, and the directory synced, before SQLite removes the log. A
+quarantined database is renamed, and the directory synced, before its log is renamed, and both before a new
+store is created. If a part is missing, the disk counts as lost.
+
+Disk usage is bounded: MAX_HISTORY configurations, and MAX_HISTORY_BYTES of them beside the newest; older ones
+are deleted before a new one is written. The log is truncated to MAX_WAL_BYTES after each checkpoint. Only the
+last quarantined file is kept.
 """
 
 from __future__ import annotations
@@ -30,11 +32,11 @@
 from troutdock.config_store.replica_state import DurableState
 
 FILE = "rootstock.db"
-WAL_MARKER = "rootstock.logged"  # where it is, the database is not whole without its log
+WAL_MARKER = "rootstock.logged"  # while it exists, the database is incomplete without its log
 SCHEMA_VERSION = 2
-MAX_HISTORY = 32  # versions that are kept, the newest among them, for operators to look at
-MAX_HISTORY_BYTES = 24 * 1024 * 1024  # of their bodies, without the newest's
-MAX_WAL_BYTES = 1024 * 1024  # of the log, once what it holds lies in the database too
+MAX_HISTORY = 32  # stored versions including the newest, for inspection by operators
+MAX_HISTORY_BYTES = 24 * 1024 * 1024  # of stored bodies, without the newest
+MAX_WAL_BYTES = 1024 * 1024  # of the log after a checkpoint
 _SCHEMA_1 = (
     "CREATE TABLE state (only INTEGER PRIMARY KEY CHECK (only = 1), promised INTEGER NOT NULL,"
     " record TEXT,"
@@ -47,23 +49,23 @@
 
 
 class _CorruptionError(sqlite3.DatabaseError):
-    """It can't be read as a store."""
+    """The file cannot be read as a store."""
 
 
 def _row_checksum(*fields: object) -> str:
-    """What tells that a row is as it was written: sqlite finds broken pages, not changed bytes."""
+    """Checksum of a row; SQLite detects malformed pages, but not changed bytes in them."""
     return blake2b(repr(fields).encode(), digest_size=12).hexdigest()
 
 
 def _body_checksum(version: int, body: bytes) -> str:
-    """The same for a configuration, without a copy of its body."""
+    """Checksum of a configuration, computed without a copy of its body."""
     found = blake2b(b"%d:" % version, digest_size=12)
     found.update(body)
     return found.hexdigest()
 
 
 def upgrade_record_v1(record: str | None) -> str | None:
-    """A record's JSON of schema 1, [epoch, primary, backup, ...], with a list of backups in third place."""
+    """Converts a record of schema 1, [epoch, primary, backup, ...], to one with a list of backups."""
     if record is None:
         return None
     fields = msgspec.json.decode(record, type=list)
@@ -78,14 +80,14 @@
 
 
 def _migrate_1(db: sqlite3.Connection) -> None:
-    """Records name a list of backups, `taken` is new, marks of bodies are made without repr."""
+    """Migrates to schema 2: records list backups, `taken` is added, body checksums are made without repr."""
     db.execute("ALTER TABLE state ADD COLUMN taken TEXT NOT NULL DEFAULT '[]'")
     row = db.execute("SELECT promised, record, version, voters, blank, given, mark FROM state").fetchone()
     newest = 0
     if row is not None:
         *fields, checksum = row
         if _row_checksum(*fields) != checksum:
-            raise _CorruptionError("malformed: the state does not fit its mark")
+            raise _CorruptionError("malformed: the state does not match its checksum")
         fields[1], newest = upgrade_record_v1(fields[1]), fields[2]
         db.execute("UPDATE state SET record = ?, mark = ?", (fields[1], _row_checksum(*fields, "[]")))
     for (version,) in db.execute("SELECT version FROM configurations").fetchall():
@@ -94,7 +96,7 @@
             checksum = _body_checksum(version, found[0])
             db.execute("UPDATE configurations SET mark = ? WHERE version = ?", (checksum, version))
         elif version == newest:
-            raise _CorruptionError(f"malformed: version {version} is spoilt")
+            raise _CorruptionError(f"malformed: version {version} does not match its checksum")
         else:
             db.execute("DELETE FROM configurations WHERE version = ?", (version,))
 
@@ -103,7 +105,7 @@
 
 
 def _fsync_directory(directory: Path) -> None:
-    """Names that were made, renamed or removed there last from now on."""
+    """Makes preceding changes of names in the directory durable."""
     fd = os.open(directory, os.O_RDONLY | os.O_DIRECTORY)
     try:
         os.fsync(fd)
@@ -119,31 +121,36 @@
 
 
 def _is_corruption(error: sqlite3.DatabaseError) -> bool:
-    """The file is at fault, and trying again is of no use."""
+    """Whether the error shows a damaged file, so that a retry is useless."""
     if not isinstance(error, sqlite3.OperationalError):
         return True
     return any(w in str(error) for w in ("malformed", "no such table", "no such column", "already exists"))
 
 
 class DiskError(OSError):
-    """The disk refuses or what lies on it is damaged."""
+    """The disk cannot be read or written."""
 
 
 class Disk:
-    """The store's file in a folder. None as the folder: kept in memory only, for tests and for what-if."""
+    """Database file of the store in a directory; in memory if the directory is None (tests, simulations)."""
 
     def __init__(self, directory: Path | None) -> None:
         self._path = directory / FILE if directory is not None else None
         self._db: sqlite3.Connection | None = None
-        self._version = -1  # of the newest configuration in the file
+        self._version = -1  # newest configuration in the file
         self._body = b""
-        self._checkpointed = (
-            False  # the last close left all in the database, though LOGGED could not be removed
-        )
-        self.quarantined: Path | None = None  # a damaged file's new name
+        self._checkpointed = False  # the last close completed the database, but could not remove WAL_MARKER
+        self.quarantined: Path | None = None  # new path of a damaged file
 
     def open(self) -> DurableState | None:
-        """What is kept, None for nothing; DiskError if the disk refuses."""
+        """Opens the file; a damaged file is quarantined and replaced by an empty one.
+
+        Returns:
+            The stored state, or None if there is none.
+
+        Raises:
+            DiskError: The disk cannot be read or written.
+        """
         try:
             return self._open()
         except sqlite3.DatabaseError as error:
@@ -170,7 +177,7 @@
             check_same_thread=False,
         )
         self._db = db
-        # one process has the file, so there is nothing to share; a commit is one sync of the log
+        # only one process uses the file, so no shared memory is needed; a commit is one fsync of the log
         db.execute("PRAGMA locking_mode = EXCLUSIVE")
         db.execute("PRAGMA journal_mode = WAL")
         db.execute("PRAGMA synchronous = FULL")
@@ -194,11 +201,11 @@
         return durable
 
     def _check_files(self, path: Path) -> None:
-        """A database without the log that belongs to it is spoilt; what is left of one that is gone, goes."""
+        """Rejects a database whose log is missing; removes leftover files if there is no database."""
         marker, wal = path.with_name(WAL_MARKER), Path(f"{path}-wal")
         if path.exists() and path.stat().st_size:
             if marker.exists() and not self._checkpointed and not (wal.exists() and wal.stat().st_size):
-                raise _CorruptionError("malformed: the log is missing")
+                raise _CorruptionError("malformed: the write-ahead log is missing")
             return
         stale = [p for p in (path, wal, Path(f"{path}-journal"), Path(f"{path}-shm"), marker) if p.exists()]
         for each in stale:
@@ -208,7 +215,9 @@
 
     def _create_wal_marker(self, path: Path, db: sqlite3.Connection) -> None:
         self._checkpointed = False
-        db.execute(f"PRAGMA user_version = {SCHEMA_VERSION}")  # a commit: the log is there, and synced
+        db.execute(
+            f"PRAGMA user_version = {SCHEMA_VERSION}"
+        )  # a commit, so that the log exists and is synced
         _fsync_directory(path.parent)
         fd = os.open(path.with_name(WAL_MARKER), os.O_WRONLY | os.O_CREAT)
         try:
@@ -226,7 +235,7 @@
             return None
         *fields, checksum = row
         if _row_checksum(*fields) != checksum:
-            raise _CorruptionError("malformed: the state does not fit its mark")
+            raise _CorruptionError("malformed: the state does not match its checksum")
         promised, record, version, voters, blank, given, taken = fields
         body = b""
         if version:
@@ -234,7 +243,9 @@
                 "SELECT body, mark FROM configurations WHERE version = ?", (version,)
             ).fetchone()
             if durable is None or _body_checksum(version, durable[0]) != durable[1]:
-                raise _CorruptionError(f"malformed: version {version} is missing or spoilt")
+                raise _CorruptionError(
+                    f"malformed: version {version} is missing or does not match its checksum"
+                )
             body = durable[0]
         self._version, self._body = version, body
         return DurableState(
@@ -257,7 +268,9 @@
         numbers = [int(p.suffix[8:]) for p in older if p.suffix[8:].isdigit()]
         target = self._path.with_suffix(f".damaged{max(numbers, default=0) + 1}")
         self._path.rename(target)
-        _fsync_directory(directory)  # before its log: the old name must not come back without it
+        _fsync_directory(
+            directory
+        )  # before the log is renamed: the old name must not reappear without its log
         for path in directory.glob(FILE + "-*"):
             path.rename(Path(str(target) + path.name[len(FILE) :]))
         self._path.with_name(WAL_MARKER).unlink(missing_ok=True)
@@ -268,7 +281,11 @@
         self.quarantined = target
 
     def save(self, durable: DurableState) -> None:
-        """Keep it; DiskError, and nothing is known of what is kept, if the disk refuses."""
+        """Writes the state and syncs it.
+
+        Raises:
+            DiskError: The write failed; it is unknown which state is stored.
+        """
         db = self._db
         if db is None:
             raise DiskError("not open")
@@ -305,12 +322,12 @@
             )
             db.execute("COMMIT")
         except sqlite3.Error as error:
-            self.close()  # what the next commit would say of this one can't be known
+            self.close()  # a later commit would not tell whether this one is durable
             raise DiskError(f"can't be written: {error}") from error
         self._version, self._body = durable.version, durable.body
 
     def _prune_history(self, db: sqlite3.Connection, version: int) -> None:
-        """For a configuration of this version: none at or above it stays, and no more below than is kept."""
+        """Deletes all versions at or above the given one, and the oldest below it beyond the limits."""
         below = db.execute(
             "SELECT version, length(body) FROM configurations WHERE version < ? ORDER BY version DESC",
             (version,),
@@ -324,7 +341,7 @@
         db.execute("DELETE FROM configurations WHERE version <= ? OR version >= ?", (last, version))
 
     def close(self) -> None:
-        """Let the file go."""
+        """Closes the file."""
         db, self._db = self._db, None
         if db is None:
             return
@@ -336,7 +353,7 @@
             self._path.with_name(WAL_MARKER),
             Path(f"{self._path}-wal"),
         )
-        # not needed any more, and lastingly so, before sqlite takes the log away
+        # the marker must be durably removed before SQLite deletes the log
         with contextlib.suppress(OSError):
             marker.unlink(missing_ok=True)
             _fsync_directory(directory)
--- a/troutdock/config_store/voter_changes.py
+++ b/troutdock/config_store/voter_changes.py
@@ -1,8 +1,8 @@
-"""Who votes and who keeps copies: which change of these would bear more (no I/O, no clock).
+"""Selection of voters and backups that would tolerate more losses (no I/O, no clock).
 
-Nothing is changed here: an active primary asks what is better than it stands, and seals a record that says
-so, one voter at a time. The old list of voters is dropped only by a later record, so that of any two lists
-that can decide, one was written down by more than half of the other.
+The functions only propose: an active primary compares the proposal with the current members and puts it into
+a new record, one change of voter at a time. The previous list of voters is dropped only by a later record, so
+that of any two voter lists that can decide, one was stored by more than half of the other.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 def spare_machines(state: ReplicaState) -> list[str]:
-    """Machines that do not vote, and could."""
+    """Available machines that could become voters."""
     voters = state.voters
     found = [
         peer
@@ -25,7 +25,7 @@
 
 
 def lost_voters(state: ReplicaState) -> list[str]:
-    """Voters that are leaving, then those that were not heard for too long."""
+    """Voters that are leaving, followed by those that have been silent for too long."""
     voters = [v for v in state.voters if v != state.me]
     leaving = [v for v in voters if state.is_alive(v) and not state.is_available(v)]
     silent = [v for v in voters if state.now - state.last_seen_at(v) > state.tolerance.voter_timeout_s]
@@ -33,7 +33,7 @@
 
 
 def next_voters(state: ReplicaState) -> tuple[list[str], str] | None:
-    """The voters that would be better, and why; None where they are as good as they can be."""
+    """Proposes a change of one voter, with the reason for the log; None if there is no better choice."""
     voters, free = state.voters, spare_machines(state)
     if not free:
         return None
@@ -41,9 +41,9 @@
     replaced = lost_voters(state)[:1]
     if not replaced and len(voters) < state.tolerance.voter_count:
         joining = _best_spare(state, free, domains)
-        return [*voters, joining], f"{joining} votes as well"
+        return [*voters, joining], f"{joining} becomes a voter"
     if not replaced and state.tolerance.requires_spread:
-        # more than half in one place, whose loss is to be borne
+        # more than half of the voters are in one failure domain, whose loss must be tolerated
         overfull = next((p for p in domains if p is not None and domains.count(p) * 2 > len(domains)), None)
         outside = [p for p in free if state.domains.get(p) not in (None, overfull)]
         if overfull is not None and outside:
@@ -55,7 +55,7 @@
         return None
     remaining = [state.domains.get(v) for v in voters if v not in replaced]
     joining = _best_spare(state, free, remaining)
-    return [joining if v in replaced else v for v in voters], f"{joining} votes in place of {replaced[0]}"
+    return [joining if v in replaced else v for v in voters], f"{joining} replaces voter {replaced[0]}"
 
 
 def _best_spare(state: ReplicaState, free: list[str], domains: list[str | None]) -> str:
@@ -63,12 +63,12 @@
 
 
 def required_replicas(state: ReplicaState) -> int:
-    """Copies without which nothing is confirmed: as many as are left whenever a majority of voters is."""
+    """Replicas required to commit: as many as are left whenever a majority of voters is left."""
     return min(state.tolerance.replica_count, len(state.voters) // 2 + 1)
 
 
 def choose_backups(state: ReplicaState, excluded: list[str]) -> list[str]:
-    """Who would best keep copies beside this machine, of those that are there."""
+    """Selects the best backups for this machine among the available peers."""
     record = state.durable.record
     former = record.replicas if record is not None else []
     voters = state.voters
@@ -96,24 +96,27 @@
 
 
 def count_domains(state: ReplicaState, machines: list[str]) -> int:
-    """In how many places these stand; one whose place is not known stands by itself."""
+    """Number of failure domains of the machines; a machine without a known domain counts as its own."""
     return len({state.domains.get(m, m) for m in machines})
 
 
-def unmet_tolerance(state: ReplicaState, copies: list[str]) -> list[str]:
-    """What operators should know: which of the losses that the settings name would cost something."""
+def unmet_tolerance(state: ReplicaState, replicas: list[str]) -> list[str]:
+    """Describes for operators which of the configured losses are not tolerated at present."""
     tolerance, voters = state.tolerance, state.voters
     domains = [state.domains.get(v, v) for v in voters]
     found = []
-    if len(copies) < tolerance.replica_count:
-        found.append(f"{len(copies)} of {tolerance.replica_count} copies")
-    if tolerance.requires_spread and count_domains(state, copies) < min(len(copies), tolerance.losses + 1):
+    if len(replicas) < tolerance.replica_count:
+        found.append(f"{len(replicas)} of {tolerance.replica_count} replicas")
+    if tolerance.requires_spread and count_domains(state, replicas) < min(
+        len(replicas), tolerance.losses + 1
+    ):
         found.append(
-            f"copies lie in {count_domains(state, copies)} place" + "s" * (count_domains(state, copies) > 1)
+            f"replicas are in {count_domains(state, replicas)} failure domain"
+            + "s" * (count_domains(state, replicas) > 1)
         )
     if tolerance.requires_spread and any(domains.count(p) * 2 > len(domains) for p in domains):
-        found.append("more than half of the voters stand in one place")
+        found.append("more than half of the voters are in one failure domain")
     if len(voters) < tolerance.voter_count:
         tolerated = (len(voters) - 1) // 2
-        found.append(f"{len(voters)} voters: changes stop with the loss of {tolerated + 1}")
+        found.append(f"{len(voters)} voters: a loss of {tolerated + 1} stops writes")
     return found
