--- a/tests/system/test_event_traces.py
+++ b/tests/system/test_event_traces.py
@@ -29,24 +29,27 @@
         # the first machine returns without its disk and promises nothing until the others have reported
         (
             "store-first-primary",
-            ["Founded", "Tolerates losses: 1", "Primary under epoch 2", "In force: r5.", ": kept."],
+            ["Bootstrapped", "Tolerates losses: 1", "Primary of epoch 2", "In force: r5.", ": kept."],
         ),
         (
             "store-backup-takes-over",
             [
-                "Founded",
+                "Bootstrapped",
                 "Tolerates losses: 1",
-                "Primary under epoch 3",
+                "Primary of epoch 3",
                 "In force: r5.",
                 "In force: r9.",
                 ": kept.",
                 "has promised a higher epoch",
-                "Primary under epoch 68",
+                "Primary of epoch 68",
                 "In force: r12.",
                 ": kept.",
             ],
         ),
-        ("store-wiped", ["No disk of before", "Tolerates losses: 1", "The others have told: epoch 67"]),
+        (
+            "store-wiped",
+            ["No stored state", "Tolerates losses: 1", "Voters have reported their promises: epoch 67"],
+        ),
     ],
 )
 def test_replaying_a_recorded_failure_gives_the_same_actions(name: str, expected: list[str]) -> None:
--- a/troutdock/config_store/daemon.py
+++ b/troutdock/config_store/daemon.py
@@ -67,9 +67,8 @@
         self._domains = {boot.ip: self._domain(boot.zone)}
         self._connectors: dict[str, Connector] = {}
         self._registries: dict[PeerConnection, str] = {}  # with the name by which the replica knows each
-        self._callers: dict[
-            str, PeerConnection
-        ] = {}  # by that name: an answer is sent only on the connection of its request
+        # by that name: an answer is sent only on the connection of its request
+        self._callers: dict[str, PeerConnection] = {}
         self._last_caller_number = 0
         self._listener = Listener(self._accept_connection)
         self._timer: asyncio.TimerHandle | None = None
--- a/troutdock/config_store/quorum_contact.py
+++ b/troutdock/config_store/quorum_contact.py
@@ -28,9 +28,8 @@
         self._state = state
         self._last_number = 0
         self._probe_times: dict[int, float] = {}  # by round: when it was sent
-        self._probe_ack_times: dict[
-            str, float
-        ] = {}  # by voter: when the newest probe that it accepted was sent
+        # by voter: when the newest probe that it accepted was sent
+        self._probe_ack_times: dict[str, float] = {}
         self._probed_at = -inf
         self.accept_sent_at = -inf  # when the current epoch's Accept was sent
 
--- a/troutdock/config_store/replica.py
+++ b/troutdock/config_store/replica.py
@@ -1,48 +1,50 @@
-"""One copy of the store: who leads, and how its parts meet (no I/O, no clock).
-
-Theory of operation. The newest configuration lies on some machines, a primary and its backups, one more than
-losses are to be borne; a confirmation means that it is synced on all of them. A *record* names them: (epoch,
-primary, backups). Voters keep nothing but the highest epoch that they have promised and the newest record; a
-record holds once more than half of them have it on disk. Configurations go through no log: the primary hands
-each to its backups.
-
-    founding  at the first start, with empty disks, every seed writes down (1, first seed, other seeds)
-    idle      not the primary, or not yet
-    asks      has asked voters to promise a higher epoch; more than half must
-    recruits  gives its backups all that it has, whole, under that epoch
-    seals     the record is being written down by the voters
-    active    the record holds: takes orders, a batch after the other
-
-The parts, each pure, each using only those before it: replica_state (disk, peers, what is to be done),
-quorum_contact (does the primary reach a majority), voter_changes (who should vote and keep copies),
-replication (giving and taking them), configuration_requests (writes and reads); this module moves between
-the stages and hands each event to its part.
-
-Rules that make it safe, each against a loss that was borne in tests:
-
-1. Only a machine that the newest record that a majority tells of names may lead the next epoch: all of them
-   hold all that was confirmed before, as each confirmation needed all.
-2. A backup that has promised a higher epoch takes nothing from the old primary, so that this confirms no
-more.
-3. A machine without its disk (`blank`) promises nothing until so many voters have told it what they promised
-   that every majority which its forgotten promise was part of has a voter among them; then it begins above
-   any epoch that it can have promised to somebody of whom they had not heard (UNHEARD). It never leads until
-   recruited.
-4. A configuration is in force once it is on every copy. What a new primary finds on its own disk gets there
-with
-   the recruiting; whether it was confirmed is not known, and from then on it stays.
-5. What the newest configuration is, is told after more than half of the voters have said that the epoch is
-the
-   newest: a deposed primary can't. A primary that reaches no majority confirms and claims nothing (contact).
-6. A voter that hears the active primary promises nobody else anything; and nobody asks for an epoch who does
-not
-   hear more than half of the voters, or who hears an active primary. Guards against a pair that is deposed
-   again and again by a machine that merely can't hear it, or that was away.
-7. What is merely told of a record that no active primary stands for doesn't take the lead from a machine that
-   holds all under the record that it knows: the voters decide when it asks.
-
-What was promised, recorded or kept goes to the disk before the answer leaves (Save comes before Send). A
-failed save ends the replica's part until it has been started anew. Times are seconds of a steady clock.
+"""Replica of the configuration store: leader election, replication and membership (no I/O, no clock).
+
+Theory of operation. The newest configuration is stored on some machines, a primary and its backups, one more
+than the number of losses to tolerate. A write is acknowledged once it is synced on all of them. A membership
+*record* names them: (epoch, primary, backups, voters). Voters store only the highest epoch that they have
+promised and the newest record; a voter that is neither primary nor backup is a witness. A record is valid
+once more than half of the voters have it on disk. There is no replicated log of configurations: the primary
+sends each one to its backups.
+
+    bootstrap  at the very first start, with empty disks, every seed stores the record (1, first seed, other
+               seeds)
+    IDLE       not the primary
+    PREPARING  candidate: has asked voters to promise a higher epoch; more than half of them must
+    COPYING    sends the backups a snapshot of the whole state under that epoch
+    ACCEPTING  the voters store the new record
+    ACTIVE     the record is valid: accepts writes, one batch at a time
+
+The parts are free of I/O, and each uses only those before it: replica_state (durable state, peers, pending
+actions), quorum_contact (whether the primary reaches a majority), voter_changes (selection of voters and
+backups), replication (sending and applying data), configuration_requests (writes and reads). This module
+handles the transitions between the stages and passes each event to its part.
+
+Safety rules, each with the loss in tests that it prevents:
+
+1. Only a machine named as primary or backup by the newest record that a majority reports may lead the next
+   epoch. All of these store everything committed before, because each commit needed all of them.
+2. A backup that has promised a higher epoch rejects the messages of the old primary, so that the old primary
+   cannot commit any more.
+3. A machine without its disk (`blank`) promises nothing until enough voters have reported what they promised:
+   every majority that its forgotten promise was part of must have a voter among them. It then continues above
+   any epoch that it can have promised to a candidate of which they had not heard (MAX_UNSEEN_EPOCHS). It does
+   not lead until a primary has sent it a snapshot.
+4. A configuration is committed once it is on every replica. What a new primary finds on its own disk reaches
+   every replica with the snapshots. Whether it had been acknowledged is unknown; from then on it is
+   committed.
+5. A read of the newest configuration is answered only after more than half of the voters have confirmed that
+   the epoch is the newest, which a deposed primary cannot achieve. A primary that reaches no majority
+   acknowledges no writes and does not claim to lead (quorum_contact).
+6. A voter that hears the active primary promises nothing to other candidates. A machine does not become a
+   candidate unless it hears more than half of the voters, nor while it hears an active primary. Guards
+   against a primary and backup that are deposed again and again by a machine that merely cannot hear them,
+   or that was away.
+7. A record that was only reported in a status, and that no active primary claims, does not take leadership
+   away from a machine that stores everything under the record it knows: the voters decide when it asks.
+
+Promises, records and configurations are synced before the answer is sent (Save comes before Send). A failed
+save stops the replica until it is restarted from disk. Times are seconds of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -85,25 +87,23 @@
     ReplicaState,
 )
 
-BOOTSTRAP_WAIT_S = 3.0  # from the first start until another than the first seed may lead
-STATUS_INTERVAL_S = 0.3  # between two tellings of what one is
-PRIMARY_TIMEOUT_S = (
-    2.0  # for a primary that is heard to be active again; each further backup in turn has more
-)
-SUCCESSION_STEP_S = 0.3  # between two backups that might lead
-PHASE_TIMEOUT_S = 0.8  # for all answers of one step: a slow sync is some 140 ms, and a call has 5 s in all
-RESEND_INTERVAL_S = 0.15  # until who has not answered is asked again
-ELECTION_BACKOFF_S = (
-    0.35  # after a step that failed, before the next try; the machine's place in the order adds to it
-)
-MIN_MEMBERSHIP_INTERVAL_S = (
-    0.3  # between two changes of members, each of which stops changes for some hundredths
-)
-REBALANCE_DELAY_S = 2.0  # until an epoch is begun only because another one would be better placed
-MAX_UNSEEN_EPOCHS = 64  # epochs that candidates may have asked for while nobody heard of it: one a try
+BOOTSTRAP_WAIT_S = 3.0  # from the very first start until a seed other than the first may lead
+STATUS_INTERVAL_S = 0.3
+# until a primary that is heard, but not active, is replaced; later backups wait longer
+PRIMARY_TIMEOUT_S = 2.0
+SUCCESSION_STEP_S = 0.3  # added for each backup in the order of succession
+# for all answers of one phase; a slow fsync takes about 140 ms, and a client waits 5 s in all
+PHASE_TIMEOUT_S = 0.8
+RESEND_INTERVAL_S = 0.15  # until a request without an answer is sent again
+# after a failed phase, before the next attempt; the machine's index in the voter list adds to it
+ELECTION_BACKOFF_S = 0.35
+# between changes of membership, as each one stops writes for some hundredths of a second
+MIN_MEMBERSHIP_INTERVAL_S = 0.3
+REBALANCE_DELAY_S = 2.0  # until a new epoch is started only for better placement
+MAX_UNSEEN_EPOCHS = 64  # epochs that candidates may have asked for unnoticed, one per attempt
 
 
-EVENTS = ("tick", "hear", "linked", "meet", "leave", "take")  # a replica's methods that change it
+EVENTS = ("tick", "hear", "linked", "meet", "leave", "take")  # methods of Replica that traces record
 
 
 def trace_header(
@@ -115,7 +115,7 @@
     tolerance: FaultTolerance,
     incarnation: int,
 ) -> dict[str, Any]:
-    """The first line of a replica's trace; again() makes the replica of it."""
+    """Returns the first line of a replica's trace; replica_from_trace() is its inverse."""
     stored = (
         msgspec.to_builtins({**asdict(durable), "body": durable.body.decode()})
         if durable is not None
@@ -126,7 +126,11 @@
 
 
 def replica_from_trace(header: Mapping[str, Any]) -> Replica:
-    """The replica that a trace begins with. ValueError, KeyError if its first line is no replica's."""
+    """Creates the replica in the state at the beginning of a trace.
+
+    Raises:
+        ValueError, KeyError: The header is not that of a replica.
+    """
     stored = header["kept"]
     if stored is not None:
         stored = msgspec.convert({**stored, "body": b""}, DurableState, strict=False)
@@ -138,7 +142,7 @@
 
 
 class Stage(Enum):
-    """What this replica is at."""
+    """Stage of leadership; see the module documentation."""
 
     IDLE = "idle"
     PREPARING = "asks"
@@ -148,7 +152,10 @@
 
 
 class Replica:
-    """Hand it every event with the time; carry out what it gives back, in order."""
+    """State machine of one replica.
+
+    Each method that takes an event and its time returns actions, which the caller executes in order.
+    """
 
     def __init__(
         self,
@@ -160,7 +167,17 @@
         tolerance: FaultTolerance | None = None,
         incarnation: int = 0,
     ) -> None:
-        """kept: what the disk holds, None for nothing. first_start: of the whole system."""
+        """Creates a replica.
+
+        Args:
+            me: address of this machine.
+            seeds: addresses of the seed machines.
+            durable: state on disk, None if there is none.
+            first_start: whether this is the very first start of the whole system.
+            now: time of the monotonic clock, in seconds.
+            tolerance: losses to tolerate, and times.
+            incarnation: number of this process start; higher than any before.
+        """
         self.me = me
         state = self._state = ReplicaState(
             me, tolerance or FaultTolerance(), incarnation, durable or DurableState(), now
@@ -169,30 +186,30 @@
         self._backup_set = BackupSet(state)
         self._requests = ClientRequests(state, self._contact)
         self.stage = Stage.IDLE
-        self.left = False  # after leave(): what was here is elsewhere, the process may end
+        self.left = False  # after leave(): the handover is complete and the process may end
         self._leaving = False
-        self._last_active_epoch = 0  # the record under which this life was active last
+        self._last_active_epoch = 0  # in which this incarnation was active last
         self._accept_sent_at = self._active_since = -inf
-        self._logged_gaps: list[str] = []  # what operators were told is not borne
-        self._next_voters: list[str] = []  # who is to vote under the next record, where that changes
-        self._votes: dict[str, Record | None] = {}  # who has promised or accepted, and the record each told
+        self._logged_gaps: list[str] = []  # losses not tolerated, as logged last
+        self._next_voters: list[str] = []  # voters of the next record, if they change
+        # voters that promised or accepted, with the record each reported
+        self._votes: dict[str, Record | None] = {}
         self._prepare_sent_to: set[str] = set()
         self._phase_deadline = self._resend_at = -inf
         self._election_not_before = now + PEER_TIMEOUT_S
         self._status_sent_at = -inf
-        self._last_promise = 0, "", 0  # the epoch that was promised last in this life, to whom, and its life
-        self._excluded_backups: list[str] = []  # backups that did not answer in this try
-        self._backup_failed_at: dict[str, float] = {}  # and when each did not
-        self._peer_statuses: dict[
-            str, Status
-        ] = {}  # since the start, by voters that have not lost their disk
-        self._logged_contact = False  # as operators were told
-        self._primary_seen_at = now  # an active primary was heard last, or this life began
+        self._last_promise = 0, "", 0  # by this incarnation: epoch, candidate and its incarnation
+        self._excluded_backups: list[str] = []  # that did not answer in this attempt
+        self._backup_failed_at: dict[str, float] = {}  # time of the last failure to answer
+        # since the start, from machines that have not lost their disk
+        self._peer_statuses: dict[str, Status] = {}
+        self._logged_contact = False  # contact with a majority, as logged last
+        self._primary_seen_at = now  # last status of an active primary, or start of this incarnation
         if durable is not None:
-            if durable.version and not durable.digest:  # a disk of before digests were kept
+            if durable.version and not durable.digest:  # written before digests were stored
                 state.durable = replace(durable, taken=((durable.version, body_digest(durable.body)),))
             if durable.record is not None and durable.record.primary == me:
-                self._election_not_before = now  # nobody else is to be waited for
+                self._election_not_before = now  # no other machine takes precedence
         elif first_start and seeds:
             founders = list(dict.fromkeys(seeds))
             record = Record(1, founders[0], founders[1:], founders)
@@ -201,26 +218,26 @@
             if me == founders[0]:
                 self._election_not_before = now
             else:
-                self._election_not_before = now + BOOTSTRAP_WAIT_S  # the first seed may start somewhat later
-            state.log(f"Founded: {', '.join(founders)}.")
+                self._election_not_before = now + BOOTSTRAP_WAIT_S  # the first seed may start a little later
+            state.log(f"Bootstrapped: {', '.join(founders)}.")
         else:
-            state.log("No disk of before: nothing is promised until the others have told.")
+            state.log("No stored state: no promises are made until the other voters have reported theirs.")
         tolerance = state.tolerance
         state.log(
             f"Tolerates losses: {tolerance.losses}; {tolerance.replica_count} replicas,"
             f" {tolerance.voter_count} voters."
         )
 
-    # ---- what is asked of it
+    # ---- events
 
     def take(self) -> list[Action]:
-        """What is to be done since the last time."""
+        """Returns and clears the pending actions."""
         state = self._state
         actions, state.actions = state.actions, []
         return actions
 
     def tick(self, now: float) -> list[Action]:
-        """Time has gone by: some ten times a second."""
+        """Handles the passing of time; call it at least ten times a second."""
         self._state.now = now
         if now - self._status_sent_at >= STATUS_INTERVAL_S:
             self._send_status()
@@ -242,7 +259,7 @@
         return self.take()
 
     def hear(self, now: float, sender: str, message: Message) -> list[Action]:
-        """Another replica's word, or a call of a registry; what is out of place changes nothing."""
+        """Handles a message of another replica or a client; ignores messages that are out of place."""
         state = self._state
         state.now = now
         match message:
@@ -255,7 +272,7 @@
             case Replicate():
                 applied = replication.apply_replicate(state, sender, message, self._claims(message.epoch))
                 if applied and message.whole and self.stage is not Stage.IDLE:
-                    self._step_down(f"{sender} leads under epoch {message.epoch}")
+                    self._step_down(f"{sender} leads epoch {message.epoch}")
             case ReplicateAck():
                 self._on_replicate_ack(sender, message)
             case Accept():
@@ -286,7 +303,7 @@
         return self.take()
 
     def linked(self, now: float, peer: str) -> list[Action]:
-        """There is a way to another replica now: it is told at once what this one is, and is asked."""
+        """Handles a new connection to a peer: sends it the status and any request without an answer."""
         self._state.now = now
         self.meet(peer)
         self._state.send(peer, self.status)
@@ -297,7 +314,7 @@
         return self.take()
 
     def meet(self, peer: str, domain: str = "") -> None:
-        """Another core machine is there, or may be; or where this one stands: a zone, or a region."""
+        """Registers a machine of the store; or the failure domain (zone or region) of a machine."""
         state = self._state
         if domain:
             state.domains[peer] = domain
@@ -305,21 +322,21 @@
             state.peers.setdefault(peer, Peer(discovered_at=state.now))
 
     def leave(self, now: float) -> list[Action]:
-        """The process ends in order: its duty, its copy and its vote are handed over.
+        """Starts an orderly exit: leadership, data and vote are handed over.
 
-        It goes on taking part, as a voter and a backup, until `left`, or until its grace is over.
+        The replica continues as a voter and a backup until `left` is true, or its grace period is over.
         """
         self._state.now = now
         self._leaving = True
         if self.stage is not Stage.IDLE:
-            self._step_down("this process ends")
+            self._step_down("this process is shutting down")
         self._send_status()
         self._update_left()
         return self.take()
 
     @property
     def status(self) -> Status:
-        """What this replica is."""
+        """Status as sent to the peers."""
         state, durable = self._state, self._state.durable
         leads = self.stage is Stage.ACTIVE
         return Status(
@@ -338,31 +355,31 @@
 
     @property
     def durable(self) -> DurableState:
-        """What is on the disk."""
+        """State on disk."""
         return self._state.durable
 
     @property
     def epoch(self) -> int:
-        """Under which this one leads, or tries to."""
+        """Epoch that this replica leads or tries to lead."""
         return self._state.epoch
 
     @property
     def voters(self) -> list[str]:
-        """Whose promises count, by the newest record known here."""
+        """Voters of the newest known record."""
         return self._state.voters
 
     @property
     def backups(self) -> list[str]:
-        """Who keeps copies beside the primary, by the newest record known here."""
+        """Backups of the newest known record."""
         record = self.durable.record
         return list(record.backups) if record is not None else []
 
     @property
     def members(self) -> list[str]:
-        """Whom the newest record names: those that this one has to reach, whatever the seeds are now."""
+        """Machines named by the newest known record; they must be reached even if they are not seeds."""
         return self._state.members
 
-    # ---- what others tell
+    # ---- status exchange
 
     def _send_status(self) -> None:
         state, status = self._state, self.status
@@ -374,14 +391,14 @@
         state = self._state
         peer = state.peers.setdefault(sender, Peer(discovered_at=state.now))
         if peer.status is not None and peer.status.life != status.life and self.stage is Stage.PREPARING:
-            self._votes.pop(sender, None)  # what its earlier life promised may be forgotten
+            self._votes.pop(sender, None)  # the promise of its previous incarnation may be forgotten
         if status.active or peer.active_at == -inf:
             peer.active_at = state.now
         if status.active:
             self._primary_seen_at = state.now
         peer.status, peer.status_at = status, state.now
         if not state.durable.voters and status.voters:
-            state.durable = replace(state.durable, voters=tuple(status.voters))  # on disk with the next save
+            state.durable = replace(state.durable, voters=tuple(status.voters))  # stored with the next save
         if not status.blank:
             self._peer_statuses[sender] = status
         if state.durable.blank:
@@ -390,21 +407,21 @@
         if self.stage is Stage.ACTIVE:
             record = status.record
             if status.active and record is not None and record.epoch > state.epoch:
-                self._step_down(f"{sender} leads under epoch {record.epoch}")
+                self._step_down(f"{sender} leads epoch {record.epoch}")
             elif sender in self._backup_set.backups and self._statuses_are_current() and not status.holds:
-                # its disk was lost and it was back before its silence was noticed
-                self._start_new_epoch(f"backup {sender} has lost what it was given")
+                # it lost its disk and restarted before its silence was noticed
+                self._start_new_epoch(f"backup {sender} has lost its data")
         elif self.stage is Stage.COPYING and not self._backup_set.backups:
             self._copy_to_backups()
         self._start_election_if_due()
         self._update_left()
 
     def _statuses_are_current(self) -> bool:
-        """What others tell now was said after they had the record of this epoch."""
+        """Whether statuses received now were sent after the peers had the record of this epoch."""
         return self._state.now - self._active_since > PEER_TIMEOUT_S
 
     def _adopt_newer_record(self, status: Status) -> None:
-        """A newer record than the one here, for who watches and for who is a member by it (rule 7)."""
+        """Adopts a newer reported record, unless rule 7 forbids it."""
         state, record, durable = self._state, status.record, self._state.durable
         if (
             record is None
@@ -419,12 +436,12 @@
             self._mark_active(record.primary)
 
     def _mark_active(self, peer: str) -> None:
-        """It leads under a record that was just learnt: it has the time of one that was heard to lead."""
+        """Treats the primary of a newly adopted record as if it had just reported to be active."""
         if (known := self._state.peers.get(peer)) is not None:
             known.active_at = self._state.now
 
     def _recover_promise(self) -> None:
-        """Without a disk of before: enough voters have told what they promised (rule 3)."""
+        """Leaves the blank state once enough voters have reported their promises (rule 3)."""
         state, durable = self._state, self._state.durable
         if not durable.voters:
             return
@@ -437,18 +454,18 @@
             if self.me in voters:
                 votes = True
                 others = sum(v != self.me and v in self._peer_statuses for v in voters)
-                if others < len(voters) - len(voters) // 2:  # some majority may not have told
+                if others < len(voters) - len(voters) // 2:  # a majority may exist of which none has reported
                     return
         if record is None and not votes:
-            state.durable = replace(durable, blank=False)  # it never was one whose promise counted
+            state.durable = replace(durable, blank=False)  # this machine was never a voter
             return
         promised = max((s.promised for s in statuses), default=0)
         if votes:
             promised += MAX_UNSEEN_EPOCHS
-            state.log(f"The others have told: epoch {promised} was promised at most.")
+            state.log(f"Voters have reported their promises: epoch {promised} was promised at most.")
         state.save(promised=promised, record=record, blank=False)
 
-    # ---- who leads
+    # ---- election
 
     def _start_election_if_due(self) -> None:
         if self.stage is Stage.IDLE and self._state.now >= self._election_not_before and self._should_lead():
@@ -466,7 +483,7 @@
             status is not None and status.record is not None and status.record.epoch > record.epoch
             for status in (state.peers[p].status for p in alive if p != self.me)
         ):
-            return False  # this one was away; who leads now has not been heard yet
+            return False  # this machine was away, and the current primary may not have been heard yet
         rank = record.replicas.index(self.me)
         if rank == 0:
             return True
@@ -476,20 +493,20 @@
         )
         holds = primary is not None and primary.status is not None and primary.status.holds
         if state.is_available(record.primary) and holds and not primary_lost:
-            return False  # else it is there and can't lead (its disk was lost) or has not come to it for long
+            return False  # otherwise it is alive but lost its data, or has not become active in time
         return primary_lost or not any(state.is_available(b) for b in record.replicas[1:rank])
 
     def _peer_is_elected(self, alive: list[str]) -> bool:
-        """A majority has promised an epoch to somebody else, who has time for the copies that it gives."""
+        """Whether a candidate with promises of a majority is still within its time to copy the state."""
         state = self._state
-        heard = [state.peers[p].status for p in alive if p != self.me]
+        statuses = [state.peers[p].status for p in alive if p != self.me]
         allowed_s = PRIMARY_TIMEOUT_S + 3 * self._backup_set.timeout_s(state.durable.body)
         return state.now - self._primary_seen_at <= allowed_s and any(
-            s is not None and s.elected for s in heard
+            s is not None and s.elected for s in statuses
         )
 
     def _start_election(self, *excluded: str) -> None:
-        """Lead a new epoch. tried: machines that are not worth recruiting now."""
+        """Becomes a candidate for a new epoch; the excluded machines are not chosen as backups."""
         state, durable = self._state, self._state.durable
         promised = [known.status.promised for known in state.peers.values() if known.status is not None]
         state.epoch = max([durable.promised, *promised]) + 1
@@ -501,7 +518,7 @@
         self._check_promises()
 
     def _phase_participants(self) -> list[str]:
-        """Everyone whose word can count in the step that is under way."""
+        """Voters whose answers count in the current phase."""
         state = self._state
         known = (
             [state.durable.record, *self._votes.values()]
@@ -513,14 +530,14 @@
         )
 
     def _send_phase_requests(self) -> None:
-        """Who has not answered may not have been linked yet."""
+        """Sends the request of the current phase to all that have not answered."""
         state = self._state
         self._resend_at = state.now + RESEND_INTERVAL_S
         record = state.durable.record
-        to = self._phase_participants()
+        recipients = self._phase_participants()
         if self.stage is Stage.ACCEPTING:
-            to += self._backup_set.backups
-        for voter in dict.fromkeys(to):
+            recipients += self._backup_set.backups
+        for voter in dict.fromkeys(recipients):
             if voter != self.me and voter not in self._votes:
                 if self.stage is Stage.PREPARING:
                     self._prepare_sent_to.add(voter)
@@ -547,7 +564,7 @@
             state.send(sender, Promise(epoch, False, durable.promised, record, request.life))
             return
         if self.stage is not Stage.IDLE:
-            self._step_down(f"{sender} asks for epoch {epoch}")
+            self._step_down(f"{sender} requests epoch {epoch}")
         state.save(promised=epoch)
         self._last_promise = epoch, sender, request.life
         self._election_not_before = max(self._election_not_before, state.now + PHASE_TIMEOUT_S * 2)
@@ -565,7 +582,7 @@
                 self._step_down(f"epoch {answer.promised} was promised to another")
             return
         self._votes[sender] = answer.record
-        for voter in self._phase_participants():  # those whom an answer has named as voters
+        for voter in self._phase_participants():  # voters that only an answer has named
             if voter not in self._prepare_sent_to and voter != self.me:
                 self._prepare_sent_to.add(voter)
                 state.send(voter, Prepare(state.epoch, state.incarnation))
@@ -577,19 +594,19 @@
         if self.stage is not Stage.PREPARING or not state.has_quorum(self._votes, newest):
             return
         if newest is None or not state.is_complete_for(newest):
-            # rule 1: others took over, and what they confirmed may not be here
+            # rule 1: others took over, and what they committed may not be stored here
             state.save(record=newest)
-            self._step_down("others hold the newest")
+            self._step_down("other machines store newer data")
             return
         if newest != state.durable.record:
-            state.save(record=newest)  # its voters are those who count from here on
+            state.save(record=newest)  # its voters decide from now on
         self.stage = Stage.COPYING
         self._copy_to_backups()
 
-    # ---- copies
+    # ---- replication
 
     def _copy_to_backups(self) -> None:
-        """Give all that is here to backups: those of before if they are there, else others."""
+        """Sends snapshots to backups: the previous ones if they are available, else others."""
         state = self._state
         chosen = voter_changes.choose_backups(state, self._excluded_backups)
         if len(chosen) + 1 < voter_changes.required_replicas(state):
@@ -605,7 +622,7 @@
             self._propose_record()
 
     def _replace_late_backups(self) -> None:
-        """Some backup did not answer: go on with the others if they are enough, else with further ones."""
+        """Continues without the backups that did not answer if enough are left, else chooses others."""
         state, backup_set = self._state, self._backup_set
         for backup in list(backup_set.pending):
             self._excluded_backups.append(backup)
@@ -624,7 +641,7 @@
             if answer.promised > state.epoch:
                 self._step_down(f"{sender} has promised epoch {answer.promised}")
             elif self.stage is Stage.ACTIVE:
-                self._start_new_epoch(f"{sender} does not keep what it is given")
+                self._start_new_epoch(f"backup {sender} rejects replication")
             return
         if backup_set.pending:
             return
@@ -635,10 +652,10 @@
             self._replicate_next_batch()
 
     def _replicate_next_batch(self) -> None:
-        """The next batch of orders, once the one before is on every copy."""
+        """Sends the next batch of writes once the previous one is on every replica."""
         while not self._backup_set.pending and (batch := self._requests.next_batch()) is not None:
             self._backup_set.replicate(*batch)
-            if not self._backup_set.pending:  # the only copy is this one
+            if not self._backup_set.pending:  # this is the only replica
                 self._requests.on_committed()
 
     # ---- the record
@@ -648,9 +665,8 @@
         former = state.durable.record
         assert former is not None
         voters, before = former.voters or list(state.durable.voters), former.before
-        if (
-            former.epoch == self._last_active_epoch
-        ):  # its voters decide alone: it was active under this machine
+        # it was active under this machine, so its voters decide alone
+        if former.epoch == self._last_active_epoch:
             voters, before = self._next_voters or voters, state.voters if self._next_voters else []
         self._next_voters = []
         record = Record(state.epoch, self.me, list(self._backup_set.backups), voters, before)
@@ -669,7 +685,7 @@
             state.send(sender, Accepted(record.epoch, False, durable.promised, request.life))
             return
         if self.stage is not Stage.IDLE:
-            self._step_down(f"{record.primary} leads under epoch {record.epoch}")
+            self._step_down(f"{record.primary} leads epoch {record.epoch}")
         state.save(promised=record.epoch, record=record)
         self._mark_active(record.primary)
         state.send(sender, Accepted(record.epoch, True, record.epoch, request.life))
@@ -699,7 +715,7 @@
         self._last_active_epoch = state.epoch
         self._contact.begin(self._accept_sent_at)
         backups = ", ".join(self._backup_set.backups) or "none"
-        state.log(f"Primary under epoch {state.epoch}, backup {backups}, version {state.durable.version}.")
+        state.log(f"Primary of epoch {state.epoch}, backup {backups}, version {state.durable.version}.")
         self._log_unmet_tolerance()
         self._requests.begin_epoch()
         self._contact.tick()
@@ -707,11 +723,15 @@
         self._send_status()
 
     def _log_unmet_tolerance(self) -> None:
-        """Operators are told, once for each state, what the places of copies and voters do not bear."""
+        """Logs changes of the losses that the current replicas and voters do not tolerate."""
         gaps = voter_changes.unmet_tolerance(self._state, [self.me, *self._backup_set.backups])
         if gaps != self._logged_gaps:
             self._logged_gaps = gaps
-            text = f"Not borne: {'; '.join(gaps)}." if gaps else "All that is to be borne is borne."
+            text = (
+                f"Fault tolerance reduced: {'; '.join(gaps)}."
+                if gaps
+                else "All configured losses are tolerated."
+            )
             self._state.log(text)
 
     def _log_contact(self) -> None:
@@ -719,27 +739,29 @@
         if established != self._logged_contact:
             self._logged_contact = established
             if not established:
-                self._state.log("No contact with a majority: nothing is confirmed here until there is.")
+                self._state.log(
+                    "No contact with a majority of voters: writes are not acknowledged until it is restored."
+                )
                 self._send_status()
             elif self._state.now - self._active_since > PEER_TIMEOUT_S:
-                self._state.log("In contact with a majority again.")
+                self._state.log("Contact with a majority of voters is restored.")
                 self._send_status()
 
-    # ---- what an active primary watches
+    # ---- supervision by the active primary
 
     def _check_members(self) -> None:
-        """Copies and voters that are lost are replaced, so that the next loss is borne as well."""
+        """Replaces lost backups and voters, so that the next loss is tolerated as well."""
         state = self._state
         alive = [self.me, *(p for p in state.peers if state.is_alive(p))]
         if not state.has_quorum(alive, state.durable.record):
-            return  # who goes on asking for a new epoch in vain would stop changes that can be kept later
+            return  # a candidate without a majority would only stop writes that can be committed later
         age = state.now - self._active_since
         for backup in self._backup_set.backups:
             if not state.is_alive(backup) and age > PEER_TIMEOUT_S:
                 self._start_new_epoch(f"backup {backup} is silent", backup)
                 return
             if state.is_alive(backup) and not state.is_available(backup):
-                self._start_new_epoch(f"backup {backup} leaves", backup)
+                self._start_new_epoch(f"backup {backup} is leaving", backup)
                 return
         if self._backup_set.pending:
             if self._backup_set.timed_out:
@@ -759,7 +781,7 @@
             self._start_new_epoch(f"{higher[0]} has promised a higher epoch")
         elif not self._contact.established:
             if state.now - self._contact.proven_at > PRIMARY_TIMEOUT_S:
-                self._start_new_epoch("no majority stands by this epoch")
+                self._start_new_epoch("no majority confirms this epoch")
         elif (change := voter_changes.next_voters(state)) is not None and (
             age > REBALANCE_DELAY_S or voter_changes.lost_voters(state)
         ):
@@ -773,31 +795,31 @@
         return status is not None and not status.blank and status.promised > self._state.epoch
 
     def _improve_placement(self) -> None:
-        """More copies, or better places for them, can be had."""
+        """Starts a new epoch if more backups, or better placed ones, are available."""
         state = self._state
         failed = [
             p for p, at in self._backup_failed_at.items() if state.now - at < state.tolerance.sync_s * 2
         ]
-        now, best = (
+        current, best = (
             self._backup_set.backups,
             voter_changes.choose_backups(state, [p for p in failed if p not in self.backups]),
         )
-        if len(best) > len(now):
-            self._start_new_epoch("another copy can be kept")
+        if len(best) > len(current):
+            self._start_new_epoch("another backup is available")
         elif state.tolerance.requires_spread and voter_changes.count_domains(
             state, [self.me, *best]
-        ) > voter_changes.count_domains(state, [self.me, *now]):
-            self._start_new_epoch("copies can stand further apart")
+        ) > voter_changes.count_domains(state, [self.me, *current]):
+            self._start_new_epoch("replicas can be spread over more failure domains")
 
     def _start_new_epoch(self, reason: str, *lost: str) -> None:
-        """Lead a new epoch with other members; what waits to be kept is asked for again by its callers."""
+        """Starts a new epoch with other members; clients retry the writes that are pending."""
         state = self._state
         state.log(f"New epoch: {reason}.")
         record = state.durable.record
         if not self._next_voters and record is not None and not record.before:
-            gone = voter_changes.lost_voters(state)
-            change = voter_changes.next_voters(state) if gone else None
-            if change is not None:  # one step for both
+            lost_voters = voter_changes.lost_voters(state)
+            change = voter_changes.next_voters(state) if lost_voters else None
+            if change is not None:  # replaces a lost voter in the same epoch
                 self._next_voters = change[0]
         self._requests.abort("a backup was lost")
         self.stage = Stage.IDLE
@@ -807,25 +829,25 @@
         state, voters = self._state, self.voters
         self.stage = Stage.IDLE
         self._next_voters = []
-        self._requests.abort("no majority answers")
-        domain = voters.index(self.me) if self.me in voters else len(voters)
-        self._election_not_before = state.now + ELECTION_BACKOFF_S + domain * 0.15
+        self._requests.abort("no majority answered in time")
+        index = voters.index(self.me) if self.me in voters else len(voters)
+        self._election_not_before = state.now + ELECTION_BACKOFF_S + index * 0.15
 
     def _step_down(self, reason: str) -> None:
         state, was = self._state, self.stage
         if was is Stage.ACTIVE:
-            state.log(f"Steps down from epoch {state.epoch}: {reason}.")
+            state.log(f"Stepping down from epoch {state.epoch}: {reason}.")
         self._logged_contact = False
         self._next_voters = []
-        self._requests.abort("not the primary any more")
+        self._requests.abort("no longer the primary")
         self._back_off()
         if was is Stage.ACTIVE:
             self._election_not_before = max(self._election_not_before, state.now + PEER_TIMEOUT_S)
 
-    # ---- the end in order
+    # ---- orderly exit
 
     def _update_left(self) -> None:
-        """Who leaves may go once others hold all, the record names them, and a majority stands without it."""
+        """Sets `left` once others store all data, the record names them, and they have a majority."""
         if self._leaving and not self.left:
             self.left = self._may_leave()
 
@@ -833,7 +855,7 @@
         state = self._state
         others = [p for p in state.peers if state.is_available(p)]
         if not state.has_quorum(others, state.durable.record):
-            return True  # nobody is left to hand over to: staying on helps nobody
+            return True  # no machine is left to hand over to, so staying is of no use
         leader = state.leader()
         if leader is None or leader not in others:
             return False
--- a/troutdock/config_store/storage.py
+++ b/troutdock/config_store/storage.py
@@ -215,9 +215,8 @@
 
     def _create_wal_marker(self, path: Path, db: sqlite3.Connection) -> None:
         self._checkpointed = False
-        db.execute(
-            f"PRAGMA user_version = {SCHEMA_VERSION}"
-        )  # a commit, so that the log exists and is synced
+        # a commit, so that the log exists and is synced
+        db.execute(f"PRAGMA user_version = {SCHEMA_VERSION}")
         _fsync_directory(path.parent)
         fd = os.open(path.with_name(WAL_MARKER), os.O_WRONLY | os.O_CREAT)
         try:
@@ -239,14 +238,14 @@
         promised, record, version, voters, blank, given, taken = fields
         body = b""
         if version:
-            durable = db.execute(
+            stored = db.execute(
                 "SELECT body, mark FROM configurations WHERE version = ?", (version,)
             ).fetchone()
-            if durable is None or _body_checksum(version, durable[0]) != durable[1]:
+            if stored is None or _body_checksum(version, stored[0]) != stored[1]:
                 raise _CorruptionError(
                     f"malformed: version {version} is missing or does not match its checksum"
                 )
-            body = durable[0]
+            body = stored[0]
         self._version, self._body = version, body
         return DurableState(
             promised,
@@ -268,9 +267,7 @@
         numbers = [int(p.suffix[8:]) for p in older if p.suffix[8:].isdigit()]
         target = self._path.with_suffix(f".damaged{max(numbers, default=0) + 1}")
         self._path.rename(target)
-        _fsync_directory(
-            directory
-        )  # before the log is renamed: the old name must not reappear without its log
+        _fsync_directory(directory)  # the old name must not reappear without its log, which is renamed next
         for path in directory.glob(FILE + "-*"):
             path.rename(Path(str(target) + path.name[len(FILE) :]))
         self._path.with_name(WAL_MARKER).unlink(missing_ok=True)
