--- a/benchmarks/control_times.py
+++ b/benchmarks/control_times.py
@@ -20,7 +20,7 @@
 sys.path[:0] = [str(Path(__file__).parent.parent), str(Path(__file__).parent.parent / "tests" / "peers")]
 
 from cluster import Cluster  # noqa: E402
-from worst_days import body_of, until_confirmed  # noqa: E402
+from worst_days import body_of, until_committed  # noqa: E402
 
 MOST_S = 30.0
 STEP_S = 0.01
@@ -43,11 +43,11 @@
     seed: int, machines: int, body_bytes: int, mbits: float, early: bool = False
 ) -> tuple[Cluster, str, str]:
     """A cluster that has kept a change; its primary, and the machine that holds the other copy."""
-    cluster = Cluster(seed, machines, dialled=True)
-    cluster.links_end = True
+    cluster = Cluster(seed, machines, models_connections=True)
+    cluster.close_half_open = True
     cluster.body_bytes, cluster.bandwidth = body_bytes, mbits * 1e6 / 8
     cluster.run((1.0 if early else 4.0) + seed % 7 * 0.1)
-    until_confirmed(cluster, MOST_S)
+    until_committed(cluster, MOST_S)
     cluster.run((0.5 if early else 2.0) + seed % 13 * 0.025)
     primary = cluster.primary or "10.0.0.1"
     others = [ip for ip in cluster.machines if ip != primary]
@@ -66,14 +66,14 @@
         group.add(next(ip for ip in cluster.machines if ip not in voters))
     cluster.cut_off(group, how if how in ("out", "in") else "cut")
     machine = cluster.machines[primary]
-    if machine.out_since < 0:
+    if machine.contact_lost_at < 0:
         return 0.0  # it keeps a majority, and goes on
     began, version = cluster.now, 100
     while cluster.now - began < MOST_S:
         version += 1
         if seed % 2:  # else it is only asked
-            cluster.order(primary, version, body_of(version))
-        cluster.ask(primary)
+            cluster.write(primary, version, body_of(version))
+        cluster.send_read(primary)
         cluster.run(0.1)
     return max(0.0, machine.claimed_at - began)
 
@@ -95,7 +95,7 @@
         cluster.run(0.05)
         cluster.start(lost)
     but = lost if way in ("cut", "frozen") else ""
-    return until_confirmed(cluster, MOST_S, but, STEP_S, 0.1)
+    return until_committed(cluster, MOST_S, but, STEP_S, 0.1)
 
 
 def comes_back(how: str, seed: int, body_bytes: int, mbits: float) -> float:
@@ -105,10 +105,10 @@
         cluster.wipe(lost)
     elif how != "new":
         cluster.kill(lost)
-    until_confirmed(cluster, MOST_S)
+    until_committed(cluster, MOST_S)
     if how == "after 200 changes":
         for version in range(100, 300):
-            cluster.order(cluster.primary or other, version, body_of(version))
+            cluster.write(cluster.primary or other, version, body_of(version))
             if version % 8 == 7:
                 cluster.run(0.3)
     cluster.run(2.0)
@@ -156,7 +156,7 @@
 
 def course(row: tuple[str, str, int, int, float]) -> float:
     what, how, seed, body_bytes, mbits = row
-    Cluster.collects = True
+    Cluster.collect_violations = True
     return WAYS[what](how, seed, body_bytes, mbits)
 
 
--- a/benchmarks/schedules.py
+++ b/benchmarks/schedules.py
@@ -33,20 +33,20 @@
 
 
 def _settled(cluster: Cluster) -> Cluster:
-    worst_days.settled(cluster)
+    worst_days.check_settled(cluster)
     return cluster
 
 
 def play(kind: str, seeds: range) -> tuple[list[Broken], int]:
     """Those of these schedules that break; and the orders below the newest under another body's number."""
-    Cluster.collects = True
+    Cluster.collect_violations = True
     schedule, sizes = KINDS[kind]
     found, below = [], 0
     for seed in seeds:
         machines = sizes[seed % len(sizes)]
         try:
             played = schedule(seed, machines)
-            texts, below = played.texts, below + played.below
+            texts, below = played.first_messages, below + played.stale_conflicts
         except Exception as error:  # a schedule that can't be played on counts as broken too
             texts = {"raised": f"{type(error).__name__}: {error}"}
         if texts:
--- a/tests/support/planted.py
+++ b/tests/support/planted.py
@@ -1,4 +1,4 @@
-"""Faults that are planted in the store, to show that a check finds each."""
+"""Faults injected into the store, to show that the checks detect each of them."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 
 
 def forgets(patch: pytest.MonkeyPatch) -> None:
-    """Who has lost its disk promises at once, and passes for a copy."""
+    """A machine that lost its disk makes promises at once, and counts as a complete replica."""
     patch.setattr(Replica, "_recover_promise", lambda self: self._state.save(blank=False))
     patch.setattr(ReplicaState, "is_complete_for", lambda self, record: self.me in record.replicas)
 
 
 def old_voters(patch: pytest.MonkeyPatch) -> None:
-    """A new list of voters counts without those who voted before."""
+    """A new voter list decides without a majority of the previous voters."""
     lists = ReplicaState.voter_lists
     patch.setattr(ReplicaState, "voter_lists", lambda self, record: lists(self, record)[:1])
 
 
 def unwatched(patch: pytest.MonkeyPatch) -> None:
-    """A primary that misses nobody: its proofs stand behind that, so it does no harm."""
+    """A primary that does not supervise its members; harmless, as reads still need confirmation."""
     patch.setattr(Replica, "_check_members", lambda self: None)
 
 
 def unproven(patch: pytest.MonkeyPatch) -> None:
-    """A primary that takes its epoch for the newest without asking anybody."""
+    """A primary that takes its epoch for the newest without probes."""
     unwatched(patch)
     patch.setattr(QuorumContact, "proven_at", property(lambda self: self._state.now))
--- a/tests/system/test_disks_after_power.py
+++ b/tests/system/test_disks_after_power.py
@@ -1,7 +1,8 @@
-"""The store's files after a loss of power, a missing part, an older program; and that they don't grow.
+"""Files of the store after a power loss, with a missing part or from an older version; and limits of their size.
 
-The rules: a file that is synced lasts; each name that was made, renamed or removed since its folder was synced
-is there or not, by itself; each write after the last sync is there, torn or missing.
+Model of a disk: a synced file is durable; each name that was created, renamed or removed since the last fsync
+of its directory may or may not be there, independently; each write after the last fsync is there, torn or
+missing.
 """
 
 from __future__ import annotations
@@ -35,8 +36,8 @@
 Files = dict[str, bytes]
 
 
-def kept(number: int, size: int = 300) -> DurableState:
-    """Two saves of each body: every other one changes only what was promised."""
+def durable_state(number: int, size: int = 300) -> DurableState:
+    """State for a save; each body is saved twice, and the second save changes only the promise."""
     return DurableState(
         number,
         None,
@@ -49,17 +50,17 @@
     )
 
 
-def state(number: int, size: int = 300) -> DurableState:
-    whole = kept(number, size)
-    body = kept(number // 2 * 2, size).body
-    return DurableState(number, None, whole.version, body, whole.voters, False, 1, whole.taken)
+def saved_state(number: int, size: int = 300) -> DurableState:
+    full = durable_state(number, size)
+    body = durable_state(number // 2 * 2, size).body
+    return DurableState(number, None, full.version, body, full.voters, False, 1, full.taken)
 
 
 def files(folder: Path) -> Files:
     return {p.name: p.read_bytes() for p in folder.iterdir()}
 
 
-def opened(folder: Path, found: Files) -> DurableState | None:
+def open_files(folder: Path, found: Files) -> DurableState | None:
     shutil.rmtree(folder, ignore_errors=True)
     folder.mkdir()
     for name, data in found.items():
@@ -71,33 +72,35 @@
         disk.close()
 
 
-def torn(before: bytes, after: bytes, dice: random.Random) -> bytes:
-    """Some of the writes that led from one to the other, by sectors; a log's new head is synced before its frames."""
+def torn_write(before: bytes, after: bytes, random_source: random.Random) -> bytes:
+    """Applies some of the writes between two contents, by sector; a new log header is synced before its frames."""
     out = bytearray(before)
     if before[:32] != after[:32] and before:
         out[:32] = after[:32]
-    if dice.random() < 0.3:
+    if random_source.random() < 0.3:
         out = (
-            out[: max(32, min(len(out), dice.randrange(len(after) + 1)))] if len(before) > len(after) else out
+            out[: max(32, min(len(out), random_source.randrange(len(after) + 1)))]
+            if len(before) > len(after)
+            else out
         )
     for at in range(0, len(after), 512):
-        if dice.random() < dice.choice((0.1, 0.5, 0.95)):
+        if random_source.random() < random_source.choice((0.1, 0.5, 0.95)):
             if len(out) < at:
                 out += bytes(at - len(out))
             out[at : at + 512] = after[at : at + 512]
     return bytes(out)
 
 
-def lived(folder: Path) -> list[tuple[Files, DurableState | None]]:
-    """Files and what they hold, after each single step of a life: a commit, or a checkpoint."""
+def recorded_lifetime(folder: Path) -> list[tuple[Files, DurableState | None]]:
+    """Files and the state in them after each step (commit or checkpoint) of a store."""
     disk = Disk(folder)
     assert disk.open() is None
     assert disk._db is not None
     disk._db.execute("PRAGMA wal_autocheckpoint = 0")
     steps: list[tuple[Files, DurableState | None]] = [(files(folder), None)]
     for number in range(1, 25):
-        disk.save(state(number, 9000 if number % 5 == 0 else 300))
-        last = state(number, 9000 if number % 5 == 0 else 300)
+        disk.save(saved_state(number, 9000 if number % 5 == 0 else 300))
+        last = saved_state(number, 9000 if number % 5 == 0 else 300)
         steps.append((files(folder), last))
         if number % 4 == 0:
             disk._db.execute("PRAGMA wal_checkpoint(PASSIVE)").fetchall()
@@ -107,44 +110,44 @@
     return steps
 
 
-def test_power_lost_at_any_step_leaves_the_last_state_or_the_one_under_way(tmp_path: Path) -> None:
-    steps, dice = lived(tmp_path / "life"), random.Random(5)
+def test_power_loss_at_any_step_leaves_the_last_state_or_the_one_being_written(tmp_path: Path) -> None:
+    steps, random_source = recorded_lifetime(tmp_path / "life"), random.Random(5)
     seen = set()
     for (before, old), (after, new) in itertools.pairwise(steps[:-1]):
         changed = [name for name in after if before.get(name) != after[name]]
         assert len(changed) <= 1 and set(before) == set(after) == {FILE, WAL, WAL_MARKER}, changed
         for _ in range(12):
-            cut = {
-                name: torn(before[name], after[name], dice) if name in changed else after[name]
+            crashed = {
+                name: torn_write(before[name], after[name], random_source) if name in changed else after[name]
                 for name in after
             }
-            found = opened(tmp_path / "cut", cut)
+            found = open_files(tmp_path / "cut", crashed)
             assert found in (old, new)
             seen.add(found == new)
-        assert opened(tmp_path / "cut", after) == new
+        assert open_files(tmp_path / "cut", after) == new
     assert seen == {True, False}
 
 
-def test_a_store_that_misses_a_part_counts_as_lost_and_never_as_an_older_one(tmp_path: Path) -> None:
-    for found, last in lived(tmp_path / "life"):
+def test_a_store_with_a_missing_file_counts_as_lost_and_never_as_an_older_one(tmp_path: Path) -> None:
+    for found, last in recorded_lifetime(tmp_path / "life"):
         for name in found:
             left = {n: d for n, d in found.items() if n != name}
-            result = opened(tmp_path / "cut", left)
+            result = open_files(tmp_path / "cut", left)
             if name == WAL_MARKER:
                 assert result == last
             else:
                 assert result is None
         if WAL in found:
-            assert opened(tmp_path / "cut", {**found, WAL: b""}) is None
+            assert open_files(tmp_path / "cut", {**found, WAL: b""}) is None
 
 
-def watched(folder: Path, monkeypatch: pytest.MonkeyPatch) -> list[Files]:
-    """The folder at each of its syncs."""
+def record_syncs(folder: Path, monkeypatch: pytest.MonkeyPatch) -> list[Files]:
+    """Records the files of the directory at each fsync of it."""
     found: list[Files] = []
-    true = storage._fsync_directory
+    real_sync = storage._fsync_directory
 
     def sync(which: Path) -> None:
-        true(which)
+        real_sync(which)
         if which == folder:
             found.append(files(folder))
 
@@ -152,27 +155,27 @@
     return found
 
 
-def between(before: Files, after: Files) -> list[Files]:
-    """Each changed file as before or after; sqlite takes a log away only once the database is synced with all of it."""
+def crash_states(before: Files, after: Files) -> list[Files]:
+    """Combinations of changed files, each as before or after; SQLite deletes a log only after a full checkpoint."""
     changed = [n for n in {*before, *after} if before.get(n) != after.get(n)]
     out = []
     for chosen in itertools.product((before, after), repeat=len(changed)):
-        mix = {n: d for n, d in after.items() if n not in changed}
-        mix.update({n: c[n] for n, c in zip(changed, chosen, strict=True) if n in c})
-        if WAL in mix or WAL in after or WAL not in before or mix.get(FILE) == after.get(FILE):
-            out.append(mix)
+        crashed = {n: d for n, d in after.items() if n not in changed}
+        crashed.update({n: c[n] for n, c in zip(changed, chosen, strict=True) if n in c})
+        if WAL in crashed or WAL in after or WAL not in before or crashed.get(FILE) == after.get(FILE):
+            out.append(crashed)
     return out
 
 
-def test_an_end_in_order_and_a_new_start_keep_the_state_through_any_loss_of_names(
+def test_close_and_reopen_keep_the_state_if_any_renames_are_lost(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     folder = tmp_path / "life"
     disk = Disk(folder)
     disk.open()
-    disk.save(state(6))
-    points = [files(folder), *watched(folder, monkeypatch)]
-    watch = watched(folder, monkeypatch)
+    disk.save(saved_state(6))
+    points = [files(folder), *record_syncs(folder, monkeypatch)]
+    watch = record_syncs(folder, monkeypatch)
     disk.close()
     disk.open()
     points += watch
@@ -181,40 +184,40 @@
     monkeypatch.undo()
     tried = 0
     for before, after in itertools.pairwise(points):
-        for mix in between(before, after):
-            assert opened(tmp_path / "cut", mix) == state(6), sorted(mix)
+        for crashed in crash_states(before, after):
+            assert open_files(tmp_path / "cut", crashed) == saved_state(6), sorted(crashed)
             tried += 1
     assert tried > len(points)
 
 
-def test_a_set_aside_store_never_comes_back_as_an_older_one(
+def test_a_quarantined_store_never_reappears_as_an_older_one(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     folder = tmp_path / "life"
-    steps = lived(tmp_path / "other")
+    steps = recorded_lifetime(tmp_path / "other")
     found, _ = steps[14]
     assert WAL in found
-    bad = {**found, WAL: b""}  # damaged: the database in it holds an older state
+    bad = {**found, WAL: b""}  # damaged: the database alone has an older state
     folder.mkdir()
     for name, data in bad.items():
         (folder / name).write_bytes(data)
-    watch = watched(folder, monkeypatch)
+    watch = record_syncs(folder, monkeypatch)
     disk = Disk(folder)
     assert disk.open() is None and disk.quarantined is not None
     points = [bad, *watch]
     disk._db = None
     monkeypatch.undo()
     for before, after in itertools.pairwise(points):
-        for mix in between(before, after):
-            assert opened(tmp_path / "cut", mix) is None, sorted(mix)
+        for crashed in crash_states(before, after):
+            assert open_files(tmp_path / "cut", crashed) is None, sorted(crashed)
 
 
-def test_only_one_damaged_file_stays(tmp_path: Path) -> None:
+def test_only_the_last_damaged_file_is_kept(tmp_path: Path) -> None:
     for _ in range(4):
         (tmp_path / FILE).write_bytes(b"no store" * 1000)
         disk = Disk(tmp_path)
         assert disk.open() is None
-        disk.save(state(3))
+        disk.save(saved_state(3))
         disk.close()
         assert len(list(tmp_path.glob("*.damaged*"))) == 1
     assert (tmp_path / "rootstock.damaged4").exists()
@@ -230,7 +233,7 @@
         ["CREATE TABLE state (only INTEGER)", "PRAGMA user_version = 2"],
     ],
 )
-def test_a_half_made_schema_or_an_empty_file_counts_as_lost(tmp_path: Path, statements: list[str]) -> None:
+def test_an_incomplete_schema_or_an_empty_file_counts_as_lost(tmp_path: Path, statements: list[str]) -> None:
     base = sqlite3.connect(tmp_path / FILE)
     for statement in statements:
         base.execute(statement)
@@ -238,15 +241,15 @@
     base.close()
     disk = Disk(tmp_path)
     assert disk.open() is None
-    disk.save(state(4))
+    disk.save(saved_state(4))
     disk.close()
-    assert Disk(tmp_path).open() == state(4)
+    assert Disk(tmp_path).open() == saved_state(4)
 
 
-def test_an_old_log_beside_no_database_is_let_go(tmp_path: Path) -> None:
-    found, _ = lived(tmp_path / "life")[14]
+def test_a_log_without_a_database_is_removed(tmp_path: Path) -> None:
+    found, _ = recorded_lifetime(tmp_path / "life")[14]
     for base in ({}, {FILE: b""}):
-        assert opened(tmp_path / "cut", {**base, WAL: found[WAL]}) is None
+        assert open_files(tmp_path / "cut", {**base, WAL: found[WAL]}) is None
 
 
 # ---- bounds
@@ -256,7 +259,7 @@
     return sum(p.stat().st_size for p in folder.iterdir())
 
 
-def test_a_thousand_small_changes_leave_the_files_as_they_were(tmp_path: Path) -> None:
+def test_a_thousand_small_writes_do_not_grow_the_files(tmp_path: Path) -> None:
     disk, sizes = Disk(tmp_path), []
     disk.open()
     for number in range(2, 1002):
@@ -267,7 +270,7 @@
     assert size(tmp_path) < 500_000
 
 
-def test_twenty_large_changes_are_bounded_in_bytes_and_the_newest_stays(tmp_path: Path) -> None:
+def test_twenty_large_writes_stay_within_the_limits_and_keep_the_newest(tmp_path: Path) -> None:
     disk, sizes = Disk(tmp_path), []
     disk.open()
     for number in range(2, 22):
@@ -286,7 +289,7 @@
     found.close()
 
 
-def test_a_body_is_written_only_when_it_is_another(tmp_path: Path) -> None:
+def test_a_body_is_written_only_if_it_changed(tmp_path: Path) -> None:
     disk = Disk(tmp_path)
     disk.open()
     body = b"x" * 2_000_000
@@ -294,7 +297,7 @@
     before = (tmp_path / WAL).stat().st_size
     for promised in range(3, 30):
         disk.save(DurableState(promised, None, 3, bytes(bytearray(body)), ("a",), False, 1))
-    assert (tmp_path / WAL).stat().st_size - before <= 27 * 4120  # a page of the state for each
+    assert (tmp_path / WAL).stat().st_size - before <= 27 * 4120  # one page of the state table for each
     other = DurableState(30, None, 3, b"another of this number", ("a",), False, 1)
     disk.save(other)
     disk.close()
@@ -311,11 +314,11 @@
 )
 
 
-def mark_1(*values: object) -> str:
+def checksum_1(*values: object) -> str:
     return blake2b(repr(values).encode(), digest_size=12).hexdigest()
 
 
-def schema_1(folder: Path, record: str | None, spoil: str = "") -> None:
+def schema_1(folder: Path, record: str | None, corruption: str = "") -> None:
     base = sqlite3.connect(folder / FILE, isolation_level=None)
     base.execute("PRAGMA journal_mode = WAL")
     for statement in SCHEMA_1:
@@ -324,10 +327,10 @@
         body = b'{"v":%d}' % version
         base.execute(
             "INSERT INTO configurations VALUES (?, ?, 4, ?)",
-            (version, body, mark_1(version, body + spoil.encode())),
+            (version, body, checksum_1(version, body + corruption.encode())),
         )
     row = (5, record, 9, '["a","b"]', 0, 4)
-    base.execute("INSERT INTO state VALUES (1, ?, ?, ?, ?, ?, ?, ?)", (*row, mark_1(*row)))
+    base.execute("INSERT INTO state VALUES (1, ?, ?, ?, ?, ?, ?, ?)", (*row, checksum_1(*row)))
     base.close()
 
 
@@ -344,7 +347,7 @@
     assert json.loads(upgrade_record_v1(before) or "") == after
     schema_1(tmp_path, before)
     disk = Disk(tmp_path)
-    # where Record still has one backup, the file is brought up to schema 2 and can't be taken in afterwards
+    # if Record still has a single backup, the file is migrated to schema 2 but cannot be decoded
     one = "backup" in [f.name for f in fields(Record)]
     with contextlib.suppress(DiskError) if one else contextlib.nullcontext():
         disk.open()
@@ -360,7 +363,7 @@
     base.close()
 
 
-def test_a_file_of_schema_1_is_read_whole(tmp_path: Path) -> None:
+def test_a_file_of_schema_1_is_migrated_completely(tmp_path: Path) -> None:
     assert upgrade_record_v1(None) is None
     schema_1(tmp_path, None)
     for _ in range(2):
@@ -372,13 +375,13 @@
         disk.close()
 
 
-def test_a_spoilt_file_of_schema_1_is_set_aside(tmp_path: Path) -> None:
+def test_a_corrupt_file_of_schema_1_is_quarantined(tmp_path: Path) -> None:
     schema_1(tmp_path, None, "spoilt")
     disk = Disk(tmp_path)
     assert disk.open() is None and disk.quarantined is not None
 
 
-def test_a_spoilt_state_of_schema_1_is_set_aside(tmp_path: Path) -> None:
+def test_a_corrupt_state_of_schema_1_is_quarantined(tmp_path: Path) -> None:
     schema_1(tmp_path, None)
     base = sqlite3.connect(tmp_path / FILE)
     base.execute("UPDATE state SET promised = 4")
@@ -392,6 +395,8 @@
     disk = Disk(tmp_path)
     disk.open()
     assert disk._db is not None
-    assert disk._db.execute("PRAGMA synchronous").fetchone() == (2,)  # FULL: the log, with each commit
+    assert disk._db.execute("PRAGMA synchronous").fetchone() == (
+        2,
+    )  # FULL: the log is synced with each commit
     assert disk._db.execute("PRAGMA journal_mode").fetchone() == ("wal",)
     disk.close()
--- a/tests/system/test_store_bounds.py
+++ b/tests/system/test_store_bounds.py
@@ -1,4 +1,4 @@
-"""Whatever the settings name as to be borne, on 1 to 9 machines: copies, voters, and a loss of so many at once."""
+"""Fault tolerance for 1 to 9 machines: number of replicas and voters, and simultaneous losses."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
         (FaultTolerance(1, regions=2), 3, 5, True),
     ],
 )
-def test_copies_and_voters_follow_what_is_to_be_borne(
+def test_replicas_and_voters_follow_the_fault_tolerance(
     bounds: FaultTolerance, copies: int, voters: int, apart: bool
 ) -> None:
     assert (bounds.replica_count, bounds.voter_count, bounds.requires_spread) == (copies, voters, apart)
@@ -56,7 +56,7 @@
         (FaultTolerance(1, zones=1), "abc", 2, ""),
     ],
 )
-def test_what_is_not_borne_is_said(bounds: FaultTolerance, places: str, copies: int, said: str) -> None:
+def test_unmet_tolerance_is_described(bounds: FaultTolerance, places: str, copies: int, said: str) -> None:
     voters = [f"10.0.0.{n}" for n in range(1, len(places) + 1)]
     state = state_of(bounds, voters, list(places), voters[:copies])
     found = unmet_tolerance(state, voters[:copies])
@@ -66,14 +66,14 @@
 @pytest.mark.parametrize(
     ("machines", "losses"), [(n, f) for n, f in itertools.product(range(1, 10), (0, 1, 2)) if n >= 2 * f + 1]
 )
-def test_so_many_are_lost_at_once_and_nothing_is_lost(machines: int, losses: int) -> None:
+def test_simultaneous_losses_lose_no_acknowledged_write(machines: int, losses: int) -> None:
     from cluster import Cluster
 
     for seed in range(3):
-        cluster = Cluster(seed, machines, lost_at_once=losses)
+        cluster = Cluster(seed, machines, losses=losses)
         cluster.run(12.0)
         primary = cluster.primary
-        assert primary is not None, f"nobody of {machines} leads"
+        assert primary is not None, f"no primary among {machines} machines"
         cluster.put(primary, 1)
         cluster.run(0.5)
         assert cluster.acknowledged == 1
--- a/tests/system/test_store_machine.py
+++ b/tests/system/test_store_machine.py
@@ -1,4 +1,4 @@
-"""The store as a hypothesis state machine: write, kill, wipe, cut, hang, take over, read back; one machine at a time is lost."""
+"""Hypothesis state machine of the store: writes, reads, crashes, cuts and exits of one machine at a time."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, precondition, rule
-from test_store_schedules import settled
+from test_store_schedules import check_settled
 
 
 class Store(RuleBasedStateMachine):
-    """What must hold is checked by the cluster at each step: it raises where a version is lost, goes back or is another."""
+    """Random operations; the cluster checks the invariants after each step."""
 
     def __init__(self) -> None:
         super().__init__()
         self.cluster, self.down, self.version, self.whole_at = Cluster(0), "", 0, 0.0
         self.callers: list[str] = []
-        self.gone: set[str] = set()  # for good
+        self.gone: set[str] = set()  # permanently
 
     @initialize(seed=st.integers(0, 1000), machines=st.sampled_from([3, 4]))
     def found(self, seed: int, machines: int) -> None:
@@ -39,26 +39,26 @@
 
     @rule(at=st.integers(0, 8), back=st.integers(0, 5), which=st.integers(0, 2))
     def send_again(self, at: int, back: int, which: int) -> None:
-        """An order of before, unchanged, by a registry, to any machine."""
+        """A registry repeats an earlier write unchanged at any machine."""
         names = list(self.cluster.machines)
         version = max(1, self.version - back)
         if (version, b'{"v":%d}' % version) in self.cluster.sent:
-            self.cluster.order(names[at % len(names)], version, b'{"v":%d}' % version, self.callers[which])
+            self.cluster.write(names[at % len(names)], version, b'{"v":%d}' % version, self.callers[which])
         self.cluster.run(0.004)
 
     @rule(which=st.integers(0, 2))
-    def renew(self, which: int) -> None:
-        """A registry dies, and its new life asks at once."""
-        self.cluster.renew(self.callers[which])
+    def restart_caller(self, which: int) -> None:
+        """A registry restarts, and its new incarnation reads at once."""
+        self.cluster.restart_caller(self.callers[which])
         if self.cluster.primary is not None:
-            self.cluster.ask(self.cluster.primary, self.callers[which])
+            self.cluster.send_read(self.cluster.primary, self.callers[which])
 
     @precondition(
         lambda self: not self.down and len(self.cluster.machines) < 7 and self.cluster.now >= self.whole_at
     )
     @rule(leaves=st.booleans())
     def grow(self, leaves: bool) -> None:
-        """A machine is added, or takes the place of one that leaves in order."""
+        """Adds a machine, or replaces one that exits in order."""
         if leaves:
             gone = self.cluster.primary or next(iter(self.cluster.machines))
             self.cluster.leave(gone)
@@ -97,7 +97,7 @@
         if self.down:
             self.come_back()
         self.cluster.run(8.0)
-        settled(self.cluster)
+        check_settled(self.cluster)
 
 
 TestStore = Store.TestCase
--- a/tests/system/test_store_schedules.py
+++ b/tests/system/test_store_schedules.py
@@ -1,4 +1,4 @@
-"""The store under seeded schedules of losses: what was acknowledged is there, nobody goes back, one leads."""
+"""The store under seeded schedules of losses: no acknowledged write is lost, versions only increase, one leads."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 import planted
 import pytest
 from cluster import Cluster, Violation
-from test_store_exhaustive import Hasty
+from test_store_exhaustive import EarlyAcknowledger
 
 from troutdock.config_store.replica import Replica, Stage
 
-SCHEDULES = int(os.environ.get("SCHEDULES", "1500"))  # 3,500 in all; 4300 are 10,000
+SCHEDULES = int(os.environ.get("SCHEDULES", "1500"))  # gives 3,500 in all; 4300 gives 10,000
 
 
 def play(seed: int, machines: int = 3) -> Cluster:
-    """One schedule within what is to be borne: one machine at a time is lost, cut, wiped or hangs."""
+    """One schedule within the tolerance: one machine at a time is killed, cut off, wiped or suspended."""
     random = Random(seed)
     cluster = Cluster(seed, machines)
     cluster.run(2.0)
@@ -30,7 +30,7 @@
             version += random.randint(1, 3)
             for ip in random.sample(names, random.randint(1, 2)):
                 cluster.put(ip if random.random() < 0.3 else cluster.primary or ip, version)
-            if random.random() < 0.5:  # something happens while it is on its way
+            if random.random() < 0.5:  # the next event occurs while it is in progress
                 cluster.run(random.choice([0.001, 0.004, 0.008, 0.015]))
         if what >= 0.3 and not down and cluster.now > healed_at:
             down = random.choice([cluster.primary or names[0], random.choice(names)])
@@ -42,7 +42,7 @@
                 cluster.leave(down)
             elif how == "wipe":
                 cluster.wipe(down)
-            elif how == "back":  # killed, and there again at once
+            elif how == "back":  # killed and restarted at once
                 cluster.kill(down)
                 cluster.run(0.05)
                 cluster.start(down)
@@ -65,9 +65,7 @@
         if not cluster.up(ip):
             cluster.start(ip)
     cluster.run(6.0)
-    if (
-        random.random() < 0.5
-    ):  # everything loses power, and one machine its disk, once the others have caught up
+    if random.random() < 0.5:  # all machines lose power, and one its disk, after the others have caught up
         cluster.put(cluster.primary or names[0], version + 1)
         cluster.run(random.choice([0.02, 0.2]))
         for ip in names:
@@ -81,11 +79,11 @@
     return cluster
 
 
-def settled(cluster: Cluster) -> None:
-    """Somebody leads, and tells the newest."""
+def check_settled(cluster: Cluster) -> None:
+    """Checks that a primary returns the newest acknowledged configuration."""
     primary = cluster.primary
     if primary is None:
-        raise Violation("nobody leads")
+        raise Violation("no primary")
     number = cluster.read(primary)
     cluster.run(1.0)
     answer = next((a for a in cluster.answers if a.number == number), None)
@@ -98,13 +96,13 @@
 def test_schedules(part: int, machines: int) -> None:
     for seed in range(part, SCHEDULES, 6):
         try:
-            settled(play(seed, machines))
+            check_settled(play(seed, machines))
         except Violation as error:
             raise AssertionError(f"play({seed}, {machines}): {error}") from error
 
 
 def turnover(seed: int) -> Cluster:
-    """Machines go for good, one after the other, and at times come back with the disk of long ago."""
+    """Machines are lost permanently, one after the other; some return later with an outdated disk."""
     random = Random(seed)
     cluster = Cluster(seed, 6)
     cluster.run(2.0)
@@ -122,12 +120,12 @@
             if random.random() < 0.3:
                 cluster.wipe(lost)
         cluster.run(14.0)
-        if gone and random.random() < 0.4:  # its disk is of before the others have agreed on new voters
+        if gone and random.random() < 0.4:  # its disk is older than the change of voters
             cluster.start(gone.pop(random.randrange(len(gone))))
             cluster.run(random.choice([0.3, 5.0]))
         number = cluster.primary or names[0]
         cluster.read(number)
-        if random.random() < 0.3:  # a cut between two halves of those that are there
+        if random.random() < 0.3:  # a partition into two halves of the running machines
             there = [ip for ip in names if ip not in gone]
             side = set(random.sample(there, len(there) // 2))
             cluster.cut = {(x, y): True for x in names for y in names if (x in side) != (y in side)}
@@ -146,13 +144,13 @@
     return cluster
 
 
-def test_voters_that_are_gone_for_good_are_replaced() -> None:
+def test_permanently_lost_voters_are_replaced() -> None:
     cluster = Cluster(1, 5)
     cluster.run(4.0)
     cluster.put(cluster.primary or "", 1)
     cluster.run(0.5)
     seeds = list(cluster.seeds)
-    for lost in seeds:  # all three founders, one after the other
+    for lost in seeds:  # all three initial voters, one after the other
         cluster.kill(lost)
         cluster.run(14.0)
         if lost is not seeds[-1]:
@@ -162,13 +160,13 @@
     replica = cluster.machines[cluster.primary or ""].replica
     assert replica is not None and not set(replica.voters) <= set(seeds)
     assert cluster.acknowledged == 3
-    settled(cluster)
+    check_settled(cluster)
 
 
 def changing(seed: int) -> Cluster:
-    """A cut in the middle of a change of voters: the primary with the one that joins, and the others.
+    """A partition during a change of voters: the primary with the joining voter, and the others.
 
-    A voter is cut off until it is to be replaced, and is there again just then.
+    A voter is cut off until it is being replaced, and is reachable again at that moment.
     """
     random = Random(seed)
     cluster = Cluster(seed, 4)
@@ -190,7 +188,7 @@
     epoch, until = replica.epoch, cluster.now + 30.0
     while replica.epoch == epoch:
         cluster.run(0.005)
-        assert cluster.now < until, "the voter that is gone is not replaced"
+        assert cluster.now < until, "the lost voter is not replaced"
     cluster.run(random.uniform(0.0, 0.06))
     side = {primary, spare}
     cluster.cut = {(x, y): True for x in names for y in names if (x in side) != (y in side)}
@@ -207,7 +205,7 @@
     return cluster
 
 
-def test_a_voter_that_was_never_met_has_its_time_too() -> None:
+def test_an_undiscovered_voter_is_replaced_after_the_same_timeout() -> None:
     cluster = Cluster(2, 5)
     cluster.run(4.0)
     replica = cluster.machines[cluster.primary or ""].replica
@@ -215,7 +213,7 @@
     lost = next(v for v in replica.voters if v not in (replica.me, *replica.backups))
     cluster.kill(lost)
     state = replica._state
-    del state.peers[lost]  # as where this life began after the machine was gone
+    del state.peers[lost]  # as if this incarnation had started after the machine was lost
     state.started_at = cluster.now
     cluster.run(state.tolerance.voter_timeout_s - 0.2)
     assert lost in replica.voters
@@ -224,17 +222,17 @@
 
 
 @pytest.mark.parametrize("part", range(6))
-def test_schedules_of_machines_that_go_for_good(part: int) -> None:
+def test_schedules_of_permanent_losses(part: int) -> None:
     for seed in range(part, max(120, SCHEDULES // 6), 6):
         try:
-            settled(turnover(seed))
-            settled(changing(seed))
+            check_settled(turnover(seed))
+            check_settled(changing(seed))
         except Violation as error:
             raise AssertionError(f"turnover or changing({seed}): {error}") from error
 
 
-def test_copies_lie_in_two_places_where_one_is_to_be_borne() -> None:
-    cluster = Cluster(3, 4, apart=True)
+def test_replicas_are_in_two_domains_if_the_loss_of_one_is_tolerated() -> None:
+    cluster = Cluster(3, 4, spread=True)
     places = dict(zip(cluster.machines, ["a", "a", "b", "b"], strict=True))
     for machine in cluster.machines.values():
         for ip, place in places.items():
@@ -252,7 +250,7 @@
 
 
 def deposed(seed: int) -> Cluster:
-    """The primary stands still, or is cut off, while another takes over; it is asked meanwhile."""
+    """The primary is suspended or cut off while another takes over, and gets requests meanwhile."""
     cluster = Cluster(seed)
     cluster.run(2.0)
     old = cluster.primary
@@ -276,12 +274,12 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_a_primary_that_slept_tells_nothing_old(seed: int) -> None:
-    settled(deposed(seed))
+def test_a_suspended_primary_returns_nothing_stale(seed: int) -> None:
+    check_settled(deposed(seed))
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_primary_that_ends_in_order_leaves_no_gap(seed: int) -> None:
+def test_an_orderly_exit_of_the_primary_leaves_no_gap(seed: int) -> None:
     cluster = Cluster(seed)
     cluster.run(4.0)
     old = cluster.primary
@@ -294,26 +292,26 @@
 def first_violation(seeds: range) -> str:
     for seed in seeds:
         try:
-            settled(play(seed))
-            settled(deposed(seed))
-            settled(changing(seed))
+            check_settled(play(seed))
+            check_settled(deposed(seed))
+            check_settled(changing(seed))
         except Violation as error:
             return str(error)
     return ""
 
 
 @pytest.mark.parametrize("fault", ["forgets", "alone", "unproven", "old voters"])
-def test_the_checks_find_planted_faults(fault: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each invariant's check fails on a store that breaks it."""
+def test_the_checks_find_injected_faults(fault: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The check of each invariant fails on a store that violates it."""
     if fault == "unproven":
         planted.unwatched(monkeypatch)
-        settled(deposed(0))  # that alone does no harm: the proof stands behind it
-    if fault == "alone":  # an acknowledgement without the backup
+        check_settled(deposed(0))  # harmless alone: reads still need confirmation by a majority
+    if fault == "alone":  # acknowledges before the backup has stored the write
         make = simulated.make_replica
 
         def alone(*args: Any) -> Replica:
             replica = make(*args)
-            replica.__class__ = Hasty
+            replica.__class__ = EarlyAcknowledger
             return replica
 
         monkeypatch.setattr(simulated, "make_replica", alone)
--- a/tests/system/test_store_worst_days.py
+++ b/tests/system/test_store_worst_days.py
@@ -1,6 +1,6 @@
-"""The operators' worst days on simulated machines: contact, one order for a number, losses close together, catching up.
+"""Simulated adverse conditions of the store: loss of contact, conflicting writes, losses in quick succession.
 
-Each kind of schedule has its docstring in worst_days.py; `python benchmarks/schedules.py` plays as many as are asked for.
+worst_days.py describes each kind of schedule; `python benchmarks/schedules.py` runs as many as requested.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 from hypothesis import Phase, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import rule
-from test_store_exhaustive import PLAYS, search
+from test_store_exhaustive import SCENARIOS, search
 from test_store_machine import Store
-from worst_days import BETWEEN, KINDS, must_confirm, rivals, second_loss, sizes, slow
+from worst_days import EVENTS_BETWEEN, KINDS, require_commit, rivals, second_loss, sizes, slow
 
 from troutdock.rpc.messages import Read, ReadAck, ReplicateAck, Status, Write, WriteAck
 from troutdock.config_store.replica import Replica, Stage
@@ -31,23 +31,23 @@
 
 
 @contextmanager
-def gathered() -> Iterator[None]:
-    """What is broken is gathered rather than raised at the first."""
-    Cluster.collects = True
+def collecting() -> Iterator[None]:
+    """Collects violations instead of raising the first."""
+    Cluster.collect_violations = True
     try:
         yield
     finally:
-        Cluster.collects = False
+        Cluster.collect_violations = False
 
 
-def broken(kind: str, count: int) -> tuple[Counter[str], str]:
-    """Of so many schedules of a kind: how many break each invariant, and the first."""
+def count_violations(kind: str, count: int) -> tuple[Counter[str], str]:
+    """Runs count schedules of a kind; returns how many violate each invariant, and the first of them."""
     schedule, machines = KINDS[kind]
     counts: Counter[str] = Counter()
     first = ""
-    with gathered():
+    with collecting():
         for seed in range(count):
-            texts = schedule(seed, machines[seed % len(machines)]).texts
+            texts = schedule(seed, machines[seed % len(machines)]).first_messages
             counts.update(texts.keys())
             if texts and not first:
                 first = f"seed {seed}, {machines[seed % len(machines)]} machines: {texts}"
@@ -56,28 +56,28 @@
 
 @pytest.mark.parametrize("kind", KINDS)
 def test_schedules(kind: str) -> None:
-    counts, first = broken(kind, WORST_DAYS)
+    counts, first = count_violations(kind, WORST_DAYS)
     assert not counts, f"{dict(counts)} of {WORST_DAYS}; {first}"
 
 
-# ---- what was shown, one by one
+# ---- single requirements
 
 
-@pytest.mark.parametrize("apart_s", worst_days.APART_S)
-@pytest.mark.parametrize("between", BETWEEN)
-def test_of_two_orders_under_one_number_one_is_confirmed_and_one_refused(
-    between: str, apart_s: float
+@pytest.mark.parametrize("delay_s", worst_days.DELAYS_S)
+@pytest.mark.parametrize("between", EVENTS_BETWEEN)
+def test_of_two_writes_under_one_version_one_is_acknowledged_and_one_rejected(
+    between: str, delay_s: float
 ) -> None:
     for seed in range(4):
-        rivals(seed, 3 + seed % 2, between, apart_s)
+        rivals(seed, 3 + seed % 2, between, delay_s)
 
 
 @pytest.mark.parametrize("gap_s", [4.0, 4.5, 6.0, 6.5])
 @pytest.mark.parametrize("second", ["kill", "wipe", "cut", "hang"])
 @pytest.mark.parametrize("first", ["leaves for good", "leaves and is replaced", "replaced"])
 def test_a_second_loss_after_a_removal(first: str, second: str, gap_s: float) -> None:
-    with gathered():
-        failed = [seed for seed in range(12) if second_loss(seed, 4, first, gap_s, second).broken]
+    with collecting():
+        failed = [seed for seed in range(12) if second_loss(seed, 4, first, gap_s, second).violations]
     assert not failed, f"{len(failed)} of 12 courses, seeds {failed}"
 
 
@@ -94,7 +94,7 @@
         slow(seed, 3 + seed % 2, body_bytes, mbits * 1e6)
 
 
-def test_a_pair_of_primary_and_backup_without_a_majority_of_voters_confirms_nothing() -> None:
+def test_a_primary_and_backup_without_a_majority_of_voters_acknowledge_nothing() -> None:
     for seed in range(20):
         cluster = Cluster(seed, 4)
         cluster.run(4.0)
@@ -109,7 +109,7 @@
                 cluster.run(1.0)
 
 
-def test_whoever_leaves_ends_within_its_grace() -> None:
+def test_an_orderly_exit_ends_within_the_grace_period() -> None:
     for seed in range(10):
         cluster = Cluster(seed, 4)
         cluster.run(4.0)
@@ -119,52 +119,52 @@
             cluster.leave(leaves)
             cluster.run(simulated.GRACE_S)
             assert cluster.machines[leaves].replica is None
-            must_confirm(cluster, "after a leaving")
+            require_commit(cluster, "after a leaving")
             cluster.add()
             cluster.run(30.0)
 
 
-@pytest.mark.parametrize("play", [play for play in PLAYS if play.startswith("two bodies")])
-def test_every_order_of_two_bodies(play: str) -> None:
-    assert search(4, 400_000, PLAYS[play]) > 50
+@pytest.mark.parametrize("scenario", [name for name in SCENARIOS if name.startswith("two bodies")])
+def test_every_order_of_two_bodies(scenario: str) -> None:
+    assert search(4, 400_000, SCENARIOS[scenario]) > 50
 
 
-class Rivals(Store):
-    """The state machine with second bodies under numbers that were sent."""
+class ConflictingWrites(Store):
+    """The state machine with further bodies for versions that were sent."""
 
     @rule(back=st.integers(0, 2), which=st.integers(0, 2), wait=st.sampled_from([0.0, 0.004, 0.3]))
-    def rival(self, back: int, which: int, wait: float) -> None:
+    def conflicting_write(self, back: int, which: int, wait: float) -> None:
         version = max(1, self.version - back)
         to = self.cluster.primary or next(iter(self.cluster.machines))
-        self.cluster.order(to, version, worst_days.body_of(version), self.callers[which])
+        self.cluster.write(to, version, worst_days.body_of(version), self.callers[which])
         self.cluster.run(wait)
 
 
-TestRivals = Rivals.TestCase
-TestRivals.settings = settings(
+TestConflictingWrites = ConflictingWrites.TestCase
+TestConflictingWrites.settings = settings(
     max_examples=60, stateful_step_count=25, deadline=None, derandomize=True, phases=[Phase.generate]
 )
 
 
-# ---- each invariant fails on a planted fault
+# ---- each invariant fails on an injected fault
 
-Spoil = Callable[[Replica], None]
+Fault = Callable[[Replica], None]
 
 
-def each_word(change: Callable[[Replica, str, Any, list[Any]], list[Any]]) -> Spoil:
-    """A fault in what a replica does when it hears something: its actions are changed."""
+def on_each_message(change: Callable[[Replica, str, Any, list[Any]], list[Any]]) -> Fault:
+    """A fault in the handling of messages: changes the actions of a replica."""
 
-    def spoil(replica: Replica) -> None:
+    def inject(replica: Replica) -> None:
         hear = replica.hear
         replica.hear = lambda now, sender, message: change(
             replica, sender, message, hear(now, sender, message)
         )  # type: ignore[method-assign]
 
-    return spoil
+    return inject
 
 
-def answers(change: Callable[[Replica, Any, Any], Any]) -> Spoil:
-    """A fault in the answers to callers."""
+def answers(change: Callable[[Replica, Any, Any], Any]) -> Fault:
+    """A fault in the answers to clients."""
 
     def changed(replica: Replica, sender: str, message: Any, actions: list[Any]) -> list[Any]:
         return [
@@ -174,31 +174,31 @@
             for a in actions
         ]
 
-    return each_word(changed)
+    return on_each_message(changed)
 
 
-def takes_every_body(_: Replica, asked: Any, answer: Any) -> Any:
+def accepts_every_body(_: Replica, request: Any, answer: Any) -> Any:
     return WriteAck(answer.number, True) if isinstance(answer, WriteAck) and answer.conflict else answer
 
 
-def refuses_what_it_has(replica: Replica, asked: Any, answer: Any) -> Any:
+def rejects_duplicates(replica: Replica, request: Any, answer: Any) -> Any:
     if (
-        isinstance(asked, Write)
+        isinstance(request, Write)
         and isinstance(answer, WriteAck)
         and answer.ok
-        and asked.version <= replica.status.version
+        and request.version <= replica.status.version
     ):
         return WriteAck(answer.number, False, conflict=True)
     return answer
 
 
-def refuses_lower(replica: Replica, sender: str, message: Any, actions: list[Any]) -> list[Any]:
+def rejects_lower_versions(replica: Replica, sender: str, message: Any, actions: list[Any]) -> list[Any]:
     if isinstance(message, Write) and message.version < replica.status.version:
         return [Send(sender, WriteAck(message.number, False, conflict=True)), *actions]
     return actions
 
 
-def refuses_and_keeps(replica: Replica, sender: str, message: Any, actions: list[Any]) -> list[Any]:
+def rejects_and_stores(replica: Replica, sender: str, message: Any, actions: list[Any]) -> list[Any]:
     if (
         isinstance(message, Write)
         and replica.stage is Stage.ACTIVE
@@ -208,8 +208,8 @@
     return actions
 
 
-def refuses_a_rival_at_once(replica: Replica) -> None:
-    """While the first body waits, and its fate is unknown."""
+def rejects_conflicts_at_once(replica: Replica) -> None:
+    """Rejects another body while the first is pending and may still be lost."""
     hear, first = replica.hear, {}
 
     def heard(now: float, sender: str, message: Any) -> list[Any]:
@@ -222,36 +222,38 @@
     replica.hear = heard  # type: ignore[method-assign]
 
 
-def confirms_at_once(replica: Replica, sender: str, message: Any, actions: list[Any]) -> list[Any]:
+def acknowledges_at_once(replica: Replica, sender: str, message: Any, actions: list[Any]) -> list[Any]:
     if isinstance(message, Write) and replica.stage is Stage.ACTIVE:
         return [*actions, Send(sender, WriteAck(message.number, True))]
     return actions
 
 
-def confirms_what_it_holds(replica: Replica, sender: str, message: Any, actions: list[Any]) -> list[Any]:
+def acknowledges_stored_versions(
+    replica: Replica, sender: str, message: Any, actions: list[Any]
+) -> list[Any]:
     if isinstance(message, Write) and message.version <= replica.durable.version:
         return [Send(sender, WriteAck(message.number, True))]
     return actions
 
 
-def reads_its_disk(replica: Replica, sender: str, message: Any, actions: list[Any]) -> list[Any]:
+def reads_from_disk(replica: Replica, sender: str, message: Any, actions: list[Any]) -> list[Any]:
     if isinstance(message, Read):
         body = msgspec.Raw(replica.durable.body or b"null")
         return [Send(sender, ReadAck(message.number, replica.durable.version, body))]
     return actions
 
 
-def reads_another_body(_: Replica, asked: Any, answer: Any) -> Any:
+def reads_another_body(_: Replica, request: Any, answer: Any) -> Any:
     if isinstance(answer, ReadAck) and answer.version > 0:
         return ReadAck(answer.number, answer.version, msgspec.Raw(b'{"nobody":1}'))
     return answer
 
 
-def sends_first(_: Replica, sender: str, message: Any, actions: list[Any]) -> list[Any]:
+def sends_before_saving(_: Replica, sender: str, message: Any, actions: list[Any]) -> list[Any]:
     return sorted(actions, key=lambda action: isinstance(action, Save))
 
 
-def forgets_the_copy(_: Replica, sender: str, message: Any, actions: list[Any]) -> list[Any]:
+def drops_replicate_acks(_: Replica, sender: str, message: Any, actions: list[Any]) -> list[Any]:
     return [
         a
         for a in actions
@@ -259,8 +261,8 @@
     ]
 
 
-def denies_what_it_holds(replica: Replica) -> None:
-    """A backup that says all along that it has lost what it was given."""
+def denies_stored_data(replica: Replica) -> None:
+    """A backup that always reports that it has lost its data."""
     hear, tick = replica.hear, replica.tick
 
     def denied(actions: list[Any]) -> list[Any]:
@@ -275,7 +277,7 @@
     replica.tick = lambda now: denied(tick(now))  # type: ignore[method-assign]
 
 
-def deaf_to_the_added(replica: Replica) -> None:
+def ignores_added_machines(replica: Replica) -> None:
     hear = replica.hear
     many = int(replica.me.rpartition(".")[2])
 
@@ -295,7 +297,7 @@
     replica.tick = ticked  # type: ignore[method-assign]
 
 
-def shows_the_first_again(replica: Replica) -> None:
+def commits_an_old_version_again(replica: Replica) -> None:
     tick, shown = replica.tick, []
 
     def ticked(now: float) -> list[Any]:
@@ -307,8 +309,8 @@
     replica.tick = ticked  # type: ignore[method-assign]
 
 
-def epoch_for_two(replica: Replica) -> None:
-    """Whoever hears that a primary is lost takes its epoch for its own."""
+def shares_an_epoch(replica: Replica) -> None:
+    """A machine claims the epoch of another primary."""
     tick = replica.tick
 
     def ticked(now: float) -> list[Any]:
@@ -326,57 +328,59 @@
     replica.tick = ticked  # type: ignore[method-assign]
 
 
-PLANTED: list[tuple[str, str, Spoil]] = [
-    ("two bodies confirmed", "rivals", answers(takes_every_body)),
-    ("not one confirmed and one refused", "rivals", answers(takes_every_body)),
-    ("in force, and refused", "race", answers(refuses_what_it_has)),
-    ("the newest sent again is not confirmed", "away", answers(refuses_what_it_has)),
-    ("a lower number is not confirmed", "away", each_word(refuses_lower)),
-    ("refused, and in force", "race", each_word(refuses_and_keeps)),
-    ("refused, and in force", "rivals", refuses_a_rival_at_once),
-    ("confirmed, and not in force", "race", each_word(confirms_at_once)),
-    ("confirmed out of contact", "contact", each_word(confirms_what_it_holds)),
-    ("told out of contact", "contact", each_word(reads_its_disk)),
-    ("an old version read", "race", each_word(reads_its_disk)),
-    ("a body that nobody sent", "race", answers(reads_another_body)),
+INJECTED_FAULTS: list[tuple[str, str, Fault]] = [
+    ("two bodies acknowledged", "rivals", answers(accepts_every_body)),
+    ("not one acknowledged and one rejected", "rivals", answers(accepts_every_body)),
+    ("committed, but rejected", "race", answers(rejects_duplicates)),
+    ("duplicate of the newest not acknowledged", "away", answers(rejects_duplicates)),
+    ("a lower version not acknowledged", "away", on_each_message(rejects_lower_versions)),
+    ("rejected, but committed", "race", on_each_message(rejects_and_stores)),
+    ("rejected, but committed", "rivals", rejects_conflicts_at_once),
+    ("acknowledged, but not committed", "race", on_each_message(acknowledges_at_once)),
+    ("acknowledged without a majority", "contact", on_each_message(acknowledges_stored_versions)),
+    ("read answered without a majority", "contact", on_each_message(reads_from_disk)),
+    ("a stale version read", "race", on_each_message(reads_from_disk)),
+    ("a body that no client sent", "race", answers(reads_another_body)),
     ("two bodies read", "race", answers(reads_another_body)),
-    ("an old version read", "crashes", each_word(sends_first)),
-    ("not confirmed in time", "turnover", deaf_to_the_added),
-    ("not confirmed in time", "slow", each_word(forgets_the_copy)),
-    ("new epochs without a loss", "slow", denies_what_it_holds),
-    ("active out of contact", "contact", stopped_clock),
+    ("a stale version read", "crashes", on_each_message(sends_before_saving)),
+    ("not acknowledged in time", "turnover", ignores_added_machines),
+    ("not acknowledged in time", "slow", on_each_message(drops_replicate_acks)),
+    ("new epochs without a loss", "slow", denies_stored_data),
+    ("active without a majority", "contact", stopped_clock),
     ("active under an old epoch", "contact", stopped_clock),
-    ("a version goes back", "away", shows_the_first_again),
-    ("two primaries", "race", epoch_for_two),
+    ("a version decreases", "away", commits_an_old_version_again),
+    ("two primaries", "race", shares_an_epoch),
 ]
 
 
 @pytest.mark.parametrize(
-    ("kind", "schedule", "spoil"), PLANTED, ids=[f"{k}-{i}" for i, (k, _, _) in enumerate(PLANTED)]
+    ("kind", "schedule", "inject"),
+    INJECTED_FAULTS,
+    ids=[f"{k}-{i}" for i, (k, _, _) in enumerate(INJECTED_FAULTS)],
 )
-def test_each_invariant_finds_a_planted_fault(
-    kind: str, schedule: str, spoil: Spoil, monkeypatch: pytest.MonkeyPatch
+def test_each_invariant_finds_an_injected_fault(
+    kind: str, schedule: str, inject: Fault, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     make = simulated.make_replica
 
     def made(*args: Any) -> Replica:
         replica = make(*args)
-        spoil(replica)
+        inject(replica)
         return replica
 
     monkeypatch.setattr(simulated, "make_replica", made)
     play, machines = KINDS[schedule]
-    with gathered():
-        # an answer before its save is lost in 4 of 300 courses: the first is 147
+    with collecting():
+        # an answer sent before its save shows in 4 of 300 schedules, the first of which is 147
         first = 140 if schedule == "crashes" else 0
-        assert any(play(seed, machines[0]).broken[kind] for seed in range(first, first + 40))
+        assert any(play(seed, machines[0]).violations[kind] for seed in range(first, first + 40))
 
 
-def test_the_checks_find_answers_that_reach_another_life(monkeypatch: pytest.MonkeyPatch) -> None:
-    """As the daemon was: it knew callers by their address."""
-    counts, _ = broken("late answers", 40)
-    assert "confirmed, and not in force" not in counts
+def test_the_checks_find_answers_to_another_incarnation(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against identifying clients by address alone, as the daemon once did."""
+    counts, _ = count_violations("late answers", 40)
+    assert "acknowledged, but not committed" not in counts
     monkeypatch.setattr(Cluster, "name_of", lambda self, caller: f"@{caller.name}")
-    monkeypatch.setattr(Cluster, "life_of", lambda self, caller: 0)
-    counts, _ = broken("late answers", 40)
-    assert counts["confirmed, and not in force"]
+    monkeypatch.setattr(Cluster, "incarnation_of", lambda self, caller: 0)
+    counts, _ = count_violations("late answers", 40)
+    assert counts["acknowledged, but not committed"]
--- a/troutdock/config_store/configuration_requests.py
+++ b/troutdock/config_store/configuration_requests.py
@@ -144,12 +144,12 @@
             self._answer(caller, "no contact with a majority of voters")
             return
         to, number, incarnation = caller
-        why = f"version is already committed with another body, digest {committed_digest}"
-        self._state.send(to, WriteAck(number, False, why, incarnation, True, committed_digest))
+        reason = f"version is already committed with another body, digest {committed_digest}"
+        self._state.send(to, WriteAck(number, False, reason, incarnation, True, committed_digest))
 
-    def _answer(self, caller: Caller, why: str = "") -> None:
+    def _answer(self, caller: Caller, reason: str = "") -> None:
         to, number, incarnation = caller
-        self._state.send(to, WriteAck(number, not why, why, incarnation))
+        self._state.send(to, WriteAck(number, not reason, reason, incarnation))
 
     # ---- reads
 
@@ -177,22 +177,22 @@
 
     # ---- the end of an epoch
 
-    def abort(self, why: str) -> None:
+    def abort(self, reason: str) -> None:
         """Fails all pending requests with a temporary error."""
         for write in (*self._batch, *self._queue):
             for caller in (*write.callers, *write.conflicting):
-                self._answer(caller, why)
+                self._answer(caller, reason)
         for caller, _ in self._pending_reads:
-            reject_read(self._state, caller, why)
+            reject_read(self._state, caller, reason)
         self._queue, self._batch, self._pending_reads = [], [], []
 
 
-def reject_read(state: ReplicaState, caller: Caller, why: str) -> None:
+def reject_read(state: ReplicaState, caller: Caller, reason: str) -> None:
     """Fails a read with a temporary error."""
     to, number, incarnation = caller
-    state.send(to, ReadAck(number, -1, why=why, life=incarnation))
+    state.send(to, ReadAck(number, -1, why=reason, life=incarnation))
 
 
-def reject_write(state: ReplicaState, sender: str, write: Write, why: str) -> None:
+def reject_write(state: ReplicaState, sender: str, write: Write, reason: str) -> None:
     """Fails a write with a temporary error."""
-    state.send(sender, WriteAck(write.number, False, why, write.life))
+    state.send(sender, WriteAck(write.number, False, reason, write.life))
