--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -51,15 +51,17 @@
 GRACE_S = 6.0  # for an orderly exit
 LOCAL_CALLER = "here"  # a client that reaches every machine and never dies
 CONNECTION_TIMEOUT_S = 1.2  # silence of one direction until the connection is closed, as in rpc.connection
+# sent between the parts of large messages, as in troutdock.rpc.connection
 INTERLEAVED = (
     Status,
     Probe,
     ProbeAck,
-)  # sent between the parts of large messages, as in troutdock.rpc.connection
+)
+# between attempts to connect, as in troutdock.rpc.connection.Connector
 RECONNECT_DELAY_S = (
     0.05,
     0.5,
-)  # between attempts to connect, as in troutdock.rpc.connection.Connector
+)
 OVERHEAD_BYTES = 300  # of a message beside its body
 
 
@@ -96,7 +98,7 @@
     disk: DurableState | None = None
     replica: Replica | None = None
     incarnation: int = 0
-    in_force: int = 0  # highest version committed in this incarnation
+    committed_version: int = 0  # highest version committed in this incarnation
     hangs_until: float = 0.0  # of its disk, or of the whole process
     save_s: float = 0.0  # duration of each save
     crash_after: int = -1  # actions until the process is killed between two of them; below 0: never
@@ -168,9 +170,8 @@
         self.close_half_open = (
             False  # a link that is cut in one direction closes its connections, and so the other direction
         )
-        self._half_open_since: dict[
-            tuple[str, str], float
-        ] = {}  # links whose other direction is cut: since when
+        # links whose other direction is cut: since when
+        self._half_open_since: dict[tuple[str, str], float] = {}
         self.answer_loss_share = 0.0  # lost answers to clients
         self._queue: list[tuple[float, int, str, Any]] = []
         self._number = 0
@@ -179,8 +180,8 @@
         self.acknowledged = 0  # highest acknowledged version
         self.version_bodies: dict[int, bytes] = {}  # by version: acknowledged, read back or committed
         self.newest = 0  # highest version in version_bodies
-        self.confirmed: dict[int, bytes] = {}  # by version: acknowledged while it was the newest
-        self.refused: set[tuple[int, bytes]] = set()  # permanently
+        self.acknowledged_bodies: dict[int, bytes] = {}  # by version: acknowledged while it was the newest
+        self.rejected: set[tuple[int, bytes]] = set()  # permanently
         self.sent: set[tuple[int, bytes]] = set()
         self.answers: list[WriteAck | ReadAck] = []  # to LOCAL_CALLER
         self.primaries: dict[int, str] = {}  # by epoch
@@ -203,7 +204,7 @@
         machine = self.machines[ip]
         self.kill(ip)
         machine.incarnation += 1
-        machine.in_force = 0
+        machine.committed_version = 0
         machine.replica = make_replica(
             ip, machine.seeds, machine.disk, first, self.now, self.spread, machine.incarnation, self.losses
         )
@@ -496,7 +497,7 @@
             )
             > 0
         ):
-            self.report_violation("active under an old epoch", f"{machine.ip}, {epoch}, {last} leads")
+            self.report_violation("active under an old epoch", f"{machine.ip}, {epoch}, {last} is newer")
 
     def _check_answer(self, machine: Machine, message: Any) -> None:
         """Checks that a machine out of contact gives no positive answer."""
@@ -521,15 +522,15 @@
             self.report_violation(f"two bodies {where}", f"of {version}: {known!r} and {body!r}")
         if (version, body) not in self.sent:
             self.report_violation("a body that no client sent", f"{version}, {body!r}")
-        if (version, body) in self.refused:
+        if (version, body) in self.rejected:
             self.report_violation("rejected, but committed", f"{version}, {body!r}")
 
     def _on_committed(self, machine: Machine, action: Committed) -> None:
-        if action.version < machine.in_force:
+        if action.version < machine.committed_version:
             self.report_violation(
-                "a version decreases", f"{machine.ip} from {machine.in_force} to {action.version}"
+                "a version decreases", f"{machine.ip} from {machine.committed_version} to {action.version}"
             )
-        machine.in_force = action.version
+        machine.committed_version = action.version
         if action.version:
             self._check_body(action.version, action.body, "committed")
 
@@ -547,14 +548,14 @@
         if isinstance(message, ReadAck) and message.version >= 0:
             if message.version < call.before:
                 self.report_violation(
-                    "a stale version read", f"{message.version}, {call.before} was confirmed before"
+                    "a stale version read", f"{message.version}, {call.before} was acknowledged before"
                 )
             if message.version:
                 self._check_body(message.version, bytes(message.body), "read")
         elif isinstance(message, WriteAck) and message.ok:
             self._check_acknowledged(call, newest)
         elif isinstance(message, WriteAck) and message.conflict:
-            self.refused.add((call.version, call.body))
+            self.rejected.add((call.version, call.body))
             if self.version_bodies.get(call.version) == call.body:
                 self.report_violation("committed, but rejected", f"{call.version}, {call.body!r}")
 
@@ -567,4 +568,4 @@
             self.report_violation("acknowledged, but not committed", f"{version}, {newest} is")
         self.acknowledged = max(self.acknowledged, version)
         self._check_body(version, body, "acknowledged")
-        self.confirmed.setdefault(version, body)
+        self.acknowledged_bodies.setdefault(version, body)
--- a/tests/support/worst_days.py
+++ b/tests/support/worst_days.py
@@ -15,9 +15,9 @@
 from troutdock.rpc.messages import ReadAck, WriteAck
 
 SYNC_S = 4.0  # setting of small sites; 6 s on large ones
-CONFIRM_S = 5.0  # from a loss until writes are acknowledged again
-RESEND_S = 0.25  # between two attempts of an operator
-CUT_S = 20.0
+COMMIT_TIMEOUT_S = 5.0  # from a loss until writes are acknowledged again
+RETRY_INTERVAL_S = 0.25  # between two attempts of an operator
+CUT_DURATION_S = 20.0
 
 
 def body_of(version: int, which: int = 0) -> bytes:
@@ -27,10 +27,10 @@
 
 def until_committed(
     cluster: Cluster,
-    timeout_s: float = CONFIRM_S,
+    timeout_s: float = COMMIT_TIMEOUT_S,
     ignored: str = "",
     step: float = 0.05,
-    resend: float = RESEND_S,
+    resend: float = RETRY_INTERVAL_S,
 ) -> float:
     """Sends a write to the primary repeatedly until it is acknowledged.
 
@@ -54,7 +54,9 @@
     return timeout_s
 
 
-def require_commit(cluster: Cluster, why: str, timeout_s: float = CONFIRM_S, ignored: str = "") -> float:
+def require_commit(
+    cluster: Cluster, why: str, timeout_s: float = COMMIT_TIMEOUT_S, ignored: str = ""
+) -> float:
     took = until_committed(cluster, timeout_s, ignored)
     if took >= timeout_s:
         cluster.report_violation("not acknowledged in time", f"{why}, {timeout_s:.0f} s")
@@ -87,7 +89,7 @@
             break
     if not isinstance(reply, ReadAck) or reply.version < cluster.acknowledged:
         cluster.report_violation(
-            "acknowledged write not read back", f"{reply}, {cluster.acknowledged} was confirmed"
+            "acknowledged write not read back", f"{reply}, {cluster.acknowledged} was acknowledged"
         )
         return
     newest, body = reply.version, bytes(reply.body)
@@ -216,9 +218,8 @@
     primary = cluster.primary or names[0]
     who = {random.choice([primary, random.choice(names)])}
     how = random.choice(["cut", "cut", "out", "in", "freeze"])
-    cluster.close_half_open = (
-        random.random() < 0.5
-    )  # otherwise the state machines alone must cope with a link that is cut in one direction
+    # otherwise the state machines alone must cope with a link that is cut in one direction
+    cluster.close_half_open = random.random() < 0.5
     if machines > 3 and how == "cut" and random.random() < 0.5:
         who.add(random.choice([ip for ip in names if ip not in who]))
     pending: list[tuple[int, bytes]] = []
@@ -229,7 +230,7 @@
             cluster.write(primary, *pending[-1])
         cluster.run(random.choice([0.001, 0.003, 0.008]))
     if how == "freeze":
-        cluster.machines[next(iter(who))].hangs_until = cluster.now + CUT_S
+        cluster.machines[next(iter(who))].hangs_until = cluster.now + CUT_DURATION_S
     else:
         cluster.cut_off(who, how)
     began = cluster.now
@@ -241,7 +242,7 @@
     if healthy and len(who) == 1 and (cluster.close_half_open or how not in ("in", "out")):
         ignored = next(iter(inside)) if len(inside) == 1 else ""
         require_commit(cluster, f"{how} of {len(who)}", ignored=ignored)
-    while cluster.now - began < CUT_S:
+    while cluster.now - began < CUT_DURATION_S:
         version = max(v for v, _ in cluster.sent) + random.randint(0, 1)
         if random.random() < 0.4:
             pending.append((version, body_of(version, 5)))
@@ -304,9 +305,8 @@
                 cluster.machines[ip].hangs_until = cluster.now + random.uniform(0.1, 0.7)
     elif between == "higher numbers wait" and random.random() < 0.5:
         cluster.write(primary, 7, body_of(7), callers[0])
-    elif (
-        between == "the primary was cut off before"
-    ):  # each is on one disk at most; one is rejected, the other is lost
+    # each is on one disk at most; one is rejected, the other is lost
+    elif between == "the primary was cut off before":
         cluster.cut_off({primary})
         cluster.write(primary, 5, bodies[0])
         cluster.run(0.003)
@@ -345,8 +345,8 @@
     check_settled(cluster)
     if cluster.newest == 5:
         ends = [write_until_decided(cluster, 5, body) for body in bodies]
-        refused = [isinstance(call.answer, WriteAck) and call.answer.conflict for call in ends]
-        if sum(call.ok for call in ends) != 1 or sum(refused) != 1:
+        rejected = [isinstance(call.answer, WriteAck) and call.answer.conflict for call in ends]
+        if sum(call.ok for call in ends) != 1 or sum(rejected) != 1:
             cluster.report_violation(
                 "not one acknowledged and one rejected", f"{[call.answer for call in ends]}"
             )
@@ -380,9 +380,8 @@
     cluster = Cluster(seed, machines, models_connections=random.random() < 0.5)
     cluster.close_half_open = True
     names = list(cluster.machines)
-    cluster.run(
-        random.choice([2.0, 2.0, 4.0, random.uniform(3.0, 14.0)])
-    )  # early on, peers have only just been discovered
+    # early on, peers have only just been discovered
+    cluster.run(random.choice([2.0, 2.0, 4.0, random.uniform(3.0, 14.0)]))
     require_commit(cluster, "at the start")
     first = first or random.choice([f for f in FIRST_LOSSES if machines > 3 or f != "leaves for good"])
     gap = gap_s or random.choice([SYNC_S, SYNC_S, 4.5, 6.0, 6.5, 9.0])
@@ -549,7 +548,7 @@
             machine.save_s = 0.14  # a slow fsync
     cluster.run(4.0)
     # transfers to the backup, to the next one, and a margin
-    bound = CONFIRM_S + 4 * cluster.body_bytes / cluster.bandwidth
+    bound = COMMIT_TIMEOUT_S + 4 * cluster.body_bytes / cluster.bandwidth
     what = f"{cluster.body_bytes} bytes, {cluster.bandwidth * 8 / 1e6:.0f} Mbit/s, latency of {cluster.latency[1]} s"
     what += ", slow disks" if cluster.machines[names[0]].save_s else ""
     require_commit(cluster, f"{what}, the first", bound)
--- a/tests/system/test_disks_after_power.py
+++ b/tests/system/test_disks_after_power.py
@@ -395,8 +395,7 @@
     disk = Disk(tmp_path)
     disk.open()
     assert disk._db is not None
-    assert disk._db.execute("PRAGMA synchronous").fetchone() == (
-        2,
-    )  # FULL: the log is synced with each commit
+    # FULL: the log is synced with each commit
+    assert disk._db.execute("PRAGMA synchronous").fetchone() == (2,)
     assert disk._db.execute("PRAGMA journal_mode").fetchone() == ("wal",)
     disk.close()
--- a/tests/system/test_store_exhaustive.py
+++ b/tests/system/test_store_exhaustive.py
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """Possible events. orders: caller, version and body, each sent once; restarts_caller: a may restart once."""
+    """Possible events. orders: caller, version and body, each sent once; restarts_caller: whether a may restart."""
 
     orders: tuple[tuple[str, int, bytes], ...] = (("a", 2, A),)
     losses: tuple[str, ...] = ("power", "disk")
@@ -62,7 +62,7 @@
         self.channels: dict[tuple[str, str], list[Any]] = {}
         self.acknowledged, self.lost, self.asked = 0, "", 0
         self.leave_deadline = 0.0
-        self.shown: dict[str, int] = {}
+        self.committed_versions: dict[str, int] = {}
         self.read: list[int] = []
         self.incarnations = {"a": 1, "b": 1}
         self.calls: dict[str, list[tuple[int, bytes]]] = {
@@ -70,12 +70,12 @@
             "b": [],
         }  # of this incarnation; a call's number is its index plus 1
         self.bodies: dict[int, bytes] = {}  # acknowledged, read or committed
-        self.refused: list[tuple[int, bytes]] = []
+        self.rejected: list[tuple[int, bytes]] = []
         for ip in IPS:
             self.start(ip, True)
 
     def start(self, ip: str, first: bool = False) -> None:
-        self.shown[ip] = 0
+        self.committed_versions[ip] = 0
         replica = self.replicas[ip] = make_replica(ip, IPS, self.disks[ip], first, self.now)
         for other in IPS:
             replica.meet(other, other)
@@ -86,15 +86,15 @@
 
     def check_body(self, version: int, body: bytes) -> None:
         assert self.bodies.setdefault(version, body) == body, f"two bodies of {version}"
-        assert (version, body) not in self.refused, f"{version} was rejected, but is committed"
+        assert (version, body) not in self.rejected, f"{version} was rejected, but is committed"
 
     def execute(self, ip: str, actions: list[Any]) -> None:
         for action in actions:
             if isinstance(action, Save):
                 self.disks[ip] = action.durable
             elif isinstance(action, Committed):
-                assert action.version >= self.shown[ip], "a version decreases"
-                self.shown[ip] = action.version
+                assert action.version >= self.committed_versions[ip], "a version decreases"
+                self.committed_versions[ip] = action.version
                 if action.version:
                     self.check_body(action.version, action.body)
             elif isinstance(action, Send):
@@ -125,7 +125,7 @@
             self.acknowledged = max(self.acknowledged, version)
         elif message.conflict:
             assert self.bodies.get(version) != body, f"{version} is committed, but rejected"
-            self.refused.append((version, body))
+            self.rejected.append((version, body))
 
     def order(self, ip: str, caller: str, version: int, body: bytes) -> None:
         self.calls[caller].append((version, body))
--- a/tests/system/test_store_machine.py
+++ b/tests/system/test_store_machine.py
@@ -14,9 +14,9 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.cluster, self.down, self.version, self.whole_at = Cluster(0), "", 0, 0.0
+        self.cluster, self.down, self.version, self.healed_at = Cluster(0), "", 0, 0.0
         self.callers: list[str] = []
-        self.gone: set[str] = set()  # permanently
+        self.removed: set[str] = set()  # permanently
 
     @initialize(seed=st.integers(0, 1000), machines=st.sampled_from([3, 4]))
     def found(self, seed: int, machines: int) -> None:
@@ -54,23 +54,23 @@
             self.cluster.send_read(self.cluster.primary, self.callers[which])
 
     @precondition(
-        lambda self: not self.down and len(self.cluster.machines) < 7 and self.cluster.now >= self.whole_at
+        lambda self: not self.down and len(self.cluster.machines) < 7 and self.cluster.now >= self.healed_at
     )
     @rule(leaves=st.booleans())
     def grow(self, leaves: bool) -> None:
         """Adds a machine, or replaces one that exits in order."""
         if leaves:
-            gone = self.cluster.primary or next(iter(self.cluster.machines))
-            self.cluster.leave(gone)
+            removed = self.cluster.primary or next(iter(self.cluster.machines))
+            self.cluster.leave(removed)
             self.cluster.run(6.0)
-            self.gone.add(gone)
+            self.removed.add(removed)
         self.cluster.add()
-        self.whole_at = self.cluster.now + (20.0 if leaves else 4.0)
+        self.healed_at = self.cluster.now + (20.0 if leaves else 4.0)
 
-    @precondition(lambda self: not self.down and self.cluster.now >= self.whole_at)
+    @precondition(lambda self: not self.down and self.cluster.now >= self.healed_at)
     @rule(at=st.integers(0, 4), how=st.sampled_from(["kill", "wipe", "leave", "cut", "out", "in", "hang"]))
     def lose(self, at: int, how: str) -> None:
-        names = [ip for ip in self.cluster.machines if ip not in self.gone]
+        names = [ip for ip in self.cluster.machines if ip not in self.removed]
         self.down = (self.cluster.primary or names[0]) if at >= len(names) else names[at]
         if how == "hang":
             self.cluster.machines[self.down].hangs_until = self.cluster.now + 2.0
@@ -87,7 +87,7 @@
         if not self.cluster.up(self.down):
             self.cluster.start(self.down)
         self.cluster.cut.clear()
-        self.down, self.whole_at = "", self.cluster.now + 4.0
+        self.down, self.healed_at = "", self.cluster.now + 4.0
 
     @rule(seconds=st.sampled_from([0.05, 0.4, 1.5, 4.0]))
     def wait(self, seconds: float) -> None:
--- a/tests/system/test_store_schedules.py
+++ b/tests/system/test_store_schedules.py
@@ -1,4 +1,4 @@
-"""The store under seeded schedules of losses: no acknowledged write is lost, versions only increase, one leads."""
+"""Seeded schedules of losses: no acknowledged write is lost, versions only increase, one primary leads."""
 
 from __future__ import annotations
 
