--- a/benchmarks/hollow/core.py
+++ b/benchmarks/hollow/core.py
@@ -48,7 +48,7 @@
 from troutdock.registry.registry import Registry, Send
 from lab.timeline import Timeline
 from troutdock.endpoints.rendezvous import ranked
-from troutdock.config_store.daemon import TICK_S as STORE_TICK_S
+from troutdock.config_store.daemon import TICK_INTERVAL_S as STORE_TICK_S
 from troutdock.config_store.replica import Replica
 from troutdock.config_store.replica_state import Committed, Save
 from troutdock.config_store.replica_state import Send as StoreSend
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -50,18 +50,11 @@
 CONTACT_S = 2.0  # without a majority for longer than this, a machine must not claim to lead
 GRACE_S = 6.0  # for an orderly exit
 LOCAL_CALLER = "here"  # a client that reaches every machine and never dies
-CONNECTION_TIMEOUT_S = 1.2  # silence of one direction until the connection is closed, as in rpc.connection
+CONNECTION_TIMEOUT_S = 1.2  # silence of one direction: rpc.connection.SILENCE_TIMEOUT_S plus a heartbeat
 # sent between the parts of large messages, as in troutdock.rpc.connection
-INTERLEAVED = (
-    Status,
-    Probe,
-    ProbeAck,
-)
+INTERLEAVED = (Status, Probe, ProbeAck)
 # between attempts to connect, as in troutdock.rpc.connection.Connector
-RECONNECT_DELAY_S = (
-    0.05,
-    0.5,
-)
+RECONNECT_DELAY_S = 0.05, 0.5
 OVERHEAD_BYTES = 300  # of a message beside its body
 
 
