--- a/troutdock/config_store/replica.py
+++ b/troutdock/config_store/replica.py
@@ -20,7 +20,7 @@
 backups), replication (sending and applying data), configuration_requests (writes and reads). This module
 handles the transitions between the stages and passes each event to its part.
 
-Safety rules, each with the loss in tests that it prevents:
+Safety rules; each guards against a loss that is covered by tests:
 
 1. Only a machine named as primary or backup by the newest record that a majority reports may lead the next
    epoch. All of these store everything committed before, because each commit needed all of them.
@@ -176,7 +176,7 @@
             first_start: whether this is the very first start of the whole system.
             now: time of the monotonic clock, in seconds.
             tolerance: losses to tolerate, and times.
-            incarnation: number of this process start; higher than any before.
+            incarnation: number that identifies this start of the process.
         """
         self.me = me
         state = self._state = ReplicaState(
@@ -237,7 +237,7 @@
         return actions
 
     def tick(self, now: float) -> list[Action]:
-        """Handles the passing of time; call it at least ten times a second."""
+        """Handles the passing of time; to be called ten times a second or more often."""
         self._state.now = now
         if now - self._status_sent_at >= STATUS_INTERVAL_S:
             self._send_status()
