--- a/benchmarks/hollow/core.py
+++ b/benchmarks/hollow/core.py
@@ -48,9 +48,9 @@
 from troutdock.registry.registry import Registry, Send
 from lab.timeline import Timeline
 from troutdock.endpoints.rendezvous import ranked
-from troutdock.config_store.daemon import TICK_S as STORE_TICK_S
+from troutdock.config_store.daemon import TICK_INTERVAL_S as STORE_TICK_S
 from troutdock.config_store.replica import Replica
-from troutdock.config_store.replica_state import InForce, Save
+from troutdock.config_store.replica_state import Committed, Save
 from troutdock.config_store.replica_state import Send as StoreSend
 
 SYNC_S = 0.005
@@ -181,7 +181,7 @@
                             n, number, len(payload), payload, what, n
                         ),
                     )
-                case InForce(version, body):
+                case Committed(version, body):
                     payload = encode_frame(encode(Config(version, msgspec.Raw(body))))
                     for to in range(CORE):
                         self.count.said("rootstock", "hedgerow", len(payload))
