--- a/troutdock/config_store/storage.py
+++ b/troutdock/config_store/storage.py
@@ -1,19 +1,21 @@
-"""What a replica keeps, on sqlite: one writer, synced before it returns.
-
-A file that can't be read as a store is set aside, never read as data: the replica then starts as one whose
-disk was lost, and is given everything anew. Schema versions stand in `user_version`, with a step from each
-to the next.
-
-After a loss of power each name that was made, renamed or removed since its folder was synced may be there or
-not, by itself. The store is two files, the database and its log (`-wal`, which sqlite syncs with each commit,
-and its folder with the first); what was committed may lie in the log alone. So that a database without its
-log never passes for the newest state, a third file, LOGGED, says that there must be one: it is made and
-synced once the log lasts, and goes, with a sync of the folder, before sqlite takes the log away at the end in
-order. A file that is set aside gets its new name, synced, before its log does, and both before a new one is
-made. Where a part is missing the disk counts as lost.
-
-What is kept is bounded: HISTORY configurations, HISTORY_BYTES besides the newest; older ones make room before
-the new one is written; the log is cut to LOG_BYTES after each checkpoint; one damaged file stays.
+"""Durable state of a replica in SQLite: one writer, each commit synced before save() returns.
+
+A file that cannot be read as a store is renamed (quarantined) and never used as data: the replica then starts
+like one whose disk was lost, and gets its state from the others. The schema version is kept in
+`user_version`, with one migration from each version to the next.
+
+After a power loss, each name that was created, renamed or removed since the last fsync of its directory may
+or may not be there, independently of the others. The store consists of two files, the database and its
+write-ahead log (`-wal`, which SQLite syncs with each commit, and its directory with the first). The newest
+commits may be in the log alone. So that a database without its log is never taken for the newest state, a
+third file, WAL_MARKER, tells that the log must exist. The marker is created and synced once the log is
+durable. On an orderly close it is removed, and the directory synced, before SQLite removes the log. A
+quarantined database is renamed, and the directory synced, before its log is renamed, and both before a new
+store is created. If a part is missing, the disk counts as lost.
+
+Disk usage is bounded: MAX_HISTORY configurations, and MAX_HISTORY_BYTES of them beside the newest; older ones
+are deleted before a new one is written. The log is truncated to MAX_WAL_BYTES after each checkpoint. Only the
+last quarantined file is kept.
 """
 
 from __future__ import annotations
@@ -27,15 +29,15 @@
 import msgspec
 
 from troutdock.rpc.messages import Record
-from troutdock.config_store.replica_state import Kept
+from troutdock.config_store.replica_state import DurableState
 
 FILE = "rootstock.db"
-LOGGED = "rootstock.logged"  # where it is, the database is not whole without its log
-SCHEMA = 2
-HISTORY = 32  # versions that are kept, the newest among them, for operators to look at
-HISTORY_BYTES = 24 * 1024 * 1024  # of their bodies, without the newest's
-LOG_BYTES = 1024 * 1024  # of the log, once what it holds lies in the database too
-_FIRST = (
+WAL_MARKER = "rootstock.logged"  # while it exists, the database is incomplete without its log
+SCHEMA_VERSION = 2
+MAX_HISTORY = 32  # stored versions including the newest, for inspection by operators
+MAX_HISTORY_BYTES = 24 * 1024 * 1024  # of stored bodies, without the newest
+MAX_WAL_BYTES = 1024 * 1024  # of the log after a checkpoint
+_SCHEMA_1 = (
     "CREATE TABLE state (only INTEGER PRIMARY KEY CHECK (only = 1), promised INTEGER NOT NULL,"
     " record TEXT,"
     " version INTEGER NOT NULL, voters TEXT NOT NULL, blank INTEGER NOT NULL, given INTEGER NOT NULL,"
@@ -46,24 +48,24 @@
 )
 
 
-class _Spoilt(sqlite3.DatabaseError):
-    """It can't be read as a store."""
+class _CorruptionError(sqlite3.DatabaseError):
+    """The file cannot be read as a store."""
 
 
-def _mark(*fields: object) -> str:
-    """What tells that a row is as it was written: sqlite finds broken pages, not changed bytes."""
+def _row_checksum(*fields: object) -> str:
+    """Checksum of a row; SQLite detects malformed pages, but not changed bytes in them."""
     return blake2b(repr(fields).encode(), digest_size=12).hexdigest()
 
 
-def _body_mark(version: int, body: bytes) -> str:
-    """The same for a configuration, without a copy of its body."""
+def _body_checksum(version: int, body: bytes) -> str:
+    """Checksum of a configuration, computed without a copy of its body."""
     found = blake2b(b"%d:" % version, digest_size=12)
     found.update(body)
     return found.hexdigest()
 
 
-def record_of_1(record: str | None) -> str | None:
-    """A record's JSON of schema 1, [epoch, primary, backup, ...], with a list of backups in third place."""
+def upgrade_record_v1(record: str | None) -> str | None:
+    """Converts a record of schema 1, [epoch, primary, backup, ...], to one with a list of backups."""
     if record is None:
         return None
     fields = msgspec.json.decode(record, type=list)
@@ -72,170 +74,180 @@
     return msgspec.json.encode(fields).decode()
 
 
-def _step_0(base: sqlite3.Connection) -> None:
-    for statement in _FIRST:
-        base.execute(statement)
+def _migrate_0(db: sqlite3.Connection) -> None:
+    for statement in _SCHEMA_1:
+        db.execute(statement)
 
 
-def _step_1(base: sqlite3.Connection) -> None:
-    """Records name a list of backups, `taken` is new, marks of bodies are made without repr."""
-    base.execute("ALTER TABLE state ADD COLUMN taken TEXT NOT NULL DEFAULT '[]'")
-    row = base.execute("SELECT promised, record, version, voters, blank, given, mark FROM state").fetchone()
+def _migrate_1(db: sqlite3.Connection) -> None:
+    """Migrates to schema 2: records list backups, `taken` is added, body checksums are made without repr."""
+    db.execute("ALTER TABLE state ADD COLUMN taken TEXT NOT NULL DEFAULT '[]'")
+    row = db.execute("SELECT promised, record, version, voters, blank, given, mark FROM state").fetchone()
     newest = 0
     if row is not None:
-        *fields, mark = row
-        if _mark(*fields) != mark:
-            raise _Spoilt("malformed: the state does not fit its mark")
-        fields[1], newest = record_of_1(fields[1]), fields[2]
-        base.execute("UPDATE state SET record = ?, mark = ?", (fields[1], _mark(*fields, "[]")))
-    for (version,) in base.execute("SELECT version FROM configurations").fetchall():
-        found = base.execute("SELECT body, mark FROM configurations WHERE version = ?", (version,)).fetchone()
-        if _mark(version, found[0]) == found[1]:
-            mark = _body_mark(version, found[0])
-            base.execute("UPDATE configurations SET mark = ? WHERE version = ?", (mark, version))
+        *fields, checksum = row
+        if _row_checksum(*fields) != checksum:
+            raise _CorruptionError("malformed: the state does not match its checksum")
+        fields[1], newest = upgrade_record_v1(fields[1]), fields[2]
+        db.execute("UPDATE state SET record = ?, mark = ?", (fields[1], _row_checksum(*fields, "[]")))
+    for (version,) in db.execute("SELECT version FROM configurations").fetchall():
+        found = db.execute("SELECT body, mark FROM configurations WHERE version = ?", (version,)).fetchone()
+        if _row_checksum(version, found[0]) == found[1]:
+            checksum = _body_checksum(version, found[0])
+            db.execute("UPDATE configurations SET mark = ? WHERE version = ?", (checksum, version))
         elif version == newest:
-            raise _Spoilt(f"malformed: version {version} is spoilt")
+            raise _CorruptionError(f"malformed: version {version} does not match its checksum")
         else:
-            base.execute("DELETE FROM configurations WHERE version = ?", (version,))
+            db.execute("DELETE FROM configurations WHERE version = ?", (version,))
 
 
-_STEPS = {0: _step_0, 1: _step_1}
+_MIGRATIONS = {0: _migrate_0, 1: _migrate_1}
 
 
-def _sync_folder(folder: Path) -> None:
-    """Names that were made, renamed or removed there last from now on."""
-    handle = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
+def _fsync_directory(directory: Path) -> None:
+    """Makes preceding changes of names in the directory durable."""
+    fd = os.open(directory, os.O_RDONLY | os.O_DIRECTORY)
     try:
-        os.fsync(handle)
+        os.fsync(fd)
     finally:
-        os.close(handle)
+        os.close(fd)
 
 
-def _make_folder(folder: Path) -> None:
-    if not folder.is_dir():
-        _make_folder(folder.parent)
-        folder.mkdir(exist_ok=True)
-        _sync_folder(folder.parent)
+def _make_directory(directory: Path) -> None:
+    if not directory.is_dir():
+        _make_directory(directory.parent)
+        directory.mkdir(exist_ok=True)
+        _fsync_directory(directory.parent)
 
 
-def _cannot_be_read(error: sqlite3.DatabaseError) -> bool:
-    """The file is at fault, and trying again is of no use."""
+def _is_corruption(error: sqlite3.DatabaseError) -> bool:
+    """Whether the error shows a damaged file, so that a retry is useless."""
     if not isinstance(error, sqlite3.OperationalError):
         return True
     return any(w in str(error) for w in ("malformed", "no such table", "no such column", "already exists"))
 
 
 class DiskError(OSError):
-    """The disk refuses or what lies on it is damaged."""
+    """The disk cannot be read or written."""
 
 
 class Disk:
-    """The store's file in a folder. None as the folder: kept in memory only, for tests and for what-if."""
+    """Database file of the store in a directory; in memory if the directory is None (tests, simulations)."""
 
-    def __init__(self, folder: Path | None) -> None:
-        self._path = folder / FILE if folder is not None else None
-        self._base: sqlite3.Connection | None = None
-        self._version = -1  # of the newest configuration in the file
+    def __init__(self, directory: Path | None) -> None:
+        self._path = directory / FILE if directory is not None else None
+        self._db: sqlite3.Connection | None = None
+        self._version = -1  # newest configuration in the file
         self._body = b""
-        self._whole = False  # the last close left all in the database, though LOGGED could not be removed
-        self.set_aside: Path | None = None  # a damaged file's new name
+        self._checkpointed = False  # the last close completed the database, but could not remove WAL_MARKER
+        self.quarantined: Path | None = None  # new path of a damaged file
 
-    def open(self) -> Kept | None:
-        """What is kept, None for nothing; DiskError if the disk refuses."""
+    def open(self) -> DurableState | None:
+        """Opens the file; a damaged file is quarantined and replaced by an empty one.
+
+        Returns:
+            The stored state, or None if there is none.
+
+        Raises:
+            DiskError: The disk cannot be read or written.
+        """
         try:
             return self._open()
         except sqlite3.DatabaseError as error:
-            if not _cannot_be_read(error):
+            if not _is_corruption(error):
                 self.close()
                 raise DiskError(f"can't be opened: {error}") from error
             try:
-                self._put_aside()
+                self._quarantine()
                 return self._open()
-            except (sqlite3.Error, OSError) as again:
-                raise DiskError(f"can't be opened: {again}") from again
+            except (sqlite3.Error, OSError) as retry_error:
+                raise DiskError(f"can't be opened: {retry_error}") from retry_error
         except (OSError, msgspec.MsgspecError) as error:
             self.close()
             raise DiskError(f"can't be opened: {error}") from error
 
-    def _open(self) -> Kept | None:
+    def _open(self) -> DurableState | None:
         self.close()
         if self._path is not None:
-            _make_folder(self._path.parent)
-            self._check_parts(self._path)
-        base = sqlite3.connect(
+            _make_directory(self._path.parent)
+            self._check_files(self._path)
+        db = sqlite3.connect(
             str(self._path) if self._path is not None else ":memory:",
             isolation_level=None,
             check_same_thread=False,
         )
-        self._base = base
-        # one process has the file, so there is nothing to share; a commit is one sync of the log
-        base.execute("PRAGMA locking_mode = EXCLUSIVE")
-        base.execute("PRAGMA journal_mode = WAL")
-        base.execute("PRAGMA synchronous = FULL")
-        base.execute("PRAGMA cache_size = -512")
-        base.execute(f"PRAGMA journal_size_limit = {LOG_BYTES}")
-        (found,) = base.execute("PRAGMA quick_check").fetchone()
+        self._db = db
+        # only one process uses the file, so no shared memory is needed; a commit is one fsync of the log
+        db.execute("PRAGMA locking_mode = EXCLUSIVE")
+        db.execute("PRAGMA journal_mode = WAL")
+        db.execute("PRAGMA synchronous = FULL")
+        db.execute("PRAGMA cache_size = -512")
+        db.execute(f"PRAGMA journal_size_limit = {MAX_WAL_BYTES}")
+        (found,) = db.execute("PRAGMA quick_check").fetchone()
         if found != "ok":
-            raise _Spoilt(f"malformed: {found}")
-        (schema,) = base.execute("PRAGMA user_version").fetchone()
-        if schema > SCHEMA:
-            raise DiskError(f"schema {schema} is newer than this program's {SCHEMA}")
-        while schema < SCHEMA:
-            base.execute("BEGIN IMMEDIATE")
-            _STEPS[schema](base)
+            raise _CorruptionError(f"malformed: {found}")
+        (schema,) = db.execute("PRAGMA user_version").fetchone()
+        if schema > SCHEMA_VERSION:
+            raise DiskError(f"schema {schema} is newer than this program's {SCHEMA_VERSION}")
+        while schema < SCHEMA_VERSION:
+            db.execute("BEGIN IMMEDIATE")
+            _MIGRATIONS[schema](db)
             schema += 1
-            base.execute(f"PRAGMA user_version = {schema}")
-            base.execute("COMMIT")
-        kept = self._read(base)
+            db.execute(f"PRAGMA user_version = {schema}")
+            db.execute("COMMIT")
+        durable = self._read(db)
         if self._path is not None:
-            self._need_log(self._path, base)
-        return kept
+            self._create_wal_marker(self._path, db)
+        return durable
 
-    def _check_parts(self, path: Path) -> None:
-        """A database without the log that belongs to it is spoilt; what is left of one that is gone, goes."""
-        logged, log = path.with_name(LOGGED), Path(f"{path}-wal")
+    def _check_files(self, path: Path) -> None:
+        """Rejects a database whose log is missing; removes leftover files if there is no database."""
+        marker, wal = path.with_name(WAL_MARKER), Path(f"{path}-wal")
         if path.exists() and path.stat().st_size:
-            if logged.exists() and not self._whole and not (log.exists() and log.stat().st_size):
-                raise _Spoilt("malformed: the log is missing")
+            if marker.exists() and not self._checkpointed and not (wal.exists() and wal.stat().st_size):
+                raise _CorruptionError("malformed: the write-ahead log is missing")
             return
-        left = [p for p in (path, log, Path(f"{path}-journal"), Path(f"{path}-shm"), logged) if p.exists()]
-        for each in left:
+        stale = [p for p in (path, wal, Path(f"{path}-journal"), Path(f"{path}-shm"), marker) if p.exists()]
+        for each in stale:
             each.unlink()
-        if left:
-            _sync_folder(path.parent)
-
-    def _need_log(self, path: Path, base: sqlite3.Connection) -> None:
-        self._whole = False
-        base.execute(f"PRAGMA user_version = {SCHEMA}")  # a commit: the log is there, and synced
-        _sync_folder(path.parent)
-        handle = os.open(path.with_name(LOGGED), os.O_WRONLY | os.O_CREAT)
+        if stale:
+            _fsync_directory(path.parent)
+
+    def _create_wal_marker(self, path: Path, db: sqlite3.Connection) -> None:
+        self._checkpointed = False
+        # a commit, so that the log exists and is synced
+        db.execute(f"PRAGMA user_version = {SCHEMA_VERSION}")
+        _fsync_directory(path.parent)
+        fd = os.open(path.with_name(WAL_MARKER), os.O_WRONLY | os.O_CREAT)
         try:
-            os.fsync(handle)
+            os.fsync(fd)
         finally:
-            os.close(handle)
-        _sync_folder(path.parent)
+            os.close(fd)
+        _fsync_directory(path.parent)
 
-    def _read(self, base: sqlite3.Connection) -> Kept | None:
+    def _read(self, db: sqlite3.Connection) -> DurableState | None:
         self._version, self._body = -1, b""
-        row = base.execute(
+        row = db.execute(
             "SELECT promised, record, version, voters, blank, given, taken, mark FROM state"
         ).fetchone()
         if row is None:
             return None
-        *fields, mark = row
-        if _mark(*fields) != mark:
-            raise _Spoilt("malformed: the state does not fit its mark")
+        *fields, checksum = row
+        if _row_checksum(*fields) != checksum:
+            raise _CorruptionError("malformed: the state does not match its checksum")
         promised, record, version, voters, blank, given, taken = fields
         body = b""
         if version:
-            kept = base.execute(
+            stored = db.execute(
                 "SELECT body, mark FROM configurations WHERE version = ?", (version,)
             ).fetchone()
-            if kept is None or _body_mark(version, kept[0]) != kept[1]:
-                raise _Spoilt(f"malformed: version {version} is missing or spoilt")
-            body = kept[0]
+            if stored is None or _body_checksum(version, stored[0]) != stored[1]:
+                raise _CorruptionError(
+                    f"malformed: version {version} is missing or does not match its checksum"
+                )
+            body = stored[0]
         self._version, self._body = version, body
-        return Kept(
+        return DurableState(
             promised,
             msgspec.json.decode(record, type=Record) if record else None,
             version,
@@ -246,85 +258,106 @@
             tuple(msgspec.json.decode(taken, type=list[tuple[int, str]])),
         )
 
-    def _put_aside(self) -> None:
+    def _quarantine(self) -> None:
         self.close()
         if self._path is None:
             return
-        folder = self._path.parent
-        older = [p for p in folder.glob("rootstock.damaged*") if "-" not in p.name]
+        directory = self._path.parent
+        older = [p for p in directory.glob("rootstock.damaged*") if "-" not in p.name]
         numbers = [int(p.suffix[8:]) for p in older if p.suffix[8:].isdigit()]
-        aside = self._path.with_suffix(f".damaged{max(numbers, default=0) + 1}")
-        self._path.rename(aside)
-        _sync_folder(folder)  # before its log: the old name must not come back without it
-        for path in folder.glob(FILE + "-*"):
-            path.rename(Path(str(aside) + path.name[len(FILE) :]))
-        self._path.with_name(LOGGED).unlink(missing_ok=True)
+        target = self._path.with_suffix(f".damaged{max(numbers, default=0) + 1}")
+        self._path.rename(target)
+        _fsync_directory(directory)  # the old name must not reappear without its log, which is renamed next
+        for path in directory.glob(FILE + "-*"):
+            path.rename(Path(str(target) + path.name[len(FILE) :]))
+        self._path.with_name(WAL_MARKER).unlink(missing_ok=True)
         for path in older:
-            for each in (path, *folder.glob(path.name + "-*")):
+            for each in (path, *directory.glob(path.name + "-*")):
                 each.unlink()
-        _sync_folder(folder)
-        self.set_aside = aside
+        _fsync_directory(directory)
+        self.quarantined = target
 
-    def save(self, kept: Kept) -> None:
-        """Keep it; DiskError, and nothing is known of what is kept, if the disk refuses."""
-        base = self._base
-        if base is None:
+    def save(self, durable: DurableState) -> None:
+        """Writes the state and syncs it.
+
+        Raises:
+            DiskError: The write failed; it is unknown which state is stored.
+        """
+        db = self._db
+        if db is None:
             raise DiskError("not open")
-        record = msgspec.json.encode(kept.record).decode() if kept.record is not None else None
+        record = msgspec.json.encode(durable.record).decode() if durable.record is not None else None
         try:
-            base.execute("BEGIN IMMEDIATE")
-            if kept.version and (kept.version != self._version or kept.body != self._body):
-                self._make_room(base, kept.version)
-                base.execute(
+            db.execute("BEGIN IMMEDIATE")
+            if durable.version and (durable.version != self._version or durable.body != self._body):
+                self._prune_history(db, durable.version)
+                db.execute(
                     "INSERT INTO configurations VALUES (?, ?, ?, ?)",
-                    (kept.version, kept.body, kept.promised, _body_mark(kept.version, kept.body)),
+                    (
+                        durable.version,
+                        durable.body,
+                        durable.promised,
+                        _body_checksum(durable.version, durable.body),
+                    ),
                 )
-            voters = msgspec.json.encode(list(kept.voters)).decode()
-            taken = msgspec.json.encode(list(kept.taken)).decode()
-            fields = (kept.promised, record, kept.version, voters, int(kept.blank), kept.given, taken)
-            base.execute(
+            voters = msgspec.json.encode(list(durable.voters)).decode()
+            taken = msgspec.json.encode(list(durable.taken)).decode()
+            fields = (
+                durable.promised,
+                record,
+                durable.version,
+                voters,
+                int(durable.blank),
+                durable.given,
+                taken,
+            )
+            db.execute(
                 "INSERT OR REPLACE INTO state"
                 " (only, promised, record, version, voters, blank, given, taken, mark)"
                 " VALUES (1, ?, ?, ?, ?, ?, ?, ?, ?)",
-                (*fields, _mark(*fields)),
+                (*fields, _row_checksum(*fields)),
             )
-            base.execute("COMMIT")
+            db.execute("COMMIT")
         except sqlite3.Error as error:
-            self.close()  # what the next commit would say of this one can't be known
+            self.close()  # a later commit would not tell whether this one is durable
             raise DiskError(f"can't be written: {error}") from error
-        self._version, self._body = kept.version, kept.body
+        self._version, self._body = durable.version, durable.body
 
-    def _make_room(self, base: sqlite3.Connection, version: int) -> None:
-        """For a configuration of this version: none at or above it stays, and no more below than is kept."""
-        below = base.execute(
+    def _prune_history(self, db: sqlite3.Connection, version: int) -> None:
+        """Deletes all versions at or above the given one, and the oldest below it beyond the limits."""
+        below = db.execute(
             "SELECT version, length(body) FROM configurations WHERE version < ? ORDER BY version DESC",
             (version,),
         ).fetchall()
-        room, last = HISTORY_BYTES, 0
-        for place, (number, size) in enumerate(below, 1):
-            room -= size
-            if place >= HISTORY or room < 0:
+        remaining, last = MAX_HISTORY_BYTES, 0
+        for position, (number, size) in enumerate(below, 1):
+            remaining -= size
+            if position >= MAX_HISTORY or remaining < 0:
                 last = number
                 break
-        base.execute("DELETE FROM configurations WHERE version <= ? OR version >= ?", (last, version))
+        db.execute("DELETE FROM configurations WHERE version <= ? OR version >= ?", (last, version))
 
     def close(self) -> None:
-        """Let the file go."""
-        base, self._base = self._base, None
-        if base is None:
+        """Closes the file."""
+        db, self._db = self._db, None
+        if db is None:
             return
         if self._path is None:
-            base.close()
+            db.close()
             return
-        folder, logged, log = self._path.parent, self._path.with_name(LOGGED), Path(f"{self._path}-wal")
-        # not needed any more, and lastingly so, before sqlite takes the log away
+        directory, marker, wal = (
+            self._path.parent,
+            self._path.with_name(WAL_MARKER),
+            Path(f"{self._path}-wal"),
+        )
+        # the marker must be durably removed before SQLite deletes the log
         with contextlib.suppress(OSError):
-            logged.unlink(missing_ok=True)
-            _sync_folder(folder)
+            marker.unlink(missing_ok=True)
+            _fsync_directory(directory)
         with contextlib.suppress(sqlite3.Error):
-            base.close()
+            db.close()
         with contextlib.suppress(OSError):
-            if logged.exists() and not log.exists():
-                self._whole = True
-                logged.unlink()
-            _sync_folder(folder)
+            if marker.exists() and not wal.exists():
+                self._checkpointed = True
+                marker.unlink()
+            _fsync_directory(directory)
