--- a/lab/__init__.py
+++ b/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The laboratory: fleets and what they depend on, in simulated time; no I/O and no clock."""
+"""Simulations of fleets and their dependencies in simulated time, without I/O or a real clock."""
--- a/lab/discovery.py
+++ b/lab/discovery.py
@@ -1,9 +1,9 @@
-"""A discovery that serves so many calls a second, and the fleet of clients that share it.
+"""Simulates a discovery service with limited throughput and the fleet of clients that shares it.
 
-What it does is what the protocol and the operators' pages say of theirs: to go on with a watch costs nothing,
-to begin one costs a call and its lines, a call that would wait longer than a time-out is turned away, and so
-is one that comes while it is. A call that is turned away costs it as well, as a counted queue showed: see
-docs/design/fleet-scale.md.
+The model follows the protocol and the operators' documentation: continuing a watch costs nothing, starting
+one costs a call and its lines. A call that would wait longer than a time-out is rejected, and so are the
+calls that arrive while the queue is that long. A rejected call costs the service work as well, as a measured
+queue showed: see docs/design/fleet-scale.md.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 from lab.timeline import Timeline
 from troutdock.membership.watch import Ask, Watch
 
-GRACE_S = 0.2  # a watch goes on as long as the next call comes so soon after the last answer
+WATCH_GRACE_S = 0.2  # a watch continues if the next call follows the last answer within this time
 
 
 class Client(Protocol):
-    """What is tried: when to call, told what became of each call."""
+    """The client under test: decides when to call and is notified of the result of each call."""
 
     def ask(self) -> Ask: ...
 
@@ -33,11 +33,11 @@
     def failed(self) -> None: ...
 
 
-class Impatient:
-    """The client as it once was, to compare with: each 0.1 s, for the whole list once it was told no."""
+class FixedIntervalClient:
+    """The former client, for comparison: retries every 0.1 s and asks for the full list after a rejection."""
 
     def __init__(self, gateways: int, random: Random) -> None:
-        """As Watch; neither matters to it."""
+        """Has the parameters of Watch and uses neither."""
         self._version: int | None = 0
         self._pause_s = 0.0
 
@@ -56,52 +56,58 @@
 
 
 @dataclass
-class Service:
-    """Figures of a discovery: lines are the unit of its work."""
+class ServiceModel:
+    """Throughput and cost model of a discovery service; its work is counted in lines."""
 
-    lines_per_s: float = 360.0  # served; a call of the watch from each of 40 gateways takes it 4.4 s
-    call_lines: float = 40.0  # of each call, also of one that is turned away
-    list_lines: float = 60.0  # of the whole list, beside those of its call
-    timeout_s: float = 2.0  # a call that would be answered later is turned away
-    refuses: frozenset[int] = frozenset()  # gateways that it always turns away
+    lines_per_s: float = 360.0  # served; one watch call from each of 40 gateways takes 4.4 s
+    call_lines: float = 40.0  # cost of each call, also of a rejected one
+    list_lines: float = 60.0  # cost of the full list, in addition to its call
+    timeout_s: float = 2.0  # a call that would be answered later is rejected
+    rejected_gateways: frozenset[int] = frozenset()  # gateways whose calls are always rejected
 
 
 class Discovery:
-    """The service, its versions, and what it was asked."""
+    """The service, the version of its list, and counts of the calls it received."""
 
-    def __init__(self, time: Timeline, service: Service) -> None:
+    def __init__(self, time: Timeline, service: ServiceModel) -> None:
         self.time, self.service = time, service
         self.busy_until = 0.0
         self.version = 0
         self.down = False
-        self.begun: Counter[int] = Counter()  # calls that begin a watch or ask for the whole list, by second
-        self.turned_away: Counter[int] = Counter()  # those of them that got no, by second
+        # calls that start a watch or ask for the full list, by second
+        self.new_calls: Counter[int] = Counter()
+        self.rejected_calls: Counter[int] = Counter()  # those of them that were rejected, by second
 
-    def begin(self, gateway: int, ask: Ask) -> tuple[float, bool] | None:
-        """A call that is no watch's next: when its answer comes, and whether it is a no. None: silence."""
+    def start_call(self, gateway: int, ask: Ask) -> tuple[float, bool] | None:
+        """Starts a call that does not continue a watch.
+
+        Returns the seconds until the answer and whether it is a rejection; None if the service is down.
+        """
         if self.down:
             return None
         now, service = self.time.now, self.service
         second = int(now)
-        self.begun[second] += 1
+        self.new_calls[second] += 1
         lines = service.call_lines + (service.list_lines if ask.version is None else 0.0)
         wait = max(0.0, self.busy_until - now)
-        refused = gateway in service.refuses or wait + lines / service.lines_per_s > service.timeout_s
+        refused = (
+            gateway in service.rejected_gateways or wait + lines / service.lines_per_s > service.timeout_s
+        )
         if refused:
-            self.turned_away[second] += 1
+            self.rejected_calls[second] += 1
             lines = min(service.call_lines, service.lines_per_s * max(0.0, service.timeout_s - wait))
         self.busy_until = max(now, self.busy_until) + lines / service.lines_per_s
         return (0.001, True) if refused else (self.busy_until - now, False)
 
 
 class Member:
-    """One gateway's calls, from its start to its end."""
+    """The calls of one gateway process during its lifetime."""
 
     def __init__(self, fleet: Fleet, number: int, client: Client) -> None:
         self._fleet, self._time, self.number, self.client = fleet, fleet.time, number, client
         self.dead = False
-        self.known: int | None = None  # the version of the last list that discovery told it
-        self._watched_at = -inf  # the last answer of a watch that goes on
+        self.known_version: int | None = None  # version of the last list received from discovery
+        self._watched_at = -inf  # time of the last answer of the current watch
         self._next()
 
     def _next(self) -> None:
@@ -111,41 +117,45 @@
         if self.dead:
             return
         ask, discovery = self.client.ask(), self._fleet.discovery
-        if not discovery.down and self._time.now - self._watched_at <= GRACE_S:
+        if not discovery.down and self._time.now - self._watched_at <= WATCH_GRACE_S:
             self._time.after(ask.hold_ms / 1000 or 0.001, self._answered)
             return
-        came = discovery.begin(self.number, ask)
-        if came is None or came[0] > ask.patience_s:
+        result = discovery.start_call(self.number, ask)
+        if result is None or result[0] > ask.patience_s:
             self._time.after(ask.patience_s, self._failed)
         else:
-            self._time.after(came[0], self._refused if came[1] else self._answered)
+            self._time.after(result[0], self._refused if result[1] else self._answered)
 
     def _answered(self) -> None:
-        if self._fleet.discovery.down:  # the agent is silent: the call's patience ends
+        if self._fleet.discovery.down:  # the agent does not answer: the call times out
             self._time.after(self.client.ask().patience_s, self._failed)
         elif not self.dead:
-            self._watched_at, self.known = self._time.now, self._fleet.discovery.version
-            self.client.answered(self.known)
+            self._watched_at, self.known_version = self._time.now, self._fleet.discovery.version
+            self.client.answered(self.known_version)
             self._next()
 
     def _refused(self) -> None:
-        self._broken(self.client.refused)
+        self._end_watch(self.client.refused)
 
     def _failed(self) -> None:
-        self._broken(self.client.failed)
+        self._end_watch(self.client.failed)
 
-    def _broken(self, tell: Callable[[], None]) -> None:
+    def _end_watch(self, notify_client: Callable[[], None]) -> None:
         if not self.dead:
             self._watched_at = -inf
-            tell()
+            notify_client()
             self._next()
 
 
 class Fleet:
-    """Gateways that start, are killed and come back, before one discovery."""
+    """Gateways that start, are killed and restart, with one shared discovery service."""
 
     def __init__(
-        self, gateways: int, service: Service, seed: int, make: Callable[[int, Random], Client] | None = None
+        self,
+        gateways: int,
+        service: ServiceModel,
+        seed: int,
+        make: Callable[[int, Random], Client] | None = None,
     ) -> None:
         self.time = Timeline()
         self.discovery = Discovery(self.time, service)
@@ -157,24 +167,24 @@
         return Member(self, number, self._make(gateways, Random(self._random.random())))
 
     def restart(self, numbers: range) -> None:
-        """These are killed, and all of them come back at once with an old list."""
+        """Kills these gateways and restarts all of them at once with an outdated list."""
         for number in numbers:
             self.members[number].dead = True
             self.members[number] = self._member(number, len(self.members))
 
     def publish(self) -> None:
-        """Something has changed."""
+        """Publishes a new version of the list."""
         self.discovery.version += 1
 
-    def current(self) -> int:
-        """How many know the list as it is."""
-        return sum(member.known == self.discovery.version for member in self.members)
+    def current_count(self) -> int:
+        """Returns the number of gateways that have the current list."""
+        return sum(member.known_version == self.discovery.version for member in self.members)
 
-    def until_current(self, most_s: float, but: int = 0) -> float:
-        """The seconds until all but so many know the list as it is; inf if that takes longer than most_s."""
-        begun = self.time.now
-        while self.time.now < begun + most_s:
+    def convergence_time(self, max_s: float, allowed_stale: int = 0) -> float:
+        """Returns the seconds until all gateways but allowed_stale have the current list; inf after max_s."""
+        started = self.time.now
+        while self.time.now < started + max_s:
             self.time.run(self.time.now + 0.1)
-            if self.current() >= len(self.members) - but:
-                return self.time.now - begun
+            if self.current_count() >= len(self.members) - allowed_stale:
+                return self.time.now - started
         return inf
--- a/lab/gateways.py
+++ b/lab/gateways.py
@@ -1,7 +1,7 @@
-"""Decision modules that tell one another by datagrams, before backends that answer after a while.
+"""Simulates gateways that exchange datagrams, in front of backends that answer after a delay.
 
-Datagrams are some milliseconds late and lost now and then, as the protocol has it. The shared counter never
-answers in time unless one is given; gateways may be killed, come back fresh, and be cut off from one another.
+Datagrams arrive some milliseconds late and some are lost, as the protocol allows. Calls of the shared counter
+time out unless a counter is given. Gateways can be killed, restarted without state, and partitioned.
 """
 
 from __future__ import annotations
@@ -26,37 +26,41 @@
     TimerFired,
 )
 
-LATE_MS = (1.0, 26.0)  # what a datagram takes
-AT_ONCE_MS = 0.3  # what a refused connection takes, or a "full"
-COUNT_MS = 50.0  # after which a call of the counter is given up
+DATAGRAM_DELAY_MS = (1.0, 26.0)
+FAST_FAILURE_MS = 0.3  # time of a refused connection or of a FULL outcome
+COUNTER_TIMEOUT_MS = 50.0
 
 
 class Counter:
-    """A service that adds to numbers by name: so many calls a second, turned away behind a long line."""
+    """A service that adds to totals by name, with limited calls per second and a bounded queue."""
 
-    def __init__(self, per_s: float, way_ms: float = 1.0, line_ms: float = 100.0) -> None:
-        """line_ms: a call that would wait longer is turned away."""
-        self._each_ms, self._way_ms, self._line_ms = 1000 / per_s, way_ms, line_ms
+    def __init__(self, per_s: float, latency_ms: float = 1.0, max_queue_ms: float = 100.0) -> None:
+        """max_queue_ms: a call that would wait longer is rejected."""
+        self._service_time_ms, self._latency_ms, self._max_queue_ms = 1000 / per_s, latency_ms, max_queue_ms
         self._free_at = 0.0
-        self._totals: dict[int, tuple[float, float]] = {}  # by name: the total, and until when
+        self._totals: dict[int, tuple[float, float]] = {}  # by name: the total and its expiry
         self.down = False
 
     def call(self, now: float, name: int, amount: float, ttl_ms: float) -> tuple[float, Outcome, float]:
-        """After how long the caller hears what, and the total."""
+        """Returns the milliseconds until the result, the outcome, and the total."""
         if self.down:
-            return COUNT_MS, Outcome.TIMEOUT, 0.0
-        if self._free_at - now > self._line_ms:
-            return self._way_ms, Outcome.FULL, 0.0
-        self._free_at = max(self._free_at, now) + self._each_ms
+            return COUNTER_TIMEOUT_MS, Outcome.TIMEOUT, 0.0
+        if self._free_at - now > self._max_queue_ms:
+            return self._latency_ms, Outcome.FULL, 0.0
+        self._free_at = max(self._free_at, now) + self._service_time_ms
         total, until = self._totals.get(name, (0.0, now + ttl_ms))
         total, until = (amount, now + ttl_ms) if now >= until else (total + amount, until)
         self._totals[name] = total, until
-        took_ms = self._free_at - now + self._way_ms
-        return (took_ms, Outcome.OK, total) if took_ms < COUNT_MS else (COUNT_MS, Outcome.TIMEOUT, 0.0)
+        duration_ms = self._free_at - now + self._latency_ms
+        return (
+            (duration_ms, Outcome.OK, total)
+            if duration_ms < COUNTER_TIMEOUT_MS
+            else (COUNTER_TIMEOUT_MS, Outcome.TIMEOUT, 0.0)
+        )
 
 
 class Gateways:
-    """They and what is on its way between them; all times in milliseconds."""
+    """The gateways and the messages in transit between them; all times in milliseconds."""
 
     def __init__(
         self,
@@ -67,43 +71,43 @@
         answer_ms: float,
         counter: Counter | None = None,
     ) -> None:
-        """loss: the part of datagrams that is lost. answer_ms: from a send to its good answer."""
-        self.gateways: list[Gateway | None] = list(gateways)  # None: it is dead
+        """loss: fraction of datagrams lost. answer_ms: time from a send to its successful response."""
+        self.gateways: list[Gateway | None] = list(gateways)  # None: killed
         self.time = Timeline(start)
         self._loss, self._random, self._answer_ms, self._counter = loss, random, answer_ms, counter
-        self.reaches: Callable[[int, int], bool] = lambda sender, other: True
-        self.outcomes: dict[int, Outcome] = {}  # of backends that do not answer well, at once
+        self.can_reach: Callable[[int, int], bool] = lambda sender, other: True
+        self.outcomes: dict[int, Outcome] = {}  # by failing backend; these fail without delay
         self.refused = 0
-        self.sends: list[tuple[float, int, int]] = []  # when, by which gateway, to which backend
-        self.counted: list[float] = []  # when the counter was called
-        self.everybody: list[bytes] = []  # datagrams to all, each once
-        self.singly: list[bytes] = []  # and to one peer
-        self.bytes = 0  # that arrived
-        self.taken_in = [0] * len(self.gateways)
+        self.sends: list[tuple[float, int, int]] = []  # time, gateway, backend
+        self.counter_calls: list[float] = []  # times of the calls of the counter
+        self.broadcasts: list[bytes] = []  # datagrams to all peers, each listed once
+        self.unicasts: list[bytes] = []  # datagrams to one peer
+        self.bytes = 0  # received
+        self.received = [0] * len(self.gateways)
 
     def at(self, index: int) -> Gateway:
-        """A gateway that is alive."""
+        """Returns a running gateway."""
         gateway = self.gateways[index]
         assert gateway is not None, f"gateway {index} is dead"
         return gateway
 
-    def give(self, index: int, event: Event) -> None:
-        """An event at a gateway, now; what comes to a dead one is lost."""
+    def deliver(self, index: int, event: Event) -> None:
+        """Delivers an event to a gateway now; events for a killed gateway are dropped."""
         gateway = self.gateways[index]
         for action in gateway.handle(self.time.now, event) if gateway else ():
             match action:
                 case SendToPeer(None, body):
-                    self.everybody.append(body)
+                    self.broadcasts.append(body)
                     for other in range(len(self.gateways)):
                         if other != index:
-                            self._post(index, other, body)
+                            self._send_datagram(index, other, body)
                 case SendToPeer(int(other), body):
-                    self.singly.append(body)
-                    self._post(index, other, body)
+                    self.unicasts.append(body)
+                    self._send_datagram(index, other, body)
                 case CounterAdd(name, amount, ttl_ms):
-                    self._count(index, name, amount, ttl_ms)
+                    self._call_counter(index, name, amount, ttl_ms)
                 case SetTimer(after_ms, label):
-                    self._later(after_ms, index, TimerFired(label))
+                    self._deliver_after(after_ms, index, TimerFired(label))
                 case Refuse(number):
                     self.refused += 1
                     self.ended(number, False)
@@ -116,47 +120,52 @@
         self.sends.append((self.time.now, index, backend))
         outcome = self.outcomes.get(backend, Outcome.OK)
         good = outcome is Outcome.OK
-        took_ms = self._answer_ms if good else AT_ONCE_MS
+        duration_ms = self._answer_ms if good else FAST_FAILURE_MS
         attempt = len(self.at(index).calls[number].tried) - 1
         if attempt == 0:
             self.first_send(number)
-        self._later(
-            took_ms,
+        self._deliver_after(
+            duration_ms,
             index,
             AttemptEnded(
                 number,
                 attempt,
                 backend,
                 outcome,
-                took_ms,
+                duration_ms,
                 good,
                 true_units=self.ended(number, True) if good else 0.0,
             ),
         )
 
     def first_send(self, number: int) -> None:
-        """A try's first attempt goes out; for those that judge."""
+        """Called when the first attempt of a request is sent; subclasses account for it here."""
 
     def ended(self, number: int, served: bool) -> float:
-        """A try has or will have its final answer; gives the true units of a served one, 0 for the guess."""
+        """Called when a request's final response is known.
+
+        Returns the actual units of a served request; 0 stands for the estimate.
+        """
         return 0.0
 
-    def _count(self, index: int, name: int, amount: float, ttl_ms: float) -> None:
-        self.counted.append(self.time.now)
-        took_ms, outcome, total = COUNT_MS, Outcome.TIMEOUT, 0.0
+    def _call_counter(self, index: int, name: int, amount: float, ttl_ms: float) -> None:
+        self.counter_calls.append(self.time.now)
+        duration_ms, outcome, total = COUNTER_TIMEOUT_MS, Outcome.TIMEOUT, 0.0
         if self._counter is not None:
-            took_ms, outcome, total = self._counter.call(self.time.now, name, amount, ttl_ms)
-        self._later(took_ms, index, CounterReply(name, outcome, took_ms, total))
+            duration_ms, outcome, total = self._counter.call(self.time.now, name, amount, ttl_ms)
+        self._deliver_after(duration_ms, index, CounterReply(name, outcome, duration_ms, total))
 
-    def _post(self, sender: int, other: int, body: bytes) -> None:
-        if self._random.random() >= self._loss and self.reaches(sender, other):
-            self.time.after(self._random.uniform(*LATE_MS), lambda: self._arrive(sender, other, body))
+    def _send_datagram(self, sender: int, other: int, body: bytes) -> None:
+        if self._random.random() >= self._loss and self.can_reach(sender, other):
+            self.time.after(
+                self._random.uniform(*DATAGRAM_DELAY_MS), lambda: self._arrive(sender, other, body)
+            )
 
     def _arrive(self, sender: int, other: int, body: bytes) -> None:
         self.bytes += len(body)
-        self.taken_in[other] += 1
-        self.give(other, PeerMessage(sender, body))
+        self.received[other] += 1
+        self.deliver(other, PeerMessage(sender, body))
 
-    def _later(self, ms: float, index: int, event: Event) -> None:
-        gateway = self.gateways[index]  # what a dead one waited for does not come to the next one
-        self.time.after(ms, lambda: self.give(index, event) if self.gateways[index] is gateway else None)
+    def _deliver_after(self, ms: float, index: int, event: Event) -> None:
+        gateway = self.gateways[index]  # events of a killed gateway do not reach its replacement
+        self.time.after(ms, lambda: self.deliver(index, event) if self.gateways[index] is gateway else None)
--- a/lab/quotas.py
+++ b/lab/quotas.py
@@ -1,9 +1,9 @@
-"""Customers before a fleet of decision modules, judged by their true stores: over-use and wrong refusals.
+"""Simulates customers in front of a fleet of gateways and measures over-use and wrong rejections.
 
-Each customer comes through its set of gateways unevenly, and the weights change from time to time. A try is
-judged when its first attempt goes out: inside the quota if the true store holds its units, which it then
-takes. The true units of an answer are settled when it ends. A refusal while more than half of the burst is
-there is a wrong one.
+The reference is an exact token bucket per customer. Each customer spreads its requests unevenly over its set
+of gateways, and the weights change from time to time. A request is judged when its first attempt is sent: it
+is within the quota if the exact bucket holds its units, which are then taken. The actual units of a response
+are settled when it ends. A rejection while more than half of the burst is available counts as wrong.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
     Settings,
 )
 
-START = 1_000_000.0  # long after the time that a clock starts at
-SHIFT_MS = 15_000.0  # how often the weights of a customer's gateways change
-ANSWER_MS = 300.0
-UNITS = (1.0, 1.0, 2.0, 2.0, 3.0, 6.0)  # guesses of what tries take
-GUESS = (0.6, 1.4)  # true units over guessed ones
+START = 1_000_000.0  # far from zero, as a real clock is
+WEIGHT_CHANGE_INTERVAL_MS = 15_000.0  # interval at which the weights of a customer's gateways change
+RESPONSE_TIME_MS = 300.0
+ESTIMATED_UNITS = (1.0, 1.0, 2.0, 2.0, 3.0, 6.0)  # each request draws one
+ACTUAL_RATIO = (0.6, 1.4)  # actual units over estimated ones
 BASIS, STANDARD, PLUS = (
     Plan(1.6, 16.0, price=0.72, name="basis"),
     Plan(4.2, 24.0, price=1.1, name="standard"),
@@ -40,39 +40,39 @@
 
 @dataclass(slots=True)
 class Account:
-    """A customer: its plan by number, its set, how many times its rate it asks, and its true store."""
+    """A customer: plan number, set of gateways, demand as a multiple of its rate, and exact token bucket."""
 
     number: int
     plan: int
-    first: int
-    width: int
-    times: float
-    store: float = 0.0
-    store_at: float = START
+    first_gateway: int
+    gateway_count: int
+    demand_factor: float
+    tokens: float = 0.0
+    filled_at: float = START
     ceiling: float = 0.0
-    inside: float = 0.0
-    beyond: float = 0.0
+    within_quota: float = 0.0
+    over_quota: float = 0.0
     refused_with_room: float = 0.0
     asked: float = 0.0
     weights: list[float] = field(default_factory=list)
 
 
 @dataclass(frozen=True, slots=True)
-class Judgement:
-    """In units, of all: beyond quotas over sent, refused with half of the quota there over asked."""
+class QuotaResults:
+    """Results over all customers, in units: over quota / sent, and wrongly rejected / requested."""
 
     over_use: float
     wrong_refusals: float
-    served_of_fair: float  # units inside, over what one gateway that saw all tries could let in
-    bytes_per_try: float
-    calls_per_try: float
-    most_calls_per_s: float
-    most_taken_in_per_s: float
-    ceiling_passed: float  # the worst excess over a ceiling and its slack, in units
+    served_of_fair: float  # units within quota, over what one gateway with all requests could admit
+    bytes_per_request: float
+    calls_per_request: float
+    max_calls_per_s: float
+    max_received_per_s: float
+    ceiling_excess: float  # largest excess over a ceiling and its slack, in units
 
 
-class Quotas(Gateways):
-    """A fleet, its customers, and their tries."""
+class QuotaSimulation(Gateways):
+    """A fleet, its customers, and their requests."""
 
     def __init__(
         self,
@@ -89,20 +89,20 @@
             self._settings(gateways, index, peers, intake_per_s, counter is not None),
             seed * 1000 + index + age * 100_000,
         )
-        super().__init__([], START, loss, Random(seed), ANSWER_MS, counter)
+        super().__init__([], START, loss, Random(seed), RESPONSE_TIME_MS, counter)
         self._ages = [0] * gateways
-        self.taken_in = [0] * gateways
+        self.received = [0] * gateways
         self.gateways = [None] * gateways
         for index in range(gateways):
             self.restart(index)
         self.accounts = accounts
         self._draw = Random(seed + 1)
-        self._tries: dict[int, tuple[Account, float]] = {}  # open ones: whose, and the guess
-        self.tries, self.fair = 0, 0.0
+        self._open_requests: dict[int, tuple[Account, float]] = {}  # account and estimated units
+        self.requests, self.fair = 0, 0.0
         for account in accounts:
             plan = PLANS[account.plan]
-            account.store, account.ceiling, account.store_at = plan.burst, plan.ceiling_burst, START
-        self.worst_ceiling = 0.0
+            account.tokens, account.ceiling, account.filled_at = plan.burst, plan.ceiling_burst, START
+        self.max_ceiling_excess = 0.0
 
     def _settings(
         self, gateways: int, index: int, peers: bool, intake_per_s: float, counter: bool
@@ -128,17 +128,17 @@
         )
 
     def kill(self, index: int) -> None:
-        """It is gone, with all that it knew and had taken."""
+        """Removes a gateway with all its state."""
         self.gateways[index] = None
 
     def restart(self, index: int) -> None:
-        """A fresh one in its place."""
+        """Starts a gateway without state at this index."""
         self._ages[index] += 1
         self.gateways[index] = self._make(index, self._ages[index])
-        self.give(index, FleetUpdate(ListKind.FULL, [BackendEntry(n + 1, size=1000.0) for n in range(40)]))
+        self.deliver(index, FleetUpdate(ListKind.FULL, [BackendEntry(n + 1, size=1000.0) for n in range(40)]))
 
-    def play(self, seconds: float) -> None:
-        """Tries come, by each customer's own rate."""
+    def run_for(self, seconds: float) -> None:
+        """Runs for so many seconds with requests at each customer's own rate."""
         until = self.time.now + 1000 * seconds
         for account in self.accounts:
             self._next(account, until)
@@ -146,89 +146,103 @@
 
     def _next(self, account: Account, until: float) -> None:
         plan = PLANS[account.plan]
-        mean = sum(UNITS) / len(UNITS)
-        when = self.time.now + self._draw.expovariate(plan.rate * account.times / mean / 1000)
+        mean = sum(ESTIMATED_UNITS) / len(ESTIMATED_UNITS)
+        when = self.time.now + self._draw.expovariate(plan.rate * account.demand_factor / mean / 1000)
         if when < until:
-            self.time.at(when, lambda: self._try(account, until))
+            self.time.at(when, lambda: self._send_request(account, until))
 
-    def _try(self, account: Account, until: float) -> None:
+    def _send_request(self, account: Account, until: float) -> None:
         self._next(account, until)
-        if not account.weights or self._draw.random() < 1 / max(1.0, SHIFT_MS / 1000 * account.times):
-            account.weights = [self._draw.paretovariate(1.2) for _ in range(account.width)]
+        if not account.weights or self._draw.random() < 1 / max(
+            1.0, WEIGHT_CHANGE_INTERVAL_MS / 1000 * account.demand_factor
+        ):
+            account.weights = [self._draw.paretovariate(1.2) for _ in range(account.gateway_count)]
         alive = [
             (n, w)
             for n, w in enumerate(account.weights)
-            if self.gateways[(account.first + n) % len(self.gateways)]
+            if self.gateways[(account.first_gateway + n) % len(self.gateways)]
         ]
         if not alive:
             return
-        (place,) = self._draw.choices([n for n, _ in alive], [w for _, w in alive])
-        self.tries += 1
-        units = self._draw.choice(UNITS)
+        (offset,) = self._draw.choices([n for n, _ in alive], [w for _, w in alive])
+        self.requests += 1
+        units = self._draw.choice(ESTIMATED_UNITS)
         account.asked += units
-        self._tries[self.tries] = account, units
-        self.give(
-            (account.first + place) % len(self.gateways),
+        self._open_requests[self.requests] = account, units
+        self.deliver(
+            (account.first_gateway + offset) % len(self.gateways),
             RequestArrived(
-                self.tries, account.number, account.plan, 0, units, account.first, account.width, 4000.0
+                self.requests,
+                account.number,
+                account.plan,
+                0,
+                units,
+                account.first_gateway,
+                account.gateway_count,
+                4000.0,
             ),
         )
 
-    def _fill(self, account: Account) -> None:
-        plan, gone = PLANS[account.plan], (self.time.now - account.store_at) / 1000
-        account.store = min(plan.burst, account.store + gone * plan.rate)
-        account.ceiling = min(plan.ceiling_burst, account.ceiling + gone * plan.ceiling_rate)
-        account.store_at = self.time.now
+    def _refill(self, account: Account) -> None:
+        plan, elapsed_s = PLANS[account.plan], (self.time.now - account.filled_at) / 1000
+        account.tokens = min(plan.burst, account.tokens + elapsed_s * plan.rate)
+        account.ceiling = min(plan.ceiling_burst, account.ceiling + elapsed_s * plan.ceiling_rate)
+        account.filled_at = self.time.now
 
     def first_send(self, number: int) -> None:
-        """Judged by the true store, as the operators do."""
-        account, units = self._tries[number]
-        self._fill(account)
+        """Judges a request by the exact token bucket, as the operators do."""
+        account, units = self._open_requests[number]
+        self._refill(account)
         if PLANS[account.plan].ceiling_rate:
             account.ceiling -= units
-            self.worst_ceiling = max(self.worst_ceiling, -account.ceiling - PLANS[account.plan].ceiling_slack)
-        if account.store >= units:
-            account.store -= units
-            account.inside += units
+            self.max_ceiling_excess = max(
+                self.max_ceiling_excess, -account.ceiling - PLANS[account.plan].ceiling_slack
+            )
+        if account.tokens >= units:
+            account.tokens -= units
+            account.within_quota += units
         else:
-            account.beyond += units
-            del self._tries[number]
+            account.over_quota += units
+            del self._open_requests[number]
 
     def ended(self, number: int, served: bool) -> float:
-        """True units differ from the guess; those of a try inside the quota are settled."""
-        account, units = self._tries.pop(number, (None, 0.0))
+        """Settles the actual units, which differ from the estimate, of a request within the quota."""
+        account, units = self._open_requests.pop(number, (None, 0.0))
         if account is None:
             return 0.0
-        self._fill(account)
+        self._refill(account)
         if not served:
-            account.refused_with_room += units * (account.store > PLANS[account.plan].burst / 2)
+            account.refused_with_room += units * (account.tokens > PLANS[account.plan].burst / 2)
             return 0.0
-        true = units * self._draw.uniform(*GUESS)
-        account.store -= true - units
+        true = units * self._draw.uniform(*ACTUAL_RATIO)
+        account.tokens -= true - units
         return true
 
-    def judgement(self, seconds: float) -> Judgement:
-        """What has come of all since the start, so many seconds ago."""
-        inside, beyond = sum(a.inside for a in self.accounts), sum(a.beyond for a in self.accounts)
+    def results(self, seconds: float) -> QuotaResults:
+        """Returns the results since the start, which was this many seconds ago."""
+        inside, beyond = sum(a.within_quota for a in self.accounts), sum(a.over_quota for a in self.accounts)
         asked, wrong = sum(a.asked for a in self.accounts), sum(a.refused_with_room for a in self.accounts)
         fair = sum(min(a.asked, PLANS[a.plan].burst + seconds * PLANS[a.plan].rate) for a in self.accounts)
         calls: dict[int, int] = {}
-        for when in self.counted:
+        for when in self.counter_calls:
             calls[int(when // 1000)] = calls.get(int(when // 1000), 0) + 1
-        return Judgement(
+        return QuotaResults(
             beyond / max(1.0, inside + beyond),
             wrong / max(1.0, asked),
             inside / max(1.0, fair),
-            self.bytes / max(1, self.tries),
-            len(self.counted) / max(1, self.tries),
+            self.bytes / max(1, self.requests),
+            len(self.counter_calls) / max(1, self.requests),
             max(calls.values(), default=0),
-            max(self.taken_in) / seconds,
-            self.worst_ceiling,
+            max(self.received) / seconds,
+            self.max_ceiling_excess,
         )
 
 
 def customers(gateways: int, count: int, random: Random) -> list[Account]:
-    """As the operators describe theirs: many under their quota, some that use all, some far beyond."""
+    """Creates customers as the operators describe theirs.
+
+    Many stay below their quota, some use all of it, and some request far more.
+    """
     made = []
     for number in range(1, count + 1):
         plan = random.choices((0, 1, 2), (0.6, 0.3, 0.1))[0]
--- a/lab/timeline.py
+++ b/lab/timeline.py
@@ -1,4 +1,4 @@
-"""Simulated time: what is due, in order."""
+"""Simulated time: a queue of events, ordered by due time."""
 
 from __future__ import annotations
 
@@ -8,27 +8,27 @@
 
 
 class Timeline:
-    """A clock that moves from one event to the next; events of one moment keep their order.
+    """A clock that advances from event to event; events due at the same time keep their order.
 
-    Its unit is its user's: seconds for discovery, milliseconds for decision modules.
+    The unit is the caller's: seconds for discovery, milliseconds for gateways.
     """
 
     def __init__(self, now: float = 0.0) -> None:
         self.now = now
-        self._due: list[tuple[float, int, Callable[[], None]]] = []
+        self._queue: list[tuple[float, int, Callable[[], None]]] = []
         self._order = count()
 
-    def at(self, when: float, what: Callable[[], None]) -> None:
-        """Do something at a moment, or now if that is over."""
-        heapq.heappush(self._due, (max(self.now, when), next(self._order), what))
+    def at(self, due_at: float, callback: Callable[[], None]) -> None:
+        """Schedules a callback at a time, or now if that time has passed."""
+        heapq.heappush(self._queue, (max(self.now, due_at), next(self._order), callback))
 
-    def after(self, delay: float, what: Callable[[], None]) -> None:
-        """Do something so long from now."""
-        self.at(self.now + delay, what)
+    def after(self, delay: float, callback: Callable[[], None]) -> None:
+        """Schedules a callback after a delay."""
+        self.at(self.now + delay, callback)
 
     def run(self, until: float) -> None:
-        """Let time pass up to a moment."""
-        while self._due and self._due[0][0] <= until:
-            self.now, _, what = heapq.heappop(self._due)
-            what()
+        """Runs all events due by a time and advances the clock to it."""
+        while self._queue and self._queue[0][0] <= until:
+            self.now, _, callback = heapq.heappop(self._queue)
+            callback()
         self.now = max(self.now, until)
--- a/tests/membership/test_watch.py
+++ b/tests/membership/test_watch.py
@@ -9,17 +9,17 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lab.discovery import Fleet, Impatient, Service
+from lab.discovery import Fleet, FixedIntervalClient, ServiceModel
 from troutdock.membership.watch import BINDS_S, FIRST_S, LONGEST_S, RESUME_S, SLOT_S, Ask, State, Watch
 
 GATEWAYS = 40
-SLOW = Service(lines_per_s=240.0)  # a call from each takes it 6.7 s, as the operators' slowest
+SLOW = ServiceModel(lines_per_s=240.0)  # a call from each takes it 6.7 s, as the operators' slowest
 
 
 def happens(event: str, f: Fleet) -> None:
     """All start in the same moment; most are killed and come back at once; discovery is silent for 5 s."""
     if event != "start":
-        f.until_current(60)
+        f.convergence_time(60)
     if event == "mass kill":
         f.restart(range(28))
     elif event == "outage":
@@ -33,43 +33,43 @@
 
 
 @pytest.mark.parametrize("event", EVENTS)
-@pytest.mark.parametrize("service", [Service(), SLOW])
-def test_all_of_a_fleet_know_the_list_soon_whatever_happened(event: str, service: Service) -> None:
+@pytest.mark.parametrize("service", [ServiceModel(), SLOW])
+def test_all_of_a_fleet_know_the_list_soon_whatever_happened(event: str, service: ServiceModel) -> None:
     most_s = EVENTS[event]
     for seed in range(10):
         f = Fleet(GATEWAYS, service, seed)
         happens(event, f)
         at = f.time.now
-        assert f.until_current(most_s) < inf
+        assert f.convergence_time(most_s) < inf
         f.time.run(at + most_s)
-        assert sum(f.discovery.turned_away[s] for s in range(int(at), int(at + most_s))) < 3 * GATEWAYS
-        assert sum(f.discovery.begun[s] for s in range(int(f.time.now) + 1, int(f.time.now) + 5)) == 0
+        assert sum(f.discovery.rejected_calls[s] for s in range(int(at), int(at + most_s))) < 3 * GATEWAYS
+        assert sum(f.discovery.new_calls[s] for s in range(int(f.time.now) + 1, int(f.time.now) + 5)) == 0
 
 
 @pytest.mark.parametrize("event", EVENTS)
 def test_the_client_as_it_was_keeps_discovery_down(event: str) -> None:
     """The rig can fail: the same events end with most of the fleet blind."""
-    f = Fleet(GATEWAYS, SLOW, 1, Impatient)
+    f = Fleet(GATEWAYS, SLOW, 1, FixedIntervalClient)
     happens(event, f)
-    assert f.until_current(20.0) == inf
-    assert f.discovery.turned_away[int(f.time.now) - 1] > 50
+    assert f.convergence_time(20.0) == inf
+    assert f.discovery.rejected_calls[int(f.time.now) - 1] > 50
 
 
 @pytest.mark.parametrize("gateways", [1, 3, 40, 100])
 def test_where_all_calls_are_refused_the_fleet_keeps_to_its_slots(gateways: int) -> None:
-    f = Fleet(gateways, Service(refuses=frozenset(range(gateways))), 1)
+    f = Fleet(gateways, ServiceModel(rejected_gateways=frozenset(range(gateways))), 1)
     f.time.run(60)
-    f.discovery.begun[0] -= gateways  # the first of each
-    assert max(f.discovery.begun.values()) <= 2 * max(1 / SLOT_S, gateways / FIRST_S)
-    assert sum(f.discovery.begun[s] for s in range(30, 60)) / 30 <= max(1 / SLOT_S, gateways / FIRST_S)
-    assert f.discovery.begun.total() >= 10 * gateways  # and nobody gives up
+    f.discovery.new_calls[0] -= gateways  # the first of each
+    assert max(f.discovery.new_calls.values()) <= 2 * max(1 / SLOT_S, gateways / FIRST_S)
+    assert sum(f.discovery.new_calls[s] for s in range(30, 60)) / 30 <= max(1 / SLOT_S, gateways / FIRST_S)
+    assert f.discovery.new_calls.total() >= 10 * gateways  # and nobody gives up
 
 
 def test_one_that_is_always_refused_neither_gives_up_nor_is_in_the_others_way() -> None:
-    f = Fleet(GATEWAYS, Service(refuses=frozenset({7})), 1)
-    assert f.until_current(20.0, but=1) < inf
+    f = Fleet(GATEWAYS, ServiceModel(rejected_gateways=frozenset({7})), 1)
+    assert f.convergence_time(20.0, allowed_stale=1) < inf
     f.time.run(120)
-    assert 60 / LONGEST_S <= sum(f.discovery.begun[s] for s in range(60, 120)) <= 60 / FIRST_S
+    assert 60 / LONGEST_S <= sum(f.discovery.new_calls[s] for s in range(60, 120)) <= 60 / FIRST_S
 
 
 def test_a_lone_gateway_is_as_quick_as_ever() -> None:
--- a/tests/test_backend_gossip.py
+++ b/tests/test_backend_gossip.py
@@ -40,14 +40,14 @@
     ]
     w = Gateways(fleet_of, START, 0.05, Random(3), 100.0)
     for n in range(GATEWAYS):
-        w.give(n, DiscoveryStatus(n >= isolated))
+        w.deliver(n, DiscoveryStatus(n >= isolated))
         for gone, state in ((LEFT, BackendState.GONE), (DRAINING, BackendState.DRAINING)):
             if n >= isolated:
-                w.give(n, replace(fleet(*gone, state=state, kind=ListKind.CHANGES), version=7))
+                w.deliver(n, replace(fleet(*gone, state=state, kind=ListKind.CHANGES), version=7))
     assert all(g.gossip.isolated == (n < isolated) for n, g in enumerate(w.gateways))
     for n in range(int(seconds * 400)):
         w.time.run(START + n * 2.5)
-        w.give(n * 7 % GATEWAYS, request(10_000 + n, customer=n % 90))
+        w.deliver(n * 7 % GATEWAYS, request(10_000 + n, customer=n % 90))
     w.time.run(START + seconds * 1000 + 1000)
     late = [
         backend in LEFT + DRAINING for at, index, backend in w.sends if index < isolated and at > START + 2500
@@ -65,8 +65,8 @@
     """18 of 60 backends are gone, 0.3 of all sends; without peers the gateways keep sending there."""
     w, late = play(isolated, 6, peers)
     assert least <= sum(late) / len(late) < most
-    assert len(w.singly) <= 2 * isolated * PEERS_PER_QUERY * (6 * 1000 / QUERY_MS + 1)
-    assert max(map(len, w.singly + w.everybody), default=0) <= MAX_DATAGRAM_BYTES
+    assert len(w.unicasts) <= 2 * isolated * PEERS_PER_QUERY * (6 * 1000 / QUERY_MS + 1)
+    assert max(map(len, w.unicasts + w.broadcasts), default=0) <= MAX_DATAGRAM_BYTES
 
 
 def test_if_all_gateways_are_isolated_no_backend_is_suspected() -> None:
--- a/tests/test_bucket_owner.py
+++ b/tests/test_bucket_owner.py
@@ -1,4 +1,4 @@
-"""Quotas of large fleets: bucket owners and their queries, judged by the customers' true buckets."""
+"""QuotaSimulation of large fleets: bucket owners and their queries, judged by the customers' true buckets."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from lab.gateways import Counter
-from lab.quotas import PLANS, Account, Quotas, customers
+from lab.quotas import PLANS, Account, QuotaSimulation, customers
 from troutdock.admission import Gateway, snapshot
 from troutdock.admission.owner_query_codec import (
     LEVEL_SCALE,
@@ -71,18 +71,18 @@
     gateways: int, count: int, counter: Counter | None
 ) -> None:
     """The counter is hardly called, whether it does not answer or is slow."""
-    f = Quotas(gateways, customers(gateways, count, Random(1)), 1, counter=counter)
-    f.play(20)
-    j = f.judgement(20)
-    assert j.over_use < 0.03 and j.wrong_refusals < 0.06 and j.served_of_fair > 0.93 and not j.ceiling_passed
-    assert j.bytes_per_try < 4 * 15 and j.calls_per_try < 0.01 and j.most_taken_in_per_s < 100
+    f = QuotaSimulation(gateways, customers(gateways, count, Random(1)), 1, counter=counter)
+    f.run_for(20)
+    j = f.results(20)
+    assert j.over_use < 0.03 and j.wrong_refusals < 0.06 and j.served_of_fair > 0.93 and not j.ceiling_excess
+    assert j.bytes_per_request < 4 * 15 and j.calls_per_request < 0.01 and j.max_received_per_s < 100
 
 
 def test_the_same_fleet_without_owners_exceeds_its_quotas() -> None:
     """Shows that the test above can fail both ways: without a counter, each gateway knows only its own use."""
-    f = Quotas(200, customers(200, 60, Random(1)), 1, make=NoOwners)
-    f.play(20)
-    j = f.judgement(20)
+    f = QuotaSimulation(200, customers(200, 60, Random(1)), 1, make=NoOwners)
+    f.run_for(20)
+    j = f.results(20)
     assert j.over_use > 0.05 and j.wrong_refusals > 0.2 and j.served_of_fair < 0.9
 
 
@@ -90,23 +90,23 @@
     return [Account(n * 7919, 0, n * 3 % gateways, width, times) for n in range(1, 9)]
 
 
-def mass_failure(f: Quotas) -> None:
-    f.play(10)
+def mass_failure(f: QuotaSimulation) -> None:
+    f.run_for(10)
     dead = range(0, 100, 10)
     for index in [n for tens in dead for n in range(tens, tens + 7)]:
         f.kill(index)
-    f.play(3)
+    f.run_for(3)
     for index in [n for tens in dead for n in range(tens, tens + 7)]:
         f.restart(index)
-    f.play(10)
+    f.run_for(10)
 
 
-def partition(f: Quotas) -> None:
-    f.play(10)
-    f.reaches = lambda sender, other: sender % 2 == other % 2
-    f.play(6)
-    f.reaches = lambda sender, other: True
-    f.play(7)
+def partition(f: QuotaSimulation) -> None:
+    f.run_for(10)
+    f.can_reach = lambda sender, other: sender % 2 == other % 2
+    f.run_for(6)
+    f.can_reach = lambda sender, other: True
+    f.run_for(7)
 
 
 @pytest.mark.parametrize(
@@ -121,20 +121,20 @@
 def test_changes_of_owner_admit_no_more_than_stated(
     trouble: object, bursts: float, rates: float, seed: int
 ) -> None:
-    f = Quotas(100, overusers(100, 80), seed, counter=Counter(500))
+    f = QuotaSimulation(100, overusers(100, 80), seed, counter=Counter(500))
     trouble(f)  # type: ignore[operator]
     for account in f.accounts:
         plan = PLANS[account.plan]
-        assert account.beyond <= bursts * plan.burst + rates * plan.rate + 0.05 * account.inside
-        assert account.inside > 0.8 * (plan.burst + 23 * plan.rate)
+        assert account.over_quota <= bursts * plan.burst + rates * plan.rate + 0.05 * account.within_quota
+        assert account.within_quota > 0.8 * (plan.burst + 23 * plan.rate)
 
 
 @pytest.mark.parametrize("way_ms", [1.0, 40.0])
 def test_after_a_mass_failure_only_requests_without_an_owner_call_the_counter(way_ms: float) -> None:
     """Requests whose owners have all failed, and their settlement, also if the counter answers just in time."""
-    f = Quotas(100, customers(100, 120, Random(3)), 1, counter=Counter(500, way_ms))
+    f = QuotaSimulation(100, customers(100, 120, Random(3)), 1, counter=Counter(500, way_ms))
     mass_failure(f)
-    assert 0 < f.judgement(23).most_calls_per_s < 2 * 0.7**OWNER_RANKS * f.tries / 23
+    assert 0 < f.results(23).max_calls_per_s < 2 * 0.7**OWNER_RANKS * f.requests / 23
 
 
 @examples(max_examples=12)
@@ -149,15 +149,15 @@
     """At any loss, a customer at half its rate is served, and one far beyond it gets at least part of its quota."""
     # both sets wrap around the last gateway number
     calm, plus = Account(1, 0, 18, 20, 0.5), Account(2, 2, 19, 4, 3.0)
-    f = Quotas(20, [calm, plus], seed, counter=Counter(500), loss=loss)
+    f = QuotaSimulation(20, [calm, plus], seed, counter=Counter(500), loss=loss)
     for index, dies in moves:
-        f.play(1)
+        f.run_for(1)
         f.kill(index) if dies else f.restart(index)
-    f.play(10 - len(moves))
+    f.run_for(10 - len(moves))
     f.time.run(f.time.now + 5000)
-    assert f.judgement(10).ceiling_passed <= 0
-    assert calm.beyond <= 0.2 * calm.asked + 6 and calm.refused_with_room <= 0.35 * calm.asked + 6
-    assert plus.inside + plus.beyond >= 0.2 * min(plus.asked, 10 * PLANS[2].rate)
+    assert f.results(10).ceiling_excess <= 0
+    assert calm.over_quota <= 0.2 * calm.asked + 6 and calm.refused_with_room <= 0.35 * calm.asked + 6
+    assert plus.within_quota + plus.over_quota >= 0.2 * min(plus.asked, 10 * PLANS[2].rate)
 
 
 # ---- one gateway
@@ -412,16 +412,16 @@
 
 def rolling_restart_overuse(make: type[Gateway], seed: int) -> float:
     """Over-use while a fleet is restarted, a tenth at a time."""
-    f = Quotas(100, customers(100, 120, Random(seed)), seed, make=make)
-    f.play(3)
+    f = QuotaSimulation(100, customers(100, 120, Random(seed)), seed, make=make)
+    f.run_for(3)
     for tenth in range(0, 100, 10):
         for index in range(tenth, tenth + 10):
             f.kill(index)
-        f.play(1.0)
+        f.run_for(1.0)
         for index in range(tenth, tenth + 10):
             f.restart(index)
-        f.play(0.4)
-    return f.judgement(17).over_use
+        f.run_for(0.4)
+    return f.results(17).over_use
 
 
 def test_replicas_keep_a_rolling_restart_from_refilling_buckets() -> None:
--- a/tests/test_circuit_breaker.py
+++ b/tests/test_circuit_breaker.py
@@ -23,7 +23,7 @@
     w.outcomes = outcomes
     for n in range(seconds * 20):
         w.time.run(START + n * 50)
-        w.give(0, request(n + 1))
+        w.deliver(0, request(n + 1))
     return w
 
 
--- a/tests/test_usage_gossip.py
+++ b/tests/test_usage_gossip.py
@@ -67,7 +67,7 @@
         self.store = min(PLAN.burst, self.store + (now - self.store_at) / 1000 * PLAN.rate)
         self.store_at, self.number = now, self.number + 1
         event = request(self.number, customer=customer, units=units, width=len(self.gateways))
-        self.give(index, event)
+        self.deliver(index, event)
         sent = event.request in self.gateways[index].calls
         if not sent:
             self.refused_with_room += units * (self.store > PLAN.burst / 2)
@@ -108,10 +108,10 @@
         now += random.expovariate(0.3)  # 300 requests per second, as in the operators' traces
         f.ask(now, random.randrange(GATEWAYS), 2.0, customer=random.randrange(400))
     seconds = (now - START) / 1000
-    assert max(f.taken_in) / seconds <= 100
-    assert max(map(len, f.everybody)) <= MAX_DATAGRAM_BYTES
+    assert max(f.received) / seconds <= 100
+    assert max(map(len, f.broadcasts)) <= MAX_DATAGRAM_BYTES
     assert f.bytes <= 7.0 * GATEWAYS * 6000  # per request and gateway
-    assert len(f.counted) / seconds < 30  # only at the start, before the first digests
+    assert len(f.counter_calls) / seconds < 30  # only at the start, before the first digests
 
 
 def test_a_started_gateway_adopts_the_level_of_a_synced_peer() -> None:
@@ -137,11 +137,11 @@
 
 def test_without_digests_the_counter_is_called_again() -> None:
     f = Fleet(2)
-    f.give(0, PeerMessage(1, HEADER.pack(VERSION, 1) + ENTRY.pack(1, 0, 5, UNKNOWN_LEVEL)))
+    f.deliver(0, PeerMessage(1, HEADER.pack(VERSION, 1) + ENTRY.pack(1, 0, 5, UNKNOWN_LEVEL)))
     for after, called in ((0.0, False), (SILENCE_LIMIT_MS, True)):
         for n in range(6):
             f.ask(START + after + 300.0 * n, 0, 1.0)
-        assert bool(f.counted) == called
+        assert bool(f.counter_calls) == called
 
 
 def test_a_slice_that_holds_a_request_is_usable_whatever_peers_report_of_other_customers() -> None:
