--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,12 +1,12 @@
-"""The size to design for: what each role holds, says and spends at each size, as slopes; what breaks first.
+"""Measures memory, traffic and processor time of each role at several sizes and extrapolates to the target.
 
     python -m benchmarks.capacity --json benchmarks/capacity.json --page docs/CAPACITY.md
-    python -m benchmarks.capacity --given benchmarks/capacity.json --page docs/CAPACITY.md   only the tables
+    python -m benchmarks.capacity --given benchmarks/capacity.json --page docs/CAPACITY.md   tables only
 
-The daemons' own state machines run as hollow processes in simulated time (benchmarks/hollow: core.py the
-core and its followers, zone.py what ingresses tell one another, ingress.py one ingress in full), and the
-real programs over loopback at a few sizes (real.py). A size that would not fit into half of the machine's
-memory is refused.
+The daemons' own state machines run in simulated time (benchmarks/hollow: core.py has the core and its
+followers, zone.py the load exchange between ingresses, ingress.py one complete ingress). The real programs
+run over loopback at a few sizes (real.py). A size that would need more than half of the machine's memory is
+rejected.
 """
 
 from __future__ import annotations
@@ -23,24 +23,25 @@
 
 sys.path[:0] = [str(Path(__file__).parent.parent)]
 
-from benchmarks.hollow import real, report, story, zone  # noqa: E402
-from benchmarks.hollow.town import machine_mb, memory_mb, size_of  # noqa: E402
+from benchmarks.hollow import real, report, scenario, zone  # noqa: E402
+from benchmarks.hollow.model import machine_mb, memory_mb, size_of  # noqa: E402
 
 SIZES = "30,100,300,1000,2200"
-BASE_MB, EACH_MB, SQUARE_MB = 60.0, 0.42, 3e-5  # of a run by ingresses: a half more than runs have taken
+# memory of a run by number of ingresses: 1.5 times that of past runs
+BASE_MB, EACH_MB, SQUARE_MB = 60.0, 0.42, 3e-5
 
 
-class TooMuch(RuntimeError):
-    """The run holds more than half of the machine's memory."""
+class MemoryLimitExceeded(RuntimeError):
+    """The run uses more than half of the machine's memory."""
 
 
 def needs_mb(ingresses: int) -> float:
-    """Megabytes that a run at this size is expected to hold at most."""
+    """Returns the expected peak memory of a run at this size, in megabytes."""
     return BASE_MB + EACH_MB * ingresses + SQUARE_MB * ingresses**2
 
 
 def most_ingresses(allowed_mb: float) -> int:
-    """The largest size that fits."""
+    """Returns the largest number of ingresses that fits into the allowed memory."""
     low, high = 0, 1 << 20
     while high - low > 1:
         middle = (low + high) // 2
@@ -49,26 +50,34 @@
 
 
 def seconds_of(ingresses: int) -> float:
-    """Simulated seconds of ingresses' talk that are counted: whole rounds of what homes tell."""
+    """Returns the simulated seconds of load exchange to count: whole rounds between owner nodes."""
     return min(1.0, max(0.24, round(400 / ingresses / 0.08) * 0.08))
 
 
-def measure(ingresses: int, seed: int, allowed_mb: float, say: Any = lambda _: None) -> dict[str, Any]:
-    """Figures at one size; TooMuch where memory runs out on the way."""
-    size, began, most = size_of(ingresses), time.monotonic(), [0.0]
+def measure(
+    ingresses: int, seed: int, allowed_mb: float, report_progress: Any = lambda _: None
+) -> dict[str, Any]:
+    """Returns the figures at one size.
 
-    def keep() -> None:
-        most[0] = max(most[0], memory_mb())
-        if most[0] > allowed_mb:
-            raise TooMuch(f"{ingresses} ingresses: {most[0]:.0f} MB held, {allowed_mb:.0f} allowed")
+    Raises:
+        MemoryLimitExceeded: the run uses more than allowed_mb.
+    """
+    size, began, peak_mb = size_of(ingresses), time.monotonic(), [0.0]
+
+    def check_memory() -> None:
+        peak_mb[0] = max(peak_mb[0], memory_mb())
+        if peak_mb[0] > allowed_mb:
+            raise MemoryLimitExceeded(
+                f"{ingresses} ingresses: {peak_mb[0]:.0f} MB used, {allowed_mb:.0f} allowed"
+            )
 
     found = {
         **asdict(size),
-        "core": story.run(size, seed, keep, say),
-        "zone": zone.run(size, seed, seconds_of(ingresses), keep, say),
+        "core": scenario.run(size, seed, check_memory, report_progress),
+        "zone": zone.run(size, seed, seconds_of(ingresses), check_memory, report_progress),
     }
-    keep()
-    return {**found, "times": {"took s": time.monotonic() - began, "MB": most[0]}}
+    check_memory()
+    return {**found, "times": {"took s": time.monotonic() - began, "MB": peak_mb[0]}}
 
 
 def main(
@@ -81,27 +90,27 @@
         str, typer.Option("--real", help="Ingresses of real programs; empty: none.")
     ] = "10,20,30",
 ) -> None:
-    """Measure, fit, and write tables."""
+    """Measures the sizes, fits the figures, and writes the tables."""
     if given is not None:
         data = msgspec.json.decode(given.read_bytes())
     else:
         data = _measured(
             [int(n) for n in sizes.split(",")], seed, [int(n) for n in real_sizes.split(",") if n]
         )
-    _keep(json, data)
+    _save(json, data)
     if page is not None:
-        page.write_text(report.onto(page.read_text(encoding="utf-8"), data), encoding="utf-8")
+        page.write_text(report.update_page(page.read_text(encoding="utf-8"), data), encoding="utf-8")
     for part in report.PARTS.values():
         typer.echo(part(data) + "\n")
 
 
-def _keep(json: Path | None, data: dict[str, Any]) -> None:
+def _save(json: Path | None, data: dict[str, Any]) -> None:
     if json is not None:
         json.write_bytes(msgspec.json.format(msgspec.json.encode(data), indent=1) + b"\n")
 
 
 def _measured(sizes: list[int], seed: int, real_sizes: list[int], json: Path | None = None) -> dict[str, Any]:
-    """All figures; each size goes to the file once it is there, so that a run that is stopped leaves it."""
+    """Measures all sizes; each result is saved as soon as it exists, so that an interrupted run keeps it."""
     allowed = machine_mb() / 2
     for ingresses in sizes:
         if (needs := needs_mb(ingresses)) > allowed:
@@ -116,26 +125,27 @@
     data: dict[str, Any] = {"seed": seed, "sizes": sizes, "results": [], "real": []}
     for ingresses in sizes:
 
-        def say(what: str, ingresses: int = ingresses) -> None:
+        def report_progress(what: str, ingresses: int = ingresses) -> None:
             typer.echo(
                 f"{time.monotonic() - began:6.0f} s {memory_mb():6.0f} MB  {ingresses}: {what}", err=True
             )
 
         try:
-            data["results"].append(measure(ingresses, seed, allowed, say))
-        except TooMuch as error:
+            data["results"].append(measure(ingresses, seed, allowed, report_progress))
+        except MemoryLimitExceeded as error:
             typer.echo(f"Stopped: {error}", err=True)
             raise typer.Exit(1) from error
-        _keep(json, data)
+        _save(json, data)
     for ingresses in real_sizes:
         typer.echo(f"{time.monotonic() - began:6.0f} s  real programs: {ingresses}", err=True)
         data["real"].append(real.run(ingresses, seed))
-        _keep(json, data)
+        _save(json, data)
     return data
 
 
 if __name__ == "__main__":
-    if os.environ.get("PYTHONHASHSEED") != "0":  # the order of sets decides the numbers of names on the wire
+    # the order of sets determines the numbers of names on the wire
+    if os.environ.get("PYTHONHASHSEED") != "0":
         again = [sys.executable, __file__, *sys.argv[1:]]
         os.execve(sys.executable, again, {**os.environ, "PYTHONHASHSEED": "0"})
     typer.run(main)
--- a/benchmarks/hollow/fit.py
+++ b/benchmarks/hollow/fit.py
@@ -1,4 +1,4 @@
-"""Slopes over sizes: a power law and a curve of second degree, each with what it leaves unexplained."""
+"""Fits figures over sizes by a power law and by a quadratic curve, each with its residual."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Power:
-    """y = factor n^exponent. error: the exponent's standard deviation; residual: mean, as a part of y."""
+    """y = factor n^exponent. error: the exponent's standard deviation; residual: mean, as a fraction of y."""
 
     factor: float
     exponent: float
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Curve:
-    """y = a + b n + c n n, by least squares of relative errors. residual: the mean, as a part of y."""
+    """y = a + b n + c n n, by least squares of relative errors. residual: mean, as a fraction of y."""
 
     a: float
     b: float
@@ -35,22 +35,22 @@
 
 
 def power(sizes: Sequence[float], figures: Sequence[float]) -> Power | None:
-    """None where a figure is not above 0, or there are fewer than two sizes."""
+    """Fits a power law; None if a figure is not above 0 or there are fewer than two sizes."""
     if len(sizes) < 2 or min(figures) <= 0:
         return None
     x, y = [log(n) for n in sizes], [log(f) for f in figures]
     count = len(x)
     mx, my = sum(x) / count, sum(y) / count
-    across = sum((v - mx) ** 2 for v in x)
-    slope = sum((v - mx) * (w - my) for v, w in zip(x, y, strict=True)) / across
-    off = [w - my - slope * (v - mx) for v, w in zip(x, y, strict=True)]
-    square = sum(o * o for o in off)
-    error = sqrt(square / (count - 2) / across) if count > 2 else inf
-    return Power(exp(my - slope * mx), slope, error, exp(sqrt(square / count)) - 1)
+    variance_x = sum((v - mx) ** 2 for v in x)
+    slope = sum((v - mx) * (w - my) for v, w in zip(x, y, strict=True)) / variance_x
+    residuals = [w - my - slope * (v - mx) for v, w in zip(x, y, strict=True)]
+    square_sum = sum(o * o for o in residuals)
+    error = sqrt(square_sum / (count - 2) / variance_x) if count > 2 else inf
+    return Power(exp(my - slope * mx), slope, error, exp(sqrt(square_sum / count)) - 1)
 
 
 def curve(sizes: Sequence[float], figures: Sequence[float]) -> Curve | None:
-    """None where a figure is not above 0, or there are fewer than four sizes."""
+    """Fits a quadratic curve; None if a figure is not above 0 or there are fewer than four sizes."""
     if len(sizes) < 4 or min(figures) <= 0:
         return None
     top = max(sizes)
@@ -65,14 +65,15 @@
                 table[k] = [v - part * w for v, w in zip(table[k], table[i], strict=True)]
     a, b, c = (table[i][3] / table[i][i] for i in range(3))
     found = Curve(a, b / top, c / top / top, 0.0)
-    square = sum(((found.at(n) - f) / f) ** 2 for n, f in zip(sizes, figures, strict=True))
-    return Curve(found.a, found.b, found.c, sqrt(square / len(sizes)))
+    square_sum = sum(((found.at(n) - f) / f) ** 2 for n, f in zip(sizes, figures, strict=True))
+    return Curve(found.a, found.b, found.c, sqrt(square_sum / len(sizes)))
 
 
 def crossing(sizes: Sequence[float], figures: Sequence[float], bound: float) -> float:
-    """The size at which the figure passes the bound, between measured sizes by a power law.
+    """Returns the size at which the figure exceeds the bound, interpolated by a power law.
 
-    0: already at the smallest; inf: at none, also not by the last two's law at 100 times the largest.
+    Returns 0 if the smallest size exceeds it. Beyond the largest size, extrapolates from the last two sizes,
+    up to 100 times the largest; returns inf if the bound is not reached by then.
     """
     if figures[0] > bound:
         return 0.0
--- a/benchmarks/hollow/ingress.py
+++ b/benchmarks/hollow/ingress.py
@@ -1,4 +1,4 @@
-"""One ingress in full, without sockets: what troutdock.proxy.daemon.Ingress holds and does for control."""
+"""One complete ingress without sockets: the control state and work of troutdock.proxy.daemon.Ingress."""
 
 from __future__ import annotations
 
@@ -22,62 +22,62 @@
 
 
 class Ingress:
-    """Book, decision module with tenants and backends, list of ingresses, table of routes."""
+    """Endpoint table, admission with tenants and backends, list of ingresses, and route table."""
 
     def __init__(self, name: str, ip: str, zone: str) -> None:
-        self.book = EndpointTable()
-        self.fabric = ProxyAdmission(NOTHING, 1, int(zone[1:]))
-        self.exchange = LoadExchange(name, ip, zone, 1, self.book)
+        self.endpoints = EndpointTable()
+        self.admission = ProxyAdmission(NOTHING, 1, int(zone[1:]))
+        self.exchange = LoadExchange(name, ip, zone, 1, self.endpoints)
         self.table: Table | None = None
-        self.numbers: dict[str, int] = {}
+        self.backend_numbers: dict[str, int] = {}
         self.instance_of: dict[int, bytes] = {}
         self.pools: dict[str, int] = {}
         self.tenants: dict[str, int] = {}
-        self._last = 0
+        self._last_number = 0
 
-    def hear(self, now: float, message: Any) -> None:
-        """As Ingress._heard."""
+    def receive(self, now: float, message: Any) -> None:
+        """Handles a control message as the daemon's Ingress does."""
         match message:
             case Config(version, body):
                 self._configure(now, version, bytes(body))
             case Instances(entries):
-                self._instances(now, self.book.merge(now, entries))
-            case Silence(silent, back):
-                for ids, is_silent in ((silent, True), (back, False)):
+                self._instances(now, self.endpoints.merge(now, entries))
+            case Silence(silent, recovered):
+                for ids, is_silent in ((silent, True), (recovered, False)):
                     for id in ids:
-                        if (number := self.numbers.get(id)) is not None:
-                            self._tell(now, BackendSuspected(number, is_silent))
+                        if (number := self.backend_numbers.get(id)) is not None:
+                            self._handle(now, BackendSuspected(number, is_silent))
             case Members(entries, gone, full):
                 self.exchange.update_members(now, entries, gone, full)
-                self._tell(now, IngressMembership(*self.exchange.membership(now)))
+                self._handle(now, IngressMembership(*self.exchange.membership(now)))
             case _:
                 pass
 
-    def _tell(self, now: float, event: Any) -> None:
-        self.fabric.handle(now * 1000, event)
+    def _handle(self, now: float, event: Any) -> None:
+        self.admission.handle(now * 1000, event)
 
     def _configure(self, now: float, version: int, body: bytes) -> None:
         if self.table is not None and version <= self.table.version:
             return
-        found = read_configuration(body)
-        assert not isinstance(found, RejectedConfiguration), found
-        table = Table(found, self.tenants)
-        for service in found.services:
+        configuration = read_configuration(body)
+        assert not isinstance(configuration, RejectedConfiguration), configuration
+        table = Table(configuration, self.tenants)
+        for service in configuration.services:
             self.pools.setdefault(service, len(self.pools))
-        self._tell(now, SettingsChanged(table.settings))
+        self._handle(now, SettingsChanged(table.settings))
         self.table = table
 
-    def _instances(self, now: float, risen: list[Any]) -> None:
-        for entry in risen:
-            number = self.numbers.get(entry.id)
+    def _instances(self, now: float, changed: list[Any]) -> None:
+        for entry in changed:
+            number = self.backend_numbers.get(entry.id)
             if number is None:
                 if entry.state == GONE:
                     continue
-                self._last += 1
-                number = self.numbers[entry.id] = self._last
+                self._last_number += 1
+                number = self.backend_numbers[entry.id] = self._last_number
                 self.instance_of[number] = entry.id.encode()
-            told = BackendEntry(number, STATES[entry.state], int(entry.zone[1:]), size=entry.slots)
+            backend = BackendEntry(number, STATES[entry.state], int(entry.zone[1:]), size=entry.slots)
             pool = self.pools.setdefault(entry.service, len(self.pools))
-            self._tell(now, FleetUpdate(ListKind.CHANGES, [told], pool=pool))
+            self._handle(now, FleetUpdate(ListKind.CHANGES, [backend], pool=pool))
             if entry.state == GONE:
-                del self.numbers[entry.id]
+                del self.backend_numbers[entry.id]
--- a/benchmarks/hollow/measures.py
+++ b/benchmarks/hollow/measures.py
@@ -1,4 +1,4 @@
-"""What is measured: by role, each with its unit and its bound."""
+"""The measures by role, each with its unit and its bound."""
 
 from __future__ import annotations
 
@@ -6,26 +6,30 @@
 from dataclasses import dataclass
 from typing import Any
 
-from benchmarks.hollow.town import CHANGES_A_DAY, CORE, DAY_S, RESTARTS_A_DAY
+from benchmarks.hollow.model import CHANGES_A_DAY, CORE, DAY_S, RESTARTS_A_DAY
 from troutdock.rpc.connection import (
     SILENCE_TIMEOUT_S,
-)  # of a process that works on in one piece: its links are cut
+)  # a process that blocks its event loop for longer loses its connections
 
-CPU, KEEP_MB, KB_S, IN_FORCE_S = (
+CPU, STATE_MB, KB_S, IN_FORCE_S = (
     0.033,
     32.0,
     27.0,
     11.0,
-)  # the bounds of an ingress's control, and of a change
-STALLED = (
-    0.01  # part of the day in which a process that works on a change answers late: 99 in 100 are in time
+)  # bounds of the control work of an ingress, and of a change
+STALLED_FRACTION = (
+    0.01  # fraction of the day in which a process answers late as it applies a change: 99 % are in time
 )
-CORE_OF_CORE = 1.0  # a core machine's process has one loop
+CORE_MACHINE_CPU = 1.0  # a process on a core machine has one event loop
 
 
 @dataclass(frozen=True, slots=True)
 class Measure:
-    """bound: None for none. timed: of the processor, so it differs from run to run. real: of programs."""
+    """One figure of the results.
+
+    bound: None if there is none. timed: a processor time, which differs from run to run. real: measured on
+    the real programs.
+    """
 
     role: str
     name: str
@@ -36,24 +40,24 @@
     real: bool = False
 
 
-def _said(phase: str, sender: str, to: str, which: int) -> Callable[[dict[str, Any]], float]:
+def _sent(phase: str, sender: str, to: str, which: int) -> Callable[[dict[str, Any]], float]:
     return lambda r: r["core"]["said"].get(f"{phase} / {sender} / {to}", [0, 0])[which]
 
 
-def _each(phase: str, which: int = 1) -> Callable[[dict[str, Any]], float]:
-    """To one ingress in a phase."""
-    said = _said(phase, "hedgerow", "espalier", which)
-    return lambda r: said(r) / r["ingresses"]
+def _per_ingress(phase: str, which: int = 1) -> Callable[[dict[str, Any]], float]:
+    """Messages or bytes sent to one ingress in a phase."""
+    sent = _sent(phase, "hedgerow", "espalier", which)
+    return lambda r: sent(r) / r["ingresses"]
 
 
-def _registry(phase: str, to: str, which: int = 1) -> Callable[[dict[str, Any]], float]:
-    """By one registry in a phase."""
-    said = _said(phase, "hedgerow", to, which)
-    return lambda r: said(r) / CORE
+def _per_registry(phase: str, to: str, which: int = 1) -> Callable[[dict[str, Any]], float]:
+    """Messages or bytes sent by one registry in a phase."""
+    sent = _sent(phase, "hedgerow", to, which)
+    return lambda r: sent(r) / CORE
 
 
-def _store(phase: str, which: int) -> Callable[[dict[str, Any]], float]:
-    to_stores, to_registries = (_said(phase, "rootstock", to, which) for to in ("rootstock", "hedgerow"))
+def _per_store(phase: str, which: int) -> Callable[[dict[str, Any]], float]:
+    to_stores, to_registries = (_sent(phase, "rootstock", to, which) for to in ("rootstock", "hedgerow"))
     return lambda r: (to_stores(r) + to_registries(r)) / CORE
 
 
@@ -67,24 +71,24 @@
     return lambda r: of(r) / r["core"]["spans s"][phase] / unit
 
 
-def _in(of: Callable[[dict[str, Any]], float], unit: float) -> Callable[[dict[str, Any]], float]:
+def _in_unit(of: Callable[[dict[str, Any]], float], unit: float) -> Callable[[dict[str, Any]], float]:
     return lambda r: of(r) / unit
 
 
-def _talk(which: str, index: int, *kinds: str) -> Callable[[dict[str, Any]], float]:
+def _exchange(which: str, index: int, *kinds: str) -> Callable[[dict[str, Any]], float]:
     return lambda r: sum(r["zone"][which][k][index] for k in kinds)
 
 
 ALL = ("zone", "away", "passed on")
 E, H, R, HOMES = "espalier", "hedgerow", "rootstock", "homes"
-_talk_b = _talk("sent a second", 1, *ALL)
+_exchange_bytes = _exchange("sent a second", 1, *ALL)
 MEASURES = (
     Measure(
         E,
         "state for control",
         "MB",
         lambda r: (r["core"]["state"][E] + r["zone"]["exchange bytes"]) / 1e6,
-        KEEP_MB,
+        STATE_MB,
     ),
     Measure(E, "of it, book of backends", "MB", lambda r: r["core"]["state"]["espalier, book"] / 1e6),
     Measure(
@@ -99,12 +103,14 @@
         E,
         "sent to ingresses, with signs of life",
         "KB/s",
-        lambda r: (_talk_b(r) + r["zone"]["signs of life B/s"]) / 1e3,
+        lambda r: (_exchange_bytes(r) + r["zone"]["signs of life B/s"]) / 1e3,
         KB_S,
     ),
     Measure(E, "of it, signs of life", "KB/s", lambda r: r["zone"]["signs of life B/s"] / 1e3),
-    Measure(E, "of it, own numbers to its zone", "KB/s", _in(_talk("sent a second", 1, "zone"), 1e3)),
-    Measure(E, "messages sent to ingresses", "1/s", _talk("sent a second", 0, *ALL)),
+    Measure(
+        E, "of it, own numbers to its zone", "KB/s", _in_unit(_exchange("sent a second", 1, "zone"), 1e3)
+    ),
+    Measure(E, "messages sent to ingresses", "1/s", _exchange("sent a second", 0, *ALL)),
     Measure(
         E,
         "processor, numbers of ingresses",
@@ -121,8 +127,8 @@
         None,
         True,
     ),
-    Measure(E, "start: told to one ingress", "MB", _in(_each("start"), 1e6)),
-    Measure(E, "start: messages to one ingress", "messages", _each("start", 0)),
+    Measure(E, "start: told to one ingress", "MB", _in_unit(_per_ingress("start"), 1e6)),
+    Measure(E, "start: messages to one ingress", "messages", _per_ingress("start", 0)),
     Measure(
         E, "start: until the last ingress has all", "s", lambda r: r["core"]["start until all have it s"]
     ),
@@ -150,15 +156,15 @@
         "changes of a day: part of it stalled",
         "part",
         lambda r: _cpu("change", E, 1)(r) * CHANGES_A_DAY / DAY_S,
-        STALLED,
+        STALLED_FRACTION,
         True,
     ),
-    Measure(E, "one restart: told, to all ingresses", "MB", _in(_said("one restart", H, E, 1), 1e6)),
+    Measure(E, "one restart: told, to all ingresses", "MB", _in_unit(_sent("one restart", H, E, 1), 1e6)),
     Measure(
         E,
         "restarts of a day: told, to all ingresses",
         "KB/s",
-        lambda r: _said("one restart", H, E, 1)(r) * RESTARTS_A_DAY / DAY_S / 1e3,
+        lambda r: _sent("one restart", H, E, 1)(r) * RESTARTS_A_DAY / DAY_S / 1e3,
     ),
     Measure(
         E,
@@ -167,13 +173,20 @@
         lambda r: r["core"]["restarts until all have it s"],
         IN_FORCE_S,
     ),
-    Measure(E, "one in 20 restarts at once: told to all", "MB", _in(_said("restarts at once", H, E, 1), 1e6)),
-    Measure(E, "zone lost: told to one ingress, 70 s", "KB", _in(_each("zone lost"), 1e3)),
-    Measure(E, "zone lost: messages to one ingress, 70 s", "messages", _each("zone lost", 0)),
+    Measure(
+        E, "one in 20 restarts at once: told to all", "MB", _in_unit(_sent("restarts at once", H, E, 1), 1e6)
+    ),
+    Measure(E, "zone lost: told to one ingress, 70 s", "KB", _in_unit(_per_ingress("zone lost"), 1e3)),
+    Measure(E, "zone lost: messages to one ingress, 70 s", "messages", _per_ingress("zone lost", 0)),
     Measure(HOMES, "duties of the busiest", "duties", lambda r: r["zone"]["duties"]),
     Measure(HOMES, "links of the busiest", "links", lambda r: r["zone"]["links"][1]),
-    Measure(HOMES, "sent to other zones, mean", "KB/s", _in(_talk("sent a second", 1, "away"), 1e3)),
-    Measure(HOMES, "passed on to neighbours, mean", "KB/s", _in(_talk("sent a second", 1, "passed on"), 1e3)),
+    Measure(HOMES, "sent to other zones, mean", "KB/s", _in_unit(_exchange("sent a second", 1, "away"), 1e3)),
+    Measure(
+        HOMES,
+        "passed on to neighbours, mean",
+        "KB/s",
+        _in_unit(_exchange("sent a second", 1, "passed on"), 1e3),
+    ),
     Measure(HOMES, "the busiest sends", "KB/s", lambda r: r["zone"]["busiest sends B/s"] / 1e3, KB_S),
     Measure(H, "state", "MB", lambda r: r["core"]["state"][H] / 1e6),
     Measure(
@@ -183,25 +196,30 @@
         H,
         "calm: beats taken by one",
         "1/s",
-        _per_s(lambda r: _said("calm", "backend", H, 0)(r) / CORE, "calm"),
+        _per_s(lambda r: _sent("calm", "backend", H, 0)(r) / CORE, "calm"),
     ),
-    Measure(H, "calm: told to other registries", "KB/s", _per_s(_registry("calm", H), "calm", 1e3)),
+    Measure(H, "calm: told to other registries", "KB/s", _per_s(_per_registry("calm", H), "calm", 1e3)),
     Measure(
-        H, "calm: processor without HTTP", "core", _per_s(_cpu("calm", H, CORE), "calm"), CORE_OF_CORE, True
+        H,
+        "calm: processor without HTTP",
+        "core",
+        _per_s(_cpu("calm", H, CORE), "calm"),
+        CORE_MACHINE_CPU,
+        True,
     ),
-    Measure(H, "start: told by one to ingresses", "MB", _in(_registry("start", E), 1e6)),
-    Measure(H, "start: messages by one to ingresses", "messages", _registry("start", E, 0)),
-    Measure(H, "start: told by one to registries", "MB", _in(_registry("start", H), 1e6)),
+    Measure(H, "start: told by one to ingresses", "MB", _in_unit(_per_registry("start", E), 1e6)),
+    Measure(H, "start: messages by one to ingresses", "messages", _per_registry("start", E, 0)),
+    Measure(H, "start: told by one to registries", "MB", _in_unit(_per_registry("start", H), 1e6)),
     Measure(H, "start: processor", "s", _cpu("start", H, CORE), None, True),
-    Measure(H, "one change: told by one", "MB", _in(_registry("change", E), 1e6)),
+    Measure(H, "one change: told by one", "MB", _in_unit(_per_registry("change", E), 1e6)),
     Measure(H, "one change: processor, in one piece", "s", _cpu("change", H, CORE), SILENCE_TIMEOUT_S, True),
     Measure(H, "zone lost: processor, 70 s", "s", _cpu("zone lost", H, CORE - 1), None, True),
     Measure(R, "state of the primary", "MB", lambda r: r["core"]["state"][R] / 1e6),
     Measure(R, "connections", "links", lambda r: r["core"]["connections"][R]),
-    Measure(R, "calm: messages of one", "1/s", _per_s(_store("calm", 0), "calm")),
-    Measure(R, "calm: bytes of one", "KB/s", _per_s(_store("calm", 1), "calm", 1e3)),
-    Measure(R, "calm: processor", "core", _per_s(_cpu("calm", R, CORE), "calm"), CORE_OF_CORE, True),
-    Measure(R, "one change: told by all", "MB", lambda r: _store("change", 1)(r) * CORE / 1e6),
+    Measure(R, "calm: messages of one", "1/s", _per_s(_per_store("calm", 0), "calm")),
+    Measure(R, "calm: bytes of one", "KB/s", _per_s(_per_store("calm", 1), "calm", 1e3)),
+    Measure(R, "calm: processor", "core", _per_s(_cpu("calm", R, CORE), "calm"), CORE_MACHINE_CPU, True),
+    Measure(R, "one change: told by all", "MB", lambda r: _per_store("change", 1)(r) * CORE / 1e6),
     Measure(R, "one change: acknowledged", "s", lambda r: r["core"]["change acknowledged s"]),
     Measure(R, "one change: processor of all", "s", _cpu("change", R, 1), None, True),
     Measure(
@@ -213,7 +231,7 @@
         "real program, a third of the beats: processor",
         "core",
         lambda r: r[H]["core, mean"],
-        CORE_OF_CORE,
+        CORE_MACHINE_CPU,
         True,
         True,
     ),
--- a/benchmarks/hollow/model.py
+++ b/benchmarks/hollow/model.py
@@ -1,4 +1,4 @@
-"""What is simulated: sizes in proportion to the target, places, ways, a configuration, the count."""
+"""The simulated system: sizes in proportion to the target, zones, latencies, configuration, and counters."""
 
 from __future__ import annotations
 
@@ -13,18 +13,20 @@
 
 import msgspec
 
-INGRESSES, BACKENDS, SERVICES, ROUTES, TENANTS = 2200, 23_000, 390, 11_000, 99_000  # the target of two years
-PEAK_PER_S = 200_000  # requests a second of all ingresses
-ZONES, REGIONS, CORE, SEEDS = 17, 6, 6, 3  # at every size, so that one thing changes
-BEAT_S = 1.5
-ZONE_WAY_S, REGION_WAY_S, FAR_WAY_S = 0.00025, 0.00075, 0.035  # one way: in a zone, a region, between them
-CORE_BYTES_S, INGRESS_BYTES_S = 125e6, 0.25e6  # of a link: 1,000 and 2 Mbit/s, as on the grown sites
+INGRESSES, BACKENDS, SERVICES, ROUTES, TENANTS = 2200, 23_000, 390, 11_000, 99_000  # the target in two years
+PEAK_REQUESTS_PER_S = 200_000  # of all ingresses
+# constant, so that only the number of ingresses and what scales with it changes
+ZONES, REGIONS, CORE, SEEDS = 17, 6, 6, 3
+HEARTBEAT_S = 1.5
+# one way: within a zone, within a region, between regions
+ZONE_LATENCY_S, REGION_LATENCY_S, REMOTE_LATENCY_S = 0.00025, 0.00075, 0.035
+CORE_BYTES_S, INGRESS_BYTES_S = 125e6, 0.25e6  # link rates: 1,000 and 2 Mbit/s, as on the larger sites
 CHANGES_A_DAY, RESTARTS_A_DAY, DAY_S = 1200, 1400, 86_400
 
 
 @dataclass(frozen=True, slots=True)
 class Size:
-    """How many there are of each kind."""
+    """The number of components of each kind."""
 
     ingresses: int
     backends: int
@@ -34,25 +36,28 @@
 
 
 def size_of(ingresses: int) -> Size:
-    """In proportion to the target."""
+    """Returns a size in proportion to the target."""
     part = ingresses / INGRESSES
     return Size(ingresses, *(max(1, round(all * part)) for all in (BACKENDS, SERVICES, ROUTES, TENANTS)))
 
 
 def zone_of(number: int) -> str:
-    """A zone's name, dealt in turn."""
+    """Returns the name of a zone; zones are assigned round-robin."""
     return f"z{number % ZONES:02}"
 
 
-def way_s(one: str, other: str) -> float:
-    """Seconds one way between two zones; zones are dealt to regions in turn."""
+def latency_s(one: str, other: str) -> float:
+    """Returns the one-way latency between two zones; zones are assigned to regions round-robin."""
     if one == other:
-        return ZONE_WAY_S
-    return REGION_WAY_S if int(one[1:]) % REGIONS == int(other[1:]) % REGIONS else FAR_WAY_S
+        return ZONE_LATENCY_S
+    return REGION_LATENCY_S if int(one[1:]) % REGIONS == int(other[1:]) % REGIONS else REMOTE_LATENCY_S
 
 
 def configuration(size: Size, version: int) -> bytes:
-    """An operator's body: all routes, services and tenants with two keys each; weights by version."""
+    """Returns a configuration body with all routes, services, and tenants with two keys each.
+
+    The weights of the routes depend on the version.
+    """
     routes = [
         [
             f"route-{n}",
@@ -93,8 +98,8 @@
     )
 
 
-class Count:
-    """Messages and bytes by phase and by who says them to whom; processor seconds by phase and role."""
+class TrafficCount:
+    """Messages and bytes by phase, sender role and receiver role; processor seconds by phase and role."""
 
     def __init__(self) -> None:
         self.phase = "start"
@@ -102,38 +107,41 @@
         self.bytes: Counter[tuple[str, str, str]] = Counter()
         self.cpu_s: Counter[tuple[str, str]] = Counter()
 
-    def said(self, sender: str, to: str, size: int, times: int = 1) -> None:
-        """A message of so many bytes with its frame, to so many."""
+    def add(self, sender: str, to: str, size: int, times: int = 1) -> None:
+        """Counts a message of size bytes, frame included, sent to so many receivers."""
         self.messages[self.phase, sender, to] += times
         self.bytes[self.phase, sender, to] += size * times
 
     def total(self, phase: str, sender: str, to: str) -> tuple[int, int]:
-        """Messages and bytes."""
+        """Returns the number of messages and bytes."""
         return self.messages[phase, sender, to], self.bytes[phase, sender, to]
 
 
 _SHARED = (type, types.ModuleType, types.FunctionType, types.BuiltinFunctionType, types.MethodType)
 
 
-def state_bytes(root: Any, *but: Any) -> int:
-    """Bytes of all that is reached from an object, each once; but: what is left out, as others own it."""
-    seen = {id(x) for x in but}
-    found, todo = 0, [root]
-    while todo:
-        one = todo.pop()
+def state_bytes(root: Any, *excluded: Any) -> int:
+    """Returns the bytes of all objects reachable from root, each counted once.
+
+    excluded: objects with another owner, which are left out.
+    """
+    seen = {id(x) for x in excluded}
+    found, pending = 0, [root]
+    while pending:
+        one = pending.pop()
         if id(one) in seen or isinstance(one, _SHARED):
             continue
         seen.add(id(one))
         found += sys.getsizeof(one)
-        todo += gc.get_referents(one)
+        pending += gc.get_referents(one)
     return found
 
 
 def memory_mb() -> float:
-    """Megabytes that this process holds now."""
+    """Returns the resident memory of this process in megabytes."""
     return int(Path("/proc/self/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE") / 1e6
 
 
 def machine_mb() -> float:
-    """Megabytes of the machine."""
+    """Returns the memory of the machine in megabytes."""
     return os.sysconf("SC_PHYS_PAGES") * os.sysconf("SC_PAGE_SIZE") / 1e6
--- a/benchmarks/hollow/real.py
+++ b/benchmarks/hollow/real.py
@@ -1,7 +1,7 @@
-"""The real programs over loopback, as a check of the hollow ones: three core machines and some ingresses.
+"""Runs the real programs over loopback to check the simulation: three core machines and some ingresses.
 
-Backends' beats and the operator's change are asked over HTTP by this process. Every machine is an address
-of 127.0.0.0/8 with the same ports; processes are ended with the run.
+This process sends the heartbeats of the backends and the operator's change over HTTP. Every machine is an
+address of 127.0.0.0/8 with the same ports; the processes are terminated at the end of the run.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 import msgspec
 
-from benchmarks.hollow.town import BEAT_S, Size, configuration, size_of, zone_of
+from benchmarks.hollow.model import HEARTBEAT_S, Size, configuration, size_of, zone_of
 from benchmarks.processes import ROOT, cpu_s, free_port, memory_mb
 
 CORE, NET = 3, 10 + os.getpid() % 200
@@ -31,7 +31,7 @@
 
 
 class Machines:
-    """Processes by role; closed in the end."""
+    """The processes by role; close() terminates them."""
 
     def __init__(self, folder: Path, ingresses: int) -> None:
         self.folder, self.port = folder, free_port()
@@ -67,7 +67,7 @@
                 "edge": f"{ip}:{port + 3}",
             },
             "seedNodes": [f"{c}:{port + 5}" for c in self.core],
-            "heartbeatS": BEAT_S,
+            "heartbeatS": HEARTBEAT_S,
             "dataDirectory": str(data) if core else None,
         }
         path = self.folder / f"{role}-{ip}.yaml"
@@ -105,7 +105,7 @@
 
 
 async def _call(ip: str, port: int, method: str, path: str, body: bytes = b"") -> int:
-    """The status of an answer, 0 for none within ten seconds."""
+    """Returns the status of a response, or 0 if none arrives within ten seconds."""
     try:
         async with asyncio.timeout(10):
             reader, writer = await asyncio.open_connection(ip, port)
@@ -118,12 +118,12 @@
         return 0
 
 
-async def _beats(machines: Machines, size: Size, random: Random, missed: list[int]) -> None:
-    """Every backend beats, spread over the core, on a connection of its own each time."""
+async def _send_heartbeats(machines: Machines, size: Size, random: Random, missed: list[int]) -> None:
+    """Sends the heartbeats of every backend, spread over the core, each on a new connection."""
 
-    async def one(b: int) -> None:
+    async def send_heartbeats(b: int) -> None:
         count = 0
-        await asyncio.sleep(BEAT_S * random.random())
+        await asyncio.sleep(HEARTBEAT_S * random.random())
         while True:
             began, count = time.monotonic(), count + 1
             body = msgspec.json.encode(
@@ -140,17 +140,17 @@
                 machines.core[b % CORE], machines.port + 5, "POST", f"/instances/i-{b:08x}/heartbeat", body
             )
             missed[0] += status != 200
-            await asyncio.sleep(max(0.0, BEAT_S - (time.monotonic() - began)))
+            await asyncio.sleep(max(0.0, HEARTBEAT_S - (time.monotonic() - began)))
 
-    await asyncio.gather(*(one(b) for b in range(size.backends)))
+    await asyncio.gather(*(send_heartbeats(b) for b in range(size.backends)))
 
 
-async def _until_ready(machines: Machines, most_s: float) -> float:
-    """Seconds until all ingresses are ready."""
+async def _until_ready(machines: Machines, max_s: float) -> float:
+    """Returns the seconds until all ingresses are ready; inf after max_s."""
     began, left = time.monotonic(), set(machines.edge)
-    while left and time.monotonic() - began < most_s:
+    while left and time.monotonic() - began < max_s:
         for ip in list(left):
-            if time.monotonic() - began > most_s:
+            if time.monotonic() - began > max_s:
                 break
             if await _call(ip, machines.port + 4, "GET", "/") == 200:
                 left.discard(ip)
@@ -162,8 +162,8 @@
     missed = [0]
     machines.start()
     await asyncio.sleep(SETTLE_S)
-    beats = asyncio.create_task(_beats(machines, size, Random(seed), missed))
-    await asyncio.sleep(BEAT_S + 0.5)
+    beats = asyncio.create_task(_send_heartbeats(machines, size, Random(seed), missed))
+    await asyncio.sleep(HEARTBEAT_S + 0.5)
     body, began = configuration(size, 1), time.monotonic()
     status = 0
     while status != 200 and time.monotonic() - began < 20:
@@ -183,7 +183,7 @@
         "write acknowledged s": acked,
         "all ready s": ready,
         "beats missed in calm": missed[0],
-        "beats a second": size.backends / BEAT_S,
+        "beats a second": size.backends / HEARTBEAT_S,
     }
     for role, children in machines.children.items():
         shares = [(a - b) / spent for a, b in zip(machines.cpu_s(role), before[role], strict=True)]
@@ -201,7 +201,7 @@
 
 
 def run(ingresses: int, seed: int) -> dict[str, Any]:
-    """Figures of real processes at one size, with the backends, routes and tenants in proportion."""
+    """Measures real processes at one size, with backends, routes and tenants in proportion."""
     with tempfile.TemporaryDirectory() as folder:
         machines = Machines(Path(folder), ingresses)
         try:
--- a/benchmarks/hollow/report.py
+++ b/benchmarks/hollow/report.py
@@ -1,4 +1,4 @@
-"""What was measured, as tables and a plot: slopes, figures at the full size and bounds."""
+"""Formats the results as tables and a plot: slopes, figures at the full size, and bounds."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 from benchmarks.hollow.fit import crossing, curve, power
 from benchmarks.hollow.measures import MEASURES, E, H, Measure, R
-from benchmarks.hollow.town import BACKENDS, BEAT_S, CORE, INGRESSES
+from benchmarks.hollow.model import BACKENDS, HEARTBEAT_S, CORE, INGRESSES
 
-MARK = "<!-- capacity {} {} -->"
+MARKER = "<!-- capacity {} {} -->"
 
 
-def _g(value: float) -> str:
-    """Three figures."""
+def _format(value: float) -> str:
+    """Formats a number with three significant digits."""
     if value in (inf, 0):
         return "-" if value else "0"
     return f"{value:,.0f}" if abs(value) >= 100 else f"{value:.3g}"
@@ -29,7 +29,9 @@
 
 
 def slopes(data: dict[str, Any], timed: bool | None = None) -> str:
-    """Each measure at each size and its law. timed: only those of the processor, only the others, or all."""
+    """Returns each measure at each size with its fits.
+
+    timed: True for processor times only, False for the other measures only, None for all."""
     results = _results(data)
     sizes = [r["ingresses"] for r in results]
     head = [
@@ -48,16 +50,20 @@
         if m.real or (timed is not None and m.timed != timed):
             continue
         figures = _figures(m, results)
-        law, bow = power(sizes, figures), curve(sizes, figures)
-        cells = [m.role, m.name, m.unit, *map(_g, figures)]
+        law, quadratic = power(sizes, figures), curve(sizes, figures)
+        cells = [m.role, m.name, m.unit, *map(_format, figures)]
         cells += [f"{law.exponent:.2f}", f"{law.error:.2f}", f"{law.residual:.0%}"] if law else ["-"] * 3
-        cells += [f"{bow.a:.2g} {bow.b:+.2g} n {bow.c:+.2g} n²", f"{bow.residual:.0%}"] if bow else ["-"] * 2
+        cells += (
+            [f"{quadratic.a:.2g} {quadratic.b:+.2g} n {quadratic.c:+.2g} n²", f"{quadratic.residual:.0%}"]
+            if quadratic
+            else ["-"] * 2
+        )
         lines.append("| " + " | ".join(cells) + " |")
     return "\n".join(lines)
 
 
-def _full(measure: Measure, results: list[dict[str, Any]]) -> tuple[float, str]:
-    """The figure at the full size, measured there or by the power law, and which of both."""
+def _at_full_size(measure: Measure, results: list[dict[str, Any]]) -> tuple[float, str]:
+    """Returns the figure at the full size and its source: measured, or from the power law."""
     for r in results:
         if r["ingresses"] == INGRESSES:
             return measure.of(r), "measured"
@@ -65,17 +71,17 @@
     return (law.at(INGRESSES), "by its law") if law else (0.0, "-")
 
 
-def _breaks(measure: Measure, results: list[dict[str, Any]]) -> float:
+def _size_at_bound(measure: Measure, results: list[dict[str, Any]]) -> float:
     assert measure.bound is not None
     return crossing([r["ingresses"] for r in results], _figures(measure, results), measure.bound)
 
 
-def _at(n: float, smallest: int) -> str:
+def _format_size(n: float, smallest: int) -> str:
     return f"below {smallest}" if n == 0 else "none" if n == inf else f"{n:,.0f}"
 
 
 def bounds(data: dict[str, Any]) -> str:
-    """The full size against the bounds, by the size at which each is passed."""
+    """Returns the full size against the bounds, sorted by the size at which each bound is exceeded."""
     lines = [
         f"| role | measure | at {INGRESSES:,} | | bound | of it | passed at ingresses |",
         "|" + " --- |" * 7,
@@ -85,18 +91,18 @@
         results = _results(data, m.real)
         if m.bound is None or len(results) < 2:
             continue
-        figure, how = _full(m, results)
+        figure, how = _at_full_size(m, results)
         part = figure / m.bound
-        kept = f"{part:.2g}, kept" if part <= 1 else f"{_g(part)} times, broken"
-        passed = _breaks(m, results)
-        cells = [m.role, m.name, f"{_g(figure)} {m.unit}", how, f"{m.bound:g} {m.unit}", kept]
-        row = "| " + " | ".join([*cells, _at(passed, results[0]["ingresses"])]) + " |"
+        kept = f"{part:.2g}, kept" if part <= 1 else f"{_format(part)} times, broken"
+        passed = _size_at_bound(m, results)
+        cells = [m.role, m.name, f"{_format(figure)} {m.unit}", how, f"{m.bound:g} {m.unit}", kept]
+        row = "| " + " | ".join([*cells, _format_size(passed, results[0]["ingresses"])]) + " |"
         rows.append((passed, -m.of(results[0]) / m.bound, row))
     return "\n".join([*lines, *(row for _, _, row in sorted(rows))])
 
 
 def plot(data: dict[str, Any], width: int = 60) -> str:
-    """Bounded measures over their bounds, from a ten thousandth to ten thousand times; | is the bound."""
+    """Plots bounded measures relative to their bounds, from 1/10,000 to 10,000 times; | is the bound."""
     results = _results(data)
     lines = [f"{'':42} 0.0001{'the bound':^{width - 10}}10,000"]
     for m in MEASURES:
@@ -114,7 +120,7 @@
 
 
 def real(data: dict[str, Any]) -> str:
-    """The real programs."""
+    """Returns the figures of the real programs."""
     lines = [
         "| ingresses | backends | role | processes | core, mean | core, most | MB, most | sockets, most |",
         "|" + " --- |" * 8,
@@ -133,8 +139,8 @@
             f"beats missed of {r['beats a second']:.0f} a second."
         )
     if len(data.get("real", [])) > 1:
-        each = beat_s(data)
-        per_s = BACKENDS / BEAT_S / CORE
+        each = heartbeat_cost_s(data)
+        per_s = BACKENDS / HEARTBEAT_S / CORE
         lines.append(
             f"\nA beat costs a registry {each * 1e3:.2f} ms of processor (slope over these sizes), so "
             f"{per_s:,.0f} a second, a core machine's part at the full size, {each * per_s:.2f} of a core: "
@@ -144,16 +150,16 @@
     return "\n".join(lines)
 
 
-def beat_s(data: dict[str, Any]) -> float:
-    """Processor seconds that one backend's beat costs a registry: the slope over the real programs' sizes."""
+def heartbeat_cost_s(data: dict[str, Any]) -> float:
+    """Returns a registry's processor seconds per heartbeat: the slope over the real programs' sizes."""
     x = [r["beats a second"] / r[H]["processes"] for r in data["real"]]
     y = [r[H]["core, mean"] for r in data["real"]]
     mx, my = sum(x) / len(x), sum(y) / len(y)
     return sum((a - mx) * (b - my) for a, b in zip(x, y, strict=True)) / sum((a - mx) ** 2 for a in x)
 
 
-def made_of(data: dict[str, Any]) -> str:
-    """What the tables come from."""
+def run_table(data: dict[str, Any]) -> str:
+    """Returns the seed, the sizes and the cost of the runs."""
     lines = [
         f"Seed {data['seed']}, sizes {', '.join(map(str, data['sizes']))}.",
         "",
@@ -169,7 +175,7 @@
 
 
 PARTS: dict[str, Callable[[dict[str, Any]], str]] = {
-    "run": made_of,
+    "run": run_table,
     "slopes": slopes,
     "bounds": bounds,
     "plot": plot,
@@ -177,10 +183,14 @@
 }
 
 
-def onto(page: str, data: dict[str, Any]) -> str:
-    """The page with each part between its marks written anew; ValueError where marks are missing."""
+def update_page(page: str, data: dict[str, Any]) -> str:
+    """Returns the page with each part between its markers replaced.
+
+    Raises:
+        ValueError: a marker is missing.
+    """
     for name, part in PARTS.items():
-        begin, end = MARK.format(name, "begins"), MARK.format(name, "ends")
+        begin, end = MARKER.format(name, "begins"), MARKER.format(name, "ends")
         head, found, rest = page.partition(begin)
         _, closed, tail = rest.partition(end)
         if not found or not closed:
--- a/benchmarks/hollow/scenario.py
+++ b/benchmarks/hollow/scenario.py
@@ -1,49 +1,49 @@
-"""What happens to the core at one size, one thing after the other, and the figures of it."""
+"""Runs the scenario of the core at one size, phase by phase, and collects its figures."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from typing import Any
 
-from benchmarks.hollow.core import AT_ONCE, CALM_S, Core
-from benchmarks.hollow.town import CORE, Size
+from benchmarks.hollow.core import RESTART_STRIDE, CALM_S, Core
+from benchmarks.hollow.model import CORE, Size
 
 
 def run(
     size: Size,
     seed: int,
-    keep: Callable[[], None] = lambda: None,
-    say: Callable[[str], None] = lambda _: None,
+    check_memory: Callable[[], None] = lambda: None,
+    report_progress: Callable[[str], None] = lambda _: None,
 ) -> dict[str, Any]:
-    """The whole story at one size: figures, and under "times" those of the processor."""
-    core = Core(size, seed, keep)
+    """Runs the whole scenario at one size; returns its figures, with processor times under "times"."""
+    core = Core(size, seed, check_memory)
     spans: dict[str, float] = {}
     found: dict[str, Any] = {}
 
     def phase(name: str, seconds: float) -> None:
-        say(name)
+        report_progress(name)
         core.count.phase = name
-        core.told_config = core.told_state = core.told_last = 0.0
+        core.config_delivered_at = core.state_delivered_at = core.last_delivered_at = 0.0
         spans[name] = seconds
 
     phase("start", 4.0)
     core.start()
     core.time.run(4.0)
-    found["start until all have it s"] = core.told_last
-    # what waits on links at the start would stand before what comes after
+    found["start until all have it s"] = core.last_delivered_at
+    # messages still queued on links from the start would delay the next phases
     core.out_free, core.in_free = [0.0] * CORE, [0.0] * CORE
     now = core.time.now
     phase("calm", CALM_S)
     core.time.run(now + CALM_S)
     now = core.time.now
     phase("drain", 3.0)
-    core.backend_says(1, 1)
+    core.set_backend_state(1, 1)
     core.time.run(now + 1.0)
-    found["drain in force s"] = core.told_state - now
+    found["drain in force s"] = core.state_delivered_at - now
     core.time.run(now + 3.0)
     now = core.time.now
     core.count.phase = "first configuration"
-    core.backend_says(1, 2)
+    core.set_backend_state(1, 2)
     core.write(1)
     core.time.run(now + 30.0)
     core.out_free, core.in_free = [0.0] * CORE, [0.0] * CORE
@@ -51,9 +51,12 @@
     phase("change", 30.0)
     found["configuration bytes"] = core.write(2)
     core.time.run(now + 30.0)
-    found["change acknowledged s"], found["change in force s"] = core.acked - now, core.told_config - now
+    found["change acknowledged s"], found["change in force s"] = (
+        core.write_acked_at - now,
+        core.config_delivered_at - now,
+    )
     core.out_free, core.in_free = [0.0] * CORE, [0.0] * CORE
-    found["state"] = core.states()
+    found["state"] = core.state_sizes()
     now = core.time.now
     phase("one restart", 2.0)
     core.ingress_down(core.members[-1])
@@ -62,14 +65,14 @@
     core.time.run(now + 2.0)
     now = core.time.now
     phase("restarts at once", 3.0)
-    again = core.members[::AT_ONCE]
-    for at, member in enumerate(again):
-        core.time.at(now + at / len(again), lambda m=member: core.ingress_down(m))
-        core.time.at(now + 1.0 + at / len(again), lambda m=member: core.ingress_up(m))
+    restarted = core.members[::RESTART_STRIDE]
+    for at, member in enumerate(restarted):
+        core.time.at(now + at / len(restarted), lambda m=member: core.ingress_down(m))
+        core.time.at(now + 1.0 + at / len(restarted), lambda m=member: core.ingress_up(m))
     core.time.run(now + 3.0)
     found["restarts at once"], found["restarts until all have it s"] = (
-        len(again),
-        max(0.0, core.told_last - now),
+        len(restarted),
+        max(0.0, core.last_delivered_at - now),
     )
     core.out_free, core.in_free = [0.0] * CORE, [0.0] * CORE
     now = core.time.now
--- a/tests/system/test_capacity.py
+++ b/tests/system/test_capacity.py
@@ -11,7 +11,7 @@
 from benchmarks import capacity
 from benchmarks.hollow import report, zone
 from benchmarks.hollow.fit import crossing, curve, power
-from benchmarks.hollow.town import configuration, size_of
+from benchmarks.hollow.model import configuration, size_of
 
 ROOT = Path(__file__).parent.parent.parent
 
@@ -19,13 +19,13 @@
 def test_the_pages_tables_are_those_that_the_command_wrote() -> None:
     data = json.loads((ROOT / "benchmarks" / "capacity.json").read_bytes())
     page = (ROOT / "docs" / "CAPACITY.md").read_text(encoding="utf-8")
-    assert report.onto(page, data) == page
+    assert report.update_page(page, data) == page
     assert len(data["sizes"]) >= 4 and data["sizes"] == [r["ingresses"] for r in data["results"]]
 
 
 def test_a_page_without_marks_is_refused() -> None:
     with pytest.raises(ValueError, match="capacity"):
-        report.onto("nothing", {"seed": 1, "sizes": [], "results": []})
+        report.update_page("nothing", {"seed": 1, "sizes": [], "results": []})
 
 
 def test_the_same_seed_gives_the_same_table_but_for_times() -> None:
@@ -52,7 +52,7 @@
 
 
 def test_a_run_that_holds_too_much_stops_by_itself() -> None:
-    with pytest.raises(capacity.TooMuch, match="4 ingresses"):
+    with pytest.raises(capacity.MemoryLimitExceeded, match="4 ingresses"):
         capacity.measure(4, 1, allowed_mb=1.0)
 
 
