--- a/benchmarks/apps.py
+++ b/benchmarks/apps.py
@@ -1,4 +1,4 @@
-"""Applications of the rigs, for uvicorn's --factory."""
+"""ASGI applications of the benchmarks, for uvicorn's --factory."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 
 
 def bare() -> Starlette:
-    """An application that answers reads itself."""
+    """Returns an application that answers reads itself."""
     return Starlette(routes=[Route("/ledger-read/{n}", _read)])
 
 
 def guarded() -> App:
-    """The same in guard mode."""
+    """Returns the same application in guard mode."""
     return GuardMiddleware(bare(), deployment=Deployment.from_file(os.environ["RELAY_CONFIG"]))
 
 
 def forwarding() -> App:
-    """Forward mode alone."""
+    """Returns an application with only the forwarding middleware."""
     return ForwardMiddleware(deployment=Deployment.from_file(os.environ["RELAY_CONFIG"]))
--- a/benchmarks/closed_loop.py
+++ b/benchmarks/closed_loop.py
@@ -1,9 +1,9 @@
-"""What closed-loop clients within unlimited quotas are refused, by an idle fleet: it should be nothing.
+"""Counts rejections of closed-loop clients with unlimited quotas by an idle fleet; there should be none.
 
     python -m benchmarks.closed_loop [--before CHECKOUT] [--requests 12000]
 
-Nine nodes that answer at once, one ingress with room for 4,096 sockets; 1, 32 and 256 clients. Whatever is
-refused is the ingress's own doing. CPU is that of the ingress, a request.
+Nine nodes that answer at once, one ingress with room for 4,096 sockets; 1, 32 and 256 clients. Every
+rejection is caused by the ingress. CPU time is that of the ingress, per request.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def main() -> None:
-    """A row for each number of clients and each checkout."""
+    """Prints a row for each number of clients and each checkout."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--before", type=Path, help="an earlier checkout, whose daemon is compared")
     parser.add_argument("--requests", type=int, default=12_000)
@@ -25,8 +25,11 @@
     with ExitStack() as stack:
         ports = [stack.enter_context(node())[1] for _ in range(9)]
         for connections in (1, 32, 256):
-            for name, where in checkouts:
-                with daemon(ports, where) as (pid, port):  # a new one: what it has learnt hides the matter
+            for name, checkout in checkouts:
+                with daemon(ports, checkout) as (
+                    pid,
+                    port,
+                ):  # a new process: learned estimates would hide the effect
                     began = cpu_s(pid)
                     tally = load(port, args.requests, connections)
                     refused = 1 - tally.get(200, 0) / sum(tally.values())
--- a/benchmarks/control_times.py
+++ b/benchmarks/control_times.py
@@ -1,11 +1,11 @@
-"""Times of the store in simulated seconds, median and most over many seeds, by the size of a configuration.
+"""Times of the configuration store by configuration size, in simulated seconds: median and maximum.
 
     python benchmarks/control_times.py [--seeds 200] [--jobs 4] [--mbits 1000] [--bodies 5000,1000000]
 
-cut: from the cut until the machine that is cut off claims to lead, confirms or tells something for the
-last time. loss: from the loss until the next change is confirmed, which is sent again every 0.1 s. return:
-from the start of a machine's process until it is not blank and knows the record of the active primary.
-removed: from the end of a machine that never returns until the voters stand without it.
+cut: from a partition until the isolated machine last claims to lead, confirms or sends anything. loss: from
+the loss until the next change is confirmed, which is retried every 0.1 s. return: from the start of a
+machine's process until it is not blank and has the record of the active primary. removed: from the end of a
+machine that never returns until the set of voters excludes it.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 from cluster import Cluster  # noqa: E402
 from worst_days import body_of, until_confirmed  # noqa: E402
 
-MOST_S = 30.0
+MAX_S = 30.0
 STEP_S = 0.01
 ROWS = [
     *[("cut", how) for how in ("both ways", "out", "in", "with one voter", "with a spare")],
@@ -39,15 +39,15 @@
 ]
 
 
-def begun(
+def started_cluster(
     seed: int, machines: int, body_bytes: int, mbits: float, early: bool = False
 ) -> tuple[Cluster, str, str]:
-    """A cluster that has kept a change; its primary, and the machine that holds the other copy."""
+    """Returns a cluster that has stored a change, its primary, and the machine with the other copy."""
     cluster = Cluster(seed, machines, dialled=True)
     cluster.links_end = True
     cluster.body_bytes, cluster.bandwidth = body_bytes, mbits * 1e6 / 8
     cluster.run((1.0 if early else 4.0) + seed % 7 * 0.1)
-    until_confirmed(cluster, MOST_S)
+    until_confirmed(cluster, MAX_S)
     cluster.run((0.5 if early else 2.0) + seed % 13 * 0.025)
     primary = cluster.primary or "10.0.0.1"
     others = [ip for ip in cluster.machines if ip != primary]
@@ -56,7 +56,7 @@
 
 
 def cut(how: str, seed: int, body_bytes: int, mbits: float) -> float:
-    cluster, primary, other = begun(seed, 4 if how.startswith("with") else 3, body_bytes, mbits)
+    cluster, primary, other = started_cluster(seed, 4 if how.startswith("with") else 3, body_bytes, mbits)
     replica = cluster.machines[primary].replica
     voters = replica.voters if replica is not None else []
     group = {primary}
@@ -67,11 +67,11 @@
     cluster.cut_off(group, how if how in ("out", "in") else "cut")
     machine = cluster.machines[primary]
     if machine.out_since < 0:
-        return 0.0  # it keeps a majority, and goes on
+        return 0.0  # it keeps a majority and stays primary
     began, version = cluster.now, 100
-    while cluster.now - began < MOST_S:
+    while cluster.now - began < MAX_S:
         version += 1
-        if seed % 2:  # else it is only asked
+        if seed % 2:  # other seeds only send queries
             cluster.order(primary, version, body_of(version))
         cluster.ask(primary)
         cluster.run(0.1)
@@ -79,7 +79,7 @@
 
 
 def loss(how: str, seed: int, body_bytes: int, mbits: float) -> float:
-    cluster, primary, other = begun(seed, 4, body_bytes, mbits)
+    cluster, primary, other = started_cluster(seed, 4, body_bytes, mbits)
     who, _, way = how.partition(" ")
     lost = primary if who == "primary" else other
     if way == "killed":
@@ -89,23 +89,23 @@
     elif way == "cut":
         cluster.cut_off({lost})
     elif way == "frozen":
-        cluster.machines[lost].hangs_until = cluster.now + 2 * MOST_S
+        cluster.machines[lost].hangs_until = cluster.now + 2 * MAX_S
     else:
         cluster.wipe(lost)
         cluster.run(0.05)
         cluster.start(lost)
-    but = lost if way in ("cut", "frozen") else ""
-    return until_confirmed(cluster, MOST_S, but, STEP_S, 0.1)
+    excluded = lost if way in ("cut", "frozen") else ""
+    return until_confirmed(cluster, MAX_S, excluded, STEP_S, 0.1)
 
 
-def comes_back(how: str, seed: int, body_bytes: int, mbits: float) -> float:
-    cluster, primary, other = begun(seed, 3, body_bytes, mbits)
+def rejoin(how: str, seed: int, body_bytes: int, mbits: float) -> float:
+    cluster, primary, other = started_cluster(seed, 3, body_bytes, mbits)
     lost = Random(seed).choice([primary, other, *cluster.machines])
     if how == "wiped":
         cluster.wipe(lost)
     elif how != "new":
         cluster.kill(lost)
-    until_confirmed(cluster, MOST_S)
+    until_confirmed(cluster, MAX_S)
     if how == "after 200 changes":
         for version in range(100, 300):
             cluster.order(cluster.primary or other, version, body_of(version))
@@ -117,19 +117,19 @@
     else:
         cluster.start(lost)
     began = cluster.now
-    while cluster.now - began < MOST_S:
+    while cluster.now - began < MAX_S:
         cluster.run(STEP_S)
         leads, replica = cluster.primary, cluster.machines[lost].replica
         if leads is not None and replica is not None and not replica.kept.blank:
             primary_replica = cluster.machines[leads].replica
             if primary_replica is not None and replica.status.record == primary_replica.status.record:
                 return cluster.now - began
-    return MOST_S
+    return MAX_S
 
 
 def removed(how: str, seed: int, body_bytes: int, mbits: float) -> float:
     machines = 3 if how.endswith("added") else 4
-    cluster, primary, other = begun(seed, machines, body_bytes, mbits, how.endswith("start"))
+    cluster, primary, other = started_cluster(seed, machines, body_bytes, mbits, how.endswith("start"))
     replica = cluster.machines[primary].replica
     lost = Random(seed).choice(replica.voters if replica is not None else [primary, other])
     began = cluster.now
@@ -141,43 +141,45 @@
         cluster.kill(lost)
     if how.endswith("added"):
         cluster.add()
-    while cluster.now - began < MOST_S:
+    while cluster.now - began < MAX_S:
         cluster.run(STEP_S)
         leads = cluster.primary
         now = cluster.machines[leads].replica if leads is not None else None
         record = now.status.record if now is not None else None
         if now is not None and lost not in now.voters and record is not None and lost not in record.before:
             return cluster.now - began
-    return MOST_S
+    return MAX_S
 
 
-WAYS = {"cut": cut, "loss": loss, "return": comes_back, "removed": removed}
+MEASURES = {"cut": cut, "loss": loss, "return": rejoin, "removed": removed}
 
 
-def course(row: tuple[str, str, int, int, float]) -> float:
+def run_row(row: tuple[str, str, int, int, float]) -> float:
     what, how, seed, body_bytes, mbits = row
     Cluster.collects = True
-    return WAYS[what](how, seed, body_bytes, mbits)
+    return MEASURES[what](how, seed, body_bytes, mbits)
 
 
 def main() -> None:
-    words = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    words.add_argument("--seeds", type=int, default=200)
-    words.add_argument("--jobs", type=int, default=2, help="processes")
-    words.add_argument("--mbits", type=float, default=1000.0, help="of each way")
-    words.add_argument("--bodies", default="5000,1000000,11000000", help="bytes, separated by commas")
-    words.add_argument("--only", default="", help="rows that begin so: cut, loss, return, removed")
-    given = words.parse_args()
-    with ProcessPoolExecutor(given.jobs) as pool:
-        for body_bytes in [int(size) for size in given.bodies.split(",")]:
-            print(f"{body_bytes} bytes, {given.mbits:g} Mbit/s, {given.seeds} seeds", flush=True)
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    parser.add_argument("--seeds", type=int, default=200)
+    parser.add_argument("--jobs", type=int, default=2, help="processes")
+    parser.add_argument("--mbits", type=float, default=1000.0, help="of each way")
+    parser.add_argument("--bodies", default="5000,1000000,11000000", help="bytes, separated by commas")
+    parser.add_argument("--only", default="", help="rows that begin so: cut, loss, return, removed")
+    options = parser.parse_args()
+    with ProcessPoolExecutor(options.jobs) as pool:
+        for body_bytes in [int(size) for size in options.bodies.split(",")]:
+            print(f"{body_bytes} bytes, {options.mbits:g} Mbit/s, {options.seeds} seeds", flush=True)
             for what, how in ROWS:
-                if not what.startswith(given.only):
+                if not what.startswith(options.only):
                     continue
-                rows = [(what, how, seed, body_bytes, given.mbits) for seed in range(given.seeds)]
-                times = list(pool.map(course, rows, chunksize=5))
-                never = sum(time >= MOST_S - 1.0 for time in times)
-                more = f", {never} not within {MOST_S - 1.0:.0f} s" if never else ""
+                rows = [(what, how, seed, body_bytes, options.mbits) for seed in range(options.seeds)]
+                times = list(pool.map(run_row, rows, chunksize=5))
+                never = sum(time >= MAX_S - 1.0 for time in times)
+                more = f", {never} not within {MAX_S - 1.0:.0f} s" if never else ""
                 figures = f"median {median(times):6.2f} s, most {max(times):6.2f} s{more}"
                 print(f"    {what:<8} {how:<26} {figures}", flush=True)
 
--- a/benchmarks/crowd.py
+++ b/benchmarks/crowd.py
@@ -1,11 +1,12 @@
-"""A crowd of impatient clients, as a process: it asks at a given pace whatever becomes of its requests.
+"""An open-loop load generator: sends requests at a given rate, whatever their results.
 
     python -m benchmarks.crowd PORTS RATE SECONDS SEED HONOUR
 
-PORTS with commas; HONOUR: the part that heeds Retry-After. A request is tried up to three times within its
-deadline: after a refusal at the time told or, by those that don't heed, after 20 to 80 ms; after an error or
-SILENCE_S without an answer at once. It prints a line of JSON: for each second, by the request's first try,
-how many there were, and how many were served within AIM_S; and the tries.
+PORTS with commas; HONOUR: the fraction of clients that honour Retry-After. A request is attempted up to
+three times within its deadline. After a rejection, the retry follows at the time of Retry-After, or after
+20 to 80 ms from clients that ignore it; after an error or RESPONSE_TIMEOUT_S without a response, at once.
+Prints a line of JSON: for each second, by the first attempt, the number of requests and of those served
+within TARGET_LATENCY_S; and the number of attempts.
 """
 
 from __future__ import annotations
@@ -20,20 +21,25 @@
 
 import uvloop
 
-AIM_S, DEADLINE_S, SILENCE_S, TRIES = 1.5, 4.0, 1.3, 3  # the class's aim and limit, and a patience between
+TARGET_LATENCY_S, DEADLINE_S, RESPONSE_TIMEOUT_S, MAX_ATTEMPTS = (
+    1.5,
+    4.0,
+    1.3,
+    3,
+)  # the class's latency target and deadline, and a time-out between them
 
 
 class _Connection(asyncio.Protocol):
     def __init__(self, pool: deque[_Connection]) -> None:
-        self.pool, self.told, self.pending = pool, None, b""
-        self.told: Callable[[int, float], None] | None
+        self.pool, self.on_response, self.pending = pool, None, b""
+        self.on_response: Callable[[int, float], None] | None
         self.open = False
 
     def connection_made(self, transport: Any) -> None:
         self.transport, self.open = transport, True
 
-    def ask(self, message: bytes, told: Callable[[int, float], None]) -> None:
-        self.told, self.pending = told, b""
+    def send(self, message: bytes, on_response: Callable[[int, float], None]) -> None:
+        self.on_response, self.pending = on_response, b""
         self.transport.write(message)
 
     def data_received(self, data: bytes) -> None:
@@ -50,23 +56,23 @@
             self.transport.close()
         else:
             self.pool.append(self)
-        self._tell(int(head[9:12]), float(wait or 0))
+        self._report(int(head[9:12]), float(wait or 0))
 
     def connection_lost(self, error: Exception | None) -> None:
         self.open = False
-        self._tell(0, 0.0)
+        self._report(0, 0.0)
 
-    def _tell(self, status: int, wait_s: float) -> None:
-        told, self.told = self.told, None
-        if told is not None:
-            told(status, wait_s)
+    def _report(self, status: int, wait_s: float) -> None:
+        on_response, self.on_response = self.on_response, None
+        if on_response is not None:
+            on_response(status, wait_s)
 
-    def leave(self) -> None:
-        self.told, self.open = None, False
+    def abort(self) -> None:
+        self.on_response, self.open = None, False
         self.transport.abort()
 
 
-class Crowd:
+class LoadGenerator:
     def __init__(self, ports: list[int], rate: float, seconds: int, seed: int, honour: float) -> None:
         self.ports, self.rate, self.seconds, self.honour = ports, rate, seconds, honour
         self.random, self.seed = Random(seed), seed
@@ -84,15 +90,15 @@
                 due += self.random.expovariate(self.rate)
                 if second < self.seconds:
                     self.asked[second] += 1
-                    self._try(second, self.loop.time(), 1)
+                    self._start_attempt(second, self.loop.time(), 1)
             await asyncio.sleep(0.002)
         await asyncio.sleep(DEADLINE_S)
 
-    def _try(self, second: int, began: float, number: int) -> None:
+    def _start_attempt(self, second: int, began: float, number: int) -> None:
         self.tries += 1
-        self.loop.create_task(self._ask(second, began, number))
+        self.loop.create_task(self._attempt(second, began, number))
 
-    async def _ask(self, second: int, began: float, number: int) -> None:
+    async def _attempt(self, second: int, began: float, number: int) -> None:
         port = self.random.choice(self.ports)
         pool, connection = self.pools[port], None
         while pool and connection is None:
@@ -102,16 +108,17 @@
         if connection is None:
             try:
                 _, connection = await asyncio.wait_for(
-                    self.loop.create_connection(lambda: _Connection(pool), "127.0.0.1", port), SILENCE_S
+                    self.loop.create_connection(lambda: _Connection(pool), "127.0.0.1", port),
+                    RESPONSE_TIMEOUT_S,
                 )
             except (OSError, TimeoutError):
-                self._again(second, began, number, 0.0)
+                self._retry(second, began, number, 0.0)
                 return
         self.number += 1
         customer = self.random.randrange(2000)
         left = DEADLINE_S - (self.loop.time() - began)
         if left <= 0 or not connection.open:
-            self._again(second, began, number, 0.0)
+            self._retry(second, began, number, 0.0)
             return
         mark = b"Client-Retry: 1\r\n" if number > 1 else b""
         message = (
@@ -121,32 +128,34 @@
         )
         asked = connection
 
-        def told(status: int, wait_s: float) -> None:
+        def on_response(status: int, wait_s: float) -> None:
             timer.cancel()
             if status == 200:
-                self.served[second] += self.loop.time() - began <= AIM_S
+                self.served[second] += self.loop.time() - began <= TARGET_LATENCY_S
             elif status == 429 and wait_s and self.random.random() < self.honour:
-                self._again(second, began, number, wait_s)
+                self._retry(second, began, number, wait_s)
             else:
-                self._again(second, began, number, 0.02 + 0.06 * self.random.random() if status else 0.0)
+                self._retry(second, began, number, 0.02 + 0.06 * self.random.random() if status else 0.0)
 
-        def silent() -> None:
-            asked.leave()
-            self._again(second, began, number, 0.0)
+        def on_timeout() -> None:
+            asked.abort()
+            self._retry(second, began, number, 0.0)
 
-        timer = self.loop.call_later(min(SILENCE_S, left), silent)
-        connection.ask(message, told)
+        timer = self.loop.call_later(min(RESPONSE_TIMEOUT_S, left), on_timeout)
+        connection.send(message, on_response)
 
-    def _again(self, second: int, began: float, number: int, after_s: float) -> None:
-        if number < TRIES and self.loop.time() + after_s - began < DEADLINE_S:
-            self.loop.call_later(after_s, self._try, second, began, number + 1)
+    def _retry(self, second: int, began: float, number: int, after_s: float) -> None:
+        if number < MAX_ATTEMPTS and self.loop.time() + after_s - began < DEADLINE_S:
+            self.loop.call_later(after_s, self._start_attempt, second, began, number + 1)
 
 
-async def _main(words: list[str]) -> None:
-    ports = [int(port) for port in words[0].split(",")]
-    crowd = Crowd(ports, float(words[1]), int(words[2]), int(words[3]), float(words[4]))
-    await crowd.run()
-    print(json.dumps({"asked": crowd.asked, "served": crowd.served, "tries": crowd.tries}))
+async def _main(arguments: list[str]) -> None:
+    ports = [int(port) for port in arguments[0].split(",")]
+    generator = LoadGenerator(
+        ports, float(arguments[1]), int(arguments[2]), int(arguments[3]), float(arguments[4])
+    )
+    await generator.run()
+    print(json.dumps({"asked": generator.asked, "served": generator.served, "tries": generator.tries}))
 
 
 if __name__ == "__main__":
--- a/benchmarks/grpc_cost.py
+++ b/benchmarks/grpc_cost.py
@@ -1,4 +1,4 @@
-"""CPU for a unary gRPC call: through the daemon, through a plain proxy on grpcio's asyncio API, HTTP/1.1.
+"""Measures CPU per unary gRPC call, through the daemon and a plain grpcio proxy, and per HTTP/1.1 call.
 
     python -m benchmarks.grpc_cost [--calls 4000] [--rounds 5] [--streams 1000]
 
@@ -26,7 +26,7 @@
 
 
 async def serve_node(port: int) -> None:
-    """A node that answers 64 bytes, or a message now and a second one never."""
+    """Serves 64-byte responses, or a stream with one message that never ends."""
     import grpc
 
     async def answer(request: bytes, context: Any) -> bytes:
@@ -50,12 +50,12 @@
 
 
 async def serve_proxy(port: int, to: int) -> None:
-    """A plain proxy: one channel, each call passed on with its metadata and the time left."""
+    """Serves a plain proxy: one channel; forwards each call with its metadata and the remaining time."""
     import grpc
 
     channel = grpc.aio.insecure_channel(f"127.0.0.1:{to}")
 
-    async def pass_on(request: bytes, context: Any) -> bytes:
+    async def forward(request: bytes, context: Any) -> bytes:
         call = channel.unary_unary(PATH)
         answer: bytes = await call(
             request, timeout=context.time_remaining(), metadata=tuple(context.invocation_metadata())
@@ -64,7 +64,7 @@
 
     class All(grpc.GenericRpcHandler):
         def service(self, details: Any) -> Any:
-            return grpc.unary_unary_rpc_method_handler(pass_on)
+            return grpc.unary_unary_rpc_method_handler(forward)
 
     server = grpc.aio.server()
     server.add_generic_rpc_handlers((All(),))
@@ -74,7 +74,7 @@
 
 
 async def calls(port: int, number: int, at_once: int) -> int:
-    """So many unary calls: how many were served."""
+    """Sends unary calls; returns the number served."""
     import grpc
 
     served = 0
@@ -97,7 +97,7 @@
 
 @contextmanager
 def ingress(to: int) -> Iterator[tuple[int, int]]:
-    """The daemon with gRPC and one node: its process and port."""
+    """Runs the daemon with gRPC and one node; yields its process id and port."""
     rows = [
         {"path": PATH, "class": "ledger-read"},
         {"path": "/ledger.Ledger/Hang", "class": "ledger-read", "kind": "server-streaming"},
@@ -110,7 +110,7 @@
 
 
 def compare(number: int, rounds: int, at_once: int, ways: dict[str, tuple[int, int, str]]) -> None:
-    """A row of microseconds for each way: median of the rounds, and the ratio to the first one."""
+    """Prints the microseconds per call of each path: median of the rounds, and ratio to the first."""
     took: dict[str, list[float]] = {name: [] for name in ways}
     for turn in range(rounds + 1):
         for name, (pid, port, kind) in ways.items():
@@ -129,10 +129,10 @@
 
 
 def memory(pid: int, port: int, idle: int, streams: int) -> None:
-    """For idle connections, and for open streams whose clients have read what there was."""
+    """Measures memory per idle connection, and of open streams whose clients have read all messages."""
     import grpc
 
-    async def hold() -> None:
+    async def hold_open() -> None:
         began = memory_mb(pid)
         channels = []
         for _ in range(idle):
@@ -152,11 +152,11 @@
         for channel in channels:
             await channel.close()
 
-    asyncio.run(hold())
+    asyncio.run(hold_open())
 
 
 def main() -> None:
-    """All of it; `node` and `proxy` are the processes that it starts."""
+    """Runs all measurements; `node` and `proxy` are the processes that it starts."""
     if sys.argv[1:2] == ["node"]:
         asyncio.run(serve_node(int(sys.argv[2])))
         return
--- a/benchmarks/hollow/measures.py
+++ b/benchmarks/hollow/measures.py
@@ -7,19 +7,12 @@
 from typing import Any
 
 from benchmarks.hollow.model import CHANGES_A_DAY, CORE, DAY_S, RESTARTS_A_DAY
-from troutdock.rpc.connection import (
-    SILENCE_TIMEOUT_S,
-)  # a process that blocks its event loop for longer loses its connections
-
-CPU, STATE_MB, KB_S, IN_FORCE_S = (
-    0.033,
-    32.0,
-    27.0,
-    11.0,
-)  # bounds of the control work of an ingress, and of a change
-STALLED_FRACTION = (
-    0.01  # fraction of the day in which a process answers late as it applies a change: 99 % are in time
-)
+from troutdock.rpc.connection import SILENCE_TIMEOUT_S  # connections of a blocked process are closed after it
+
+# bounds of the control work of an ingress, and of a change
+CPU, STATE_MB, KB_S, IN_FORCE_S = 0.033, 32.0, 27.0, 11.0
+# fraction of the day in which a process answers late as it applies a change: 99 in 100 are in time
+STALLED_FRACTION = 0.01
 CORE_MACHINE_CPU = 1.0  # a process on a core machine has one event loop
 
 
--- a/benchmarks/library_cpu.py
+++ b/benchmarks/library_cpu.py
@@ -1,9 +1,10 @@
-"""CPU per request: the daemon against an earlier checkout, and the middleware against the daemon.
+"""Compares CPU per request: the daemon with an earlier checkout, and the middleware with the daemon.
 
     python -m benchmarks.library_cpu [--before CHECKOUT] [--requests 8000] [--rounds 7]
 
-All processes of a comparison run side by side and are loaded in turn, round by round, so that what the
-machine does else falls on both; figures are medians over the rounds, and ratios the medians of the rounds'.
+All processes of a comparison run side by side and are loaded in turn, round by round, so that other load of
+the machine affects all of them. Figures are medians over the rounds, and ratios are medians of the rounds'
+ratios.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 
 def compare(subjects: Sequence[Subject], requests: int, rounds: int, connections: int) -> None:
-    """Load each in turn, and print what a request costs each of them."""
+    """Loads each subject in turn and prints its CPU per request."""
     costs: dict[str, list[float]] = {name: [] for name, _, _ in subjects}
     statuses: dict[str, dict[int, int]] = {name: {} for name, _, _ in subjects}
     for number in range(rounds + 1):
@@ -41,7 +42,7 @@
 
 
 def main() -> None:
-    """Three comparisons."""
+    """Runs the three comparisons."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--before", type=Path, help="an earlier checkout, whose daemon is compared")
     parser.add_argument("--requests", type=int, default=8000)
--- a/benchmarks/node.py
+++ b/benchmarks/node.py
@@ -1,4 +1,4 @@
-"""A node of the rigs: it answers each request at once. Its one argument is its port."""
+"""A backend of the benchmarks that answers each request at once. Its only argument is its port."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
-        if data.endswith(b"\r\n\r\n"):  # the rig's requests have no body
+        if data.endswith(b"\r\n\r\n"):  # the benchmark's requests have no body
             self._transport.write(ANSWER)  # type: ignore[attr-defined]
 
 
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -1,4 +1,4 @@
-"""Processes of a rig: a node, a daemon, an application; their CPU time, and load from closed-loop clients."""
+"""Benchmark processes (node, daemon, application), their CPU time, and load from closed-loop clients."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def settings(sockets: int = 4096) -> dict[str, Any]:
-    """A deployment's settings without limits: what is measured is the path, not the refusals."""
+    """Returns deployment settings without limits, so that the request path is measured and not rejections."""
     classes = [
         ("ledger-read", 1500.0, 4000.0, 2.0, "pure"),
         ("payment-book", 1000.0, 4000.0, 5.0, "token"),
@@ -83,13 +83,13 @@
 
 
 def free_port() -> int:
-    """A port of loopback that nobody has now."""
+    """Returns a free loopback port."""
     with socket.create_server(("127.0.0.1", 0)) as sock:
         return int(sock.getsockname()[1])
 
 
 def config(listen: int, nodes: Sequence[int]) -> dict[str, Any]:
-    """What a daemon is told."""
+    """Returns the configuration of a daemon."""
     targets = [
         {
             "uid": f"s-{p}",
@@ -116,7 +116,7 @@
 
 @contextmanager
 def process(words: Sequence[str], port: int, cwd: Path = ROOT, **environment: str) -> Iterator[int]:
-    """A Python process that listens on a port: its number; ended with the block."""
+    """Runs a Python process that listens on a port; yields its id and terminates it on exit."""
     child = subprocess.Popen(
         [sys.executable, *words],
         cwd=cwd,
@@ -146,7 +146,7 @@
 
 @contextmanager
 def daemon(nodes: Sequence[int], cwd: Path = ROOT, **environment: str) -> Iterator[tuple[int, int]]:
-    """The daemon of a checkout: its process and its port."""
+    """Runs the daemon of a checkout; yields its process id and port."""
     port = free_port()
     with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
         json.dump(config(port, nodes), file)
@@ -157,7 +157,7 @@
 
 @contextmanager
 def application(name: str, nodes: Sequence[int] = ()) -> Iterator[tuple[int, int]]:
-    """An application of benchmarks.apps under uvicorn: its process and its port."""
+    """Runs an application of benchmarks.apps under uvicorn; yields its process id and port."""
     port = free_port()
     with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
         json.dump(config(port, nodes), file)
@@ -183,14 +183,14 @@
 
 @contextmanager
 def node() -> Iterator[tuple[int, int]]:
-    """A node that answers every request at once: its process and its port."""
+    """Runs a node that answers every request at once; yields its process id and port."""
     port = free_port()
     with process(["-m", "benchmarks.node", str(port)], port) as pid:
         yield pid, port
 
 
 def cpu_s(pid: int) -> float:
-    """Seconds of CPU that the threads of a process have used, in nanoseconds' resolution."""
+    """Returns the CPU seconds of all threads of a process, with nanosecond resolution."""
     total = 0
     for task in Path(f"/proc/{pid}/task").iterdir():
         total += int((task / "schedstat").read_text().split()[0])
@@ -198,12 +198,12 @@
 
 
 def memory_mb(pid: int) -> float:
-    """Megabytes that a process holds in memory."""
+    """Returns the resident memory of a process in megabytes."""
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE") / 1e6
 
 
 class _Client(asyncio.Protocol):
-    """A client that asks again as soon as it has its answer; answers are as small as the rig's nodes'."""
+    """A closed-loop client for small responses: sends the next request when a response is complete."""
 
     def __init__(self, number: int, count: int, tally: dict[int, int], path: str) -> None:
         self._number, self._left, self._tally, self._path = number, count, tally, path
@@ -212,9 +212,9 @@
 
     def connection_made(self, transport: Any) -> None:
         self._transport = transport
-        self._ask()
+        self._send_request()
 
-    def _ask(self) -> None:
+    def _send_request(self) -> None:
         self._left -= 1
         id = self._number << 32 | self._left
         self._transport.write(
@@ -235,7 +235,7 @@
         self._tally[status] = self._tally.get(status, 0) + 1
         self._pending = b""
         if self._left:
-            self._ask()
+            self._send_request()
         else:
             self._transport.close()
             self.done.set_result(None)
@@ -247,7 +247,7 @@
 
 
 def load(port: int, requests: int, connections: int = 8, path: str = "ledger-read") -> dict[int, int]:
-    """Ask so often over so many connections: how often each status came, 0 for a connection that broke."""
+    """Sends requests over the connections; returns counts by status, with 0 for a broken connection."""
     tally: dict[int, int] = {}
 
     async def run() -> None:
--- a/benchmarks/routed_cost.py
+++ b/benchmarks/routed_cost.py
@@ -1,4 +1,4 @@
-"""CPU a request with routes against the platform's reader, and the loop's longest pause while they reload.
+"""Measures CPU per request with routes against the platform's reader, and the event loop's pause on reload.
 
 python -m benchmarks.routed_cost [--requests 8000] [--rounds 5] [--routes 10000]
 """
@@ -31,7 +31,7 @@
 
 
 def deployment(port: int, servers: list[int], routes: int) -> str:
-    """A file with so many routes, of which the last one is the load's."""
+    """Returns a deployment file with this many routes and a last one that matches the load."""
     rows = [
         f"  - {{name: r{n}, match: {{hosts: [h{n % 97}.de], prefix: /x/{n}}}, class: ledger-read, "
         "to: ledger}"
@@ -42,8 +42,8 @@
     return FILE.format(port=port, servers=at, routes="\n".join(rows))
 
 
-class _Nobody(Routed):
-    """Swaps tables, and has no pools."""
+class _ServiceWithoutPools(Routed):
+    """A service that swaps tables and has no pools."""
 
     def __init__(self, terms: Terms) -> None:
         super().__init__(terms, 1024)
@@ -54,15 +54,15 @@
 
 
 def read(file: Path) -> Compiled:
-    """It is good."""
+    """Reads a file that must be valid."""
     found = read_apart(file)
     assert isinstance(found, Compiled), found
     return found
 
 
 async def pauses(file: Path) -> tuple[float, float]:
-    """Seconds that reading takes beside the loop, and the loop's longest pause meanwhile."""
-    served = _Nobody(read(file).terms)
+    """Returns the seconds of a reload outside the event loop, and the loop's longest pause meanwhile."""
+    served = _ServiceWithoutPools(read(file).terms)
     reading = asyncio.create_task(take_over(served, lambda: read(file)))
     worst = 0.0
     began = before = time.perf_counter()
@@ -72,14 +72,14 @@
         worst, before = max(worst, now - before), now
     await reading
     for _ in range(200):
-        await asyncio.sleep(0)  # the old table goes
+        await asyncio.sleep(0)  # the old table is freed
         now = time.perf_counter()
         worst, before = max(worst, now - before), now
     return time.perf_counter() - began, worst
 
 
 def main() -> None:
-    """Both."""
+    """Runs both measurements."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--requests", type=int, default=8000)
     parser.add_argument("--rounds", type=int, default=5)
@@ -93,8 +93,8 @@
         for routes in (1, 1000):
             port, file = free_port(), Path(folder) / f"{routes}.yaml"
             file.write_text(deployment(port, ports, routes))
-            words = ["-c", "from troutdock.cli import main; main()", "serve", str(file)]
-            subjects.append((f"{routes} routes", port, [stack.enter_context(process(words, port))]))
+            arguments = ["-c", "from troutdock.cli import main; main()", "serve", str(file)]
+            subjects.append((f"{routes} routes", port, [stack.enter_context(process(arguments, port))]))
         compare(subjects, args.requests, args.rounds, 8)
         file = Path(folder) / "many.yaml"
         file.write_text(deployment(1, ports, args.routes))
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -1,4 +1,4 @@
-"""What a match costs by the number of routes, and a change of one of them.
+"""Measures the cost of a route match by the number of routes, and of changing one route.
 
 python -m benchmarks.routes [--most 100000]
 """
@@ -17,7 +17,7 @@
 
 
 def routes(number: int) -> list[Route]:
-    """Hosts with some hundred routes each: paths, prefixes, a few patterns, conditions."""
+    """Returns routes for hosts with 200 routes each: paths, prefixes, some patterns and conditions."""
     made = []
     for n in range(number):
         host = (f"s{n // 200}.example.de",) if n % 7 else ("*.example.de",)
@@ -31,7 +31,7 @@
 
 
 def main() -> None:
-    """A row for each number of routes."""
+    """Prints a row for each number of routes."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--most", type=int, default=100_000)
     most = parser.parse_args().most
@@ -46,7 +46,7 @@
         picked = random.choices(range(number), k=20_000)
         asked = [Request("GET", f"s{n // 200}.example.de", f"/v1/{n}/x") for n in picked]
         for request in asked:
-            table.find(request)  # automata are made with the first look
+            table.find(request)  # automata are built by the first lookup
         began = time.perf_counter()
         hits = sum(table.find(request) is not None for request in asked)
         took = (time.perf_counter() - began) / len(asked) * 1e6
--- a/benchmarks/schedules.py
+++ b/benchmarks/schedules.py
@@ -1,8 +1,8 @@
-"""Seeded schedules of the store's worst days: how many break which invariant, and the first seeds that do.
+"""Runs seeded fault schedules of the configuration store; reports invariant violations and their first seeds.
 
     python benchmarks/schedules.py --count 20000 --jobs 4 [--kinds race,contact] [--first SEED]
 
-COUNT schedules in all, shared among the kinds. Ends with 1 if any breaks.
+COUNT schedules in total, divided among the kinds. Exits with 1 if any violates an invariant.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
     "deposed": (lambda seed, _: _settled(steady.deposed(seed)), (3,)),
 }
 CHUNK = 10
-Broken = tuple[int, int, dict[str, str]]  # seed, machines, and the text of each invariant that was broken
+Violation = tuple[int, int, dict[str, str]]  # seed, machines, and the text of each violated invariant
 
 
 def _settled(cluster: Cluster) -> Cluster:
@@ -37,8 +37,9 @@
     return cluster
 
 
-def play(kind: str, seeds: range) -> tuple[list[Broken], int]:
-    """Those of these schedules that break; and the orders below the newest under another body's number."""
+def play(kind: str, seeds: range) -> tuple[list[Violation], int]:
+    """Returns the schedules that violate an invariant, and the number of writes below the newest version that
+    reuse the number of another body."""
     Cluster.collects = True
     schedule, sizes = KINDS[kind]
     found, below = [], 0
@@ -47,17 +48,17 @@
         try:
             played = schedule(seed, machines)
             texts, below = played.texts, below + played.below
-        except Exception as error:  # a schedule that can't be played on counts as broken too
+        except Exception as error:  # a schedule that can't continue counts as a violation too
             texts = {"raised": f"{type(error).__name__}: {error}"}
         if texts:
             found.append((seed, machines, texts))
     return found, below
 
 
-def report(kind: str, played: int, broken: list[Broken], below: int) -> None:
+def report(kind: str, played: int, broken: list[Violation], below: int) -> None:
     print(f"{kind}: {len(broken)} of {played} break", flush=True)
     counts: Counter[str] = Counter()
-    firsts: dict[str, list[Broken]] = defaultdict(list)
+    firsts: dict[str, list[Violation]] = defaultdict(list)
     for one in sorted(broken):
         for what in one[2]:
             counts[what] += 1
@@ -71,22 +72,24 @@
 
 
 def main() -> int:
-    words = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    words.add_argument("--count", type=int, default=2000, help="schedules in all")
-    words.add_argument("--jobs", type=int, default=2, help="processes")
-    words.add_argument("--kinds", default=",".join(KINDS), help="separated by commas")
-    words.add_argument("--first", type=int, default=0, help="the first seed")
-    given = words.parse_args()
-    kinds = [kind.strip() for kind in given.kinds.split(",")]
-    each = max(1, given.count // len(kinds))
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    parser.add_argument("--count", type=int, default=2000, help="schedules in all")
+    parser.add_argument("--jobs", type=int, default=2, help="processes")
+    parser.add_argument("--kinds", default=",".join(KINDS), help="separated by commas")
+    parser.add_argument("--first", type=int, default=0, help="the first seed")
+    options = parser.parse_args()
+    kinds = [kind.strip() for kind in options.kinds.split(",")]
+    each = max(1, options.count // len(kinds))
     began, done, bad = monotonic(), 0, False
-    with ProcessPoolExecutor(given.jobs) as pool:
+    with ProcessPoolExecutor(options.jobs) as pool:
         for kind in kinds:
             parts = [
-                range(at, min(at + CHUNK, given.first + each))
-                for at in range(given.first, given.first + each, CHUNK)
+                range(at, min(at + CHUNK, options.first + each))
+                for at in range(options.first, options.first + each, CHUNK)
             ]
-            broken: list[Broken] = []
+            broken: list[Violation] = []
             below = 0
             for part, (found, more) in zip(parts, pool.map(play, [kind] * len(parts), parts), strict=True):
                 broken += found
--- a/benchmarks/slow_node.py
+++ b/benchmarks/slow_node.py
@@ -1,6 +1,6 @@
-"""A node of the rigs whose work takes time: so many requests at once, a queue, and 503 when that is full.
+"""A backend of the benchmarks with limited concurrency and a queue; answers 503 when the queue is full.
 
-Its arguments: port, requests at once, milliseconds of work for each, length of the queue.
+Arguments: port, concurrent requests, milliseconds of work per request, queue length.
 """
 
 from __future__ import annotations
@@ -17,17 +17,17 @@
 
 
 class Work:
-    """What all connections of a node share."""
+    """The worker slots and the queue, shared by all connections of a node."""
 
-    def __init__(self, at_once: int, work_ms: float, queue: int) -> None:
-        self.free, self.work_s, self.most = at_once, work_ms / 1000, queue
+    def __init__(self, concurrency: int, work_ms: float, queue: int) -> None:
+        self.free, self.work_s, self.max_queue = concurrency, work_ms / 1000, queue
         self.queue: deque[_Node] = deque()
 
-    def take(self, connection: _Node) -> None:
+    def submit(self, connection: _Node) -> None:
         if self.free:
             self.free -= 1
             asyncio.get_running_loop().call_later(self.work_s, self._done, connection)
-        elif len(self.queue) < self.most:
+        elif len(self.queue) < self.max_queue:
             self.queue.append(connection)
         else:
             connection.write(FULL)
@@ -38,7 +38,7 @@
         while self.queue:
             following = self.queue.popleft()
             if not following.gone:
-                self.take(following)
+                self.submit(following)
                 return
 
 
@@ -54,7 +54,7 @@
 
     def data_received(self, data: bytes) -> None:
         if data.endswith(b"\r\n\r\n"):
-            self.work.take(self)
+            self.work.submit(self)
 
     def write(self, data: bytes) -> None:
         if not self.gone:
--- a/benchmarks/slow_readers.py
+++ b/benchmarks/slow_readers.py
@@ -1,9 +1,9 @@
-"""Memory of an ingress while many clients read long answers slowly.
+"""Measures the memory of an ingress while many clients read long responses slowly.
 
     python -m benchmarks.slow_readers [--clients 150] [--megabytes 4] [--seconds 6]
 
 One daemon, nine nodes that write as fast as they are read, clients that read 64 KiB a second each. Prints the
-daemon's resident memory before and at its highest, and how many answers began.
+daemon's resident memory before and at its peak, and the number of responses that started.
 """
 
 from __future__ import annotations
@@ -17,21 +17,21 @@
 
 from benchmarks.processes import daemon
 
-PIECE = b"x" * 65536
+CHUNK = b"x" * 65536
 
 
 async def node(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, megabytes: int) -> None:
     with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
         while await reader.readuntil(b"\r\n\r\n"):
-            writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (megabytes * 16 * len(PIECE)))
+            writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (megabytes * 16 * len(CHUNK)))
             for _ in range(megabytes * 16):
-                writer.write(PIECE)
+                writer.write(CHUNK)
                 await writer.drain()
     writer.close()
 
 
 async def client(port: int, number: int, until: float, began: list[int]) -> None:
-    """Comes a little after the one before it, and again where it is refused."""
+    """Connects shortly after the previous client; retries if rejected."""
     loop = asyncio.get_running_loop()
     await asyncio.sleep(number * 0.01)
     sock = socket.socket()
@@ -77,18 +77,18 @@
         for _ in range(9)
     ]
     with daemon([n.sockets[0].getsockname()[1] for n in nodes]) as (pid, port):
-        before = most = resident_kib(pid)
+        before = peak = resident_kib(pid)
         began: list[int] = []
         loop = asyncio.get_running_loop()
         until = loop.time() + options.seconds
         clients = [asyncio.create_task(client(port, n + 1, until, began)) for n in range(options.clients)]
         while loop.time() < until:
             await asyncio.sleep(0.1)
-            most = max(most, resident_kib(pid))
+            peak = max(peak, resident_kib(pid))
         await asyncio.wait(clients, timeout=2)
         print(
             f"{len(began)} of {options.clients} answers began; resident {before / 1024:.0f} MiB before, "
-            f"{most / 1024:.0f} at its highest"
+            f"{peak / 1024:.0f} at its highest"
         )
 
 
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -1,8 +1,9 @@
-"""How long changes stop when the store's primary is lost, in simulated time: median and most over many seeds.
+"""Measures the write outage after the loss of the store's primary in simulated time: median and maximum.
 
     python benchmarks/takeover.py [SEEDS]
 
-Ways: killed (its links end), silent (cut off or frozen), in order (SIGTERM), wiped and back within 50 ms.
+Kinds of loss: killed (its links end), silent (isolated or frozen), in order (SIGTERM), wiped and restarted
+within 50 ms.
 """
 
 from __future__ import annotations
@@ -15,11 +16,11 @@
 
 from cluster import Cluster  # noqa: E402
 
-STEP_S, MOST_S = 0.02, 20.0
+STEP_S, MAX_S = 0.02, 20.0
 
 
-def gap(how: str, seed: int, machines: int) -> float:
-    """Seconds from the loss until another one acknowledges."""
+def outage_s(how: str, seed: int, machines: int) -> float:
+    """Returns the seconds from the loss until another primary acknowledges."""
     cluster = Cluster(seed, machines)
     cluster.run(6.0 + seed % 7 * 0.1)
     old = cluster.primary
@@ -35,19 +36,19 @@
             cluster.wipe(old)
             cluster.run(0.05)
             cluster.start(old)
-    while cluster.now - began < MOST_S:
+    while cluster.now - began < MAX_S:
         cluster.run(STEP_S)
-        led = cluster.primary
-        replica = cluster.machines[led].replica if led is not None else None
+        leader = cluster.primary
+        replica = cluster.machines[leader].replica if leader is not None else None
         if replica is not None and replica.epoch > epoch:
             return cluster.now - began
-    return MOST_S
+    return MAX_S
 
 
 if __name__ == "__main__":
     seeds = int(sys.argv[1]) if len(sys.argv) > 1 else 100
     for machines in (3, 4):
         for how in ("killed", "silent", "in order", "wiped"):
-            gaps = [gap(how, seed, machines) for seed in range(seeds)]
-            figures = f"median {median(gaps):.2f} s, most {max(gaps):.2f} s"
+            outages = [outage_s(how, seed, machines) for seed in range(seeds)]
+            figures = f"median {median(outages):.2f} s, most {max(outages):.2f} s"
             print(f"{machines} machines, {how:<9} {figures}", flush=True)
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -1,4 +1,4 @@
-"""What an upgrade loses: many open connections, some amid long answers, some with a message half sent.
+"""Counts requests lost by an upgrade, with many connections, long responses and partly sent requests.
 
     python -m benchmarks.upgrade [--connections 2000] [--long 64] [--half 100] [--upgrades 3]
                                  [--way good|killed] [--cwd CHECKOUT]
@@ -30,7 +30,7 @@
 
 from benchmarks.processes import ROOT, config, memory_mb
 
-LONG = 4 * 1024 * 1024  # bytes of a long answer: read in some 2.6 s, which a process that ends waits for
+LONG = 4 * 1024 * 1024  # bytes of a long response: read in about 2.6 s, which a terminating process waits for
 READ, READ_EVERY_S = 64 * 1024, 0.04
 
 
@@ -76,7 +76,7 @@
 
 
 async def client(address: tuple[str, int], number: int, until: float, count: Count, kind: str) -> None:
-    """Asks about once a second on one connection; `half` sends in two parts, `long` reads slowly."""
+    """Sends about one request a second on one connection; `half` sends in two parts, `long` reads slowly."""
     loop, dice = asyncio.get_running_loop(), random.Random(number)
     await asyncio.sleep(dice.random())
     reader, writer = await connect(address, kind)
@@ -121,8 +121,8 @@
     writer.close()
 
 
-class Row:
-    """Processes at one listening socket."""
+class SocketProcesses:
+    """The processes that share one listening socket."""
 
     def __init__(self, folder: Path, ports: list[int], cwd: Path) -> None:
         self.socket = socket.create_server(("127.0.0.1", 0), backlog=4096)
@@ -168,7 +168,7 @@
     nodes = [await asyncio.start_server(node, "127.0.0.1", 0) for _ in range(9)]
     count, before, most = Count(), 0.0, 0.0
     with tempfile.TemporaryDirectory() as name:
-        row = Row(Path(name), [n.sockets[0].getsockname()[1] for n in nodes], Path(options.cwd))
+        row = SocketProcesses(Path(name), [n.sockets[0].getsockname()[1] for n in nodes], Path(options.cwd))
         older = await row.start()
         loop = asyncio.get_running_loop()
         until = loop.time() + 3 + 5 * options.upgrades
--- a/benchmarks/usage_cost.py
+++ b/benchmarks/usage_cost.py
@@ -1,9 +1,9 @@
-"""What the ledger of use costs: CPU a request by promise, answers a second, and the size of exports.
+"""Measures the cost of the usage ledger: CPU per request by promise, responses per second, and export sizes.
 
     python -m benchmarks.usage_cost [--requests 8000] [--rounds 5] [--rows 1000000] [--folder DIR]
 
 All daemons of a comparison run side by side and are loaded in turn, round by round; CPU is that of the whole
-process, its writer's thread among it. --folder: where ledgers are kept; on a disk, or fsync costs nothing.
+process with its writer thread. --folder: directory of the ledgers; use a disk, as fsync is free on tmpfs.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 from troutdock.usage.record import Record, State, Use
 
 
-UNITS = 1  # of a request of the load, as its Quota-Info says
+UNITS = 1  # of each request of the load, as in its Quota-Info
 
 
 def operator(folder: Path, promise: str) -> str:
-    """An operator's file for a ledger of its own: its path."""
+    """Writes an operator's file with a separate ledger; returns its path."""
     file = folder / f"{promise}.yaml"
     file.write_text(
         json.dumps(
@@ -40,11 +40,11 @@
 
 
 def costs(stack: ExitStack, ports: Sequence[int], folder: Path, requests: int, rounds: int) -> dict[str, int]:
-    """CPU by promise, and the ports of the daemons."""
+    """Prints the CPU by promise; returns the ports of the daemons."""
     subjects = []
     for name in ("off", "memory", "bounded", "sync"):
-        told = {} if name == "off" else {"TROUTDOCK_OPERATOR": operator(folder, name)}
-        pid, port = stack.enter_context(daemon(ports, **told))
+        environment = {} if name == "off" else {"TROUTDOCK_OPERATOR": operator(folder, name)}
+        pid, port = stack.enter_context(daemon(ports, **environment))
         print(f"  {name:8} {memory_mb(pid):.1f} MB after its start")
         subjects.append((name, port, [pid]))
     compare(subjects, requests, rounds, 8)
@@ -52,10 +52,10 @@
 
 
 def risk(ports: Sequence[int], folder: Path, requests: int) -> None:
-    """Units that were at risk at their highest, under `bounded`, against what is stated."""
+    """Prints the peak of units at risk under `bounded` and the stated bound."""
     door = free_port()
-    told = {"TROUTDOCK_OPERATOR": operator(folder, "bounded"), "RELAY_MANAGEMENT": f"127.0.0.1:{door}"}
-    with daemon(ports, **told) as (_, port):
+    environment = {"TROUTDOCK_OPERATOR": operator(folder, "bounded"), "RELAY_MANAGEMENT": f"127.0.0.1:{door}"}
+    with daemon(ports, **environment) as (_, port):
         for connections in (8, 64, 256):
             load(port, requests, connections)
         with urllib.request.urlopen(f"http://127.0.0.1:{door}/control/usage", timeout=5) as answer:
@@ -109,7 +109,7 @@
 
 
 def main() -> None:
-    """All three."""
+    """Runs all measurements."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--requests", type=int, default=8000)
     parser.add_argument("--rounds", type=int, default=5)
--- a/benchmarks/usage_kills.py
+++ b/benchmarks/usage_kills.py
@@ -1,10 +1,8 @@
-"""Ingresses with a ledger killed some hundred times under load.
-
-And what is exported compared with the true answers.
+"""Kills ingresses with a ledger some hundred times under load and compares the export with the responses.
 
     python -m benchmarks.usage_kills [--kills 300] [--seed 1]
 
-The test of the suite does the same a few times. Units at risk are those that `bounded` lost, against its
+The test suite does the same a few times. Units at risk are those that `bounded` lost, compared with its
 bound.
 """
 
@@ -23,7 +21,7 @@
 
 
 def main() -> None:
-    """A row for each promise; exit 1 if anything is lost or doubled beyond what is stated."""
+    """Prints a row for each promise; exits with 1 on loss or duplication beyond the stated bound."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--kills", type=int, default=300)
     parser.add_argument("--seed", type=int, default=1)
