--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Rigs that compare, in one run and as ratios; they are no part of CI."""
+"""Benchmarks that compare variants within one run, as ratios. CI does not run them."""
--- a/benchmarks/control_plane.py
+++ b/benchmarks/control_plane.py
@@ -5,7 +5,7 @@
 The daemons' own state machine runs with four registries and two backends per ingress, which send heartbeats
 every 1.5 s. All ingresses start within a second; then follow a drain and a configuration of 5 KB. Prints
 the bytes of the start and its processor time per registry, the bytes per second to ingresses and between
-registries due_at idle, and the time until the last registry sends the drain and the configuration to its
+registries when idle, and the time until the last registry sends the drain and the configuration to its
 ingresses (1.4 ms one-way latency; transmission time is excluded).
 """
 
@@ -37,7 +37,7 @@
         self.registries = [Registry(0.0, HEARTBEAT_S, ip=f"r{n}") for n in range(ZONES)]
         self.bytes = {"followers": 0, "registries": 0}
         self.cpu = 0.0
-        self.sent_at: dict[str, float] = {}  # by update: due_at the last registry sent it
+        self.sent_at: dict[str, float] = {}  # by update: when the last registry sent it
         for n in range(ZONES):
             for m in range(ZONES):
                 if n != m:
--- a/benchmarks/crowd.py
+++ b/benchmarks/crowd.py
@@ -21,12 +21,8 @@
 
 import uvloop
 
-TARGET_LATENCY_S, DEADLINE_S, RESPONSE_TIMEOUT_S, MAX_ATTEMPTS = (
-    1.5,
-    4.0,
-    1.3,
-    3,
-)  # the class's latency target and deadline, and a time-out between them
+# the class's latency target and deadline, and a client time-out shorter than both
+TARGET_LATENCY_S, DEADLINE_S, RESPONSE_TIMEOUT_S, MAX_ATTEMPTS = 1.5, 4.0, 1.3, 3
 
 
 class _Connection(asyncio.Protocol):
--- a/benchmarks/grpc_cost.py
+++ b/benchmarks/grpc_cost.py
@@ -2,8 +2,8 @@
 
     python -m benchmarks.grpc_cost [--calls 4000] [--rounds 5] [--streams 1000]
 
-One node and one client on grpcio for both ways, in processes of their own; what is measured is the process in
-the middle, the ways in turn, round by round. First the memory for idle connections and for open streams.
+Both paths use one node and one client on grpcio in separate processes. The process in the middle is measured,
+the paths in turn, round by round. First measures the memory of idle connections and of open streams.
 """
 
 from __future__ import annotations
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -3,10 +3,10 @@
     python -m benchmarks.upgrade [--connections 2000] [--long 64] [--half 100] [--upgrades 3]
                                  [--way good|killed] [--cwd CHECKOUT]
 
-Daemons that share a listening socket, each replacing the one before; clients that ask about once a second on
-connections that they keep. `killed`: each successor dies by SIGKILL 0.2 s after its yes, before the older one
-is told to end, and another is started. Prints requests answered and lost, both processes' memory at its
-highest, and the longest wait for an answer's head.
+The daemons share a listening socket, and each replaces the one before. Clients send about one request per
+second on kept-alive connections. `killed`: each successor is ended by SIGKILL 0.2 s after it reports ready,
+before the older one is told to terminate, and another is started. Prints the requests answered and lost, the
+peak memory of both processes, and the longest wait for a response head.
 """
 
 from __future__ import annotations
--- a/benchmarks/usage_cost.py
+++ b/benchmarks/usage_cost.py
@@ -67,7 +67,7 @@
 
 
 def rates(ports: dict[str, int], requests: int) -> None:
-    """Answers a second, as closed-loop clients get them."""
+    """Prints responses per second for closed-loop clients."""
     for connections in (1, 32, 256):
         row = []
         for name in ("off", "bounded", "sync"):
@@ -80,7 +80,7 @@
 
 
 def sizes(rows: int, folder: Path) -> None:
-    """Records as Parquet and as JSON lines."""
+    """Compares the size of records as Parquet and as JSON lines."""
     random, plans = Random(1), ("basis", "standard", "plus")
     classes = ("ledger-read", "payment-book", "vat-filing")
     uses = (
