--- a/benchmarks/hollow/ingress.py
+++ b/benchmarks/hollow/ingress.py
@@ -5,8 +5,8 @@
 from typing import Any
 
 from troutdock.settings.configuration import RejectedConfiguration, read_configuration
-from troutdock.proxy.daemon import NOTHING, STATES
-from troutdock.proxy.route_table import Table
+from troutdock.proxy.daemon import EMPTY_SETTINGS, BACKEND_STATES
+from troutdock.proxy.route_table import RouteTable
 from troutdock.proxy.load_exchange import LoadExchange
 from troutdock.rpc.messages import GONE, Config, Instances, Members, Silence
 from troutdock.endpoints.endpoint_table import EndpointTable
@@ -26,9 +26,9 @@
 
     def __init__(self, name: str, ip: str, zone: str) -> None:
         self.endpoints = EndpointTable()
-        self.admission = ProxyAdmission(NOTHING, 1, int(zone[1:]))
+        self.admission = ProxyAdmission(EMPTY_SETTINGS, 1, int(zone[1:]))
         self.exchange = LoadExchange(name, ip, zone, 1, self.endpoints)
-        self.table: Table | None = None
+        self.table: RouteTable | None = None
         self.backend_numbers: dict[str, int] = {}
         self.instance_of: dict[int, bytes] = {}
         self.pools: dict[str, int] = {}
@@ -61,7 +61,7 @@
             return
         configuration = read_configuration(body)
         assert not isinstance(configuration, RejectedConfiguration), configuration
-        table = Table(configuration, self.tenants)
+        table = RouteTable(configuration, self.tenants)
         for service in configuration.services:
             self.pools.setdefault(service, len(self.pools))
         self._handle(now, SettingsChanged(table.settings))
@@ -76,7 +76,7 @@
                 self._last_number += 1
                 number = self.backend_numbers[entry.id] = self._last_number
                 self.instance_of[number] = entry.id.encode()
-            backend = BackendEntry(number, STATES[entry.state], int(entry.zone[1:]), size=entry.slots)
+            backend = BackendEntry(number, BACKEND_STATES[entry.state], int(entry.zone[1:]), size=entry.slots)
             pool = self.pools.setdefault(entry.service, len(self.pools))
             self._handle(now, FleetUpdate(ListKind.CHANGES, [backend], pool=pool))
             if entry.state == GONE:
--- a/benchmarks/hollow/zone.py
+++ b/benchmarks/hollow/zone.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from benchmarks.hollow.model import INGRESSES, PEAK_REQUESTS_PER_S, Size, state_bytes, zone_of
-from troutdock.proxy.peer_connections import AWAY_S, LOOK_S, ZONE_S
+from troutdock.proxy.peer_connections import REMOTE_BATCH_S, MAINTENANCE_INTERVAL_S, ZONE_BATCH_S
 from troutdock.proxy.load_exchange import ZONE_PREFIX, LoadExchange
 from troutdock.rpc.connection import PING_INTERVAL_S
 from troutdock.rpc.messages import Instance, Member, Ping, Shares, decode, encode
@@ -113,8 +113,8 @@
             for other, zone in self.remote_owners[name].items():
                 self._mirror(name, other, zone, exchange.full_state(0.0, other, True))
         for at, name in enumerate(self.names):
-            self.time.at(AWAY_S * at / len(self.names), lambda n=name: self._send_remote_updates(n))
-            self.time.at(LOOK_S * at / len(self.names), lambda n=name: self._check_peers(n))
+            self.time.at(REMOTE_BATCH_S * at / len(self.names), lambda n=name: self._send_remote_updates(n))
+            self.time.at(MAINTENANCE_INTERVAL_S * at / len(self.names), lambda n=name: self._check_peers(n))
             self.time.at(self._request_interval(), lambda n=name: self._start_request(n))
 
     def _request_interval(self) -> float:
@@ -138,7 +138,7 @@
     def _schedule_zone_update(self, name: str) -> None:
         if name not in self.pending_updates:
             self.pending_updates.add(name)
-            self.time.after(ZONE_S, lambda: self._send_zone_update(name))
+            self.time.after(ZONE_BATCH_S, lambda: self._send_zone_update(name))
 
     def _send_zone_update(self, name: str) -> None:
         self.pending_updates.discard(name)
@@ -176,7 +176,7 @@
             for other in self.names[:PROCESSING_INGRESSES]:
                 if other != name:
                     self._receive(other, payload, name, LOCAL_ZONE, "passed on")
-        self.time.after(AWAY_S, lambda: self._send_remote_updates(name))
+        self.time.after(REMOTE_BATCH_S, lambda: self._send_remote_updates(name))
 
     def _mirror(self, name: str, other: str, zone: str, shares: Shares) -> None:
         """Delivers an update back to its sender as the equivalent update of the other zone."""
@@ -195,7 +195,7 @@
             exchange.dial_targets(now, linked, [])
             exchange.membership(now)
             self._count_cpu("look", name, began)
-        self.time.after(LOOK_S, lambda: self._check_peers(name))
+        self.time.after(MAINTENANCE_INTERVAL_S, lambda: self._check_peers(name))
 
 
 def run(
--- a/benchmarks/schedules.py
+++ b/benchmarks/schedules.py
@@ -33,21 +33,21 @@
 
 
 def _settled(cluster: Cluster) -> Cluster:
-    worst_days.settled(cluster)
+    worst_days.check_settled(cluster)
     return cluster
 
 
 def play(kind: str, seeds: range) -> tuple[list[Violation], int]:
     """Returns the schedules that violate an invariant, and the number of writes below the newest version that
     reuse the number of another body."""
-    Cluster.collects = True
+    Cluster.collect_violations = True
     schedule, sizes = KINDS[kind]
     found, below = [], 0
     for seed in seeds:
         machines = sizes[seed % len(sizes)]
         try:
             played = schedule(seed, machines)
-            texts, below = played.texts, below + played.below
+            texts, below = played.first_messages, below + played.stale_conflicts
         except Exception as error:  # a schedule that can't continue counts as a violation too
             texts = {"raised": f"{type(error).__name__}: {error}"}
         if texts:
--- a/tests/membership/test_datagrams.py
+++ b/tests/membership/test_datagrams.py
@@ -1,4 +1,4 @@
-"""Digests over loopback sockets, good and bad, and what the configuration says of peers."""
+"""Valid and invalid digests over loopback sockets, and the configuration of peers."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from loopback import SETTINGS, run, until
 
 from troutdock.ingress import Ingress
-from troutdock.membership.datagrams import MOST, Datagrams, Peers
+from troutdock.membership.datagrams import MAX_DATAGRAM_BYTES, PeerSocket, PeerAddresses
 from troutdock.platform.config import ConfigError, read_config
 
 
@@ -29,8 +29,8 @@
         address = own.getsockname()
         own.close()
         heard: list[tuple[int, bytes]] = []
-        ways = Datagrams(
-            Peers(address, (address, peer.getsockname()), None),
+        ways = PeerSocket(
+            PeerAddresses(address, (address, peer.getsockname()), None),
             0,
             20.0,
             lambda n, body: heard.append((n, body)),
@@ -40,7 +40,7 @@
             with caplog.at_level(logging.WARNING, logger="troutdock"):
                 for _ in range(3):
                     stranger.sendto(b"from nobody", address)
-                    peer.sendto(b"x" * (MOST + 1), address)
+                    peer.sendto(b"x" * (MAX_DATAGRAM_BYTES + 1), address)
                 peer.sendto(b"good", address)
                 await until(lambda: bool(heard))
                 assert heard == [(1, b"good")]
@@ -48,10 +48,8 @@
                 for _ in range(200):
                     peer.sendto(b"flood", address)
                 await until(lambda: len(heard) + ways.dropped["too many"] == 201)
-                assert (
-                    10 < len(heard) < 100
-                )  # twice what is taken in, and what came free while they were read
-            assert len(caplog.records) == 2  # a line for each of the two senders
+                assert 10 < len(heard) < 100  # twice the intake rate, plus the tokens refilled while reading
+            assert len(caplog.records) == 2  # one line for each of the two senders
             ways.tell(None, b"to all")
             ways.tell(1, b"to one")
             peer.settimeout(5)
@@ -86,7 +84,7 @@
 def test_the_configuration_names_the_peers_or_none() -> None:
     peers = read_config(config()).peers
     assert (
-        peers is not None and peers.listen == ("127.0.0.1", 7946) and peers.everybody == ("127.0.0.1", 7947)
+        peers is not None and peers.listen == ("127.0.0.1", 7946) and peers.broadcast == ("127.0.0.1", 7947)
     )
     raw = json.loads(config())
     for key in ("peer_listen", "peers"):
@@ -118,7 +116,7 @@
 
 
 def test_a_successor_hears_peers_once_the_address_is_free() -> None:
-    """At an upgrade two processes have the same addresses for a while."""
+    """During an upgrade two processes are configured with the same address."""
 
     async def test() -> None:
         before = bound()
--- a/troutdock/jsonlines.py
+++ b/troutdock/jsonlines.py
@@ -1,6 +1,7 @@
-"""Files and messages of JSON lines, each a named tuple: read whole, with the place of what is wrong.
+"""Files and messages in JSON lines, each line a named tuple; errors name the file and line.
 
-A file is written whole or not at all, and those who change it take turns (locked), also of several processes.
+A file is replaced atomically, and writers exclude one another by a lock file (file_lock), also in several
+processes.
 """
 
 from __future__ import annotations
@@ -15,11 +16,11 @@
 import msgspec
 
 Row = TypeVar("Row")
-Whole = TypeVar("Whole")
+Result = TypeVar("Result")
 
 
 def decode(data: bytes, kind: type[Row], place: object = "line") -> Iterator[tuple[int, Row]]:
-    """Each line's number and row; ValueError names the place and the line that is wrong."""
+    """Yields the line number and row of each line; ValueError names the place and the invalid line."""
     for number, line in enumerate(data.splitlines(), 1):
         if line.strip():
             try:
@@ -28,42 +29,42 @@
                 raise ValueError(f"{place}:{number}: {error}") from error
 
 
-def gathered(
+def fold_lines(
     data: bytes,
     kind: type[Row],
-    none: Whole,
-    add: Callable[[Whole, list[Row]], Whole],
+    empty: Result,
+    add: Callable[[Result, list[Row]], Result],
     place: object = "line",
-) -> Whole:
-    """All lines added to nothing; ValueError names the place and the first line that is wrong."""
+) -> Result:
+    """Adds all lines to an empty result; ValueError names the place and the first invalid line."""
     rows = list(decode(data, kind, place))
     try:
-        return add(none, [row for _, row in rows])
+        return add(empty, [row for _, row in rows])
     except ValueError as error:
-        whole, cause = none, error
+        result, cause = empty, error
     for number, row in rows:
         try:
-            whole = add(whole, [row])
+            result = add(result, [row])
         except ValueError as error:
             raise ValueError(f"{place}:{number}: {error}") from error
     raise ValueError(f"{place}: {cause}")
 
 
 def encode(rows: Iterable[tuple[object, ...]]) -> bytes:
-    """One line for each."""
+    """Encodes each row as one line."""
     return b"".join(msgspec.json.encode(list(row)) + b"\n" for row in rows)
 
 
-def content(path: Path) -> bytes:
-    """A file's bytes, none if there is no file."""
+def read_or_empty(path: Path) -> bytes:
+    """Returns the content of a file, empty if it does not exist."""
     try:
         return path.read_bytes()
     except FileNotFoundError:
         return b""
 
 
-def mark(path: Path) -> tuple[int, int, int]:
-    """Another one whenever the file has changed; of none it is zeros."""
+def file_stamp(path: Path) -> tuple[int, int, int]:
+    """Returns a stamp that changes whenever the file changes; zeros without a file."""
     try:
         stat = path.stat()
     except OSError:
@@ -71,24 +72,24 @@
     return stat.st_mtime_ns, stat.st_size, stat.st_ino
 
 
-def replace(path: Path, data: bytes) -> None:
-    """Put this in the file's place in one step, and on disk; OSError leaves the old one."""
+def replace_file(path: Path, data: bytes) -> None:
+    """Replaces the file atomically and durably; on OSError the old content remains."""
     part = path.with_name(path.name + ".part")
     with part.open("wb") as file:
         file.write(data)
         file.flush()
         os.fsync(file.fileno())
     part.rename(path)
-    folder = os.open(path.parent, os.O_RDONLY)
+    directory = os.open(path.parent, os.O_RDONLY)
     try:
-        os.fsync(folder)
+        os.fsync(directory)
     finally:
-        os.close(folder)
+        os.close(directory)
 
 
 @contextmanager
-def locked(path: Path) -> Iterator[None]:
-    """Nobody else who asks for it changes the file meanwhile; blocks until that is so."""
+def file_lock(path: Path) -> Iterator[None]:
+    """Holds the exclusive lock of the file; blocks until it is available."""
     with path.with_name(path.name + ".lock").open("ab") as lock:
         fcntl.flock(lock, fcntl.LOCK_EX)
         yield
--- a/troutdock/plans/service.py
+++ b/troutdock/plans/service.py
@@ -37,7 +37,7 @@
         """Reads the file for the first time; raises ValueError or OSError if that fails."""
         self._file, self._reread_s = file, reread_s
         self.schedule = PlanSchedule()
-        self._file_mark = jsonlines.mark(self._file)
+        self._file_mark = jsonlines.file_stamp(self._file)
         self.schedule.add(_now(), read(file))
         self._failed_mark: object = None
         self._logged_plans: set[str] = set()  # unknown plans that have been logged
@@ -112,7 +112,7 @@
         """Reads the file when it changes. An unreadable version changes nothing and is logged once."""
         while True:
             await asyncio.sleep(self._reread_s)
-            mark = jsonlines.mark(self._file)
+            mark = jsonlines.file_stamp(self._file)
             if mark == self._file_mark:
                 continue
             try:
--- a/troutdock/reservations/files.py
+++ b/troutdock/reservations/files.py
@@ -19,7 +19,7 @@
 
 def parse(data: bytes, source: object = "line") -> Entries:
     """Parses entries from JSON lines; ValueError names the source and the invalid line."""
-    entries = jsonlines.gathered(data, Entry, Entries(), Entries.add, source)
+    entries = jsonlines.fold_lines(data, Entry, Entries(), Entries.add, source)
     if len(entries) > MAX_ENTRIES:
         raise ValueError(f"{source}: {len(entries)} entries exceed the limit of {MAX_ENTRIES}")
     return entries
@@ -27,18 +27,18 @@
 
 def read(path: Path) -> Entries:
     """Reads the file's entries, none if it does not exist; ValueError names the invalid line."""
-    return parse(jsonlines.content(path), path)
+    return parse(jsonlines.read_or_empty(path), path)
 
 
 def append(path: Path, entries: Iterable[Entry]) -> Entries:
     """Adds entries to the file and returns its new content; on ValueError or OSError it is unchanged."""
-    with jsonlines.locked(path):
+    with jsonlines.file_lock(path):
         existing = read(path)
         updated = existing.add(entries)
         if len(updated) > MAX_ENTRIES:
             raise ValueError(f"{path}: the limit is {MAX_ENTRIES} entries; prune ended reservations")
         if len(updated) != len(existing):
-            jsonlines.replace(path, jsonlines.encode(updated))
+            jsonlines.replace_file(path, jsonlines.encode(updated))
         return updated
 
 
@@ -47,7 +47,7 @@
 
     On ValueError or OSError the entry is not added.
     """
-    with jsonlines.locked(path):
+    with jsonlines.file_lock(path):
         existing = read(path)
         if existing.contains(entry):
             return existing, CommitmentDecision(
@@ -59,17 +59,17 @@
             raise ValueError(f"no reservation is known as {entry.of!r}")
         decision = decide(reservation, existing.reservations(), bounds)
         if decision.granted:
-            jsonlines.replace(path, jsonlines.encode(updated))
+            jsonlines.replace_file(path, jsonlines.encode(updated))
         return (updated if decision.granted else existing), decision
 
 
 def prune(path: Path, before_ms: float) -> list[str]:
     """Removes the entries of reservations that ended before a time and returns the reservations' ids."""
-    with jsonlines.locked(path):
+    with jsonlines.file_lock(path):
         existing = read(path)
         pruned = [r.id for r in existing.reservations() if r.ends_ms < before_ms]
         if pruned:
-            jsonlines.replace(path, jsonlines.encode(existing.without(pruned)))
+            jsonlines.replace_file(path, jsonlines.encode(existing.without(pruned)))
         return pruned
 
 
@@ -100,7 +100,7 @@
 
     def load(self, index: int) -> SavedParts:
         """Returns the last save, empty if there is none; ValueError if it is not of this gateway."""
-        data = jsonlines.content(self._path)
+        data = jsonlines.read_or_empty(self._path)
         if not data:
             return {}
         try:
@@ -114,7 +114,7 @@
 
     def save(self, index: int, parts: SavedParts) -> None:
         """Saves the parts durably; after OSError they may or may not be on disk."""
-        jsonlines.replace(self._path, msgspec.json.encode(_Parts(1, index, parts)))
+        jsonlines.replace_file(self._path, msgspec.json.encode(_Parts(1, index, parts)))
 
     def close(self) -> None:
         """Releases the ownership; may be called twice."""
--- a/troutdock/reservations/service.py
+++ b/troutdock/reservations/service.py
@@ -82,7 +82,7 @@
     def __init__(self, options: ReservationOptions) -> None:
         """Reads the file for the first time; raises ValueError or OSError if that fails."""
         self._options = options
-        self._file_mark = jsonlines.mark(self._options.file)
+        self._file_mark = jsonlines.file_stamp(self._options.file)
         self._entries = files.read(options.file)
         self._folder = files.PartsFolder(options.folder)
         self._engine: Engine | None = None
@@ -276,7 +276,7 @@
         if now - self._last_read_at < self._options.reread_s:
             return
         self._last_read_at = now
-        mark = jsonlines.mark(self._options.file)
+        mark = jsonlines.file_stamp(self._options.file)
         if mark == self._file_mark:
             return
         try:
