--- a/troutdock/admission/proxy_admission.py
+++ b/troutdock/admission/proxy_admission.py
@@ -91,7 +91,7 @@
 TIMERS_PER_REQUEST = 64  # timer labels of one request: more than it can have attempts
 QUOTA_TIMER = TIMERS_PER_REQUEST - 1  # the timer of a request that waits for a token
 QUOTA_WAIT_SHARE = 0.2  # of the latency target: a rejection within a quarter of it costs little
-NO_OWNER_RETRY_MS = 250.0  # retry time if no quota owner answered: about the time to elect a new one
+NO_OWNER_RETRY_MS = 250.0  # retry time if no quota owner answered: about the time until a new one serves
 
 
 class Call:
--- a/troutdock/library/deployment.py
+++ b/troutdock/library/deployment.py
@@ -102,8 +102,8 @@
         sockets: connections to nodes may use half of it. max_answer_bytes: limit of a node's response.
         connect_timeout_s, idle_s: connect time-out, and the idle time after which nodes close a connection.
         start_capacity, cold_s, fall_multiple, overload_s: a node that has just started has start_capacity
-            of its full capacity and is warm after cold_s; it fails if its load stays at fall_multiple times
-            its capacity for overload_s.
+            of its full capacity and is warm after cold_s; it fails if it receives over fall_multiple
+            times its present capacity for overload_s.
         drain_grace_s: the longest time until a draining node receives no new requests.
         """
         _check_names("class", [c.name for c in classes])
--- a/troutdock/rpc/connection.py
+++ b/troutdock/rpc/connection.py
@@ -64,7 +64,7 @@
 SILENCE_TIMEOUT_S = 1.0  # three pings in a row are lost, or the network path is down
 # by now the peer has closed the connection; allows for one ping interval and the network delay
 STALE_INPUT_S = SILENCE_TIMEOUT_S + 2 * PING_INTERVAL_S
-CONNECT_TIMEOUT_S = 0.6  # the longest round trip is some 80 ms, and one lost packet per second is allowed for
+CONNECT_TIMEOUT_S = 0.6  # the longest path takes some 80 ms; a lost SYN is only sent again after a second
 RECONNECT_DELAY_S, MAX_RECONNECT_DELAY_S = 0.05, 0.5
 MAX_UNSENT_BYTES = MAX_PAYLOAD_BYTES + (1 << 20)  # queued for a peer that does not read
 MAX_WRITE_BUFFER_BYTES = 2 * CHUNK_BYTES  # in the transport; above this, no further chunk is written
